--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,7 +13,7 @@
 	"ambersill/internal/cloud"
 	"ambersill/internal/config"
 	"ambersill/internal/core"
-	"ambersill/internal/mesh"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/store"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
@@ -31,7 +31,7 @@
 	workers    *worker.Client
 	orders     *orders
 	cluster    *cluster
-	peers      map[string]*mesh.Peer
+	peers      map[string]*peerrpc.Peer
 	partitions int
 	// limits are those of the state service that all that is written keeps to.
 	limits config.StateLimits
@@ -58,7 +58,7 @@
 func New(s *config.Settings, t tuning.Tuning, n transport.Net) *Controller {
 	st := s.WriteLimits()
 	c := &Controller{
-		settings: s, limits: st, announced: core.CurrentLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*mesh.Peer{}, partitions: t.Parts,
+		settings: s, limits: st, announced: core.CurrentLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
 		owned: map[int]*ownedPartition{}, finals: map[string]core.JobRecord{}, addrs: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, restPart: map[int]time.Time{},
 		store:   store.New(store.Options{Net: n, Addr: s.Outside.State, Timeout: tuning.Seconds(t.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
 		cloud:   cloud.New(n, s.Outside.Cloud, s.Cluster.Cloud.RPS),
@@ -69,8 +69,8 @@
 		c.partitions = s.Cluster.Count
 	}
 	for _, m := range s.Members {
-		c.peers[m.Node] = &mesh.Peer{Member: m, Net: n}
-		c.forwarders[m.Node] = newForwarder(&mesh.Peer{Member: m, Net: n})
+		c.peers[m.Node] = &peerrpc.Peer{Member: m, Net: n}
+		c.forwarders[m.Node] = newForwarder(&peerrpc.Peer{Member: m, Net: n})
 	}
 	c.cluster.onChange = c.machineChanged
 	c.cluster.onOwner = c.ownerChanged
@@ -100,7 +100,7 @@
 		duty("forwarding of reports", f.run)
 	}
 	duty("users and workers", c.serve)
-	duty("mesh", func(ctx context.Context) error { return mesh.Serve(ctx, c.net, c.settings.MeshAddr, c) })
+	duty("peer calls", func(ctx context.Context) error { return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c) })
 	duty("cluster watch", func(ctx context.Context) error {
 		follow(ctx, c.store, clusterPrefix, c.cluster.reset, func(e wire.Event) {
 			if e.Delete != "" {
@@ -195,27 +195,27 @@
 	return v
 }
 
-// View counts the tasks of a job that this node runs.
-func (c *Controller) View(job string) (int, int, bool) {
+// LocalJobCounts counts the tasks of a job that this node runs.
+func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
 	c.mu.Lock()
 	all := c.ownedPartitions()
 	c.mu.Unlock()
 	for _, o := range all {
 		o.mu.Lock()
-		d, r, ok := 0, 0, false
+		var counts peerrpc.JobCounts
 		if o.partition != nil {
-			d, r, ok = o.partition.View(job)
+			counts.Done, counts.Running, counts.Known = o.partition.View(jobID)
 		}
 		o.mu.Unlock()
-		if ok {
-			return d, r, true
+		if counts.Known {
+			return counts
 		}
 	}
-	return 0, 0, false
+	return peerrpc.JobCounts{}
 }
 
-// Contact is the time since the state service last served this node.
-func (c *Controller) Contact() time.Duration { return c.store.SinceContact() }
+// SinceContact is the time since the state service last served this node.
+func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
 
 // learn notes where a machine can be reached. Of machines without a record nothing is
 // kept: the cloud's list goes on to show those that were returned, and what it tells of
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"time"
 
-	"ambersill/internal/mesh"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
@@ -24,7 +24,7 @@
 // forwarder passes workers' reports on to one other node, in batches.
 type forwarder struct {
 	// peer is a connection of its own, which no other call can hold up.
-	peer  *mesh.Peer
+	peer  *peerrpc.Peer
 	queue chan forwarded
 	done  <-chan struct{}
 }
@@ -36,31 +36,31 @@
 }
 
 type forwardAnswer struct {
-	reply   mesh.WorkerReply
+	result  peerrpc.HeartbeatResult
 	reached bool // the peer has answered
 }
 
-func newForwarder(peer *mesh.Peer) *forwarder {
+func newForwarder(peer *peerrpc.Peer) *forwarder {
 	return &forwarder{peer: peer, queue: make(chan forwarded, maxForwarded), done: make(chan struct{})}
 }
 
 // forward has the peer answer a report; reached is false if it did not, or if too many
 // reports wait.
-func (f *forwarder) forward(r *wire.Report) (reply mesh.WorkerReply, reached bool) {
+func (f *forwarder) forward(r *wire.Report) (result peerrpc.HeartbeatResult, reached bool) {
 	if f.peer.Failing(peerRest) {
-		return mesh.WorkerReply{}, false
+		return peerrpc.HeartbeatResult{}, false
 	}
 	item := forwarded{report: r, answer: make(chan forwardAnswer, 1)}
 	select {
 	case f.queue <- item:
 	default:
-		return mesh.WorkerReply{}, false
+		return peerrpc.HeartbeatResult{}, false
 	}
 	select {
 	case a := <-item.answer:
-		return a.reply, a.reached
+		return a.result, a.reached
 	case <-f.done:
-		return mesh.WorkerReply{}, false
+		return peerrpc.HeartbeatResult{}, false
 	}
 }
 
@@ -94,15 +94,16 @@
 
 // send makes the call for a batch, and hands out the answers.
 func (f *forwarder) send(batch []forwarded) {
-	var out mesh.BatchReply
+	var results []peerrpc.HeartbeatResult
 	reached := false
 	if !f.peer.Failing(peerRest) {
-		args := mesh.ReportBatch{Reports: make([]mesh.WorkerReport, len(batch))}
+		heartbeats := make([]*wire.Report, len(batch))
 		for i, item := range batch {
-			args.Reports[i] = mesh.NewWorkerReport(item.report)
+			heartbeats[i] = item.report
 		}
-		err := f.peer.Call("Mesh.Reports", args, &out, forwardLimit)
-		reached = err == nil && len(out.Replies) == len(batch)
+		var err error
+		results, err = f.peer.ForwardHeartbeats(heartbeats, forwardLimit)
+		reached = err == nil
 		if err != nil {
 			slog.Debug("reports not forwarded", "node", f.peer.Node, "count", len(batch), "err", err)
 		}
@@ -110,7 +111,7 @@
 	for i, item := range batch {
 		a := forwardAnswer{reached: reached}
 		if reached {
-			a.reply = out.Replies[i]
+			a.result = results[i]
 		}
 		item.answer <- a
 	}
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"ambersill/internal/config"
-	"ambersill/internal/mesh"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/standin"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
@@ -22,14 +22,14 @@
 	block chan struct{} // answers wait until it is closed
 }
 
-func (*echoOwner) Claimed(mesh.Claim)           {}
-func (*echoOwner) Cancelled(mesh.Cancellation)  {}
-func (*echoOwner) View(string) (int, int, bool) { return 0, 0, false }
-func (*echoOwner) Contact() time.Duration       { return 0 }
+func (*echoOwner) PartitionClaimed(peerrpc.OwnershipClaim) {}
+func (*echoOwner) JobCancelled(peerrpc.JobCancellation)    {}
+func (*echoOwner) LocalJobCounts(string) peerrpc.JobCounts { return peerrpc.JobCounts{} }
+func (*echoOwner) SinceContact() time.Duration             { return 0 }
 
-func (o *echoOwner) OwnedReport(r *wire.Report) (wire.ReportReply, bool) {
+func (o *echoOwner) OwnedHeartbeat(r *wire.Report) peerrpc.HeartbeatResult {
 	<-o.block
-	return wire.ReportReply{Token: r.Seq}, true
+	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.ReportReply{Token: r.Seq}}
 }
 
 // writesNet counts the writes to connections made through it.
@@ -61,8 +61,8 @@
 		o := &echoOwner{block: make(chan struct{})}
 		host := fabric.Host("owner")
 		served := make(chan error, 1)
-		go func() { served <- mesh.Serve(ctx, host, "10.0.0.1:8081", o) }()
-		fw := newForwarder(&mesh.Peer{Member: config.Member{Node: "owner", Addr: "10.0.0.1:8081"}, Net: &writesNet{Net: fabric.Host("other")}})
+		go func() { served <- peerrpc.Serve(ctx, host, "10.0.0.1:8081", o) }()
+		fw := newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: "10.0.0.1:8081"}, Net: &writesNet{Net: fabric.Host("other")}})
 		fw.done = ctx.Done()
 		go func() { _ = fw.run(ctx) }()
 		time.Sleep(time.Millisecond) // it listens
@@ -86,7 +86,7 @@
 			defer mu.Unlock()
 			if ok {
 				reached++
-				if !a.Accepted || a.Reply.Token != uint64(i+1) {
+				if !a.Accepted || a.Response.Token != uint64(i+1) {
 					t.Errorf("report %d got the answer %+v", i+1, a)
 				}
 			}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ambersill/internal/core"
-	"ambersill/internal/mesh"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/store"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
@@ -212,7 +212,7 @@
 	go o.run()
 	for _, p := range c.peers {
 		go func() {
-			_ = p.Call("Mesh.Claimed", mesh.Claim{Part: part, Stamp: rev, Node: c.settings.Node}, &struct{}{}, 2*time.Second)
+			_ = p.AnnounceClaim(peerrpc.OwnershipClaim{Partition: part, Revision: rev, Node: c.settings.Node}, 2*time.Second)
 		}()
 	}
 }
@@ -247,14 +247,14 @@
 	}
 }
 
-// Claimed is the mesh's hint that another node has taken a part.
-func (c *Controller) Claimed(cl mesh.Claim) {
-	if cl.Part < 0 || cl.Part >= c.partitions {
+// PartitionClaimed takes in a peer's hint that it owns a partition.
+func (c *Controller) PartitionClaimed(claim peerrpc.OwnershipClaim) {
+	if claim.Partition < 0 || claim.Partition >= c.partitions {
 		return
 	}
-	v, err := wire.Marshal(core.OwnerRecord{Node: cl.Node})
+	value, err := wire.Marshal(core.OwnerRecord{Node: claim.Node})
 	if err != nil {
 		return
 	}
-	c.cluster.apply(core.PartitionKey(cl.Part), v, cl.Stamp, false)
+	c.cluster.apply(core.PartitionKey(claim.Partition), value, claim.Revision, false)
 }
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"ambersill/internal/core"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -45,8 +46,8 @@
 		return wire.ReportReply{}, node, false
 	}
 	if c.ownedPartition(entry.rec.Part) != nil {
-		reply, ok := c.OwnedReport(r)
-		return reply, "", ok
+		result := c.OwnedHeartbeat(r)
+		return result.Response, "", result.Accepted
 	}
 	f := c.forwarders[owner]
 	if f == nil {
@@ -60,7 +61,7 @@
 	case !answer.Accepted:
 		return wire.ReportReply{}, "", false
 	}
-	return answer.Reply, "", true
+	return answer.Response, "", true
 }
 
 // assignedNode is the node to which a machine's worker is to report: one of the live
@@ -124,26 +125,26 @@
 	return tuning.Seconds(w.CancelS - w.LeaseS*(1+c.tuning.Drift) - w.ReportS - c.tuning.MarginS)
 }
 
-// OwnedReport answers a report as the owner of its machine's partition.
-func (c *Controller) OwnedReport(r *wire.Report) (wire.ReportReply, bool) {
+// OwnedHeartbeat answers a report as the owner of its machine's partition.
+func (c *Controller) OwnedHeartbeat(r *wire.Report) peerrpc.HeartbeatResult {
 	e, known := c.cluster.machine(r.Machine)
 	if !known {
-		return wire.ReportReply{}, false
+		return peerrpc.HeartbeatResult{}
 	}
 	o := c.ownedPartition(e.rec.Part)
 	if o == nil {
-		return wire.ReportReply{}, false
+		return peerrpc.HeartbeatResult{}
 	}
 	c.learn(r.Machine, r.Addr)
 	age := o.staleness()
 	if age > c.stalenessLimit() {
 		// Cancellations may have been told elsewhere; the leases must run out.
-		return wire.ReportReply{}, false
+		return peerrpc.HeartbeatResult{}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.partition == nil {
-		return wire.ReportReply{}, false
+		return peerrpc.HeartbeatResult{}
 	}
 	fresh := age < tuning.Seconds(c.tuning.FreshS)
 	v, reply := o.partition.Report(r, time.Now(), fresh)
@@ -154,12 +155,12 @@
 			// must not keep other machines from that owner.
 			go c.lose(o, "a worker has seen a higher token")
 		}
-		return reply, false
+		return peerrpc.HeartbeatResult{Response: reply}
 	}
 	c.orders.heard(r.Machine)
 	// Most reports change nothing, and on a small processor a pass for each is dear.
 	if o.partition.Stirred() {
 		o.poke()
 	}
-	return reply, true
+	return peerrpc.HeartbeatResult{Accepted: true, Response: reply}
 }
--- a/internal/controller/report_test.go
+++ b/internal/controller/report_test.go
@@ -57,7 +57,7 @@
 	if err := wire.Unmarshal(next(), &r); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := c.OwnedReport(&r); !ok || c.addr(r.Machine) != r.Addr {
-		t.Errorf("taken in %v; the address is %q, want %q", ok, c.addr(r.Machine), r.Addr)
+	if result := c.OwnedHeartbeat(&r); !result.Accepted || c.addr(r.Machine) != r.Addr {
+		t.Errorf("taken in %v; the address is %q, want %q", result.Accepted, c.addr(r.Machine), r.Addr)
 	}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -10,7 +10,7 @@
 
 	"ambersill/internal/api"
 	"ambersill/internal/core"
-	"ambersill/internal/mesh"
+	"ambersill/internal/peerrpc"
 	"ambersill/internal/store"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -67,9 +67,8 @@
 	views := make(chan view, len(c.peers))
 	for _, p := range c.peers {
 		go func() {
-			var a mesh.Answer
-			err := p.Call("Mesh.View", mesh.Query{}, &a, limit)
-			views <- view{err == nil, err == nil && a.Contact < c.tuning.FreshS}
+			age, err := p.SinceContact(limit)
+			views <- view{err == nil, err == nil && age < tuning.Seconds(c.tuning.FreshS)}
 		}()
 	}
 	there := len(c.peers) == 0
@@ -243,18 +242,18 @@
 
 // counts asks the part's owner for display counts; they are a hint.
 func (c *Controller) counts(id string, part int) (int, int) {
-	if d, r, ok := c.View(id); ok {
-		return d, r
+	if counts := c.LocalJobCounts(id); counts.Known {
+		return counts.Done, counts.Running
 	}
 	p := c.peers[c.cluster.snapshotOwner(part).node]
 	if p == nil {
 		return 0, 0
 	}
-	var a mesh.Answer
-	if err := p.Call("Mesh.View", mesh.Query{Job: id}, &a, 200*time.Millisecond); err != nil {
+	counts, err := p.JobCounts(id, 200*time.Millisecond)
+	if err != nil {
 		return 0, 0
 	}
-	return a.Done, a.Running
+	return counts.Done, counts.Running
 }
 
 // Cancel withdraws a job.
@@ -317,15 +316,15 @@
 	}
 	go func() {
 		defer func() { <-c.telling }()
-		if err := p.Call("Mesh.Cancelled", mesh.Cancellation{Part: part, Job: id}, &struct{}{}, forwardLimit); err != nil {
+		if err := p.AnnounceCancellation(peerrpc.JobCancellation{Partition: part, JobID: id}, forwardLimit); err != nil {
 			slog.Debug("owner not told of a cancellation", "job", id, "err", err)
 		}
 	}()
 }
 
-// Cancelled is the mesh's hint that a job's cancellation is committed.
-func (c *Controller) Cancelled(n mesh.Cancellation) {
-	if o := c.ownedPartition(n.Part); o != nil {
-		o.cancelled(n.Job)
+// JobCancelled takes in a peer's hint that a job's cancellation is committed.
+func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
+	if o := c.ownedPartition(cancellation.Partition); o != nil {
+		o.cancelled(cancellation.JobID)
 	}
 }
--- a/internal/core/exchange_test.go
+++ b/internal/core/exchange_test.go
@@ -10,8 +10,8 @@
 	"ambersill/internal/wire"
 )
 
-// What follows is compiled into the production version as well, with its own way to load
-// records; see TestProductionExchange.
+// The production version plays the same jobs, by testdata/production_exchange_test.go.txt,
+// which is this file as that version names things; see TestProductionExchange.
 
 // exchange is what one version has stored, and the state that it has in memory.
 type exchange struct {
--- /dev/null
+++ b/internal/peerrpc/messages.go
@@ -0,0 +1,185 @@
+package peerrpc
+
+import (
+	"ambersill/internal/wire"
+)
+
+// The messages in this file travel as gob, which matches struct fields by name and drops
+// those that the other side does not know. Controllers of different versions run beside
+// each other during an upgrade, so the names of the methods and of every field below are
+// a format: they stay as they are. TestProductionMessages compares them with the version
+// in production.
+
+// The methods of the service.
+const (
+	serviceName     = "Mesh"
+	methodClaimed   = serviceName + ".Claimed"
+	methodCancelled = serviceName + ".Cancelled"
+	methodView      = serviceName + ".View"
+	methodReports   = serviceName + ".Reports"
+)
+
+// Claim is the argument of Claimed.
+type Claim struct {
+	Part  int
+	Stamp uint64
+	Node  string
+}
+
+// Cancellation is the argument of Cancelled.
+type Cancellation struct {
+	Part int
+	Job  string
+}
+
+// Query is the argument of View; without a job it asks for Contact only.
+type Query struct{ Job string }
+
+// Answer is the reply of View.
+type Answer struct {
+	Known         bool
+	Done, Running int
+	// Contact: seconds since the state service last served the node.
+	Contact float64
+}
+
+// ReportBatch is the argument of Reports.
+type ReportBatch struct{ Reports []WorkerReport }
+
+// WorkerReport is one heartbeat of a batch.
+type WorkerReport struct {
+	Report Report
+	// Notice repeats that the heartbeat carries a spot notice: gob drops a pointer to
+	// zero, which is what a notice counts down to.
+	Notice bool
+}
+
+// Report is a worker's heartbeat.
+type Report struct {
+	Machine string
+	Addr    string
+	Type    string
+	Zone    string
+	Spot    bool
+	Session uint64
+	Seq     uint64
+	Token   uint64
+	Notice  *float64
+	Tasks   []TaskReport
+}
+
+// TaskReport is the status of one task of a heartbeat.
+type TaskReport struct {
+	Task    string
+	Attempt uint64
+	State   string
+	Cause   string
+	Saved   bool
+}
+
+// BatchReply is the reply of Reports, in the order of the batch.
+type BatchReply struct{ Replies []WorkerReply }
+
+// WorkerReply answers one heartbeat of a batch.
+type WorkerReply struct {
+	Accepted bool
+	Reply    ReportReply
+}
+
+// ReportReply is the owner's response to a heartbeat.
+type ReportReply struct {
+	Token    uint64
+	Commands []Command
+}
+
+// Command is one command of a response.
+type Command struct {
+	Op      string
+	Task    string
+	Attempt uint64
+	Grace   float64
+}
+
+// newWorkerReport encodes a heartbeat.
+func newWorkerReport(r *wire.Report) WorkerReport {
+	message := Report{
+		Machine: r.Machine,
+		Addr:    r.Addr,
+		Type:    r.Type,
+		Zone:    r.Zone,
+		Spot:    r.Spot,
+		Session: r.Session,
+		Seq:     r.Seq,
+		Token:   r.Token,
+		Notice:  r.Notice,
+	}
+	if r.Tasks != nil {
+		message.Tasks = make([]TaskReport, len(r.Tasks))
+	}
+	for i, t := range r.Tasks {
+		message.Tasks[i] = TaskReport{
+			Task:    t.Task,
+			Attempt: t.Attempt,
+			State:   string(t.State),
+			Cause:   string(t.Cause),
+			Saved:   t.Saved,
+		}
+	}
+	return WorkerReport{Report: message, Notice: r.Notice != nil}
+}
+
+// heartbeat decodes a heartbeat, and restores what the encoding loses.
+func (w *WorkerReport) heartbeat() *wire.Report {
+	message := &w.Report
+	r := &wire.Report{
+		Machine: message.Machine,
+		Addr:    message.Addr,
+		Type:    message.Type,
+		Zone:    message.Zone,
+		Spot:    message.Spot,
+		Session: message.Session,
+		Seq:     message.Seq,
+		Token:   message.Token,
+		Notice:  message.Notice,
+	}
+	if w.Notice && r.Notice == nil {
+		r.Notice = new(float64)
+	}
+	if message.Tasks != nil {
+		r.Tasks = make([]wire.TaskReport, len(message.Tasks))
+	}
+	for i, t := range message.Tasks {
+		r.Tasks[i] = wire.TaskReport{
+			Task:    t.Task,
+			Attempt: t.Attempt,
+			State:   wire.TaskState(t.State),
+			Cause:   wire.Cause(t.Cause),
+			Saved:   t.Saved,
+		}
+	}
+	return r
+}
+
+// newReportReply encodes a response.
+func newReportReply(r wire.ReportReply) ReportReply {
+	message := ReportReply{Token: r.Token}
+	if r.Commands != nil {
+		message.Commands = make([]Command, len(r.Commands))
+	}
+	for i, c := range r.Commands {
+		message.Commands[i] = Command{Op: string(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.Grace}
+	}
+	return message
+}
+
+// response decodes a response.
+func (r *ReportReply) response() wire.ReportReply {
+	out := wire.ReportReply{Token: r.Token}
+	if r.Commands != nil {
+		out.Commands = make([]wire.Command, len(r.Commands))
+	}
+	for i, c := range r.Commands {
+		out.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.Grace}
+	}
+	return out
+}
--- a/internal/mesh/mesh_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peerrpc
 
 import (
 	"context"
@@ -23,17 +23,18 @@
 	busy atomic.Int64 // nanoseconds that a view takes
 }
 
-func (*ownerStub) Claimed(Claim)          {}
-func (*ownerStub) Cancelled(Cancellation) {}
-func (*ownerStub) Contact() time.Duration { return 0 }
-func (o *ownerStub) View(string) (int, int, bool) {
+func (*ownerStub) PartitionClaimed(OwnershipClaim) {}
+func (*ownerStub) JobCancelled(JobCancellation)    {}
+func (*ownerStub) SinceContact() time.Duration     { return 0 }
+func (o *ownerStub) LocalJobCounts(string) JobCounts {
 	time.Sleep(time.Duration(o.busy.Load()))
-	return 1, 2, true
+	return JobCounts{Known: true, Done: 1, Running: 2}
 }
 
-func (o *ownerStub) OwnedReport(r *wire.Report) (wire.ReportReply, bool) {
+func (o *ownerStub) OwnedHeartbeat(r *wire.Report) HeartbeatResult {
 	o.got = append(o.got, *r)
-	return wire.ReportReply{Token: r.Token, Commands: []wire.Command{{Op: wire.Start, Task: "req-000001/0", Attempt: r.Seq}}}, r.Machine != "refused"
+	response := wire.ReportReply{Token: r.Token, Commands: []wire.Command{{Op: wire.Start, Task: "req-000001/0", Attempt: r.Seq}}}
+	return HeartbeatResult{Accepted: r.Machine != "refused", Response: response}
 }
 
 // countingNet counts the connections that are made.
@@ -65,7 +66,15 @@
 	t.Cleanup(func() { cancel(); <-over })
 	n := &countingNet{}
 	p := &Peer{Member: config.Member{Node: "owner", Addr: addr}, Net: n}
-	for p.Call("Mesh.View", Query{}, &Answer{}, time.Second) != nil { // until it listens
+	began := time.Now()
+	for { // until it listens
+		_, err := p.SinceContact(time.Second)
+		if err == nil {
+			break
+		}
+		if time.Since(began) > 10*time.Second {
+			t.Fatal(err)
+		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	n.dials.Store(0)
@@ -84,19 +93,19 @@
 		{Machine: "m-2", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Spot: true, Session: 1, Seq: 8, Token: 9,
 			Tasks: []wire.TaskReport{{Task: "req-000001/0", Attempt: 4, State: wire.Exited, Cause: wire.CauseStopped, Saved: true}}},
 	}
-	var batch ReportBatch
+	var heartbeats []*wire.Report
 	for i := range sent {
-		batch.Reports = append(batch.Reports, NewWorkerReport(&sent[i]))
+		heartbeats = append(heartbeats, &sent[i])
 	}
-	var got BatchReply
-	if err := p.Call("Mesh.Reports", batch, &got, time.Second); err != nil {
+	got, err := p.ForwardHeartbeats(heartbeats, time.Second)
+	if err != nil {
 		t.Fatal(err)
 	}
 	if d := cmp.Diff(sent, owner.got); d != "" {
 		t.Errorf("reports changed on the way:\n%s", d)
 	}
-	for i, r := range got.Replies {
-		if r.Accepted != (sent[i].Machine != "refused") || r.Reply.Token != sent[i].Token || r.Reply.Commands[0].Attempt != sent[i].Seq {
+	for i, r := range got {
+		if r.Accepted != (sent[i].Machine != "refused") || r.Response.Token != sent[i].Token || r.Response.Commands[0].Attempt != sent[i].Seq {
 			t.Errorf("reply %d is %+v", i, r)
 		}
 	}
@@ -108,15 +117,14 @@
 	owner := &ownerStub{}
 	p, n := connect(t, owner)
 	owner.busy.Store(int64(300 * time.Millisecond))
-	if err := p.Call("Mesh.View", Query{Job: "req-000001"}, &Answer{}, 50*time.Millisecond); err == nil {
+	if _, err := p.JobCounts("req-000001", 50*time.Millisecond); err == nil {
 		t.Fatal("the call was not late")
 	}
 	if !p.Failing(time.Minute) {
 		t.Error("the late call left no trace")
 	}
-	var a Answer
-	if err := p.Call("Mesh.View", Query{Job: "req-000001"}, &a, 10*time.Second); err != nil || a.Running != 2 {
-		t.Errorf("the next call: %+v, %v", a, err)
+	if counts, err := p.JobCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
+		t.Errorf("the next call: %+v, %v", counts, err)
 	}
 	if n.dials.Load() != 0 {
 		t.Errorf("connected anew %d times", n.dials.Load())
@@ -146,7 +154,7 @@
 		for range 5 {
 			wg.Go(func() {
 				began := time.Now()
-				if err := p.Call("Mesh.View", Query{}, &Answer{}, limit); err == nil || time.Since(began) > limit {
+				if _, err := p.SinceContact(limit); err == nil || time.Since(began) > limit {
 					t.Errorf("%v after %v", err, time.Since(began))
 				}
 			})
