--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -68,7 +68,7 @@
 	}
 	world.Teams = all[0].Cluster.Teams
 	world.Init()
-	small := wire.MachineType{Name: "small", CPUs: 8, GPUs: 0, RAM: 32, CacheGB: 50, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 3, Zones: []string{"a"}}
+	small := wire.MachineType{Name: "small", CPUs: 8, GPUs: 0, MemoryGB: 32, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 3, Zones: []string{"a"}}
 	world.Types[small.Name] = small
 	cloud := &standin.Cloud{Types: []wire.MachineType{small}, Lag: time.Second, Boot: world.Start,
 		Capacity: []standin.Capacity{{Type: "small", Zone: "a", Spot: true, Count: 4}, {Type: "small", Zone: "a", Count: 4}},
@@ -100,14 +100,14 @@
 		fmt.Fprintln(out, "settings:", name)
 	}
 	for i := range jobs {
-		j := &wire.Job{ID: fmt.Sprintf("req-%06d", i+1), Class: "sample", Team: "red", Shape: wire.Array, Rank: "standard", Tasks: 1 + i%4,
-			CPUs: 2, RAM: 4, Image: "img", ImageGB: 1, Estimate: 5, Spot: true}
+		j := &wire.Job{ID: fmt.Sprintf("req-%06d", i+1), Class: "sample", Team: "red", Shape: wire.ArrayJob, Priority: "standard", Tasks: 1 + i%4,
+			CPUs: 2, MemoryGB: 4, Image: "img", ImageGB: 1, EstimatedRunS: 5, AllowSpot: true}
 		u := &standin.User{World: world, Net: transport.TCP{}, Pick: func() standin.Node { return world.Nodes[rand.IntN(nodes)] }}
 		switch i % 5 {
 		case 2:
-			j.Shape, j.Tasks = wire.Gang, 2
+			j.Shape, j.Tasks = wire.GangJob, 2
 		case 4:
-			j.Shape, j.Tasks, j.Estimate = wire.Service, 2, 0
+			j.Shape, j.Tasks, j.EstimatedRunS = wire.ServiceJob, 2, 0
 			u.CancelAfter = sampleServiceTime
 		}
 		go func() {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -15,11 +15,11 @@
 
 // Service is what stands behind the interface.
 type Service interface {
-	Submit(ctx context.Context, body []byte) (v wire.JobView, created bool, err error)
-	Job(ctx context.Context, id string) (wire.JobView, error)
-	Cancel(ctx context.Context, id string) (wire.JobView, error)
+	Submit(ctx context.Context, body []byte) (v wire.JobStatus, created bool, err error)
+	Job(ctx context.Context, id string) (wire.JobStatus, error)
+	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
 	// Report answers a worker; if not ok, node names whom it should report to.
-	Report(r *wire.Report) (reply wire.ReportReply, node string, ok bool)
+	Report(r *wire.Heartbeat) (reply wire.HeartbeatResponse, node string, ok bool)
 	Healthy() bool
 }
 
@@ -53,9 +53,9 @@
 
 // body reads a request's body; on failure the answer has been given.
 func (h *server) body(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
-		h.send(w, http.StatusBadRequest, wire.Problem{Error: "body not read, or too large"})
+		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "body not read, or too large"})
 		return nil, false
 	}
 	return b, true
@@ -76,12 +76,12 @@
 func (h *server) fail(w http.ResponseWriter, err error) {
 	var r *Refusal
 	if errors.As(err, &r) {
-		h.send(w, r.Status, wire.Problem{Error: r.Reason})
+		h.send(w, r.Status, wire.ErrorResponse{Error: r.Reason})
 		return
 	}
 	slog.Debug("request refused for now", "err", err)
 	w.Header().Set("Retry-After", h.retry)
-	h.send(w, http.StatusServiceUnavailable, wire.Problem{Error: "come back later"})
+	h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "come back later"})
 }
 
 func (h *server) submit(w http.ResponseWriter, r *http.Request) {
@@ -114,8 +114,8 @@
 	h.answer(w)(h.service.Cancel(ctx, r.PathValue("id")))
 }
 
-func (h *server) answer(w http.ResponseWriter) func(wire.JobView, error) {
-	return func(v wire.JobView, err error) {
+func (h *server) answer(w http.ResponseWriter) func(wire.JobStatus, error) {
+	return func(v wire.JobStatus, err error) {
 		if err != nil {
 			h.fail(w, err)
 			return
@@ -129,9 +129,9 @@
 	if !ok {
 		return
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := wire.Unmarshal(b, &rep); err != nil || rep.Machine == "" {
-		h.send(w, http.StatusBadRequest, wire.Problem{Error: "not a report"})
+		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "not a report"})
 		return
 	}
 	reply, node, ok := h.service.Report(&rep)
@@ -141,13 +141,13 @@
 	case node != "":
 		h.send(w, http.StatusMisdirectedRequest, wire.Redirect{Node: node})
 	default:
-		h.send(w, http.StatusServiceUnavailable, wire.Problem{Error: "not in charge"})
+		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not in charge"})
 	}
 }
 
 func (h *server) up(w http.ResponseWriter, r *http.Request) {
 	if !h.service.Healthy() {
-		h.send(w, http.StatusServiceUnavailable, wire.Problem{Error: "not ready"})
+		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not ready"})
 		return
 	}
 	h.send(w, http.StatusOK, map[string]string{"state": "ok"})
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -61,13 +61,13 @@
 			transport.Discard(resp)
 			return nil
 		}
-		if err := wire.ReadReply(resp.Body, out); err != nil {
+		if err := wire.ReadResponse(resp.Body, out); err != nil {
 			return fmt.Errorf("%w: %v", ErrTrouble, err)
 		}
 		return nil
 	}
-	var p wire.Problem
-	_ = wire.ReadReply(resp.Body, &p)
+	var p wire.ErrorResponse
+	_ = wire.ReadResponse(resp.Body, &p)
 	if resp.StatusCode == http.StatusServiceUnavailable && p.Error == "no capacity" {
 		return ErrNoCapacity
 	}
@@ -83,14 +83,14 @@
 
 // Rent asks for machines. The request's name makes repeats harmless.
 func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
-	var n wire.MachineNames
+	var n wire.MachineIDs
 	err := c.call(ctx, http.MethodPost, "/hosts", r, &n)
 	return n.Machines, err
 }
 
 // Return gives machines back; nil means that they and all on them are gone.
 func (c *Client) Return(ctx context.Context, ids []string) error {
-	return c.call(ctx, http.MethodPost, "/hosts/return", wire.MachineNames{Machines: ids}, nil)
+	return c.call(ctx, http.MethodPost, "/hosts/return", wire.MachineIDs{Machines: ids}, nil)
 }
 
 // List reads the whole list of machines, which lags.
--- a/internal/controller/addresses_test.go
+++ b/internal/controller/addresses_test.go
@@ -18,7 +18,7 @@
 		var keys []string
 		for i := range machines {
 			id := fmt.Sprintf("m-%d-%d", generation, i)
-			g := core.GroupRecord{Machines: map[string]core.MachineRecord{id: {Type: "small", Zone: "a"}}}
+			g := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{id: {MachineType: "small", Zone: "a"}}}
 			keys = append(keys, machinePrefix+id)
 			c.cluster.apply(machinePrefix+id, must(wire.Marshal(g)), uint64(10+generation), false)
 			c.learn(id, "10.1.0.1:1")
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -141,10 +141,10 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				d := newDay(t, ctx, 1)
 				key := machinePrefix + "m-1"
-				g := core.GroupRecord{Machines: map[string]core.MachineRecord{"m-1": {Type: "small", Zone: "a"}}}
+				g := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{"m-1": {MachineType: "small", Zone: "a"}}}
 				other := New(d.settings(1), d.tune, d.fabric.Host("node-1"))
 				write := func(w wire.Write) uint64 {
-					rev, err := other.store.Commit(ctx, wire.Txn{Then: []wire.Write{w}})
+					rev, err := other.store.Commit(ctx, wire.Txn{Writes: []wire.Write{w}})
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -172,9 +172,9 @@
 				c = New(s, d.tune, d.fabric.Host("node-0"))
 				c.types = dayTypes
 				if gone {
-					rec := core.JobRecord{Job: work(1, 1, 1, 10), Phase: wire.Queued, At: 1}
-					chunk := core.FirstChunk(&rec, core.FirstFormat, c.settings)
-					chunk.Live = []core.LiveRecord{{Task: 0, Try: 1, Machine: "m-1", Session: 1}}
+					rec := core.JobRecord{Job: work(1, 1, 1, 10), Phase: wire.JobQueued, SubmittedAtMS: 1}
+					chunk := core.NewFirstChunk(&rec, core.FeatureInitialFormat, c.settings)
+					chunk.Placements = []core.PlacementRecord{{Task: 0, Attempt: 1, Machine: "m-1", Incarnation: 1}}
 					write(wire.Write{Put: core.JobKey(rec.Job.ID), Value: rec})
 					write(wire.Write{Put: core.FirstChunkKey(0, rec.Job.ID), Value: chunk})
 					c.cluster.apply(key, must(wire.Marshal(g)), write(wire.Write{Put: key, Value: g}), false)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -20,26 +20,26 @@
 func reporter(tb testing.TB, tasks int) (c *Controller, next func() []byte) {
 	d := &day{nodes: []standin.Node{{Name: "node-0", Addr: "10.0.0.1:8080"}}}
 	c = New(d.settings(0), tuning.Default(), nil)
-	g := core.GroupRecord{Machines: map[string]core.MachineRecord{"m-000001": {Type: "big", Zone: "a"}}}
+	g := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{"m-000001": {MachineType: "big", Zone: "a"}}}
 	c.cluster.apply(machinePrefix+"m-000001", must(wire.Marshal(g)), 5, false)
 	o := c.newOwned(tb.Context(), 0, 10)
 	p := core.NewPartition(0, 10, c.settings, &c.tuning)
-	p.SetTypes(dayTypes)
+	p.SetMachineTypes(dayTypes)
 	j := work(1, tasks, 1, 1000)
-	rec := core.ChunkRecord{Job: j, Try: 1}
+	rec := core.ChunkRecord{Job: j, HighestAttempt: 1}
 	for i := range tasks {
-		rec.Live = append(rec.Live, core.LiveRecord{Task: i, Try: 1, Machine: "m-000001", Session: 1})
+		rec.Placements = append(rec.Placements, core.PlacementRecord{Task: i, Attempt: 1, Machine: "m-000001", Incarnation: 1})
 	}
 	p.SetMachine("m-000001", g.Machines["m-000001"], 5, time.Now())
-	p.Load([]core.LoadedChunk{{Job: j.ID, Name: "0", Stamp: 20, Record: rec}}, nil)
+	p.Restore([]core.LoadedChunk{{JobID: j.ID, Name: "0", Revision: 20, Record: rec}}, nil)
 	o.partition, o.knownUntil = p, time.Now().Add(time.Hour)
 	c.owned[0] = o
-	r := wire.Report{Machine: "m-000001", Addr: "10.1.0.1:9000", Type: "big", Zone: "a", Session: 1, Token: 10}
+	r := wire.Heartbeat{Machine: "m-000001", Address: "10.1.0.1:9000", MachineType: "big", Zone: "a", Incarnation: 1, FencingToken: 10}
 	for i := range tasks {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: fmt.Sprintf("%s/%d", j.ID, i), Attempt: 1, State: wire.RunningTask})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: fmt.Sprintf("%s/%d", j.ID, i), Attempt: 1, State: wire.TaskRunning})
 	}
 	return c, func() []byte {
-		r.Seq++
+		r.Sequence++
 		return must(wire.Marshal(r))
 	}
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -11,10 +11,10 @@
 )
 
 // cancelledJobs names the jobs of a listing of marks.
-func (o *ownedPartition) cancelledJobs(items []wire.Item) []string {
+func (o *ownedPartition) cancelledJobs(items []wire.KeyValue) []string {
 	ids := make([]string, len(items))
 	for i, it := range items {
-		ids[i] = it.Key[len(core.CancelPrefix(o.index)):]
+		ids[i] = it.Key[len(core.CancellationPrefix(o.index)):]
 	}
 	return ids
 }
@@ -52,14 +52,14 @@
 	for o.ctx.Err() == nil {
 		o.logStaleness()
 		asked := time.Now()
-		items, _, err := o.controller.store.ListAtOnce(o.ctx, core.CancelPrefix(o.index))
+		items, _, err := o.controller.store.ListAtOnce(o.ctx, core.CancellationPrefix(o.index))
 		if err != nil {
 			slog.Debug("cancellations not read", "part", o.index, "err", err)
 			transport.Pause(o.ctx, gap/4)
 			continue
 		}
 		o.mu.Lock()
-		some := o.partition.Marked(o.cancelledJobs(items), time.Now())
+		some := o.partition.SetCancelledJobs(o.cancelledJobs(items), time.Now())
 		o.knownUntil = asked
 		o.mu.Unlock()
 		if some {
--- a/internal/controller/cluster.go
+++ b/internal/controller/cluster.go
@@ -176,7 +176,7 @@
 }
 
 // reset replaces the copy by a fresh listing.
-func (c *cluster) reset(items []wire.Item, rev uint64) {
+func (c *cluster) reset(items []wire.KeyValue, rev uint64) {
 	have := map[string]bool{}
 	// The highest names first, as in inOrder.
 	for _, it := range slices.Backward(items) {
@@ -234,7 +234,7 @@
 
 // follow lists a prefix and then follows its changes until the context ends; upTo is
 // told the revision up to which all have been passed on.
-func follow(ctx context.Context, st *store.Client, prefix string, list func([]wire.Item, uint64), event func(wire.Event), upTo func(uint64)) {
+func follow(ctx context.Context, st *store.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
 	for ctx.Err() == nil {
 		items, rev, err := st.List(ctx, prefix)
 		if err != nil {
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -26,7 +26,7 @@
 	// new, and meanwhile nothing would be placed or sent.
 	for more := true; more && o.ctx.Err() == nil; {
 		o.mu.Lock()
-		b := o.partition.Batch()
+		b := o.partition.PrepareBatch()
 		o.mu.Unlock()
 		if b.Empty() {
 			break
@@ -47,7 +47,7 @@
 	rev, err := o.controller.store.Commit(o.ctx, b.Txn)
 	if err == nil {
 		o.mu.Lock()
-		o.partition.Committed(b, rev)
+		o.partition.ConfirmBatch(b, rev)
 		o.mu.Unlock()
 		return true
 	}
@@ -57,12 +57,12 @@
 		return false
 	case errors.Is(err, store.ErrInvalid):
 		// Not carried out, and never will be as it is: the next one has to be smaller.
-		slog.Error("commit over the state service's limits", "part", o.index, "changes", len(b.Txn.Then), "err", err)
+		slog.Error("commit over the state service's limits", "part", o.index, "changes", len(b.Txn.Writes), "err", err)
 		if err := o.controller.rereadLevel(o.ctx); err != nil {
 			slog.Debug("feature level not read", "err", err)
 		}
 		o.mu.Lock()
-		o.partition.LowerLimits()
+		o.partition.ReduceLimits()
 		o.mu.Unlock()
 		transport.Pause(o.ctx, 100*time.Millisecond)
 		return false
@@ -75,7 +75,7 @@
 	}
 	// Whatever happened to it, the keys tell; the next commit rewrites them
 	// under the stamps read here, after which this one can no longer apply.
-	for _, cond := range b.Txn.If {
+	for _, cond := range b.Txn.Compares {
 		if !o.refresh(b, cond.Key) {
 			return false
 		}
@@ -105,7 +105,7 @@
 			}
 		}
 		o.mu.Lock()
-		o.partition.Refresh(b, key, it.Revision, rec, time.Now())
+		o.partition.RefreshKey(b, key, it.Revision, rec, time.Now())
 		o.mu.Unlock()
 		return true
 	}
@@ -117,11 +117,11 @@
 func (o *ownedPartition) release() {
 	o.mu.Lock()
 	changes := map[string]*core.MachineRecord{}
-	for id, r := range o.partition.Releasable() {
+	for id, r := range o.partition.ReleasableMachines() {
 		changes[id] = &r
 	}
-	for _, id := range o.partition.Unconfirmed() {
-		if e, ok := o.controller.cluster.machine(id); ok && e.rec.Part == o.index && changes[id] == nil {
+	for _, id := range o.partition.MachinesToRefence() {
+		if e, ok := o.controller.cluster.machine(id); ok && e.rec.Partition == o.index && changes[id] == nil {
 			changes[id] = &e.rec
 		}
 	}
@@ -130,16 +130,16 @@
 	// revision of the commit that writes it, so that any later claim is above it.
 	for id, r := range changes {
 		e, _ := o.controller.cluster.machine(id)
-		r.Token = max(o.controller.store.Revision(), o.revision, e.stamp) + 1
+		r.FencingToken = max(o.controller.store.Revision(), o.revision, e.stamp) + 1
 	}
-	if err := o.controller.rewrite(o.ctx, wire.Cond{Key: core.PartitionKey(o.index), Revision: o.revision}, changes); err != nil {
+	if err := o.controller.rewrite(o.ctx, wire.Compare{Key: core.PartitionKey(o.index), Revision: o.revision}, changes); err != nil {
 		slog.Debug("machines' records not rewritten", "part", o.index, "err", err)
 	}
 }
 
 // rewrite changes machines' records under the fence of the part's owner or the
 // leader; nil removes one.
-func (c *Controller) rewrite(ctx context.Context, fence wire.Cond, changes map[string]*core.MachineRecord) error {
+func (c *Controller) rewrite(ctx context.Context, fence wire.Compare, changes map[string]*core.MachineRecord) error {
 	limit := c.groupLimit()
 	most := min(c.limits.TxnOps, max(1, tuning.TxnBytes/limit))
 	var next groupChange
@@ -157,11 +157,11 @@
 }
 
 // commitGroups commits changes of groups, and takes them into the copy in their order.
-func (c *Controller) commitGroups(ctx context.Context, fence wire.Cond, change groupChange) error {
+func (c *Controller) commitGroups(ctx context.Context, fence wire.Compare, change groupChange) error {
 	if len(change.then) == 0 {
 		return nil
 	}
-	rev, err := c.store.Commit(ctx, wire.Txn{If: append([]wire.Cond{fence}, change.conds...), Then: change.then})
+	rev, err := c.store.Commit(ctx, wire.Txn{Compares: append([]wire.Compare{fence}, change.conds...), Writes: change.then})
 	if err != nil {
 		return err
 	}
@@ -191,33 +191,33 @@
 	s := o.partition.Summary(time.Now())
 	o.mu.Unlock()
 	records := map[string]any{}
-	notes := s.MachineNotes(o.controller.limits.ValueKB)
+	notes := s.SplitMachineDigests(o.controller.limits.ValueKB)
 	for i, n := range notes {
 		records[notesKey(o.index, i)] = n
 	}
-	s.Notes = len(notes)
+	s.DigestRecords = len(notes)
 	more := s.SplitWaiting(o.controller.limits.ValueKB)
 	for i, demands := range more {
 		records[demandsKey(o.index, i)] = demands
 	}
-	s.More = len(more)
+	s.OverflowRecords = len(more)
 	records[summaryKey(o.index)] = s
 	// The condition on the part's key alone fences it: only owners write here.
-	txn := wire.Txn{If: []wire.Cond{{Key: core.PartitionKey(o.index), Revision: o.revision}}}
+	txn := wire.Txn{Compares: []wire.Compare{{Key: core.PartitionKey(o.index), Revision: o.revision}}}
 	changed := map[string][]byte{}
 	for _, key := range sortedIDs(records) {
 		b, err := wire.Marshal(records[key])
-		if err != nil || bytes.Equal(b, o.last[key]) || len(txn.Then) == o.controller.limits.TxnOps {
+		if err != nil || bytes.Equal(b, o.last[key]) || len(txn.Writes) == o.controller.limits.TxnOps {
 			continue
 		}
 		changed[key] = b
-		txn.Then = append(txn.Then, wire.Write{Put: key, Value: wire.Raw(b)})
+		txn.Writes = append(txn.Writes, wire.Write{Put: key, Value: wire.Raw(b)})
 	}
 	if len(changed) == 0 {
 		return
 	}
 	o.summarised = time.Now()
-	o.summaryGap = o.controller.summaryGap(len(txn.Then))
+	o.summaryGap = o.controller.summaryGap(len(txn.Writes))
 	if _, err := o.controller.store.Commit(o.ctx, txn); err != nil {
 		slog.Debug("summary not written", "part", o.index, "err", err)
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,7 +58,7 @@
 func New(s *config.Settings, t tuning.Tuning, n transport.Net) *Controller {
 	st := s.WriteLimits()
 	c := &Controller{
-		settings: s, limits: st, announced: core.CurrentLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
+		settings: s, limits: st, announced: core.CurrentFeatureLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
 		owned: map[int]*ownedPartition{}, finals: map[string]core.JobRecord{}, addrs: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, restPart: map[int]time.Time{},
 		store:   store.New(store.Options{Net: n, Addr: s.Outside.State, Timeout: tuning.Seconds(t.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
 		cloud:   cloud.New(n, s.Outside.Cloud, s.Cluster.Cloud.RPS),
@@ -156,7 +156,7 @@
 		for _, o := range owned {
 			o.mu.Lock()
 			if o.partition != nil {
-				o.partition.SetTypes(types)
+				o.partition.SetMachineTypes(types)
 			}
 			o.mu.Unlock()
 		}
@@ -204,7 +204,7 @@
 		o.mu.Lock()
 		var counts peerrpc.JobCounts
 		if o.partition != nil {
-			counts.Done, counts.Running, counts.Known = o.partition.View(jobID)
+			counts.Done, counts.Running, counts.Known = o.partition.JobCounts(jobID)
 		}
 		o.mu.Unlock()
 		if counts.Known {
@@ -267,8 +267,8 @@
 		for _, o := range all {
 			o.mu.Lock()
 			if o.partition != nil {
-				args = append(args, "part", o.index, "jobs", o.partition.Jobs(), "machines", len(o.partition.MachineIDs()), "started", o.partition.Started,
-					"finished", o.partition.Finished, "requeued", o.partition.Requeued, "preempted", o.partition.Preempted, "moved", o.partition.Moved, "gathered", o.partition.Gathered, "incomplete", o.partition.Incomplete, "journaled", o.partition.Journaled, "folded", o.partition.Folded)
+				args = append(args, "part", o.index, "jobs", o.partition.JobCount(), "machines", len(o.partition.MachineIDs()), "started", o.partition.Started,
+					"finished", o.partition.Finished, "requeued", o.partition.Requeued, "preempted", o.partition.Preempted, "moved", o.partition.Moved, "gathered", o.partition.GangReservations, "incomplete", o.partition.GangTimeouts, "journaled", o.partition.JournalRecords, "folded", o.partition.Compactions)
 			}
 			o.mu.Unlock()
 		}
--- a/internal/controller/day_test.go
+++ b/internal/controller/day_test.go
@@ -37,7 +37,7 @@
 	mu     sync.Mutex
 	up     map[int]func() // crashes the node
 	wg     sync.WaitGroup
-	ended  map[string]wire.Phase
+	ended  map[string]wire.JobPhase
 	calm   atomic.Bool // nothing is lost any more
 	open   bool        // no team has limits or guarantees, so that jobs are parted
 	stage  *standin.Stage
@@ -49,13 +49,13 @@
 }
 
 var dayTypes = []wire.MachineType{
-	{Name: "small", CPUs: 8, RAM: 32, CacheGB: 50, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 20, Zones: []string{"a", "b"}},
-	{Name: "big", CPUs: 16, GPUs: 4, RAM: 128, CacheGB: 50, FetchRate: 1, Price: 8, SpotPrice: 3, BootS: 30, Zones: []string{"a", "b"}},
+	{Name: "small", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 20, Zones: []string{"a", "b"}},
+	{Name: "big", CPUs: 16, GPUs: 4, MemoryGB: 128, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 30, Zones: []string{"a", "b"}},
 }
 
 func newDay(t *testing.T, ctx context.Context, seed uint64) *day {
 	d := &day{open: seed%3 == 2, t: t, rnd: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, fabric: standin.NewFabric(), state: standin.NewState(),
-		up: map[int]func(){}, ended: map[string]wire.Phase{}, cancel: map[string]func(){}, tune: tuning.Default()}
+		up: map[int]func(){}, ended: map[string]wire.JobPhase{}, cancel: map[string]func(){}, tune: tuning.Default()}
 	for i := range 3 {
 		d.nodes = append(d.nodes, standin.Node{Name: fmt.Sprintf("node-%d", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i+1)})
 	}
@@ -147,7 +147,7 @@
 	host := d.fabric.Host(d.nodes[i].Name)
 	c := New(d.settings(i), d.tune, host)
 	if d.old[i] {
-		c.announced = core.FirstFormat
+		c.announced = core.FeatureInitialFormat
 	}
 	over := make(chan struct{})
 	var crashed atomic.Bool
@@ -207,7 +207,7 @@
 }
 
 // count counts the jobs that ended in a phase.
-func (d *day) count(p wire.Phase) int {
+func (d *day) count(p wire.JobPhase) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -250,22 +250,22 @@
 // jobs submits n random jobs over a while.
 func (d *day) jobs(first, n int, over time.Duration) {
 	for i := range n {
-		j := &wire.Job{ID: fmt.Sprintf("req-%06d", first+i), Class: "c", Team: []string{"red", "blue", "free"}[d.rnd.IntN(3)], Shape: wire.Array,
-			Rank: []wire.Rank{"idle", "standard", "urgent"}[d.rnd.IntN(3)], Tasks: 1 + d.rnd.IntN(12), CPUs: 1 + float64(d.rnd.IntN(4)), RAM: 4,
-			Image: fmt.Sprintf("img-%d", d.rnd.IntN(4)), ImageGB: 1, Estimate: 5 + 30*d.rnd.Float64(), Spot: d.rnd.IntN(2) == 0}
+		j := &wire.Job{ID: fmt.Sprintf("req-%06d", first+i), Class: "c", Team: []string{"red", "blue", "free"}[d.rnd.IntN(3)], Shape: wire.ArrayJob,
+			Priority: []wire.Priority{"idle", "standard", "urgent"}[d.rnd.IntN(3)], Tasks: 1 + d.rnd.IntN(12), CPUs: 1 + float64(d.rnd.IntN(4)), MemoryGB: 4,
+			Image: fmt.Sprintf("img-%d", d.rnd.IntN(4)), ImageGB: 1, EstimatedRunS: 5 + 30*d.rnd.Float64(), AllowSpot: d.rnd.IntN(2) == 0}
 		if d.rnd.IntN(2) == 0 {
-			j.Checkpoint, j.Save = 20, 2
+			j.CheckpointIntervalS, j.CheckpointSaveS = 20, 2
 		}
 		if j.Team == "red" || d.rnd.IntN(4) == 0 {
 			j.GPUs = 1
 			j.Tasks = min(j.Tasks, 6)
 		}
 		if d.rnd.IntN(3) == 0 {
-			j.Shape, j.Tasks = wire.Gang, 1+d.rnd.IntN(4)
-			j.OneZone = d.rnd.IntN(2) == 0
+			j.Shape, j.Tasks = wire.GangJob, 1+d.rnd.IntN(4)
+			j.SingleZone = d.rnd.IntN(2) == 0
 		}
-		if !j.OneZone && d.rnd.IntN(5) == 0 {
-			j.Spread = true
+		if !j.SingleZone && d.rnd.IntN(5) == 0 {
+			j.SpreadZones = true
 		}
 		cancel := time.Duration(0)
 		if d.rnd.IntN(6) == 0 {
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -31,7 +31,7 @@
 
 // forwarded is a report on its way; its answer is sent once.
 type forwarded struct {
-	report *wire.Report
+	report *wire.Heartbeat
 	answer chan forwardAnswer
 }
 
@@ -46,7 +46,7 @@
 
 // forward has the peer answer a report; reached is false if it did not, or if too many
 // reports wait.
-func (f *forwarder) forward(r *wire.Report) (result peerrpc.HeartbeatResult, reached bool) {
+func (f *forwarder) forward(r *wire.Heartbeat) (result peerrpc.HeartbeatResult, reached bool) {
 	if f.peer.Failing(peerRest) {
 		return peerrpc.HeartbeatResult{}, false
 	}
@@ -97,7 +97,7 @@
 	var results []peerrpc.HeartbeatResult
 	reached := false
 	if !f.peer.Failing(peerRest) {
-		heartbeats := make([]*wire.Report, len(batch))
+		heartbeats := make([]*wire.Heartbeat, len(batch))
 		for i, item := range batch {
 			heartbeats[i] = item.report
 		}
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -27,9 +27,9 @@
 func (*echoOwner) LocalJobCounts(string) peerrpc.JobCounts { return peerrpc.JobCounts{} }
 func (*echoOwner) SinceContact() time.Duration             { return 0 }
 
-func (o *echoOwner) OwnedHeartbeat(r *wire.Report) peerrpc.HeartbeatResult {
+func (o *echoOwner) OwnedHeartbeat(r *wire.Heartbeat) peerrpc.HeartbeatResult {
 	<-o.block
-	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.ReportReply{Token: r.Seq}}
+	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.HeartbeatResponse{FencingToken: r.Sequence}}
 }
 
 // writesNet counts the writes to connections made through it.
@@ -81,12 +81,12 @@
 	var mu sync.Mutex
 	for i := range n {
 		wg.Go(func() {
-			a, ok := fw.forward(&wire.Report{Machine: fmt.Sprintf("m-%d", i), Seq: uint64(i + 1)})
+			a, ok := fw.forward(&wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Sequence: uint64(i + 1)})
 			mu.Lock()
 			defer mu.Unlock()
 			if ok {
 				reached++
-				if !a.Accepted || a.Response.Token != uint64(i+1) {
+				if !a.Accepted || a.Response.FencingToken != uint64(i+1) {
 					t.Errorf("report %d got the answer %+v", i+1, a)
 				}
 			}
@@ -140,7 +140,7 @@
 		late.Go(func() { forwardAll(t, fw, 1) })
 		time.Sleep(forwardGap + time.Millisecond) // under way, and not answered
 		for range maxForwarded {
-			late.Go(func() { fw.forward(&wire.Report{Machine: "m", Seq: 1}) })
+			late.Go(func() { fw.forward(&wire.Heartbeat{Machine: "m", Sequence: 1}) })
 		}
 		synctest.Wait()
 		began := time.Now()
--- a/internal/controller/groups.go
+++ b/internal/controller/groups.go
@@ -11,7 +11,7 @@
 )
 
 type groupEntry struct {
-	rec   core.GroupRecord
+	rec   core.MachineGroupRecord
 	stamp uint64
 }
 
@@ -21,10 +21,10 @@
 	if stamp < old.stamp {
 		return nil
 	}
-	var g core.GroupRecord
+	var g core.MachineGroupRecord
 	if !gone {
 		var err error
-		if g, err = core.ReadGroup(name, value, stamp); err != nil {
+		if g, err = core.DecodeMachineGroup(name, value, stamp); err != nil {
 			slog.Error("record not understood", "key", machinePrefix+name, "err", err)
 			return nil
 		}
@@ -64,7 +64,7 @@
 // groupChange is a change of a group's record, to be committed as a whole: one that
 // outgrows a value is divided into several.
 type groupChange struct {
-	conds []wire.Cond
+	conds []wire.Compare
 	then  []wire.Write
 }
 
@@ -73,7 +73,7 @@
 func (c *cluster) regroup(changes map[string]*core.MachineRecord, limit int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := map[string]core.GroupRecord{}
+	next := map[string]core.MachineGroupRecord{}
 	var order []string
 	for _, id := range sortedIDs(changes) {
 		e, ok := c.machines[id]
@@ -100,14 +100,14 @@
 }
 
 // changeGroup builds the writes of one group.
-func changeGroup(name string, stamp uint64, g core.GroupRecord, limit int) groupChange {
+func changeGroup(name string, stamp uint64, g core.MachineGroupRecord, limit int) groupChange {
 	key := machinePrefix + name
-	change := groupChange{conds: []wire.Cond{{Key: key, Revision: stamp}}}
+	change := groupChange{conds: []wire.Compare{{Key: key, Revision: stamp}}}
 	if len(g.Machines) == 0 {
 		change.then = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := g.Divide(limit)
+	pieces := g.Split(limit)
 	for _, piece := range pieces[1:] {
 		cond, put := newGroup(piece)
 		change.conds, change.then = append(change.conds, cond), append(change.then, put)
@@ -120,7 +120,7 @@
 // the first format could take a machine for gone for a moment when its group is divided,
 // so that none is as long as there may be any.
 func (c *Controller) groupLimit() int {
-	if c.cluster.featureLevel() < core.SizedChunks {
+	if c.cluster.featureLevel() < core.FeatureExplicitChunks {
 		return int(c.settings.Cluster.State.ValueKB * 1024)
 	}
 	return int(c.limits.ValueKB * 1024)
@@ -138,9 +138,9 @@
 }
 
 // newGroup is the write of a new group, named after its first machine.
-func newGroup(g core.GroupRecord) (wire.Cond, wire.Write) {
+func newGroup(g core.MachineGroupRecord) (wire.Compare, wire.Write) {
 	key := machinePrefix + slices.Min(sortedIDs(g.Machines))
-	return wire.Cond{Key: key, Revision: 0}, wire.Write{Put: key, Value: g}
+	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: g}
 }
 
 // oversized names a machine of each group that outgrows the limit.
@@ -149,7 +149,7 @@
 	defer c.mu.Unlock()
 	var out []string
 	for _, name := range sortedIDs(c.groups) {
-		if g := c.groups[name].rec; g.Bytes() > limit {
+		if g := c.groups[name].rec; g.SizeBound() > limit {
 			out = append(out, slices.Min(sortedIDs(g.Machines)))
 		}
 	}
--- a/internal/controller/groups_test.go
+++ b/internal/controller/groups_test.go
@@ -10,7 +10,7 @@
 
 // groupEvents are the changes of one commit that divides a group of machines, in the order
 // of their keys.
-func groupEvents(pieces []core.GroupRecord, revision uint64) []wire.Event {
+func groupEvents(pieces []core.MachineGroupRecord, revision uint64) []wire.Event {
 	var out []wire.Event
 	for _, g := range pieces {
 		_, put := newGroup(g)
@@ -23,17 +23,17 @@
 // gone counts as returned, and its tasks would start elsewhere while they run. Neither a
 // watch nor a listing need tell of the pieces first.
 func TestDividedGroupLosesNoMachine(t *testing.T) {
-	whole := core.GroupRecord{Machines: map[string]core.MachineRecord{}}
+	whole := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{}}
 	for i := range 40 {
-		whole.Machines[fmt.Sprintf("m-%06d", i)] = core.MachineRecord{Type: "small", Zone: "a"}
+		whole.Machines[fmt.Sprintf("m-%06d", i)] = core.MachineRecord{MachineType: "small", Zone: "a"}
 	}
-	pieces := whole.Divide(2 << 10)
+	pieces := whole.Split(2 << 10)
 	if len(pieces) < 3 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	for i, piece := range pieces {
-		if piece.Bytes() > 2<<10 {
-			t.Errorf("piece %d has %d bytes", i, piece.Bytes())
+		if piece.SizeBound() > 2<<10 {
+			t.Errorf("piece %d has %d bytes", i, piece.SizeBound())
 		}
 	}
 	divided := groupEvents(pieces, 8)
@@ -44,15 +44,15 @@
 			}
 		},
 		"listed": func(c *cluster) {
-			var items []wire.Item
+			var items []wire.KeyValue
 			for _, e := range divided {
-				items = append(items, wire.Item{Key: e.Put, Value: e.Value, Revision: e.Revision})
+				items = append(items, wire.KeyValue{Key: e.Put, Value: e.Value, Revision: e.Revision})
 			}
 			c.reset(items, 8)
 		},
 	} {
 		c := newCluster()
-		for _, e := range groupEvents([]core.GroupRecord{whole}, 7) {
+		for _, e := range groupEvents([]core.MachineGroupRecord{whole}, 7) {
 			c.apply(e.Put, e.Value, e.Revision, false)
 		}
 		c.onChange = func(machine string, _ machineEntry, gone bool) {
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -28,7 +28,7 @@
 		return
 	}
 	for _, m := range list {
-		if _, ok := recs[m.ID]; !ok && m.State == wire.Failed {
+		if _, ok := recs[m.ID]; !ok && m.State == wire.MachineFailed {
 			l.giveUp(ctx, []string{m.ID}, map[string][]string{"failed": {m.ID}})
 		}
 	}
@@ -40,7 +40,7 @@
 	for _, m := range list {
 		l.listed[m.ID] = m
 		l.seen[m.ID] = true
-		l.controller.learn(m.ID, m.Addr)
+		l.controller.learn(m.ID, m.Address)
 	}
 	ids, _ := l.machines()
 	for _, id := range ids {
@@ -72,25 +72,25 @@
 // result is false if some could not be recorded.
 func (l *leader) takeIn(ctx context.Context, list []wire.CloudMachine, recs map[string]machineEntry) bool {
 	now := time.Now()
-	groups := map[core.Kind][]string{}
+	groups := map[core.Offering][]string{}
 	taken := map[string]core.MachineRecord{}
 	for _, m := range list {
 		_, known := recs[m.ID]
 		_, returned := l.gone[m.ID]
-		if known || returned || m.State == wire.Failed {
+		if known || returned || m.State == wire.MachineFailed {
 			continue
 		}
-		rec := core.MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Part: l.partFor(recs),
-			Born: now.UnixMilli() - int64(m.Age*1000)}
+		rec := core.MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Partition: l.partFor(recs),
+			CreatedAtMS: now.UnixMilli() - int64(m.AgeS*1000)}
 		recs[m.ID] = machineEntry{rec: rec}
 		taken[m.ID] = rec
-		k := core.Kind{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+		k := core.Offering{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 		groups[k] = append(groups[k], m.ID)
 	}
 	for k, ids := range groups {
-		for part := range slices.Chunk(ids, core.PerGroup(l.controller.limits.ValueKB, k.Type, k.Zone)) {
+		for part := range slices.Chunk(ids, core.MachinesPerGroup(l.controller.limits.ValueKB, k.MachineType, k.Zone)) {
 			cond, put := newGroup(groupOf(part, taken))
-			rev, err := l.commit(ctx, []wire.Cond{cond}, []wire.Write{put})
+			rev, err := l.commit(ctx, []wire.Compare{cond}, []wire.Write{put})
 			if err != nil {
 				slog.Debug("machines not taken in", "err", err)
 				return false
@@ -103,8 +103,8 @@
 }
 
 // groupOf joins the records of some machines.
-func groupOf(ids []string, recs map[string]core.MachineRecord) core.GroupRecord {
-	g := core.GroupRecord{Machines: map[string]core.MachineRecord{}}
+func groupOf(ids []string, recs map[string]core.MachineRecord) core.MachineGroupRecord {
+	g := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{}}
 	for _, id := range ids {
 		g.Machines[id] = recs[id]
 	}
@@ -115,8 +115,8 @@
 func (l *leader) partFor(recs map[string]machineEntry) int {
 	count := make([]int, l.controller.partitions)
 	for _, e := range recs {
-		if e.rec.Part < len(count) {
-			count[e.rec.Part]++
+		if e.rec.Partition < len(count) {
+			count[e.rec.Partition]++
 		}
 	}
 	best := 0
@@ -146,18 +146,18 @@
 	for _, id := range ids {
 		e := recs[id]
 		m, listed := l.listed[id]
-		late := now.Sub(time.UnixMilli(e.rec.Born)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[e.rec.Type]+l.controller.settings.Cluster.Cloud.ListLagS)
+		late := now.Sub(time.UnixMilli(e.rec.CreatedAtMS)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[e.rec.MachineType]+l.controller.settings.Cluster.Cloud.ListLagS)
 		reason := ""
 		switch {
-		case e.rec.Wish == core.WishReturn && e.rec.Free:
+		case e.rec.Desired == core.DesiredReturned && e.rec.Released:
 			reason = "let go"
-		case listed && m.State == wire.Failed:
+		case listed && m.State == wire.MachineFailed:
 			reason = "failed"
 		case l.absent[id] >= gone:
 			reason = "no longer listed"
-		case notes[id]&core.NoteBad != 0:
+		case notes[id]&core.DigestUnhealthy != 0:
 			reason = "faulty or silent"
-		case late && notes[id]&core.NoteUp == 0 && !(listed && m.State == wire.Up):
+		case late && notes[id]&core.DigestReporting == 0 && !(listed && m.State == wire.MachineRunning):
 			reason = "did not come up"
 		}
 		if reason != "" && len(back) < tuning.MaxReturn {
@@ -188,7 +188,7 @@
 		l.gone[id] = time.Now()
 		if e, ok := l.controller.cluster.machine(id); ok {
 			// There is room again for its like.
-			delete(l.refused, core.Kind{Type: e.rec.Type, Zone: e.rec.Zone, Spot: e.rec.Spot})
+			delete(l.refused, core.Offering{MachineType: e.rec.MachineType, Zone: e.rec.Zone, Spot: e.rec.Spot})
 			changes[id] = nil
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -28,14 +28,14 @@
 			return
 		}
 		var r core.JobRecord
-		if err := wire.Unmarshal(e.Value, &r); err != nil || r.Job == nil || r.Part != o.index {
+		if err := wire.Unmarshal(e.Value, &r); err != nil || r.Job == nil || r.Partition != o.index {
 			return
 		}
 		o.mu.Lock()
 		switch r.Phase {
-		case wire.Queued:
-			o.partition.AddJob(r.Job, time.UnixMilli(r.At), e.Revision)
-		case wire.Cancelled:
+		case wire.JobQueued:
+			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), e.Revision)
+		case wire.JobCancelled:
 			o.partition.Cancel(r.Job.ID, time.Now())
 		}
 		o.mu.Unlock()
@@ -53,7 +53,7 @@
 	if err != nil {
 		return 0, err
 	}
-	marks, _, err := o.controller.store.List(o.ctx, core.CancelPrefix(o.index))
+	marks, _, err := o.controller.store.List(o.ctx, core.CancellationPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
@@ -61,10 +61,10 @@
 	defer o.mu.Unlock()
 	for _, it := range chunks {
 		var r core.ChunkRecord
-		if _, name, ok := core.SplitChunkKey(it.Key); ok && core.IsFirstChunk(name) && wire.Unmarshal(it.Value, &r) == nil && r.Job != nil && r.JobStamp == 0 {
-			o.partition.AddJob(r.Job, time.UnixMilli(r.At), it.Revision)
+		if _, name, ok := core.ParseChunkKey(it.Key); ok && core.IsFirstChunk(name) && wire.Unmarshal(it.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
+			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), it.Revision)
 		}
 	}
-	o.partition.Marked(o.cancelledJobs(marks), time.Now())
+	o.partition.SetCancelledJobs(o.cancelledJobs(marks), time.Now())
 	return rev, nil
 }
--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -32,8 +32,8 @@
 }
 
 func largeArray(n, tasks int, cpus, seconds float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.Array, Rank: "idle", Tasks: tasks, CPUs: cpus, RAM: 1,
-		Image: "img", ImageGB: 0.5, Estimate: seconds, Spot: true, Types: []string{"small"}}
+	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "idle", Tasks: tasks, CPUs: cpus, MemoryGB: 1,
+		Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"}}
 }
 
 // Some hundred machines, and what strikes many of them together with the controllers:
@@ -48,8 +48,8 @@
 		}
 		d.submit(largeArray(50, 1200, 1, 40), 80*time.Second)
 		for n := range 6 {
-			g := &wire.Job{ID: fmt.Sprintf("req-%06d", 100+n), Class: "c", Team: "free", Shape: wire.Gang, Rank: "urgent", Tasks: 8, CPUs: 16, GPUs: 4, RAM: 64,
-				Image: "big", ImageGB: 2, Estimate: 40, OneZone: true, Spot: true, Checkpoint: 15, Save: 3}
+			g := &wire.Job{ID: fmt.Sprintf("req-%06d", 100+n), Class: "c", Team: "free", Shape: wire.GangJob, Priority: "urgent", Tasks: 8, CPUs: 16, GPUs: 4, MemoryGB: 64,
+				Image: "big", ImageGB: 2, EstimatedRunS: 40, SingleZone: true, AllowSpot: true, CheckpointIntervalS: 15, CheckpointSaveS: 3}
 			d.submit(g, 0)
 		}
 		time.Sleep(70 * time.Second)
@@ -131,7 +131,7 @@
 			var txn wire.Txn
 			for range 20 {
 				id := fmt.Sprintf("req-9%06d", n)
-				txn.Then = append(txn.Then, wire.Write{Put: core.JobKey(id), Value: core.JobRecord{Job: &wire.Job{ID: id, Tasks: 1}, Phase: wire.Done}})
+				txn.Writes = append(txn.Writes, wire.Write{Put: core.JobKey(id), Value: core.JobRecord{Job: &wire.Job{ID: id, Tasks: 1}, Phase: wire.JobDone}})
 				n++
 			}
 			if _, err := st.Commit(d.ctx, txn); err != nil {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -50,15 +50,15 @@
 // claimKey writes this node's name under its lease if the key has the stamp.
 func (c *Controller) claimKey(ctx context.Context, key string, stamp, hold uint64) (uint64, error) {
 	rev, err := c.store.Commit(ctx, wire.Txn{
-		If:   []wire.Cond{{Key: key, Revision: stamp}},
-		Then: []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, Lease: hold}},
+		Compares: []wire.Compare{{Key: key, Revision: stamp}},
+		Writes:   []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
 	})
 	if !errors.Is(err, store.ErrUnknown) {
 		return rev, err
 	}
 	// It may have been carried out: the key tells.
 	it, gerr := c.store.Get(ctx, key)
-	if gerr != nil || it.Lease != hold {
+	if gerr != nil || it.LeaseID != hold {
 		return 0, err
 	}
 	return it.Revision, nil
@@ -69,15 +69,15 @@
 	controller *Controller
 	revision   uint64
 	lease      uint64 // that the lead was claimed under
-	fleet      *core.Fleet
+	fleet      *core.Autoscaler
 	next       int // number of the next rental of this term
 
 	listed    map[string]wire.CloudMachine
 	absent    map[string]int       // lists in a row that lack a machine once listed
 	seen      map[string]bool      // machines once listed
 	gone      map[string]time.Time // machines returned, which the list may still show
-	refused   map[core.Kind]refusal
-	summaries map[int]core.Summary
+	refused   map[core.Offering]refusal
+	summaries map[int]core.PartitionSummary
 	round     time.Time
 	tried     map[string]time.Time // last call for a recorded rental
 	own       map[string]bool      // rentals recorded in this term
@@ -85,16 +85,16 @@
 }
 
 func newLeader(c *Controller, stamp, hold uint64) *leader {
-	return &leader{controller: c, revision: stamp, lease: hold, fleet: core.NewFleet(&c.tuning), listed: map[string]wire.CloudMachine{}, absent: map[string]int{},
-		seen: map[string]bool{}, gone: map[string]time.Time{}, refused: map[core.Kind]refusal{}, summaries: map[int]core.Summary{}, tried: map[string]time.Time{}, own: map[string]bool{}}
+	return &leader{controller: c, revision: stamp, lease: hold, fleet: core.New(&c.tuning), listed: map[string]wire.CloudMachine{}, absent: map[string]int{},
+		seen: map[string]bool{}, gone: map[string]time.Time{}, refused: map[core.Offering]refusal{}, summaries: map[int]core.PartitionSummary{}, tried: map[string]time.Time{}, own: map[string]bool{}}
 }
 
 // maxRent is how many machines one rental may bring: their groups are recorded in one
 // transaction, which deletes the rental's record as well.
-func (l *leader) maxRent(k core.Kind) int {
+func (l *leader) maxRent(k core.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, max(1, tuning.TxnBytes/int(limits.ValueKB*1024)))
-	return min(tuning.MaxRent, groups*core.PerGroup(limits.ValueKB, k.Type, k.Zone))
+	return min(tuning.MaxRent, groups*core.MachinesPerGroup(limits.ValueKB, k.MachineType, k.Zone))
 }
 
 // leads tells whether the lead's key still shows this term.
@@ -171,11 +171,11 @@
 	return false
 }
 
-func (l *leader) fence() wire.Cond { return wire.Cond{Key: leadKey, Revision: l.revision} }
+func (l *leader) fence() wire.Compare { return wire.Compare{Key: leadKey, Revision: l.revision} }
 
 // commit runs a transaction of the leader's, fenced by the lead's stamp.
-func (l *leader) commit(ctx context.Context, conds []wire.Cond, then []wire.Write) (uint64, error) {
-	return l.controller.store.Commit(ctx, wire.Txn{If: append([]wire.Cond{l.fence()}, conds...), Then: then})
+func (l *leader) commit(ctx context.Context, conds []wire.Compare, then []wire.Write) (uint64, error) {
+	return l.controller.store.Commit(ctx, wire.Txn{Compares: append([]wire.Compare{l.fence()}, conds...), Writes: then})
 }
 
 func (l *leader) machines() (ids []string, all map[string]machineEntry) {
@@ -201,19 +201,19 @@
 		values[it.Key] = it.Value
 	}
 	for part := range l.controller.partitions {
-		var s core.Summary
+		var s core.PartitionSummary
 		v, ok := values[summaryKey(part)]
 		if !ok || wire.Unmarshal(v, &s) != nil {
 			continue
 		}
-		s.Machines = map[string]core.MachineNote{}
-		for i := range s.Notes {
+		s.MachineDigests = map[string]core.MachineDigest{}
+		for i := range s.DigestRecords {
 			// Into the same map: the records have no name in common.
-			if err := wire.Unmarshal(values[notesKey(part, i)], &s.Machines); err != nil {
+			if err := wire.Unmarshal(values[notesKey(part, i)], &s.MachineDigests); err != nil {
 				slog.Debug("notes on machines not read", "part", part, "err", err)
 			}
 		}
-		for i := range s.More {
+		for i := range s.OverflowRecords {
 			var more []core.Demand
 			if err := wire.Unmarshal(values[demandsKey(part, i)], &more); err != nil {
 				slog.Debug("demands not read", "part", part, "err", err)
@@ -225,10 +225,10 @@
 }
 
 // notes joins what the parts' owners tell of their machines.
-func (l *leader) notes() map[string]core.MachineNote {
-	out := map[string]core.MachineNote{}
+func (l *leader) notes() map[string]core.MachineDigest {
+	out := map[string]core.MachineDigest{}
 	for _, s := range l.summaries {
-		for id, n := range s.Machines {
+		for id, n := range s.MachineDigests {
 			out[id] |= n
 		}
 	}
@@ -244,44 +244,44 @@
 	now := time.Now()
 	notes := l.notes()
 	ids, recs := l.machines()
-	in := core.FleetInput{Types: types, Summaries: l.summaries, Refused: map[core.Kind]bool{}}
+	in := core.Input{MachineTypes: types, Summaries: l.summaries, Unavailable: map[core.Offering]bool{}}
 	for _, id := range ids {
 		r := recs[id].rec
 		// One that is up, but was never heard since its part's owner changed, is cut off or
 		// hangs: as a machine that is still to come it would keep others from being rented.
-		unheard := notes[id]&core.NoteUnheard != 0 && l.listed[id].State == wire.Up
-		in.Machines = append(in.Machines, core.FleetMachine{ID: id, Kind: core.Kind{Type: r.Type, Zone: r.Zone, Spot: r.Spot},
-			Part: r.Part, Wish: r.Wish, Empty: notes[id]&core.NoteEmpty != 0, Up: notes[id]&core.NoteUp != 0 || unheard})
+		unheard := notes[id]&core.DigestNeverHeard != 0 && l.listed[id].State == wire.MachineRunning
+		in.Machines = append(in.Machines, core.Machine_{ID: id, Offering: core.Offering{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot},
+			Partition: r.Partition, Desired: r.Desired, Empty: notes[id]&core.DigestEmpty != 0, Running: notes[id]&core.DigestReporting != 0 || unheard})
 	}
 	l.controller.cluster.mu.Lock()
 	for _, h := range l.controller.cluster.rentals {
 		for range h.rec.Count {
-			in.Coming = append(in.Coming, core.FleetMachine{Kind: core.Kind{Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot}, Part: h.rec.Part})
+			in.PendingRentals = append(in.PendingRentals, core.Machine_{Offering: core.Offering{MachineType: h.rec.MachineType, Zone: h.rec.Zone, Spot: h.rec.Spot}, Partition: h.rec.Partition})
 		}
 	}
 	l.controller.cluster.mu.Unlock()
 	for k, r := range l.refused {
 		if now.Before(r.until) {
-			in.Refused[k] = true
+			in.Unavailable[k] = true
 		}
 	}
 	plan := l.fleet.Plan(in, now)
-	slog.Debug("sizing", "target", plan.Target, "booked", plan.Booked, "rentals", plan.Rentals, "moves", plan.Moves, "returns", plan.Returns, "machines", len(ids))
+	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines, "rentals", plan.Rentals, "moves", plan.Reassignments, "returns", plan.Returns, "machines", len(ids))
 	for _, r := range plan.Rentals {
-		most := l.maxRent(r.Kind)
+		most := l.maxRent(r.Offering)
 		for n := r.Count; n > 0; n -= most {
 			l.record(ctx, r, min(n, most))
 		}
 	}
 	wishes := map[string]*core.MachineRecord{}
-	for _, m := range plan.Moves {
-		r := recs[m.ID].rec
-		r.Wish, r.To = core.WishMove, m.To
-		wishes[m.ID] = &r
+	for _, m := range plan.Reassignments {
+		r := recs[m.MachineID].rec
+		r.Desired, r.MoveTo = core.DesiredMoved, m.ToPartition
+		wishes[m.MachineID] = &r
 	}
 	for _, id := range plan.Returns {
 		r := recs[id].rec
-		r.Wish = core.WishReturn
+		r.Desired = core.DesiredReturned
 		wishes[id] = &r
 	}
 	if err := l.controller.rewrite(ctx, l.fence(), wishes); err != nil {
--- a/internal/controller/level.go
+++ b/internal/controller/level.go
@@ -29,12 +29,12 @@
 // higher one. The commit names what each node's record says, so that one that has come
 // back with an older program meanwhile makes it fail.
 func (l *leader) raiseLevel(ctx context.Context) {
-	conds, ready := l.controller.cluster.readyFor(core.CurrentLevel, l.controller.memberNames())
+	conds, ready := l.controller.cluster.readyFor(core.CurrentFeatureLevel, l.controller.memberNames())
 	if !ready {
 		return
 	}
 	conds = conds[:min(len(conds), l.maxConditions())]
-	put := wire.Write{Put: levelKey, Value: core.LevelRecord{Level: core.CurrentLevel}}
+	put := wire.Write{Put: levelKey, Value: core.LevelRecord{Level: core.CurrentFeatureLevel}}
 	rev, err := l.commit(ctx, conds, []wire.Write{put})
 	if err != nil {
 		slog.Debug("feature level not raised", "err", err)
@@ -76,19 +76,19 @@
 
 // readyFor tells whether the level is lower than the given one and all nodes named live
 // and know it, and returns the conditions under which that still holds.
-func (c *cluster) readyFor(level core.FeatureLevel, names []string) ([]wire.Cond, bool) {
+func (c *cluster) readyFor(level core.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.level >= level {
 		return nil, false
 	}
-	var conds []wire.Cond
+	var conds []wire.Compare
 	for _, name := range names {
 		n, live := c.nodes[name]
 		if !live || n.level < level {
 			return nil, false
 		}
-		conds = append(conds, wire.Cond{Key: nodePrefix + name, Revision: n.stamp})
+		conds = append(conds, wire.Compare{Key: nodePrefix + name, Revision: n.stamp})
 	}
 	return conds, true
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -10,7 +10,7 @@
 
 // partitionRecords are all records of a partition, as they were listed.
 type partitionRecords struct {
-	machines, chunks, journal, cancellations []wire.Item
+	machines, chunks, journal, cancellations []wire.KeyValue
 	// revision is one from which a watch misses no job that the listings lack.
 	revision uint64
 	// askedAt is when the cancellations were asked for.
@@ -29,42 +29,42 @@
 	}
 	now := time.Now()
 	p := core.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
-	p.SetTypes(o.controller.catalog())
+	p.SetMachineTypes(o.controller.catalog())
 	p.SetLevel(o.controller.cluster.featureLevel())
 	if err := loadMachines(p, records.machines, now); err != nil {
 		return 0, err
 	}
-	p.Load(decodeChunks(records.chunks), decodeJournal(records.journal))
-	p.Marked(o.cancelledJobs(records.cancellations), now)
+	p.Restore(decodeChunks(records.chunks), decodeJournal(records.journal))
+	p.SetCancelledJobs(o.cancelledJobs(records.cancellations), now)
 	o.publish(p, records.askedAt)
-	slog.Info("part read", "part", o.index, "jobs", p.Jobs(), "machines", len(p.MachineIDs()))
+	slog.Info("part read", "part", o.index, "jobs", p.JobCount(), "machines", len(p.MachineIDs()))
 	o.poke()
 	return records.revision, nil
 }
 
 // listRecords lists the partition's records in an order in which none is missed.
 func (o *ownedPartition) listRecords() (r partitionRecords, err error) {
-	list := func(prefix string, into *[]wire.Item) (revision uint64) {
+	list := func(prefix string, into *[]wire.KeyValue) (revision uint64) {
 		if err == nil {
 			*into, revision, err = o.controller.store.List(o.ctx, prefix)
 		}
 		return revision
 	}
-	var key []wire.Item
+	var key []wire.KeyValue
 	list(machinePrefix, &r.machines)
 	// The watch starts before the jobs are read, so that none falls between.
 	r.revision = list(core.PartitionKey(o.index), &key)
 	list(core.ChunkPrefix(o.index), &r.chunks)
 	list(core.JournalPrefix(o.index), &r.journal)
 	r.askedAt = time.Now()
-	list(core.CancelPrefix(o.index), &r.cancellations)
+	list(core.CancellationPrefix(o.index), &r.cancellations)
 	return r, err
 }
 
 // loadMachines gives the partition its machines.
-func loadMachines(p *core.Partition, groups []wire.Item, now time.Time) error {
+func loadMachines(p *core.Partition, groups []wire.KeyValue, now time.Time) error {
 	for _, it := range groups {
-		g, err := core.ReadGroup(it.Key[len(machinePrefix):], it.Value, it.Revision)
+		g, err := core.DecodeMachineGroup(it.Key[len(machinePrefix):], it.Value, it.Revision)
 		if err != nil {
 			return err
 		}
@@ -76,30 +76,30 @@
 }
 
 // decodeChunks decodes the chunks of jobs' tasks; what is not understood is left out.
-func decodeChunks(items []wire.Item) []core.LoadedChunk {
+func decodeChunks(items []wire.KeyValue) []core.LoadedChunk {
 	var all []core.LoadedChunk
 	for _, it := range items {
-		id, name, ok := core.SplitChunkKey(it.Key)
+		id, name, ok := core.ParseChunkKey(it.Key)
 		var r core.ChunkRecord
 		if err := wire.Unmarshal(it.Value, &r); err != nil || !ok {
 			slog.Error("record not understood", "key", it.Key, "err", err)
 			continue
 		}
-		all = append(all, core.LoadedChunk{Job: id, Name: name, Stamp: it.Revision, Record: r})
+		all = append(all, core.LoadedChunk{JobID: id, Name: name, Revision: it.Revision, Record: r})
 	}
 	return all
 }
 
 // decodeJournal decodes the journal; what is not understood is left out.
-func decodeJournal(items []wire.Item) []core.LoadedSlot {
-	var all []core.LoadedSlot
+func decodeJournal(items []wire.KeyValue) []core.LoadedJournalRecord {
+	var all []core.LoadedJournalRecord
 	for _, it := range items {
 		var r core.JournalRecord
 		if err := wire.Unmarshal(it.Value, &r); err != nil {
 			slog.Error("record not understood", "key", it.Key, "err", err)
 			continue
 		}
-		all = append(all, core.LoadedSlot{Stamp: it.Revision, Record: r})
+		all = append(all, core.LoadedJournalRecord{Revision: it.Revision, Record: r})
 	}
 	return all
 }
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -70,8 +70,8 @@
 
 // work is a job of the free team on small machines.
 func work(n, tasks int, cpus, seconds float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.Array, Rank: "standard", Tasks: tasks, CPUs: cpus, RAM: 4,
-		Image: "img", ImageGB: 1, Estimate: seconds, Spot: true, Types: []string{"small"}}
+	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 4,
+		Image: "img", ImageGB: 1, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"}}
 }
 
 // longWork submits jobs that run for as long as anything is checked here.
@@ -149,7 +149,7 @@
 		j.Team = "blue"
 		d.submit(j, 0)
 		g := work(200+n, 1, 2, 80)
-		g.Team, g.GPUs, g.Types = "red", 1, nil
+		g.Team, g.GPUs, g.MachineTypes = "red", 1, nil
 		d.submit(g, 0)
 	}
 	time.Sleep(10 * second)
@@ -158,7 +158,7 @@
 	}
 	for n := range 3 {
 		g := work(400+n, 1, 10, 80)
-		g.GPUs, g.Types = 4, nil
+		g.GPUs, g.MachineTypes = 4, nil
 		d.submit(g, 0)
 	}
 }
@@ -287,8 +287,8 @@
 	yielding := func(d *day) {
 		for i := range 180 {
 			j := work(i, 2, 8, 2)
-			if j.Rank = "idle"; i%2 == 1 {
-				j.Rank = "urgent"
+			if j.Priority = "idle"; i%2 == 1 {
+				j.Priority = "urgent"
 			}
 			d.submit(j, 0)
 			time.Sleep(second / 3)
@@ -352,7 +352,7 @@
 	}
 	records := func(t *testing.T, d *day) {
 		time.Sleep(10 * second)
-		for _, prefix := range []string{core.ChunkPrefix(0), core.CancelPrefix(0)} {
+		for _, prefix := range []string{core.ChunkPrefix(0), core.CancellationPrefix(0)} {
 			if n := d.state.Count(prefix); n != 0 {
 				t.Errorf("%d records under %s of jobs that are over", n, prefix)
 			}
@@ -363,7 +363,7 @@
 			// So that what a cancellation reads and what it writes lie apart.
 			script: []standin.Trouble{{At: 15 * second, For: 60 * second, Kind: standin.StateSlow, Wait: 150 * time.Millisecond}},
 			check: func(t *testing.T, d *day) {
-				if done, cancelled := d.count(wire.Done), d.count(wire.Cancelled); done < 5 || cancelled < 5 {
+				if done, cancelled := d.count(wire.JobDone), d.count(wire.JobCancelled); done < 5 || cancelled < 5 {
 					t.Errorf("%d done, %d cancelled", done, cancelled)
 				}
 			}},
@@ -407,12 +407,12 @@
 		jobs: func(d *day) {
 			for n := range 12 {
 				j := work(n, 3, 4, 60)
-				j.OneZone = true
+				j.SingleZone = true
 				if n%3 == 0 {
 					j.Zone = "b"
 				}
 				if n%3 == 1 {
-					j.Shape, j.Checkpoint, j.Save = wire.Gang, 20, 2
+					j.Shape, j.CheckpointIntervalS, j.CheckpointSaveS = wire.GangJob, 20, 2
 				}
 				d.submit(j, 0)
 				time.Sleep(3 * second)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -91,8 +91,8 @@
 // written again, which changes nothing.
 func (c *Controller) enter(ctx context.Context) bool {
 	record := core.NodeRecord{Node: c.settings.Node, Level: c.announced}
-	put := wire.Write{Put: nodePrefix + c.settings.Node, Value: record, Lease: c.currentLease()}
-	_, err := c.store.Commit(ctx, wire.Txn{Then: []wire.Write{put}})
+	put := wire.Write{Put: nodePrefix + c.settings.Node, Value: record, LeaseID: c.currentLease()}
+	_, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{put}})
 	if err != nil {
 		slog.Debug("node not entered", "err", err)
 	}
@@ -175,13 +175,13 @@
 	}
 	key := core.PartitionKey(part)
 	rev, err := c.store.Commit(ctx, wire.Txn{
-		If:   []wire.Cond{{Key: key, Revision: stamp}},
-		Then: []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, Lease: hold}},
+		Compares: []wire.Compare{{Key: key, Revision: stamp}},
+		Writes:   []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
 	})
 	if errors.Is(err, store.ErrUnknown) {
 		// It may have been carried out: the key tells.
 		it, gerr := c.store.Get(ctx, key)
-		if gerr != nil || it.Lease != hold {
+		if gerr != nil || it.LeaseID != hold {
 			return
 		}
 		rev, err = it.Revision, nil
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -105,7 +105,7 @@
 func (o *ownedPartition) direct() {
 	fresh := o.fresh()
 	o.mu.Lock()
-	ids := o.partition.Urgent(fresh)
+	ids := o.partition.MachinesAwaitingCommands(fresh)
 	o.mu.Unlock()
 	for _, id := range ids {
 		if addr := o.controller.addr(id); addr != "" && o.begin(id) {
@@ -116,30 +116,30 @@
 
 // order sends a machine its starts and stops.
 func (o *ownedPartition) order(id, addr string) {
-	outcome := core.OrderExecuted
-	defer func() { o.end(id, outcome == core.OrderExecuted) }()
+	outcome := core.CommandsExecuted
+	defer func() { o.end(id, outcome == core.CommandsExecuted) }()
 	fresh := o.fresh()
 	o.mu.Lock()
-	ord, ok := o.partition.Orders(id, fresh)
+	ord, ok := o.partition.DirectCommands(id, fresh)
 	o.mu.Unlock()
 	if !ok {
 		return
 	}
 	r, executed, err := o.controller.workers.Order(o.ctx, addr, ord)
-	outcome = core.OrderUnknown
+	outcome = core.CommandsUnknown
 	switch {
 	case executed:
-		outcome = core.OrderExecuted
+		outcome = core.CommandsExecuted
 	case err == nil, errors.Is(err, worker.ErrNotSent):
-		outcome = core.OrderDropped
+		outcome = core.CommandsNotExecuted
 	}
 	if err != nil {
 		slog.Debug("order unanswered", "machine", id, "err", err)
 	}
 	o.mu.Lock()
-	o.partition.Ordered(ord, id, outcome)
+	o.partition.HandleCommandOutcome(ord, id, outcome)
 	if err == nil {
-		o.partition.Heard(r, time.Now())
+		o.partition.HandleCommandResponse(r, time.Now())
 	}
 	o.mu.Unlock()
 	o.poke()
--- a/internal/controller/quiet_test.go
+++ b/internal/controller/quiet_test.go
@@ -23,8 +23,8 @@
 // that runs: its workers' reports come by way of another node.
 func TestReportsAreRelayed(t *testing.T) {
 	play(t, 2, 1, false, func(d *day) {
-		j := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.Array, Rank: "standard", Tasks: 6, CPUs: 4, RAM: 4,
-			Image: "img", ImageGB: 1, Estimate: 120}
+		j := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 6, CPUs: 4, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120}
 		d.submit(j, 0)
 		time.Sleep(time.Minute)
 		if d.world.Starts() != 6 {
@@ -49,8 +49,8 @@
 func TestGangWithLargeImageRuns(t *testing.T) {
 	play(t, 4, 1, false, func(d *day) {
 		job := func(id string, tasks int) *wire.Job {
-			return &wire.Job{ID: id, Class: "c", Team: "free", Shape: wire.Gang, Rank: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, RAM: 64,
-				Image: "img", ImageGB: 90, Estimate: 20}
+			return &wire.Job{ID: id, Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, MemoryGB: 64,
+				Image: "img", ImageGB: 90, EstimatedRunS: 20}
 		}
 		d.submit(job("req-000001", 1), 0)
 		time.Sleep(150 * time.Second) // its image is there, the task under way or just over
@@ -63,8 +63,8 @@
 // rentals recorded for that kind must not be called for one by one.
 func TestRefusedKindsAreNotCalledForAgain(t *testing.T) {
 	play(t, 3, 1, false, func(d *day) {
-		j := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.Array, Rank: "standard", Tasks: 150, CPUs: 8, RAM: 4,
-			Image: "img", ImageGB: 1, Estimate: 120, Spot: true, Types: []string{"small"}}
+		j := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 150, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120, AllowSpot: true, MachineTypes: []string{"small"}}
 		d.submit(j, 0)
 		time.Sleep(25 * time.Second) // before kinds are asked for again
 		if n := len(d.cloud.Workers()); n == 0 {
@@ -80,8 +80,8 @@
 // goes on elsewhere once its session has risen, and the cloud gets it back.
 func TestDeafMachineIsReplaced(t *testing.T) {
 	play(t, 2, 1, false, func(d *day) {
-		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.Array, Rank: "standard", Tasks: 3, CPUs: 8, RAM: 4,
-			Image: "img", ImageGB: 1, Estimate: 90}, 0)
+		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 3, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 90}, 0)
 		time.Sleep(40 * time.Second)
 		ws := d.cloud.Workers()
 		if len(ws) != 3 || d.world.Starts() != 3 {
@@ -107,8 +107,8 @@
 // and it does not call itself healthy.
 func TestControllerWithWorkersOnly(t *testing.T) {
 	play(t, 5, 1, false, func(d *day) {
-		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.Array, Rank: "standard", Tasks: 4, CPUs: 8, RAM: 4,
-			Image: "img", ImageGB: 1, Estimate: 120}, 0)
+		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 4, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120}, 0)
 		time.Sleep(50 * time.Second)
 		if d.world.Starts() != 4 {
 			d.t.Fatalf("%d starts", d.world.Starts())
@@ -161,9 +161,9 @@
 func nobodyIsStarved(t *testing.T, delay time.Duration) {
 	play(t, 5, 1, false, func(d *day) {
 		d.world.Delay(delay)
-		job := func(n int, shape wire.Shape, rank wire.Rank, tasks int, cpus, seconds float64) *wire.Job {
-			return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue", "free"}[n%3], Shape: shape, Rank: rank,
-				Tasks: tasks, CPUs: cpus, RAM: 4, Image: "img", ImageGB: 0.5, Estimate: seconds, Types: []string{"small"}, Spot: true}
+		job := func(n int, shape wire.JobShape, rank wire.Priority, tasks int, cpus, seconds float64) *wire.Job {
+			return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue", "free"}[n%3], Shape: shape, Priority: rank,
+				Tasks: tasks, CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, MachineTypes: []string{"small"}, AllowSpot: true}
 		}
 		big := map[string]time.Time{}
 		many := 240
@@ -171,12 +171,12 @@
 			many = 180 // 450 s, four minutes beyond the last of the large ones
 		}
 		for n := range many { // 16 small machines are there; this asks for more than they can do
-			d.submit(job(n, wire.Array, "urgent", 6, 2, 25), 0)
+			d.submit(job(n, wire.ArrayJob, "urgent", 6, 2, 25), 0)
 			if n == 40 || n == 80 {
-				g := job(1000+n, wire.Gang, "urgent", 7, 8, 30) // of the eight machines of a zone
+				g := job(1000+n, wire.GangJob, "urgent", 7, 8, 30) // of the eight machines of a zone
 				g.Team = "free"
-				g.OneZone = true
-				a := job(2000+n, wire.Array, "idle", 60, 2, 20)
+				g.SingleZone = true
+				a := job(2000+n, wire.ArrayJob, "idle", 60, 2, 20)
 				for _, j := range []*wire.Job{g, a} {
 					d.submit(j, 0)
 					big[j.ID] = time.Now()
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -50,8 +50,8 @@
 
 func (r recordedRental) key() string { return rentalPrefix + r.name }
 
-func (r recordedRental) kind() core.Kind {
-	return core.Kind{Type: r.rec.Type, Zone: r.rec.Zone, Spot: r.rec.Spot}
+func (r recordedRental) kind() core.Offering {
+	return core.Offering{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot}
 }
 
 // recordedRentals lists them in the order of their recording, which is that of need.
@@ -64,7 +64,7 @@
 		all = append(all, recordedRental{name, entry})
 	}
 	slices.SortFunc(all, func(a, b recordedRental) int {
-		return cmp.Or(cmp.Compare(a.rec.At, b.rec.At), cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.rec.RecordedAtMS, b.rec.RecordedAtMS), cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
 	})
 	return all
 }
@@ -78,7 +78,7 @@
 
 // dropRental deletes the record of a rental that nobody has called the cloud for.
 func (l *leader) dropRental(ctx context.Context, r recordedRental) {
-	rev, err := l.commit(ctx, []wire.Cond{{Key: r.key(), Revision: r.stamp}}, []wire.Write{{Delete: r.key()}})
+	rev, err := l.commit(ctx, []wire.Compare{{Key: r.key(), Revision: r.stamp}}, []wire.Write{{Delete: r.key()}})
 	if err != nil {
 		return
 	}
@@ -90,10 +90,10 @@
 func (l *leader) finishRental(ctx context.Context, r recordedRental) {
 	kind := r.kind()
 	l.tried[r.name] = time.Now()
-	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{Request: r.name, Type: kind.Type, Zone: kind.Zone, Spot: kind.Spot, Count: r.rec.Count})
+	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{RequestID: r.name, MachineType: kind.MachineType, Zone: kind.Zone, Spot: kind.Spot, Count: r.rec.Count})
 	switch {
 	case err == nil:
-		slog.Info("rented", "request", r.name, "type", kind.Type, "zone", kind.Zone, "spot", kind.Spot, "asked", r.rec.Count, "got", len(ids))
+		slog.Info("rented", "request", r.name, "type", kind.MachineType, "zone", kind.Zone, "spot", kind.Spot, "asked", r.rec.Count, "got", len(ids))
 		if len(ids) < r.rec.Count {
 			l.refuse(kind)
 		} else {
@@ -101,7 +101,7 @@
 		}
 	case errors.Is(err, cloud.ErrNoCapacity):
 		l.refuse(kind)
-		slog.Info("rental refused", "type", kind.Type, "zone", kind.Zone, "spot", kind.Spot)
+		slog.Info("rental refused", "type", kind.MachineType, "zone", kind.Zone, "spot", kind.Spot)
 	default:
 		slog.Debug("rental unanswered", "request", r.name, "err", err)
 		return
@@ -112,15 +112,15 @@
 // replaceRental deletes a rental's record, and writes those of its machines that are not
 // known yet.
 func (l *leader) replaceRental(ctx context.Context, r recordedRental, ids []string) {
-	conds := []wire.Cond{{Key: r.key(), Revision: r.stamp}}
+	conds := []wire.Compare{{Key: r.key(), Revision: r.stamp}}
 	then := []wire.Write{{Delete: r.key()}}
 	recs := map[string]core.MachineRecord{}
 	for _, id := range ids {
 		if _, known := l.controller.cluster.machine(id); !known {
-			recs[id] = core.MachineRecord{Type: r.rec.Type, Zone: r.rec.Zone, Spot: r.rec.Spot, Part: r.rec.Part, Born: time.Now().UnixMilli()}
+			recs[id] = core.MachineRecord{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot, Partition: r.rec.Partition, CreatedAtMS: time.Now().UnixMilli()}
 		}
 	}
-	per := core.PerGroup(l.controller.limits.ValueKB, r.rec.Type, r.rec.Zone)
+	per := core.MachinesPerGroup(l.controller.limits.ValueKB, r.rec.MachineType, r.rec.Zone)
 	for ids := range slices.Chunk(sortedIDs(recs), per) {
 		cond, put := newGroup(groupOf(ids, recs))
 		conds, then = append(conds, cond), append(then, put)
@@ -139,7 +139,7 @@
 }
 
 // refuse notes that the cloud has no more of a kind, which is asked for again later.
-func (l *leader) refuse(k core.Kind) {
+func (l *leader) refuse(k core.Offering) {
 	r := l.refused[k]
 	if r.wait == 0 {
 		r.wait = l.controller.tuning.RefusalS
@@ -159,9 +159,9 @@
 	name := fmt.Sprintf("r-%d-%d", l.revision, l.next)
 	l.next++
 	l.own[name] = true
-	rec := core.RentalRecord{Type: r.Kind.Type, Zone: r.Kind.Zone, Spot: r.Kind.Spot, Count: n, Part: r.Part, At: time.Now().UnixMilli()}
+	rec := core.RentalRecord{MachineType: r.Offering.MachineType, Zone: r.Offering.Zone, Spot: r.Offering.Spot, Count: n, Partition: r.Partition, RecordedAtMS: time.Now().UnixMilli()}
 	key := rentalPrefix + name
-	rev, err := l.commit(ctx, []wire.Cond{{Key: key, Revision: 0}}, []wire.Write{{Put: key, Value: rec}})
+	rev, err := l.commit(ctx, []wire.Compare{{Key: key, Revision: 0}}, []wire.Write{{Put: key, Value: rec}})
 	if err != nil {
 		slog.Debug("rental not recorded", "err", err)
 		return
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -34,32 +34,32 @@
 }
 
 // Report answers a worker, or names the node to which it should report.
-func (c *Controller) Report(r *wire.Report) (wire.ReportReply, string, bool) {
+func (c *Controller) Report(r *wire.Heartbeat) (wire.HeartbeatResponse, string, bool) {
 	entry, known := c.cluster.machine(r.Machine)
 	if !known {
 		// Not rented yet as far as is known here, or returned: a late copy of a report
 		// must not bring its address back.
-		return wire.ReportReply{}, "", false
+		return wire.HeartbeatResponse{}, "", false
 	}
-	owner := c.cluster.snapshotOwner(entry.rec.Part).node
+	owner := c.cluster.snapshotOwner(entry.rec.Partition).node
 	if node := c.assignedNode(r.Machine, owner); node != c.settings.Node && c.endsVisit(r.Machine, time.Now()) {
-		return wire.ReportReply{}, node, false
+		return wire.HeartbeatResponse{}, node, false
 	}
-	if c.ownedPartition(entry.rec.Part) != nil {
+	if c.ownedPartition(entry.rec.Partition) != nil {
 		result := c.OwnedHeartbeat(r)
 		return result.Response, "", result.Accepted
 	}
 	f := c.forwarders[owner]
 	if f == nil {
-		return wire.ReportReply{}, "", false
+		return wire.HeartbeatResponse{}, "", false
 	}
 	answer, reached := f.forward(r)
 	switch {
 	case !reached:
 		// The way to the owner may be open for the worker itself.
-		return wire.ReportReply{}, owner, false
+		return wire.HeartbeatResponse{}, owner, false
 	case !answer.Accepted:
-		return wire.ReportReply{}, "", false
+		return wire.HeartbeatResponse{}, "", false
 	}
 	return answer.Response, "", true
 }
@@ -126,16 +126,16 @@
 }
 
 // OwnedHeartbeat answers a report as the owner of its machine's partition.
-func (c *Controller) OwnedHeartbeat(r *wire.Report) peerrpc.HeartbeatResult {
+func (c *Controller) OwnedHeartbeat(r *wire.Heartbeat) peerrpc.HeartbeatResult {
 	e, known := c.cluster.machine(r.Machine)
 	if !known {
 		return peerrpc.HeartbeatResult{}
 	}
-	o := c.ownedPartition(e.rec.Part)
+	o := c.ownedPartition(e.rec.Partition)
 	if o == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	c.learn(r.Machine, r.Addr)
+	c.learn(r.Machine, r.Address)
 	age := o.staleness()
 	if age > c.stalenessLimit() {
 		// Cancellations may have been told elsewhere; the leases must run out.
@@ -147,10 +147,10 @@
 		return peerrpc.HeartbeatResult{}
 	}
 	fresh := age < tuning.Seconds(c.tuning.FreshS)
-	v, reply := o.partition.Report(r, time.Now(), fresh)
-	if v != core.Accepted {
-		slog.Debug("report not taken", "machine", r.Machine, "verdict", v, "token", r.Token)
-		if v == core.Outranked && !fresh {
+	v, reply := o.partition.HandleHeartbeat(r, time.Now(), fresh)
+	if v != core.HeartbeatAccepted {
+		slog.Debug("report not taken", "machine", r.Machine, "verdict", v, "token", r.FencingToken)
+		if v == core.HeartbeatSuperseded && !fresh {
 			// Another owner has spoken to it, and nobody else can tell this node: it
 			// must not keep other machines from that owner.
 			go c.lose(o, "a worker has seen a higher token")
@@ -159,7 +159,7 @@
 	}
 	c.orders.heard(r.Machine)
 	// Most reports change nothing, and on a small processor a pass for each is dear.
-	if o.partition.Stirred() {
+	if o.partition.NeedsScheduling() {
 		o.poke()
 	}
 	return peerrpc.HeartbeatResult{Accepted: true, Response: reply}
--- a/internal/controller/report_test.go
+++ b/internal/controller/report_test.go
@@ -53,11 +53,11 @@
 // only that came by way of another node.
 func TestForwardedReportsTellTheAddress(t *testing.T) {
 	c, next := reporter(t, 2)
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := wire.Unmarshal(next(), &r); err != nil {
 		t.Fatal(err)
 	}
-	if result := c.OwnedHeartbeat(&r); !result.Accepted || c.addr(r.Machine) != r.Addr {
-		t.Errorf("taken in %v; the address is %q, want %q", result.Accepted, c.addr(r.Machine), r.Addr)
+	if result := c.OwnedHeartbeat(&r); !result.Accepted || c.addr(r.Machine) != r.Address {
+		t.Errorf("taken in %v; the address is %q, want %q", result.Accepted, c.addr(r.Machine), r.Address)
 	}
 }
--- a/internal/controller/rough_test.go
+++ b/internal/controller/rough_test.go
@@ -94,22 +94,22 @@
 		breaks func(d *day)
 	}{
 		{"went_back", func(d *day) { // queued, asked after done had arrived
-			d.world.Told("req-000001", wire.Queued, now())
+			d.world.Told("req-000001", wire.JobQueued, now())
 			d.world.Asked("req-000001")
-			d.world.Told("req-000001", wire.Cancelled, now())
+			d.world.Told("req-000001", wire.JobCancelled, now())
 			time.Sleep(time.Millisecond)
-			d.world.Told("req-000001", wire.Queued, now())
+			d.world.Told("req-000001", wire.JobQueued, now())
 		}},
-		{"went_back", func(d *day) { d.world.Told("req-000001", wire.Cancelled, now()) }}, // nobody asked
-		{"not_done", func(d *day) { d.world.Told("req-000001", wire.Done, now()) }},
-		{"invented", func(d *day) { d.world.Told("req-000009", wire.Queued, now()) }},
+		{"went_back", func(d *day) { d.world.Told("req-000001", wire.JobCancelled, now()) }}, // nobody asked
+		{"not_done", func(d *day) { d.world.Told("req-000001", wire.JobDone, now()) }},
+		{"invented", func(d *day) { d.world.Told("req-000009", wire.JobQueued, now()) }},
 		{"forgotten", func(d *day) {
-			d.world.Told("req-000001", wire.Queued, now())
+			d.world.Told("req-000001", wire.JobQueued, now())
 			time.Sleep(time.Millisecond)
 			d.world.Missing("req-000001", 404, now())
 		}},
 		{"forgotten", func(d *day) {
-			d.world.Told("req-000001", wire.Queued, now())
+			d.world.Told("req-000001", wire.JobQueued, now())
 			d.world.Calm()
 			time.Sleep(80 * second)
 			d.world.Unanswered("req-000001")
@@ -118,7 +118,7 @@
 		{"left_waiting", func(d *day) { // a machine with room, and nobody places the job
 			d.cloud.Add("small", "a", true)
 			time.Sleep(30 * second)
-			d.world.Told("req-000001", wire.Queued, now())
+			d.world.Told("req-000001", wire.JobQueued, now())
 			d.world.Calm()
 			for range 30 {
 				d.world.Waiting(d.cloud.Workers())
@@ -130,12 +130,12 @@
 			d.cloud.Add("small", "a", true)
 			time.Sleep(21 * second)
 			w := d.cloud.Workers()[0]
-			w.Execute(wire.Command{Op: wire.Start, Task: "req-000001/0", Attempt: 1})
+			w.Execute(wire.Command{Op: wire.StartTask, Task: "req-000001/0", Attempt: 1})
 			time.Sleep(5 * second)
 			d.world.Asked("req-000001")
-			d.world.Told("req-000001", wire.Cancelled, now())
+			d.world.Told("req-000001", wire.JobCancelled, now())
 			time.Sleep(50 * second)
-			w.Execute(wire.Command{Op: wire.Stop, Task: "req-000001/0", Attempt: 1})
+			w.Execute(wire.Command{Op: wire.StopTask, Task: "req-000001/0", Attempt: 1})
 		}},
 	} {
 		t.Run(c.rule, func(t *testing.T) {
@@ -152,8 +152,8 @@
 			asked := now()
 			d.world.Asked("req-000001")
 			time.Sleep(time.Millisecond)
-			d.world.Told("req-000001", wire.Cancelled, now())
-			d.world.Told("req-000001", wire.Running, asked)
+			d.world.Told("req-000001", wire.JobCancelled, now())
+			d.world.Told("req-000001", wire.JobRunning, asked)
 			if b := d.world.Broken(); len(b) != 0 {
 				t.Errorf("seen as broken: %v", b)
 			}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -153,46 +153,46 @@
 		}
 		return 0
 	}
-	return core.Competes(j, c.catalog()) % c.partitions
+	return core.PrimaryMachineType(j, c.catalog()) % c.partitions
 }
 
 // Submit takes a job in.
-func (c *Controller) Submit(ctx context.Context, body []byte) (wire.JobView, bool, error) {
+func (c *Controller) Submit(ctx context.Context, body []byte) (wire.JobStatus, bool, error) {
 	j, err := wire.ParseJob(body)
 	if err != nil {
-		return wire.JobView{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: err.Error()}
+		return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
 	if r, ok := c.final(j.ID); ok {
 		return view(r), false, nil
 	}
-	if !core.Recordable(j, c.settings) {
-		return wire.JobView{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: "the description is too long"}
+	if !core.JobFitsRecord(j, c.settings) {
+		return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: "the description is too long"}
 	}
 	types := c.catalog()
 	if len(types) == 0 {
-		return wire.JobView{}, false, errors.New("machine types not known yet")
+		return wire.JobStatus{}, false, errors.New("machine types not known yet")
 	}
-	if why := core.Impossible(j, c.settings, types); why != "" {
+	if why := core.InfeasibleReason(j, c.settings, types); why != "" {
 		// A job that was accepted before is known, whatever its repeat says.
 		r, _, err := c.readJob(ctx, j.ID)
 		switch {
 		case err == nil:
 			return view(r), false, nil
 		case errors.Is(err, store.ErrNotFound):
-			return wire.JobView{}, false, &api.Refusal{Status: http.StatusUnprocessableEntity, Reason: why}
+			return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusUnprocessableEntity, Reason: why}
 		}
-		return wire.JobView{}, false, err
+		return wire.JobStatus{}, false, err
 	}
 	if err := c.inTouch(); err != nil {
-		return wire.JobView{}, false, err
+		return wire.JobStatus{}, false, err
 	}
-	rec := core.JobRecord{Job: j, Phase: wire.Queued, Part: c.partitionOf(j), At: time.Now().UnixMilli()}
+	rec := core.JobRecord{Job: j, Phase: wire.JobQueued, Partition: c.partitionOf(j), SubmittedAtMS: time.Now().UnixMilli()}
 	key := core.JobKey(j.ID)
 	_, err = c.store.CommitFirst(ctx, wire.Txn{
-		If: []wire.Cond{{Key: key, Revision: 0}},
-		Then: []wire.Write{
+		Compares: []wire.Compare{{Key: key, Revision: 0}},
+		Writes: []wire.Write{
 			{Put: key, Value: rec},
-			{Put: core.FirstChunkKey(rec.Part, j.ID), Value: core.FirstChunk(&rec, c.cluster.featureLevel(), c.settings)},
+			{Put: core.FirstChunkKey(rec.Partition, j.ID), Value: core.NewFirstChunk(&rec, c.cluster.featureLevel(), c.settings)},
 		},
 	})
 	if err == nil {
@@ -207,34 +207,34 @@
 		}
 		err = gerr
 	}
-	return wire.JobView{}, false, err
+	return wire.JobStatus{}, false, err
 }
 
-func view(r core.JobRecord) wire.JobView {
-	v := wire.JobView{ID: r.Job.ID, Phase: r.Phase}
-	if r.Phase == wire.Done {
+func view(r core.JobRecord) wire.JobStatus {
+	v := wire.JobStatus{ID: r.Job.ID, Phase: r.Phase}
+	if r.Phase == wire.JobDone {
 		v.Done = r.Job.Tasks
 	}
 	return v
 }
 
 // Job answers a query.
-func (c *Controller) Job(ctx context.Context, id string) (wire.JobView, error) {
+func (c *Controller) Job(ctx context.Context, id string) (wire.JobStatus, error) {
 	if !wire.ValidJobID(id) {
-		return wire.JobView{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	r, _, err := c.readJob(ctx, id)
 	if errors.Is(err, store.ErrNotFound) {
-		return wire.JobView{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	if err != nil {
-		return wire.JobView{}, err
+		return wire.JobStatus{}, err
 	}
 	v := view(r)
 	if !r.Phase.Final() {
-		v.Done, v.Running = c.counts(id, r.Part)
+		v.Done, v.Running = c.counts(id, r.Partition)
 		if v.Running > 0 {
-			v.Phase = wire.Running
+			v.Phase = wire.JobRunning
 		}
 	}
 	return v, nil
@@ -257,39 +257,39 @@
 }
 
 // Cancel withdraws a job.
-func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobView, error) {
+func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
 	if !wire.ValidJobID(id) {
-		return wire.JobView{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	for {
 		r, stamp, err := c.readJob(ctx, id)
 		if errors.Is(err, store.ErrNotFound) {
-			return wire.JobView{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+			return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 		}
 		if err != nil {
-			return wire.JobView{}, err
+			return wire.JobStatus{}, err
 		}
 		if r.Phase.Final() {
 			return view(r), nil
 		}
-		r.Phase = wire.Cancelled
+		r.Phase = wire.JobCancelled
 		_, err = c.store.CommitFirst(ctx, wire.Txn{
-			If: []wire.Cond{{Key: core.JobKey(id), Revision: stamp}},
-			Then: []wire.Write{
+			Compares: []wire.Compare{{Key: core.JobKey(id), Revision: stamp}},
+			Writes: []wire.Write{
 				{Put: core.JobKey(id), Value: r},
-				{Put: core.CancelKey(r.Part, id), Value: true},
+				{Put: core.CancellationKey(r.Partition, id), Value: true},
 			},
 		})
 		var conflict *store.Conflict
 		switch {
 		case err == nil:
 			c.remember(r)
-			c.tellCancelled(r.Part, id)
+			c.tellCancelled(r.Partition, id)
 			return view(r), nil
 		case errors.As(err, &conflict), errors.Is(err, store.ErrUnknown):
 			continue // read again: it ended, or the answer was lost
 		default:
-			return wire.JobView{}, err
+			return wire.JobStatus{}, err
 		}
 	}
 }
--- a/internal/controller/takeover.go
+++ b/internal/controller/takeover.go
@@ -16,7 +16,7 @@
 	listed, again := false, time.Time{}
 	for o.ctx.Err() == nil {
 		o.mu.Lock()
-		ids := o.partition.Unheard()
+		ids := o.partition.MachinesNotFenced()
 		o.mu.Unlock()
 		if len(ids) == 0 {
 			return
@@ -24,7 +24,7 @@
 		if now := time.Now(); !listed && now.After(again) {
 			list, err := o.controller.cloud.List(o.ctx)
 			for _, m := range list {
-				o.controller.learn(m.ID, m.Addr)
+				o.controller.learn(m.ID, m.Address)
 			}
 			listed, again = err == nil, now.Add(tuning.Seconds(o.controller.settings.Cluster.Workers.ReportS))
 		}
@@ -46,7 +46,7 @@
 	executed := false
 	defer func() { o.end(id, executed) }()
 	o.mu.Lock()
-	ord, ok := o.partition.TakeoverOrder(id)
+	ord, ok := o.partition.FencingRequest(id)
 	o.mu.Unlock()
 	if !ok {
 		return
@@ -61,7 +61,7 @@
 		return
 	}
 	o.mu.Lock()
-	o.partition.Heard(r, time.Now())
+	o.partition.HandleCommandResponse(r, time.Now())
 	o.mu.Unlock()
 	o.poke()
 }
--- a/internal/controller/troubles_test.go
+++ b/internal/controller/troubles_test.go
@@ -119,7 +119,7 @@
 	}
 	d.state.Faults = func(string, *wire.Txn) (standin.Fault, time.Duration) { return pick(0.03) }
 	d.cloud.Faults = func() (standin.Fault, time.Duration) { return pick(0.2) }
-	d.world.Copies = func(_ *wire.Report, send func(standin.Node)) {
+	d.world.Copies = func(_ *wire.Heartbeat, send func(standin.Node)) {
 		mu.Lock()
 		defer mu.Unlock()
 		late, to := time.Duration(500+rnd.IntN(40000))*time.Millisecond, d.nodes[rnd.IntN(len(d.nodes))]
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -27,7 +27,7 @@
 	if key == levelKey {
 		d.raised.Store(true)
 	}
-	id, name, ok := core.SplitChunkKey(key)
+	id, name, ok := core.ParseChunkKey(key)
 	if !ok || !strings.HasPrefix(key, core.ChunkPrefix(0)) || d.raised.Load() {
 		return
 	}
@@ -82,8 +82,8 @@
 
 // service is a service that its user cancels after a while.
 func service(n, replicas int, cpus float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "s", Team: "free", Shape: wire.Service, Rank: "production", Tasks: replicas,
-		CPUs: cpus, RAM: 4, Image: "srv", ImageGB: 1}
+	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "s", Team: "free", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas,
+		CPUs: cpus, MemoryGB: 4, Image: "srv", ImageGB: 1}
 }
 
 // The limits are lowered while nodes end, also in the middle of the conversion: nothing
@@ -155,7 +155,7 @@
 	upgradeDay(t, 3, 4, func(d *day) {
 		var refuse atomic.Int32 // how often what the last node says of itself is refused
 		d.state.Faults = func(_ string, txn *wire.Txn) (standin.Fault, time.Duration) {
-			if len(txn.Then) > 0 && txn.Then[0].Put == nodePrefix+d.nodes[2].Name && refuse.Load() > 0 {
+			if len(txn.Writes) > 0 && txn.Writes[0].Put == nodePrefix+d.nodes[2].Name && refuse.Load() > 0 {
 				refuse.Add(-1)
 				return standin.Refuse, 0
 			}
@@ -244,7 +244,7 @@
 					d.t.Errorf("%d replicas of 4 run", n)
 				}
 				d.finish(10 * time.Minute)
-				if p := d.ended["req-000001"]; p != wire.Cancelled {
+				if p := d.ended["req-000001"]; p != wire.JobCancelled {
 					d.t.Errorf("the service ended as %s", p)
 				}
 			})
@@ -331,7 +331,7 @@
 					}()
 					for n := range 4 {
 						j := service(900+n, 1+rnd.IntN(4), 1+float64(rnd.IntN(3)))
-						j.Spread = rnd.IntN(2) == 0
+						j.SpreadZones = rnd.IntN(2) == 0
 						d.submit(j, time.Duration(60+rnd.IntN(200))*second)
 					}
 					d.jobs(0, 30, 170*second)
@@ -358,9 +358,9 @@
 				d := newDay(t, ctx, 1)
 				c := New(d.settings(0), d.tune, d.fabric.Host("node-0")) // without its watch
 				c.types = dayTypes
-				level := wire.Write{Put: levelKey, Value: core.LevelRecord{Level: core.CurrentLevel}}
+				level := wire.Write{Put: levelKey, Value: core.LevelRecord{Level: core.CurrentFeatureLevel}}
 				if !meanwhile {
-					if _, err := c.store.Commit(ctx, wire.Txn{Then: []wire.Write{level}}); err != nil {
+					if _, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{level}}); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -376,7 +376,7 @@
 				time.Sleep(3 * time.Second)
 				o := c.ownedPartition(0)
 				o.mu.Lock()
-				if got := o.partition.Level(); got != core.CurrentLevel {
+				if got := o.partition.Level(); got != core.CurrentFeatureLevel {
 					t.Errorf("level %d", got)
 				}
 				o.mu.Unlock()
@@ -394,13 +394,13 @@
 	var names []string
 	for i := range 40 {
 		names = append(names, fmt.Sprint("n", i))
-		record := core.NodeRecord{Node: names[i], Level: core.CurrentLevel}
+		record := core.NodeRecord{Node: names[i], Level: core.CurrentFeatureLevel}
 		c.apply(nodePrefix+names[i], must(wire.Marshal(record)), uint64(i+1), false)
 	}
-	if conds, ready := c.readyFor(core.CurrentLevel, names); !ready || len(conds) != len(names) {
+	if conds, ready := c.readyFor(core.CurrentFeatureLevel, names); !ready || len(conds) != len(names) {
 		t.Errorf("ready %v, %d conditions", ready, len(conds))
 	}
-	if _, ready := c.readyFor(core.CurrentLevel, append(names, "away")); ready {
+	if _, ready := c.readyFor(core.CurrentFeatureLevel, append(names, "away")); ready {
 		t.Error("ready without a node that is away")
 	}
 }
--- a/internal/core/bed_test.go
+++ b/internal/core/bed_test.go
@@ -10,17 +10,17 @@
 )
 
 var testTypes = []wire.MachineType{
-	{Name: "cpu", CPUs: 8, RAM: 32, FetchRate: 1, Price: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}},
-	{Name: "gpu", CPUs: 16, GPUs: 4, RAM: 64, FetchRate: 1, Price: 8, SpotPrice: 3, BootS: 40, Zones: []string{"a", "b"}},
+	{Name: "cpu", CPUs: 8, MemoryGB: 32, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}},
+	{Name: "gpu", CPUs: 16, GPUs: 4, MemoryGB: 64, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 40, Zones: []string{"a", "b"}},
 }
 
 func testSettings() *config.Settings {
-	s := &config.Settings{}
-	c := &s.Cluster
+	settings := &config.Settings{}
+	c := &settings.Cluster
 	c.Teams = []config.Team{{Name: "limited", CPUsMax: 10, GPUsMax: 3}, {Name: "sure", GPUs: 2}, {Name: "free"}}
 	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS, c.Workers.GangPeerS = 2, 14, 44, 5
 	c.State.ValueKB, c.State.TxnOps = 8, 12
-	return s
+	return settings
 }
 
 // bed is a part with helpers that play the state service and the workers.
@@ -29,71 +29,71 @@
 	now time.Time
 	rev uint64
 	seq map[string]uint64
-	on  map[string]map[attempt]wire.TaskReport
+	on  map[string]map[taskAttempt]wire.TaskStatus
 }
 
 func newBed() *bed {
 	t := tuning.Default()
-	b := &bed{Partition: NewPartition(0, 10, testSettings(), &t), now: time.Unix(1000, 0), rev: 100, seq: map[string]uint64{}, on: map[string]map[attempt]wire.TaskReport{}}
-	b.SetTypes(testTypes)
+	b := &bed{Partition: NewPartition(0, 10, testSettings(), &t), now: time.Unix(1000, 0), rev: 100, seq: map[string]uint64{}, on: map[string]map[taskAttempt]wire.TaskStatus{}}
+	b.SetMachineTypes(testTypes)
 	return b
 }
 
 func (b *bed) machine(id, typ, zone string, spot bool) {
 	b.rev++
-	b.SetMachine(id, MachineRecord{Type: typ, Zone: zone, Spot: spot}, b.rev, b.now)
-	b.on[id] = map[attempt]wire.TaskReport{}
+	b.SetMachine(id, MachineRecord{MachineType: typ, Zone: zone, Spot: spot}, b.rev, b.now)
+	b.on[id] = map[taskAttempt]wire.TaskStatus{}
 	b.report(id)
 	b.report(id)
 }
 
-func (b *bed) add(j wire.Job) *Job {
+func (b *bed) add(job wire.Job) *Job {
 	b.rev++
-	return b.AddJob(&j, b.now, b.rev)
+	return b.AddJob(&job, b.now, b.rev)
 }
 
 // commit has the state service take all changes.
 func (b *bed) commit() {
 	for {
-		x := b.Batch()
-		if x.Empty() {
+		batch := b.PrepareBatch()
+		if batch.Empty() {
 			return
 		}
 		b.rev++
-		b.Committed(x, b.rev)
+		b.ConfirmBatch(batch, b.rev)
 	}
 }
 
 // report sends a worker's report and carries the answer out.
 func (b *bed) report(id string) []wire.Command {
 	b.seq[id]++
-	r := &wire.Report{Machine: id, Session: 1, Seq: b.seq[id], Token: b.machines[id].token}
+	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: b.seq[id], FencingToken: b.machines[id].fencingToken}
 	for _, t := range b.on[id] {
-		r.Tasks = append(r.Tasks, t)
+		heartbeat.Tasks = append(heartbeat.Tasks, t)
 	}
-	v, reply := b.Report(r, b.now, true)
-	if v != Accepted {
+	v, reply := b.HandleHeartbeat(heartbeat, b.now, true)
+	if v != HeartbeatAccepted {
 		return nil
 	}
 	for _, c := range reply.Commands {
-		k := attempt{c.Task, c.Attempt}
+		key := taskAttempt{c.Task, c.Attempt}
 		switch c.Op {
-		case wire.Start:
-			b.on[id][k] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.RunningTask}
-		case wire.Stop:
-			if t, ok := b.on[id][k]; ok {
-				t.State, t.Cause = wire.Exited, wire.CauseStopped
-				b.on[id][k] = t
+		case wire.StartTask:
+			b.on[id][key] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+		case wire.StopTask:
+			if t, ok := b.on[id][key]; ok {
+				t.State, t.ExitCause = wire.TaskExited, wire.ExitStopped
+				b.on[id][key] = t
 			}
-		case wire.Forget:
-			delete(b.on[id], k)
+		case wire.ForgetTask:
+			delete(b.on[id], key)
 		}
 	}
 	return reply.Commands
 }
 
-func (b *bed) end(id, task string, try uint64, why wire.Cause) {
-	b.on[id][attempt{task, try}] = wire.TaskReport{Task: task, Attempt: try, State: wire.Exited, Cause: why}
+func (b *bed) end(id, task string, try uint64, why wire.ExitCause) {
+	b.on[id][taskAttempt{task, try}] = wire.TaskStatus{Task: task, Attempt: try, State: wire.TaskExited, ExitCause: why}
 }
 
 func ops(cs []wire.Command) []string {
@@ -105,5 +105,5 @@
 }
 
 func array(id string, n int, cpus float64) wire.Job {
-	return wire.Job{ID: id, Team: "free", Shape: wire.Array, Rank: "standard", Tasks: n, CPUs: cpus, RAM: 1, Image: "i", Estimate: 60}
+	return wire.Job{ID: id, Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", EstimatedRunS: 60}
 }
--- a/internal/core/commit.go
+++ b/internal/core/commit.go
@@ -10,9 +10,9 @@
 	"ambersill/internal/wire"
 )
 
-// maxOver is after how many ended jobs those before them are forgotten. A late word of a
+// maxTombstones is after how many ended jobs those before them are forgotten. A late word of a
 // submission is seconds old, in which far fewer end.
-const maxOver = 4096
+const maxTombstones = 4096
 
 // Keys of the state service.
 
@@ -25,8 +25,8 @@
 // ChunkKey is the key of a chunk of a job.
 func ChunkKey(part int, id, name string) string { return ChunkPrefix(part) + id + "/" + name }
 
-// SplitChunkKey takes a chunk's key apart.
-func SplitChunkKey(key string) (id, name string, ok bool) {
+// ParseChunkKey takes a chunk's key apart.
+func ParseChunkKey(key string) (id, name string, ok bool) {
 	f := strings.Split(key, "/")
 	if len(f) != 4 {
 		return "", "", false
@@ -34,20 +34,20 @@
 	return f[2], f[3], true
 }
 
-// CancelPrefix is the prefix of the marks of cancelled jobs of a part.
-func CancelPrefix(part int) string { return "x/" + strconv.Itoa(part) + "/" }
+// CancellationPrefix is the prefix of the marks of cancelled jobs of a part.
+func CancellationPrefix(part int) string { return "x/" + strconv.Itoa(part) + "/" }
 
-// CancelKey marks a job as cancelled for its part's owner.
-func CancelKey(part int, id string) string { return CancelPrefix(part) + id }
+// CancellationKey marks a job as cancelled for its part's owner.
+func CancellationKey(part int, id string) string { return CancellationPrefix(part) + id }
 
 // PartitionKey is the key that names a part's owner.
 func PartitionKey(part int) string { return "c/p/" + strconv.Itoa(part) }
 
-// FirstChunk is the record of a job's first chunk as it is submitted.
-func FirstChunk(r *JobRecord, level FeatureLevel, s *config.Settings) ChunkRecord {
-	c := ChunkRecord{Job: r.Job, At: r.At}
-	if level >= SizedChunks {
-		c.To = min(ChunkTasks(s), r.Job.Tasks)
+// NewFirstChunk is the record of a job's first chunk as it is submitted.
+func NewFirstChunk(record *JobRecord, level FeatureLevel, settings *config.Settings) ChunkRecord {
+	c := ChunkRecord{Job: record.Job, SubmittedAtMS: record.SubmittedAtMS}
+	if level >= FeatureExplicitChunks {
+		c.To = min(TasksPerChunk(settings), record.Job.Tasks)
 	}
 	return c
 }
@@ -57,257 +57,257 @@
 	Txn wire.Txn
 	// Full: something was left for the next one.
 	Full bool
-	// slots are the numbers of its journal records, entries what those hold, folds
+	// journalSequences are the numbers of its journal records, entries what those hold, folds
 	// the chunks whose own records it writes.
-	slots   []uint64
-	entries []entryWrite
-	folds   []foldWrite
-	// ended is the job whose end the batch commits, removed the one whose
+	journalSequences []uint64
+	entryWrites      []entryWrite
+	chunkWrites      []chunkWrite
+	// endedJob is the job whose end the batch commits, removed the one whose
 	// last records it deletes.
-	ended *Job
-	// cleaned are chunks deleted after their job's end.
-	cleaned []*chunk
+	endedJob *Job
+	// deletedChunks are chunks deleted after their job's end.
+	deletedChunks []*chunk
 }
 
-type foldWrite struct {
-	c       *chunk
-	version int
-	ranged  bool // the record says which tasks it holds
+type chunkWrite struct {
+	chunk         *chunk
+	changeVersion int
+	explicitRange bool // the record says which tasks it holds
 }
 
 type entryWrite struct {
-	c       *chunk
-	version int
-	seq     uint64
-	tasks   []int
+	chunk         *chunk
+	changeVersion int
+	sequence      uint64
+	tasks         []int
 }
 
 // Empty tells whether there is nothing to commit.
-func (b *Batch) Empty() bool { return len(b.Txn.Then) == 0 }
+func (b *Batch) Empty() bool { return len(b.Txn.Writes) == 0 }
 
 // record builds a chunk's record.
 func (c *chunk) record() ChunkRecord {
-	j := c.job
-	r := ChunkRecord{Try: j.try}
+	job := c.job
+	record := ChunkRecord{HighestAttempt: job.highestAttempt}
 	if c.index == 0 {
-		r.Job, r.At, r.JobStamp = j.Job, j.At.UnixMilli(), j.Stamp
+		record.Job, record.SubmittedAtMS, record.JobRevision = job.Job, job.SubmittedAt.UnixMilli(), job.Revision
 	}
-	if c.sized {
-		r.From, r.To = c.from, c.to
+	if c.explicitRange {
+		record.From, record.To = c.from, c.to
 	}
-	r.Done = ranges(c.from, c.to, func(i int) bool { return j.tasks[i] == done })
+	record.DoneRanges = EncodeRanges(c.from, c.to, func(i int) bool { return job.taskStates[i] == taskDone })
 	for t := c.from; t < c.to; t++ {
-		if pl := j.placed[t]; pl != nil && j.tasks[t] != done {
-			r.Live = append(r.Live, pl.live())
+		if placement := job.placements[t]; placement != nil && job.taskStates[t] != taskDone {
+			record.Placements = append(record.Placements, placement.record())
 		}
 	}
-	return r
+	return record
 }
 
-// bytes bounds a record's size in the protocol's measure from above.
-func (r *ChunkRecord) bytes() int {
-	n := chunkBytes + rangeBytes/2*len(r.Done)
-	for _, l := range r.Live {
-		n += l.bytes()
+// SizeBound bounds a record's size in the protocol's measure from above.
+func (r *ChunkRecord) SizeBound() int {
+	n := ChunkOverheadBytes + RangeBytes/2*len(r.DoneRanges)
+	for _, placed := range r.Placements {
+		n += placed.SizeBound()
 	}
 	if r.Job != nil {
-		n += descriptionBytes(r.Job)
+		n += JobDescriptionBytes(r.Job)
 	}
 	return n
 }
 
 // Sizes in the protocol's measure, in bytes.
 const (
-	chunkBytes = 128 // a chunk's record without its tasks and the job's description
-	rangeBytes = 14  // two task numbers of up to six digits
-	jobBytes   = 560 // a job's description without its names
-	placeBytes = 8   // the punctuation of a live placement
+	ChunkOverheadBytes          = 128 // a chunk's record without its tasks and the job's description
+	RangeBytes                  = 14  // two task numbers of up to six digits
+	jobDescriptionOverheadBytes = 560 // a job's description without its names
+	placementOverheadBytes      = 8   // the punctuation of a live placement
 )
 
-// descriptionBytes bounds the size of a job's description from above.
-func descriptionBytes(j *wire.Job) int {
-	n := jobBytes + len(j.ID) + len(j.Class) + len(j.Team) + len(j.Image) + len(j.Zone)
-	for _, t := range j.Types {
+// JobDescriptionBytes bounds the size of a job's description from above.
+func JobDescriptionBytes(job *wire.Job) int {
+	n := jobDescriptionOverheadBytes + len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
+	for _, t := range job.MachineTypes {
 		n += len(t) + 3
 	}
 	return n
 }
 
-// Recordable tells whether a job's description leaves room in a record for a task.
-func Recordable(j *wire.Job, s *config.Settings) bool {
-	return chunkBytes+descriptionBytes(j)+tuning.TaskBytes <= int(s.WriteLimits().ValueKB*1024)
+// JobFitsRecord tells whether a job's description leaves room in a record for a task.
+func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
+	return ChunkOverheadBytes+JobDescriptionBytes(job)+tuning.TaskBytes <= int(settings.WriteLimits().ValueKB*1024)
 }
 
-// bytes is a placement's size.
-func (l LiveRecord) bytes() int {
-	return placeBytes + digits(uint64(l.Task)) + digits(l.Try) + len(l.Machine) + digits(l.Session)
+// SizeBound is a placement's size.
+func (l PlacementRecord) SizeBound() int {
+	return placementOverheadBytes + digits(uint64(l.Task)) + digits(l.Attempt) + len(l.Machine) + digits(l.Incarnation)
 }
 
 func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
 
-// Batch gathers changes for one transaction: the end of a job first, chunks that
+// PrepareBatch gathers changes for one transaction: the end of a job first, chunks that
 // the journal's ring makes due, the journal, and records that are to go.
-func (p *Partition) Batch() *Batch {
+func (p *Partition) PrepareBatch() *Batch {
 	ops := p.limits.TxnOps
-	b := &Batch{}
-	b.Txn.If = append(b.Txn.If, wire.Cond{Key: PartitionKey(p.Index), Revision: p.Stamp})
+	batch := &Batch{}
+	batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: PartitionKey(p.Index), Revision: p.Revision})
 	size := 0
 	ids := sortedKeys(p.jobs)
 	for _, id := range ids {
-		j := p.jobs[id]
-		if j.final || j.Cancelled || j.done < j.Tasks {
+		job := p.jobs[id]
+		if job.finalized || job.Cancelled || job.doneTasks < job.Tasks {
 			continue
 		}
-		if b.ended != nil {
-			b.Full = true
+		if batch.endedJob != nil {
+			batch.Full = true
 			break
 		}
 		// One end per batch keeps conflicts with cancellations apart.
-		rec := JobRecord{Job: j.Job, Phase: wire.Done, Part: p.Index, At: j.At.UnixMilli()}
-		b.Txn.If = append(b.Txn.If, wire.Cond{Key: JobKey(id), Revision: j.Stamp}, wire.Cond{Key: p.chunkKey(j.chunks[0]), Revision: j.chunks[0].stamp})
-		b.Txn.Then = append(b.Txn.Then, wire.Write{Put: JobKey(id), Value: rec}, wire.Write{Delete: p.chunkKey(j.chunks[0])})
-		b.ended = j
+		record := JobRecord{Job: job.Job, Phase: wire.JobDone, Partition: p.Index, SubmittedAtMS: job.SubmittedAt.UnixMilli()}
+		batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: JobKey(id), Revision: job.Revision}, wire.Compare{Key: p.chunkKey(job.chunks[0]), Revision: job.chunks[0].revision})
+		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Put: JobKey(id), Value: record}, wire.Write{Delete: p.chunkKey(job.chunks[0])})
+		batch.endedJob = job
 		size += 1000
 	}
-	if p.fold(b, &size, ops) {
-		p.journal(b, &size, ops)
+	if p.compact(batch, &size, ops) {
+		p.appendJournal(batch, &size, ops)
 	}
-	for _, j := range p.ending {
-		for _, c := range j.chunks {
-			if c.from > 0 && c.stamp > 0 && len(b.Txn.Then) < ops {
-				p.discard(b, c)
+	for _, job := range p.finishedJobs {
+		for _, chunk := range job.chunks {
+			if chunk.from > 0 && chunk.revision > 0 && len(batch.Txn.Writes) < ops {
+				p.deleteChunkRecord(batch, chunk)
 			}
 		}
 	}
 	for _, id := range ids {
-		if j := p.jobs[id]; !j.final && j.dropping() && len(b.Txn.Then)+2 <= ops {
-			p.forget(b, j, ops)
+		if job := p.jobs[id]; !job.finalized && job.recordsDue() && len(batch.Txn.Writes)+2 <= ops {
+			p.deleteCancelledJob(batch, job, ops)
 		}
 	}
-	b.Full = b.Full || len(b.Txn.Then)+2 > ops || size+tuning.MinJournalBytes > tuning.TxnBytes
-	return b
+	batch.Full = batch.Full || len(batch.Txn.Writes)+2 > ops || size+tuning.MinJournalBytes > tuning.TxnBytes
+	return batch
 }
 
-// discard deletes a chunk's record.
-func (p *Partition) discard(b *Batch, c *chunk) {
-	key := p.chunkKey(c)
-	b.Txn.If = append(b.Txn.If, wire.Cond{Key: key, Revision: c.stamp})
-	b.Txn.Then = append(b.Txn.Then, wire.Write{Delete: key})
-	b.cleaned = append(b.cleaned, c)
+// deleteChunkRecord deletes a chunk's record.
+func (p *Partition) deleteChunkRecord(batch *Batch, chunk *chunk) {
+	key := p.chunkKey(chunk)
+	batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: key, Revision: chunk.revision})
+	batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Delete: key})
+	batch.deletedChunks = append(batch.deletedChunks, chunk)
 }
 
-// forget drops the records of a cancelled job, all of which is gone: the first
+// deleteCancelledJob drops the records of a cancelled job, all of which is gone: the first
 // chunk, which makes it known to a new owner, and then the mark last of all.
-func (p *Partition) forget(b *Batch, j *Job, ops int) {
-	for i := len(j.chunks) - 1; i >= 0; i-- {
-		c := j.chunks[i]
-		if c.stamp == 0 {
+func (p *Partition) deleteCancelledJob(batch *Batch, job *Job, ops int) {
+	for i := len(job.chunks) - 1; i >= 0; i-- {
+		chunk := job.chunks[i]
+		if chunk.revision == 0 {
 			continue
 		}
 		// The first chunk and the mark go together, so that no mark is left behind of
 		// which no owner knows the job.
-		if len(b.Txn.Then)+2 > ops || (i == 0 && b.ended != nil) {
+		if len(batch.Txn.Writes)+2 > ops || (i == 0 && batch.endedJob != nil) {
 			return
 		}
-		p.discard(b, c)
+		p.deleteChunkRecord(batch, chunk)
 	}
-	if b.ended == nil {
-		b.Txn.Then = append(b.Txn.Then, wire.Write{Delete: CancelKey(p.Index, j.ID)})
-		b.ended = j
+	if batch.endedJob == nil {
+		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Delete: CancellationKey(p.Index, job.ID)})
+		batch.endedJob = job
 	}
 }
 
-// Committed notes that a batch is in the state service.
-func (p *Partition) Committed(b *Batch, rev uint64) {
-	for _, seq := range b.slots {
-		p.slots[p.slot(seq)] = rev
+// ConfirmBatch notes that a batch is in the state service.
+func (p *Partition) ConfirmBatch(batch *Batch, rev uint64) {
+	for _, seq := range batch.journalSequences {
+		p.slotRevisions[p.journalSlot(seq)] = rev
 	}
-	p.Journaled += len(b.slots)
-	p.Folded += len(b.folds)
-	for _, w := range b.entries {
-		p.settle(w.c, w.version, w.tasks)
-		if w.c.oldest == 0 && !w.c.job.final {
-			w.c.oldest = w.seq
-			p.unfolded[w.c] = true
+	p.JournalRecords += len(batch.journalSequences)
+	p.Compactions += len(batch.chunkWrites)
+	for _, w := range batch.entryWrites {
+		p.markCommitted(w.chunk, w.changeVersion, w.tasks)
+		if w.chunk.oldestUncompacted == 0 && !w.chunk.job.finalized {
+			w.chunk.oldestUncompacted = w.sequence
+			p.uncompactedChunks[w.chunk] = true
 		}
 	}
-	for _, w := range b.folds {
-		w.c.stamp, w.c.oldest = rev, 0
-		w.c.head, w.c.parts = nil, nil
-		w.c.ranged = w.ranged
-		delete(p.unfolded, w.c)
-		p.settle(w.c, w.version, nil)
+	for _, w := range batch.chunkWrites {
+		w.chunk.revision, w.chunk.oldestUncompacted = rev, 0
+		w.chunk.splitFrom, w.chunk.splitOff = nil, nil
+		w.chunk.storedExplicitRange = w.explicitRange
+		delete(p.uncompactedChunks, w.chunk)
+		p.markCommitted(w.chunk, w.changeVersion, nil)
 	}
-	for _, c := range b.cleaned {
-		c.stamp = 0
+	for _, chunk := range batch.deletedChunks {
+		chunk.revision = 0
 	}
-	if b.ended != nil {
-		p.end(b.ended)
+	if batch.endedJob != nil {
+		p.finalizeJob(batch.endedJob)
 	}
-	still := p.ending[:0]
-	for _, j := range p.ending {
-		for _, c := range j.chunks {
-			if c.from > 0 && c.stamp > 0 {
-				still = append(still, j)
+	still := p.finishedJobs[:0]
+	for _, job := range p.finishedJobs {
+		for _, chunk := range job.chunks {
+			if chunk.from > 0 && chunk.revision > 0 {
+				still = append(still, job)
 				break
 			}
 		}
 	}
-	p.ending = still
+	p.finishedJobs = still
 }
 
-// end forgets a job whose end is committed. Placements of a finished gang that
+// finalizeJob forgets a job whose end is committed. Placements of a finished gang that
 // its workers have not reported yet keep their room until they do.
-func (p *Partition) end(j *Job) {
-	j.final = true
-	delete(p.jobs, j.ID)
-	if len(p.over) >= maxOver {
-		p.over, p.overBefore = map[string]bool{}, p.over
+func (p *Partition) finalizeJob(job *Job) {
+	job.finalized = true
+	delete(p.jobs, job.ID)
+	if len(p.tombstones) >= maxTombstones {
+		p.tombstones, p.olderTombstones = map[string]bool{}, p.tombstones
 	}
-	p.over[j.ID] = true
-	j.chunks[0].stamp = 0
-	for _, c := range j.chunks {
-		delete(p.dirty, c)
-		delete(p.unfolded, c)
+	p.tombstones[job.ID] = true
+	job.chunks[0].revision = 0
+	for _, chunk := range job.chunks {
+		delete(p.dirtyChunks, chunk)
+		delete(p.uncompactedChunks, chunk)
 	}
-	p.ending = append(p.ending, j)
+	p.finishedJobs = append(p.finishedJobs, job)
 }
 
-// Refresh takes in what a re-read found of a key after an unknown outcome or a
+// RefreshKey takes in what a re-read found of a key after an unknown outcome or a
 // conflict. All stays marked as changed, so that the next commit rewrites the
 // key under its present stamp, which fences whatever is still under way.
-func (p *Partition) Refresh(b *Batch, key string, stamp uint64, rec *JobRecord, now time.Time) {
-	if b.ended != nil && key == JobKey(b.ended.ID) {
-		j := b.ended
-		j.Stamp = stamp
-		if rec == nil {
+func (p *Partition) RefreshKey(batch *Batch, key string, stamp uint64, record *JobRecord, now time.Time) {
+	if batch.endedJob != nil && key == JobKey(batch.endedJob.ID) {
+		job := batch.endedJob
+		job.Revision = stamp
+		if record == nil {
 			return
 		}
-		switch rec.Phase {
-		case wire.Done:
-			p.end(j)
-		case wire.Cancelled:
-			p.Cancel(j.ID, now)
+		switch record.Phase {
+		case wire.JobDone:
+			p.finalizeJob(job)
+		case wire.JobCancelled:
+			p.Cancel(job.ID, now)
 		}
 		return
 	}
-	for _, seq := range b.slots {
+	for _, seq := range batch.journalSequences {
 		if key == p.journalKey(seq) {
-			p.slots[p.slot(seq)] = stamp
+			p.slotRevisions[p.journalSlot(seq)] = stamp
 			return
 		}
 	}
-	for _, w := range b.folds {
-		if key == p.chunkKey(w.c) {
-			w.c.stamp = stamp
+	for _, w := range batch.chunkWrites {
+		if key == p.chunkKey(w.chunk) {
+			w.chunk.revision = stamp
 		}
 	}
-	for _, c := range b.cleaned {
-		if key == p.chunkKey(c) {
-			c.stamp = stamp
+	for _, chunk := range batch.deletedChunks {
+		if key == p.chunkKey(chunk) {
+			chunk.revision = stamp
 		}
 	}
-	if b.ended != nil && key == p.chunkKey(b.ended.chunks[0]) {
-		b.ended.chunks[0].stamp = stamp
+	if batch.endedJob != nil && key == p.chunkKey(batch.endedJob.chunks[0]) {
+		batch.endedJob.chunks[0].revision = stamp
 	}
 }
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -8,92 +8,92 @@
 	"ambersill/internal/wire"
 )
 
-// draining is put as the holder of the room of a machine that is being emptied;
+// reservedForDrain is put as the holder of the room of a machine that is being emptied;
 // no job has such an id.
-const draining = "draining"
+const reservedForDrain = "draining"
 
 func (m *Machine) price() float64 {
-	if m.Rec.Spot {
-		return m.typ.SpotPrice
+	if m.Record.Spot {
+		return m.machineType.HourlySpotPrice
 	}
-	return m.typ.Price
+	return m.machineType.HourlyPrice
 }
 
 // consolidate empties a machine whose work fits into the room of others that are
 // in use, so that it can go back: sizing counts booked room, but only an empty
 // machine can be returned. Only work that can save is moved.
 func (p *Partition) consolidate(now time.Time) {
-	if now.Sub(p.consolidated) < tuning.Seconds(p.t.ConsolidateS) {
+	if now.Sub(p.lastConsolidation) < tuning.Seconds(p.tuning.ConsolidateS) {
 		return
 	}
-	p.consolidated = now
+	p.lastConsolidation = now
 	wanted := map[string]bool{}
-	for _, j := range p.jobs {
-		if j.Cancelled || j.waiting == 0 {
+	for _, job := range p.jobs {
+		if job.Cancelled || job.waitingTasks == 0 {
 			continue
 		}
-		for name := range p.types {
-			if typeAllowed(j.Types, name) {
+		for name := range p.machineTypes {
+			if TypeAllowed(job.MachineTypes, name) {
 				wanted[name] = true
 			}
 		}
 	}
 	var cands []*Machine
-	for _, id := range p.order {
-		if m := p.machines[id]; m.usable() && !wanted[m.Rec.Type] && m.reserved == "" && len(m.places) > 0 && m.size.share(m.used) <= 0.5 {
-			cands = append(cands, m)
+	for _, id := range p.machineIDs {
+		if machine := p.machines[id]; machine.usable() && !wanted[machine.Record.MachineType] && machine.reservedFor == "" && len(machine.placements) > 0 && machine.capacity.DominantShare(machine.allocated) <= 0.5 {
+			cands = append(cands, machine)
 		}
 	}
 	sort.SliceStable(cands, func(a, b int) bool {
 		if x, y := cands[a].price(), cands[b].price(); x != y {
 			return x > y
 		}
-		return cands[a].size.share(cands[a].used) < cands[b].size.share(cands[b].used)
+		return cands[a].capacity.DominantShare(cands[a].allocated) < cands[b].capacity.DominantShare(cands[b].allocated)
 	})
-	for _, m := range cands {
-		if p.empties(m, now) {
-			for _, k := range sortedAttempts(m.places) {
-				if pl := m.places[k]; pl != nil {
+	for _, machine := range cands {
+		if p.canEvacuate(machine, now) {
+			for _, key := range sortedTaskAttempts(machine.placements) {
+				if placement := machine.placements[key]; placement != nil {
 					p.Moved++
-					p.stopWhole(pl, now)
+					p.stopGracefully(placement, now)
 				}
 			}
-			m.reserved, m.resUntil = draining, now.Add(tuning.Seconds(3*p.t.ConsolidateS))
+			machine.reservedFor, machine.reservedUntil = reservedForDrain, now.Add(tuning.Seconds(3*p.tuning.ConsolidateS))
 			return
 		}
 	}
 }
 
-// empties tells whether all work of a machine can be moved, and is worth moving.
-func (p *Partition) empties(m *Machine, now time.Time) bool {
-	left := map[string]Room{}
-	for _, k := range sortedAttempts(m.places) {
-		pl := m.places[k]
-		j := pl.job
-		if pl.kill != nil || pl.over || j.Checkpoint == 0 || (j.Shape == wire.Gang && j.Tasks > 1) || !p.settled(pl, now) || j.OneZone || j.Spread {
+// canEvacuate tells whether all work of a machine can be moved, and is worth moving.
+func (p *Partition) canEvacuate(machine *Machine, now time.Time) bool {
+	left := map[string]Vector{}
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		placement := machine.placements[key]
+		job := placement.job
+		if placement.stopRequest != nil || placement.gangDone || job.CheckpointIntervalS == 0 || (job.Shape == wire.GangJob && job.Tasks > 1) || !p.settled(placement, now) || job.SingleZone || job.SpreadZones {
 			return false
 		}
-		rest := j.Estimate - now.Sub(pl.began).Seconds()
+		rest := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
 		found := false
-		for _, id := range p.order {
-			o := p.machines[id]
-			if o == m || !o.usable() || len(o.places) == 0 || o.reserved != "" || o.Rec.Type != m.Rec.Type || !allowed(j.Job, o) || o.price() > m.price() {
+		for _, id := range p.machineIDs {
+			other := p.machines[id]
+			if other == machine || !other.usable() || len(other.placements) == 0 || other.reservedFor != "" || other.Record.MachineType != machine.Record.MachineType || !machineAllowed(job.Job, other) || other.price() > machine.price() {
 				continue
 			}
-			if o.price() == m.price() && o.size.share(o.used) < m.size.share(m.used) {
+			if other.price() == machine.price() && other.capacity.DominantShare(other.allocated) < machine.capacity.DominantShare(machine.allocated) {
 				continue
 			}
-			if rest < 2*(p.fetch(j, o)+j.Save) {
+			if rest < 2*(p.imageFetchSeconds(job, other)+job.CheckpointSaveS) {
 				continue
 			}
-			r, ok := left[id]
+			request, ok := left[id]
 			if !ok {
-				r = o.free()
+				request = other.free()
 			}
-			if !r.holds(need(j.Job)) {
+			if !request.Contains(OfJob(job.Job)) {
 				continue
 			}
-			left[id] = r.sub(need(j.Job))
+			left[id] = request.Sub(OfJob(job.Job))
 			found = true
 			break
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -23,7 +23,7 @@
 	if diff := cmp.Diff([]string{"start req-1/0 1"}, ops(b.report("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
-	b.end("m-1", "req-1/0", 1, wire.CauseDone)
+	b.end("m-1", "req-1/0", 1, wire.ExitDone)
 	if got := ops(b.report("m-1")); len(got) != 0 {
 		t.Fatalf("commands before the end is committed: %v", got)
 	}
@@ -42,12 +42,12 @@
 	b.Schedule(b.now)
 	b.commit()
 	b.report("m-1")
-	b.on["m-1"] = map[attempt]wire.TaskReport{} // the answer did not arrive
+	b.on["m-1"] = map[taskAttempt]wire.TaskStatus{} // the answer did not arrive
 	if diff := cmp.Diff([]string{"start req-1/0 1"}, ops(b.report("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
 	b.report("m-1")
-	b.on["m-1"] = map[attempt]wire.TaskReport{}
+	b.on["m-1"] = map[taskAttempt]wire.TaskStatus{}
 	if got := ops(b.report("m-1")); len(got) != 0 {
 		t.Fatalf("a task that was seen is started again under its attempt: %v", got)
 	}
@@ -66,27 +66,27 @@
 	b.add(array("req-1", 1, 1))
 	b.Schedule(b.now)
 	b.commit()
-	if got := b.Urgent(true); len(got) != 1 {
+	if got := b.MachinesAwaitingCommands(true); len(got) != 1 {
 		t.Fatalf("urgent: %v", got)
 	}
-	o, ok := b.Orders("m-1", true)
+	o, ok := b.DirectCommands("m-1", true)
 	if !ok || len(o.Commands) != 1 {
 		t.Fatalf("orders: %v", o)
 	}
 	if got := ops(b.report("m-1")); len(got) != 0 {
 		t.Fatalf("commands while an order is under way: %v", got)
 	}
-	b.Ordered(o, "m-1", OrderUnknown)
+	b.HandleCommandOutcome(o, "m-1", CommandsUnknown)
 	b.report("m-1")
-	if len(b.machines["m-1"].places) != 1 || len(b.Unconfirmed()) != 1 {
+	if len(b.machines["m-1"].placements) != 1 || len(b.MachinesToRefence()) != 1 {
 		t.Fatal("the placement was given up although its start may still come")
 	}
 	b.rev++
-	rec := b.machines["m-1"].Rec
-	rec.Token = b.rev
-	b.SetMachine("m-1", rec, b.rev, b.now) // the rewritten record
-	b.report("m-1")                        // carries the higher token
-	if len(b.machines["m-1"].places) != 0 || b.machines["m-1"].unconfirmed {
+	record := b.machines["m-1"].Record
+	record.FencingToken = b.rev
+	b.SetMachine("m-1", record, b.rev, b.now) // the rewritten record
+	b.report("m-1")                           // carries the higher token
+	if len(b.machines["m-1"].placements) != 0 || b.machines["m-1"].commandUnconfirmed {
 		t.Fatal("the placement stands although its order can no longer be carried out")
 	}
 }
@@ -105,15 +105,15 @@
 	b.Schedule(b.now)
 	b.commit()
 	b.Cancel("req-1", b.now)
-	first, _ := b.Orders("m-1", true)
-	if len(first.Commands) != 2 || len(b.Urgent(true)) != 0 {
-		t.Fatalf("orders %v, urgent %v", first.Commands, b.Urgent(true))
+	first, _ := b.DirectCommands("m-1", true)
+	if len(first.Commands) != 2 || len(b.MachinesAwaitingCommands(true)) != 0 {
+		t.Fatalf("orders %v, urgent %v", first.Commands, b.MachinesAwaitingCommands(true))
 	}
-	b.Ordered(first, "m-1", OrderDropped)
-	if len(b.Unconfirmed()) != 0 || len(b.Urgent(true)) != 1 {
-		t.Fatalf("doubtful %v, urgent %v", b.Unconfirmed(), b.Urgent(true))
+	b.HandleCommandOutcome(first, "m-1", CommandsNotExecuted)
+	if len(b.MachinesToRefence()) != 0 || len(b.MachinesAwaitingCommands(true)) != 1 {
+		t.Fatalf("doubtful %v, urgent %v", b.MachinesToRefence(), b.MachinesAwaitingCommands(true))
 	}
-	again, _ := b.Orders("m-1", true)
+	again, _ := b.DirectCommands("m-1", true)
 	if diff := cmp.Diff(ops(first.Commands), ops(again.Commands)); diff != "" {
 		t.Fatal(diff)
 	}
@@ -137,9 +137,9 @@
 		t.Fatalf("commands: %v", got)
 	}
 	b.report("m-1")
-	x := b.Batch()
+	batch := b.PrepareBatch()
 	var deleted []string
-	for _, w := range x.Txn.Then {
+	for _, w := range batch.Txn.Writes {
 		deleted = append(deleted, w.Delete)
 	}
 	if diff := cmp.Diff([]string{"a/0/req-1/0", "x/0/req-1"}, deleted); diff != "" {
@@ -155,17 +155,17 @@
 	b.add(array("req-1", 1, 1))
 	b.Schedule(b.now)
 	b.commit()
-	o, _ := b.Orders("m-1", true)
+	o, _ := b.DirectCommands("m-1", true)
 	b.Cancel("req-1", b.now)
-	b.Ordered(o, "m-1", OrderDropped)
+	b.HandleCommandOutcome(o, "m-1", CommandsNotExecuted)
 	for range 3 {
 		b.report("m-1")
 		b.now = b.now.Add(2 * time.Second)
 		b.Schedule(b.now)
 		b.commit()
 	}
-	if len(b.machines["m-1"].places) != 0 || b.jobs["req-1"] != nil {
-		t.Errorf("%d placements stand, job known: %v", len(b.machines["m-1"].places), b.jobs["req-1"] != nil)
+	if len(b.machines["m-1"].placements) != 0 || b.jobs["req-1"] != nil {
+		t.Errorf("%d placements stand, job known: %v", len(b.machines["m-1"].placements), b.jobs["req-1"] != nil)
 	}
 }
 
@@ -174,11 +174,11 @@
 func TestMarkedBeforeItIsKnown(t *testing.T) {
 	b := newBed()
 	b.machine("m-1", "cpu", "a", false)
-	b.Marked([]string{"req-1"}, b.now)
+	b.SetCancelledJobs([]string{"req-1"}, b.now)
 	b.add(array("req-1", 2, 1))
 	b.add(array("req-2", 1, 1))
 	b.Schedule(b.now)
-	if n := len(b.machines["m-1"].places); n != 1 {
+	if n := len(b.machines["m-1"].placements); n != 1 {
 		t.Errorf("%d placements beside a cancelled job", n)
 	}
 	b.commit()
--- a/internal/core/exchange_test.go
+++ b/internal/core/exchange_test.go
@@ -32,10 +32,10 @@
 // jobsOf is the state of a partition's jobs.
 func jobsOf(b *bed) map[string]exchangeJob {
 	out := map[string]exchangeJob{}
-	for id, j := range b.jobs {
-		e := exchangeJob{Done: j.done, Waiting: j.waiting, Try: j.try, Live: map[int]string{}}
-		for task, pl := range j.placed {
-			e.Live[task] = fmt.Sprint(pl.machine.ID, " ", pl.try, " ", pl.session)
+	for id, job := range b.jobs {
+		e := exchangeJob{Done: job.doneTasks, Waiting: job.waitingTasks, Try: job.highestAttempt, Live: map[int]string{}}
+		for task, placement := range job.placements {
+			e.Live[task] = fmt.Sprint(placement.machine.ID, " ", placement.attempt, " ", placement.incarnation)
 		}
 		out[id] = e
 	}
@@ -46,41 +46,41 @@
 // stored then.
 func writeExchange(t *testing.T, file string) {
 	b := newBed()
-	b.slots = make([]uint64, 16)
-	s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{PartitionKey(0): b.Stamp}}
+	b.slotRevisions = make([]uint64, 16)
+	s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{PartitionKey(0): b.Revision}}
 	for _, id := range exchangeMachines {
 		b.machine(id, "cpu", "a", false)
 	}
 	for n := range 5 {
-		j := array(fmt.Sprintf("req-%d", n), 150+50*n, 0.5)
-		j.Types, j.Deadline, j.Spread = []string{"cpu"}, 5000, n == 3
-		r := &JobRecord{Job: &j, Phase: wire.Queued, At: b.now.UnixMilli()}
-		s.apply(wire.Txn{Then: []wire.Write{{Put: JobKey(j.ID), Value: r}, firstChunkWrite(r)}})
-		b.AddJob(&j, b.now, s.rev)
+		job := array(fmt.Sprintf("req-%d", n), 150+50*n, 0.5)
+		job.MachineTypes, job.DeadlineS, job.SpreadZones = []string{"cpu"}, 5000, n == 3
+		record := &JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: b.now.UnixMilli()}
+		s.apply(wire.Txn{Writes: []wire.Write{{Put: JobKey(job.ID), Value: record}, firstChunkWrite(record)}})
+		b.AddJob(&job, b.now, s.rev)
 	}
 	for round := range 25 {
 		b.Schedule(b.now)
-		for x := b.Batch(); !x.Empty(); x = b.Batch() {
-			s.commit(b, x, "done")
+		for batch := b.PrepareBatch(); !batch.Empty(); batch = b.PrepareBatch() {
+			s.commit(b, batch, "done")
 		}
 		for i, id := range exchangeMachines {
 			b.report(id)
 			b.report(id)
-			for n, k := range sortedAttempts(b.machines[id].places) {
+			for n, key := range sortedTaskAttempts(b.machines[id].placements) {
 				if round < 24 && (n+i+round)%3 == 0 {
-					b.end(id, k.task, k.try, []wire.Cause{wire.CauseDone, wire.CauseStopped}[n%2])
+					b.end(id, key.task, key.attempt, []wire.ExitCause{wire.ExitDone, wire.ExitStopped}[n%2])
 				}
 			}
 			b.report(id)
 		}
 	}
-	for x := b.Batch(); !x.Empty(); x = b.Batch() {
-		s.commit(b, x, "done")
+	for batch := b.PrepareBatch(); !batch.Empty(); batch = b.PrepareBatch() {
+		s.commit(b, batch, "done")
 	}
-	group := GroupRecord{Machines: map[string]MachineRecord{"m-1": {Type: "cpu", Zone: "a", Part: 0, Born: 5, Token: 7}}}
+	group := MachineGroupRecord{Machines: map[string]MachineRecord{"m-1": {MachineType: "cpu", Zone: "a", Partition: 0, CreatedAtMS: 5, FencingToken: 7}}}
 	summary := b.Summary(b.now)
-	s.apply(wire.Txn{Then: []wire.Write{{Put: "c/m/m-1", Value: group}, {Put: "s/0", Value: summary},
-		{Put: "c/h/r-1-1", Value: RentalRecord{Type: "cpu", Zone: "a", Count: 3, At: 9}}, {Put: "c/p/0", Value: OwnerRecord{Node: "n"}}}})
+	s.apply(wire.Txn{Writes: []wire.Write{{Put: "c/m/m-1", Value: group}, {Put: "s/0", Value: summary},
+		{Put: "c/h/r-1-1", Value: RentalRecord{MachineType: "cpu", Zone: "a", Count: 3, RecordedAtMS: 9}}, {Put: "c/p/0", Value: OwnerRecord{Node: "n"}}}})
 	raw, err := wire.Marshal(exchange{s.vals, s.at, jobsOf(b)})
 	if err != nil {
 		t.Fatal(err)
@@ -97,15 +97,15 @@
 	case strings.HasPrefix(key, "j/"):
 		into = &JobRecord{}
 	case strings.HasPrefix(key, "s/"):
-		into = &Summary{}
+		into = &PartitionSummary{}
 	case strings.HasPrefix(key, "c/h/"):
 		into = &RentalRecord{}
 	case strings.HasPrefix(key, "c/p/"):
 		into = &OwnerRecord{}
 	case strings.HasPrefix(key, "c/m/"):
-		g, err := ReadGroup(key[len("c/m/"):], raw, 1)
-		if want := (MachineRecord{Type: "cpu", Zone: "a", Born: 5, Token: 7}); err != nil || g.Machines["m-1"] != want {
-			t.Errorf("group %+v, %v", g, err)
+		group, err := DecodeMachineGroup(key[len("c/m/"):], raw, 1)
+		if want := (MachineRecord{MachineType: "cpu", Zone: "a", CreatedAtMS: 5, FencingToken: 7}); err != nil || group.Machines["m-1"] != want {
+			t.Errorf("group %+v, %v", group, err)
 		}
 		return
 	default:
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -9,199 +9,201 @@
 	"ambersill/internal/wire"
 )
 
-// Kind is what machines are rented by.
-type Kind struct {
-	Type, Zone string
-	Spot       bool
+// Offering is what machines are rented by.
+type Offering struct {
+	MachineType, Zone string
+	Spot              bool
 }
 
-// FleetMachine is a machine as the leader sees it.
-type FleetMachine struct {
-	ID    string
-	Kind  Kind
-	Part  int
-	Wish  string
-	Empty bool // usable and without tasks, by its part's summary
-	Up    bool // has reported
+// Machine_ is a machine as the leader sees it.
+type Machine_ struct {
+	ID        string
+	Offering  Offering
+	Partition int
+	Desired   string
+	Empty     bool // usable and without tasks, by its part's summary
+	Running   bool // has reported
 }
 
-// FleetInput is what a sizing round looks at.
-type FleetInput struct {
-	Types     []wire.MachineType
-	Machines  []FleetMachine
-	Coming    []FleetMachine // recorded rentals without an answer yet, one each
-	Summaries map[int]Summary
-	// Refused kinds are not asked for now.
-	Refused map[Kind]bool
+// Input is what a sizing round looks at.
+type Input struct {
+	MachineTypes   []wire.MachineType
+	Machines       []Machine_
+	PendingRentals []Machine_ // recorded rentals without an answer yet, one each
+	Summaries      map[int]PartitionSummary
+	// Unavailable kinds are not asked for now.
+	Unavailable map[Offering]bool
 }
 
 // Rental asks for machines for a part.
 type Rental struct {
-	Kind  Kind
-	Part  int
-	Count int
+	Offering  Offering
+	Partition int
+	Count     int
 }
 
-// Move shifts an empty machine to another part.
-type Move struct {
-	ID string
-	To int
+// Reassignment shifts an empty machine to another part.
+type Reassignment struct {
+	MachineID   string
+	ToPartition int
 }
 
 // Plan is the outcome of a sizing round.
 type Plan struct {
-	Target  map[string]int
-	Booked  map[string]float64 // room in use, in machines
-	Rentals []Rental
-	Moves   []Move
-	Returns []string
+	TargetMachines map[string]int
+	BookedMachines map[string]float64 // room in use, in machines
+	Rentals        []Rental
+	Reassignments  []Reassignment
+	Returns        []string
 }
 
-// Fleet sizes the rented fleet; it remembers since when a lower target holds.
-type Fleet struct {
-	t     *tuning.Tuning
-	lower map[string]time.Time
+// Autoscaler sizes the rented fleet; it remembers since when a lower target holds.
+type Autoscaler struct {
+	tuning           *tuning.Tuning
+	belowTargetSince map[string]time.Time
 }
 
-// NewFleet makes a sizer.
-func NewFleet(t *tuning.Tuning) *Fleet { return &Fleet{t: t, lower: map[string]time.Time{}} }
+// New makes a sizer.
+func New(tunables *tuning.Tuning) *Autoscaler {
+	return &Autoscaler{tuning: tunables, belowTargetSince: map[string]time.Time{}}
+}
 
-type bin struct {
-	machine *FleetMachine // nil: to be rented
-	kind    Kind
-	part    int
-	left    Room
-	taken   bool
-	known   bool // a rental that is counted already
+type capacityBin struct {
+	machine   *Machine_ // nil: to be rented
+	offering  Offering
+	partition int
+	remaining Vector
+	used      bool
+	counted   bool // a rental that is counted already
 }
 
 // Plan sizes the fleet. In-flight target = ceil(booked room / 0.8) per type;
 // while tasks wait unplaced the larger of that and machines + ceil(waiting
 // units / 1), where the units are counted as the machines that the waiting
 // tasks would fill after the booting and the empty ones are full.
-func (f *Fleet) Plan(in FleetInput, now time.Time) Plan {
-	p := Plan{Target: map[string]int{}, Booked: map[string]float64{}}
+func (f *Autoscaler) Plan(input Input, now time.Time) Plan {
+	p := Plan{TargetMachines: map[string]int{}, BookedMachines: map[string]float64{}}
 	types := map[string]wire.MachineType{}
-	for _, t := range in.Types {
-		types[t.Name] = t
+	for _, machineType := range input.MachineTypes {
+		types[machineType.Name] = machineType
 	}
 	have := map[string]int{}
 	firmHave := map[string]int{}
-	var bins []*bin
-	for i := range in.Machines {
-		m := &in.Machines[i]
-		if m.Wish == WishReturn {
+	var bins []*capacityBin
+	for i := range input.Machines {
+		m := &input.Machines[i]
+		if m.Desired == DesiredReturned {
 			continue
 		}
-		have[m.Kind.Type]++
-		if !m.Kind.Spot {
-			firmHave[m.Kind.Type]++
+		have[m.Offering.MachineType]++
+		if !m.Offering.Spot {
+			firmHave[m.Offering.MachineType]++
 		}
-		if m.Wish == WishNone && (m.Empty || !m.Up) {
-			bins = append(bins, &bin{machine: m, kind: m.Kind, part: m.Part, left: size(types[m.Kind.Type])})
+		if m.Desired == DesiredInService && (m.Empty || !m.Running) {
+			bins = append(bins, &capacityBin{machine: m, offering: m.Offering, partition: m.Partition, remaining: OfMachineType(types[m.Offering.MachineType])})
 		}
 	}
-	for i := range in.Coming {
-		m := &in.Coming[i]
-		have[m.Kind.Type]++
-		if !m.Kind.Spot {
-			firmHave[m.Kind.Type]++
+	for i := range input.PendingRentals {
+		m := &input.PendingRentals[i]
+		have[m.Offering.MachineType]++
+		if !m.Offering.Spot {
+			firmHave[m.Offering.MachineType]++
 		}
-		bins = append(bins, &bin{kind: m.Kind, part: m.Part, left: size(types[m.Kind.Type])})
+		bins = append(bins, &capacityBin{offering: m.Offering, partition: m.Partition, remaining: OfMachineType(types[m.Offering.MachineType])})
 	}
 	type rentKey struct {
-		kind Kind
+		kind Offering
 		part int
 	}
 	rent := map[rentKey]int{}
 	var order []rentKey
-	add := func(k Kind, part, n int) {
-		key := rentKey{k, part}
+	add := func(offering Offering, part, n int) {
+		key := rentKey{offering, part}
 		if rent[key] == 0 {
 			order = append(order, key)
 		}
 		rent[key] += n
 	}
 	queued := map[string]int{}
-	rented := map[Kind]int{}
-	for _, w := range f.demands(in) {
-		got := f.assign(w, in, bins, types, rented)
-		for i, k := range got.take {
-			b := got.bins[i]
-			if b.machine == nil && !b.known {
-				b.known = true
-				bins = append(bins, b)
-				add(b.kind, w.part, 1)
-				rented[b.kind]++
-				queued[b.kind.Type]++
-			} else if b.machine != nil && b.part != w.part {
-				p.Moves = append(p.Moves, Move{b.machine.ID, w.part})
-				b.part = w.part
+	rented := map[Offering]int{}
+	for _, demand := range f.demands(input) {
+		got := f.assign(demand, input, bins, types, rented)
+		for i, k := range got.tasks {
+			bin := got.bins[i]
+			if bin.machine == nil && !bin.counted {
+				bin.counted = true
+				bins = append(bins, bin)
+				add(bin.offering, demand.partition, 1)
+				rented[bin.offering]++
+				queued[bin.offering.MachineType]++
+			} else if bin.machine != nil && bin.partition != demand.partition {
+				p.Reassignments = append(p.Reassignments, Reassignment{bin.machine.ID, demand.partition})
+				bin.partition = demand.partition
 			}
-			b.taken = true
-			b.left = b.left.sub(Room{w.CPUs, w.GPUs, w.RAM}.times(k))
+			bin.used = true
+			bin.remaining = bin.remaining.Sub(Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}.Scale(k))
 		}
 	}
-	booked, firm := p.Booked, map[string]float64{}
+	booked, firm := p.BookedMachines, map[string]float64{}
 	busiest, most := 0, -1.0
-	for _, part := range sortedParts(in.Summaries) {
-		s := in.Summaries[part]
+	for _, part := range sortedPartitions(input.Summaries) {
+		summary := input.Summaries[part]
 		sum := 0.0
-		for k, v := range s.Booked {
+		for k, v := range summary.BookedMachines {
 			booked[k] += v
 			sum += v
 		}
-		for k, v := range s.Firm {
+		for k, v := range summary.BookedOnDemand {
 			firm[k] += v
 		}
 		if sum > most {
 			busiest, most = part, sum
 		}
 	}
-	for _, t := range in.Types {
-		inflight := int(math.Ceil(booked[t.Name]/f.t.InFlightTarget - eps))
+	for _, machineType := range input.MachineTypes {
+		inflight := int(math.Ceil(booked[machineType.Name]/f.tuning.InFlightTarget - Epsilon))
 		target := inflight
-		if queued[t.Name] > 0 {
-			target = max(target, have[t.Name]+queued[t.Name])
+		if queued[machineType.Name] > 0 {
+			target = max(target, have[machineType.Name]+queued[machineType.Name])
 		}
-		p.Target[t.Name] = target
-		if extra := target - have[t.Name] - queued[t.Name]; extra > 0 {
-			spot := firm[t.Name] <= f.t.InFlightTarget*float64(firmHave[t.Name])
-			if k, ok := f.standing(t, spot, in); ok {
-				add(k, busiest, extra)
+		p.TargetMachines[machineType.Name] = target
+		if extra := target - have[machineType.Name] - queued[machineType.Name]; extra > 0 {
+			spot := firm[machineType.Name] <= f.tuning.InFlightTarget*float64(firmHave[machineType.Name])
+			if offering, ok := f.offeringWithFewest(machineType, spot, input); ok {
+				add(offering, busiest, extra)
 			}
 		}
-		f.giveBack(&p, t.Name, have[t.Name]-target, int(math.Ceil(firm[t.Name]/f.t.InFlightTarget-eps)), firmHave[t.Name], bins, now)
+		f.scaleIn(&p, machineType.Name, have[machineType.Name]-target, int(math.Ceil(firm[machineType.Name]/f.tuning.InFlightTarget-Epsilon)), firmHave[machineType.Name], bins, now)
 	}
 	for _, k := range order {
-		p.Rentals = append(p.Rentals, Rental{Kind: k.kind, Part: k.part, Count: rent[k]})
+		p.Rentals = append(p.Rentals, Rental{Offering: k.kind, Partition: k.part, Count: rent[k]})
 	}
 	return p
 }
 
 // assignment is where a demand's tasks would go: take[i] tasks to bins[i].
 type assignment struct {
-	bins   []*bin
-	take   []int
+	bins   []*capacityBin
+	tasks  []int
 	placed int
 	rented int
 }
 
 // assign finds bins for a demand and adds what has to be rented. A demand that
 // must stay in one zone gets the one where most of it can be, at the least rent.
-func (f *Fleet) assign(w partDemand, in FleetInput, bins []*bin, types map[string]wire.MachineType, rented map[Kind]int) assignment {
-	if !w.OneZone || w.Zone != "" {
-		return f.assignIn(w, w.Zone, in, bins, types, rented)
+func (f *Autoscaler) assign(demand partitionDemand, input Input, bins []*capacityBin, types map[string]wire.MachineType, rented map[Offering]int) assignment {
+	if !demand.SingleZone || demand.Zone != "" {
+		return f.assignInZone(demand, demand.Zone, input, bins, types, rented)
 	}
 	zones := map[string]bool{}
-	for _, t := range in.Types {
-		for _, z := range t.Zones {
+	for _, machineType := range input.MachineTypes {
+		for _, z := range machineType.Zones {
 			zones[z] = true
 		}
 	}
 	var best assignment
 	for _, z := range sortedKeys(zones) {
-		a := f.assignIn(w, z, in, bins, types, rented)
+		a := f.assignInZone(demand, z, input, bins, types, rented)
 		if a.placed > best.placed || (a.placed == best.placed && a.rented < best.rented) {
 			best = a
 		}
@@ -209,59 +211,59 @@
 	return best
 }
 
-func (f *Fleet) assignIn(w partDemand, zone string, in FleetInput, bins []*bin, types map[string]wire.MachineType, rented map[Kind]int) assignment {
+func (f *Autoscaler) assignInZone(demand partitionDemand, zone string, input Input, bins []*capacityBin, types map[string]wire.MachineType, rented map[Offering]int) assignment {
 	var a assignment
-	r := Room{w.CPUs, w.GPUs, w.RAM}
+	request := Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}
 	inZone := map[string]int{}
-	n := f.units(w.Demand)
+	n := f.concurrentTasks(demand.Demand)
 	room := func(z string) int {
-		if w.ZoneMax == 0 {
+		if demand.MaxPerZone == 0 {
 			return n
 		}
-		return min(n, w.ZoneMax-inZone[z])
+		return min(n, demand.MaxPerZone-inZone[z])
 	}
-	put := func(b *bin, k int) {
-		a.bins, a.take = append(a.bins, b), append(a.take, k)
+	put := func(bin *capacityBin, k int) {
+		a.bins, a.tasks = append(a.bins, bin), append(a.tasks, k)
 		a.placed += k
-		inZone[b.kind.Zone] += k
+		inZone[bin.offering.Zone] += k
 		n -= k
 	}
 	for pass := range 2 { // the demand's own part first, then empty ones of others
-		for _, b := range bins {
-			if n == 0 || !kindAllowed(w.Demand, b.kind, zone) || (b.part == w.part) != (pass == 0) || (pass == 1 && (b.taken || b.machine == nil)) {
+		for _, bin := range bins {
+			if n == 0 || !offeringAllowed(demand.Demand, bin.offering, zone) || (bin.partition == demand.partition) != (pass == 0) || (pass == 1 && (bin.used || bin.machine == nil)) {
 				continue
 			}
-			if w.GPUs == 0 && types[b.kind.Type].GPUs > 0 {
+			if demand.GPUs == 0 && types[bin.offering.MachineType].GPUs > 0 {
 				continue
 			}
 			// What waits fits no free room of its own part, whatever keeps it
 			// from there; only several tasks of a gang can use some of it.
-			if pass == 0 && b.machine != nil && b.machine.Empty && !(w.Gang && w.Tasks > 1) {
+			if pass == 0 && bin.machine != nil && bin.machine.Empty && !(demand.Gang && demand.Tasks > 1) {
 				continue
 			}
-			if k := min(room(b.kind.Zone), b.left.count(r)); k > 0 {
-				put(b, k)
+			if k := min(room(bin.offering.Zone), bin.remaining.CountOf(request)); k > 0 {
+				put(bin, k)
 			}
 		}
 	}
-	mine := map[Kind]int{}
-	for k, v := range rented {
-		mine[k] = v
+	mine := map[Offering]int{}
+	for offering, v := range rented {
+		mine[offering] = v
 	}
 	for n > 0 {
-		k, ok := f.choose(w.Demand, zone, n, in, types, mine, func(z string) bool { return room(z) > 0 })
+		offering, ok := f.cheapestOffering(demand.Demand, zone, n, input, types, mine, func(z string) bool { return room(z) > 0 })
 		if !ok {
 			break
 		}
-		b := &bin{kind: k, part: w.part, left: size(types[k.Type])}
-		mine[k]++
+		bin := &capacityBin{offering: offering, partition: demand.partition, remaining: OfMachineType(types[offering.MachineType])}
+		mine[offering]++
 		a.rented++
-		put(b, min(room(k.Zone), b.left.count(r)))
+		put(bin, min(room(offering.Zone), bin.remaining.CountOf(request)))
 	}
 	return a
 }
 
-func sortedParts(m map[int]Summary) []int {
+func sortedPartitions(m map[int]PartitionSummary) []int {
 	out := make([]int, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -270,22 +272,22 @@
 	return out
 }
 
-type partDemand struct {
+type partitionDemand struct {
 	Demand
-	part int
+	partition int
 }
 
 // demands lists what waits, the more urgent first, the larger task before the smaller.
-func (f *Fleet) demands(in FleetInput) []partDemand {
-	var out []partDemand
-	for _, part := range sortedParts(in.Summaries) {
-		for _, d := range in.Summaries[part].Waiting {
-			out = append(out, partDemand{d, part})
+func (f *Autoscaler) demands(input Input) []partitionDemand {
+	var out []partitionDemand
+	for _, part := range sortedPartitions(input.Summaries) {
+		for _, demand := range input.Summaries[part].Waiting {
+			out = append(out, partitionDemand{demand, part})
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool {
-		if out[a].Level != out[b].Level {
-			return out[a].Level > out[b].Level
+		if out[a].Priority != out[b].Priority {
+			return out[a].Priority > out[b].Priority
 		}
 		if out[a].GPUs != out[b].GPUs {
 			return out[a].GPUs > out[b].GPUs
@@ -295,54 +297,54 @@
 	return out
 }
 
-// units is how many places a demand asks for at once: short tasks of an array
+// concurrentTasks is how many places a demand asks for at once: short tasks of an array
 // follow one another in the same place within the horizon.
-func (f *Fleet) units(d Demand) int {
-	if d.Gang || d.Seconds >= f.t.HorizonS {
-		return d.Tasks
+func (f *Autoscaler) concurrentTasks(demand Demand) int {
+	if demand.Gang || demand.EstimatedRunS >= f.tuning.HorizonS {
+		return demand.Tasks
 	}
-	return max(1, int(math.Ceil(float64(d.Tasks)*d.Seconds/f.t.HorizonS/f.t.QueueTarget)))
+	return max(1, int(math.Ceil(float64(demand.Tasks)*demand.EstimatedRunS/f.tuning.HorizonS/f.tuning.QueueTarget)))
 }
 
-func kindAllowed(d Demand, k Kind, zone string) bool {
-	return typeAllowed(d.Types, k.Type) && (zone == "" || k.Zone == zone) && (d.Spot || !k.Spot)
+func offeringAllowed(demand Demand, offering Offering, zone string) bool {
+	return TypeAllowed(demand.MachineTypes, offering.MachineType) && (zone == "" || offering.Zone == zone) && (demand.AllowSpot || !offering.Spot)
 }
 
-// choose picks the kind whose machines do the waiting work at the lowest cost.
-func (f *Fleet) choose(d Demand, zone string, n int, in FleetInput, types map[string]wire.MachineType, rented map[Kind]int, open func(zone string) bool) (Kind, bool) {
-	r := Room{d.CPUs, d.GPUs, d.RAM}
-	best, bestCost, bestHave := Kind{}, math.Inf(1), 0
-	for _, t := range in.Types {
-		per := size(t).count(r)
-		if per == 0 || !typeAllowed(d.Types, t.Name) {
+// cheapestOffering picks the kind whose machines do the waiting work at the lowest cost.
+func (f *Autoscaler) cheapestOffering(demand Demand, zone string, n int, input Input, types map[string]wire.MachineType, rented map[Offering]int, open func(zone string) bool) (Offering, bool) {
+	request := Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}
+	best, bestCost, bestHave := Offering{}, math.Inf(1), 0
+	for _, machineType := range input.MachineTypes {
+		per := OfMachineType(machineType).CountOf(request)
+		if per == 0 || !TypeAllowed(demand.MachineTypes, machineType.Name) {
 			continue
 		}
-		if d.GPUs == 0 && t.GPUs > 0 && hasPlain(d, in.Types) {
+		if demand.GPUs == 0 && machineType.GPUs > 0 && CPUOnlyTypeFits(demand, input.MachineTypes) {
 			continue
 		}
-		for _, z := range t.Zones {
+		for _, z := range machineType.Zones {
 			if (zone != "" && z != zone) || !open(z) {
 				continue
 			}
 			for _, spot := range []bool{true, false} {
-				k := Kind{t.Name, z, spot}
-				if (spot && !d.Spot) || in.Refused[k] {
+				offering := Offering{machineType.Name, z, spot}
+				if (spot && !demand.AllowSpot) || input.Unavailable[offering] {
 					continue
 				}
-				price := t.Price
+				price := machineType.HourlyPrice
 				if spot {
-					price = t.SpotPrice
+					price = machineType.HourlySpotPrice
 				}
 				machines := (n + per - 1) / per
-				cost := price * float64(machines) / float64(n) * (1 + t.BootS/300)
-				have := rented[k]
-				for i := range in.Machines {
-					if in.Machines[i].Kind == k {
+				cost := price * float64(machines) / float64(n) * (1 + machineType.BootS/300)
+				have := rented[offering]
+				for i := range input.Machines {
+					if input.Machines[i].Offering == offering {
 						have++
 					}
 				}
-				if cost < bestCost-eps || (cost < bestCost+eps && have < bestHave) {
-					best, bestCost, bestHave = k, cost, have
+				if cost < bestCost-Epsilon || (cost < bestCost+Epsilon && have < bestHave) {
+					best, bestCost, bestHave = offering, cost, have
 				}
 			}
 		}
@@ -350,62 +352,62 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// hasPlain tells whether a type without GPUs could take the demand.
-func hasPlain(d Demand, types []wire.MachineType) bool {
-	for _, t := range types {
-		if t.GPUs == 0 && typeAllowed(d.Types, t.Name) && size(t).holds(Room{d.CPUs, d.GPUs, d.RAM}) {
+// CPUOnlyTypeFits tells whether a type without GPUs could take the demand.
+func CPUOnlyTypeFits(demand Demand, types []wire.MachineType) bool {
+	for _, machineType := range types {
+		if machineType.GPUs == 0 && TypeAllowed(demand.MachineTypes, machineType.Name) && OfMachineType(machineType).Contains(Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}) {
 			return true
 		}
 	}
 	return false
 }
 
-// standing picks the kind of a machine that the in-flight term asks for: in the
+// offeringWithFewest picks the kind of a machine that the in-flight term asks for: in the
 // zone that has the fewest.
-func (f *Fleet) standing(t wire.MachineType, spot bool, in FleetInput) (Kind, bool) {
-	best, have, ok := Kind{}, 0, false
-	for _, z := range t.Zones {
-		k := Kind{t.Name, z, spot}
-		if in.Refused[k] {
+func (f *Autoscaler) offeringWithFewest(machineType wire.MachineType, spot bool, input Input) (Offering, bool) {
+	best, have, ok := Offering{}, 0, false
+	for _, z := range machineType.Zones {
+		offering := Offering{machineType.Name, z, spot}
+		if input.Unavailable[offering] {
 			continue
 		}
 		n := 0
-		for i := range in.Machines {
-			if in.Machines[i].Kind == k {
+		for i := range input.Machines {
+			if input.Machines[i].Offering == offering {
 				n++
 			}
 		}
 		if !ok || n < have {
-			best, have, ok = k, n, true
+			best, have, ok = offering, n, true
 		}
 	}
 	if !ok && spot {
-		return f.standing(t, false, in)
+		return f.offeringWithFewest(machineType, false, input)
 	}
 	return best, ok
 }
 
-// giveBack returns empty machines once a lower target has held. Ordinary ones
+// scaleIn returns empty machines once a lower target has held. Ordinary ones
 // go first, being dearer, but not those that work without spot needs.
-func (f *Fleet) giveBack(p *Plan, typ string, surplus, firmNeed, firmHave int, bins []*bin, now time.Time) {
+func (f *Autoscaler) scaleIn(p *Plan, typ string, surplus, firmNeed, firmHave int, bins []*capacityBin, now time.Time) {
 	if surplus <= 0 {
-		delete(f.lower, typ)
+		delete(f.belowTargetSince, typ)
 		return
 	}
-	since, ok := f.lower[typ]
+	since, ok := f.belowTargetSince[typ]
 	if !ok {
-		f.lower[typ] = now
+		f.belowTargetSince[typ] = now
 		return
 	}
-	if now.Sub(since) < tuning.Seconds(f.t.GiveBackS) {
+	if now.Sub(since) < tuning.Seconds(f.tuning.GiveBackS) {
 		return
 	}
 	pass := func(spot bool) {
-		for _, b := range bins {
+		for _, bin := range bins {
 			if surplus == 0 {
 				return
 			}
-			if b.machine == nil || b.taken || !b.machine.Empty || b.kind.Type != typ || b.kind.Spot != spot {
+			if bin.machine == nil || bin.used || !bin.machine.Empty || bin.offering.MachineType != typ || bin.offering.Spot != spot {
 				continue
 			}
 			if !spot && firmHave <= firmNeed {
@@ -414,9 +416,9 @@
 			if !spot {
 				firmHave--
 			}
-			b.taken = true
+			bin.used = true
 			surplus--
-			p.Returns = append(p.Returns, b.machine.ID)
+			p.Returns = append(p.Returns, bin.machine.ID)
 		}
 	}
 	pass(false)
--- a/internal/core/fleet_test.go
+++ b/internal/core/fleet_test.go
@@ -21,22 +21,22 @@
 		booked := rapid.Float64Range(0, float64(have-booting)).Draw(t, "booked")
 		per := rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "tasks in a machine")
 		waiting := rapid.IntRange(0, 20).Draw(t, "waiting")
-		in := FleetInput{Types: testTypes[1:], Summaries: map[int]Summary{}}
-		s := Summary{Booked: map[string]float64{"gpu": booked}, Firm: map[string]float64{"gpu": booked}}
+		input := Input{MachineTypes: testTypes[1:], Summaries: map[int]PartitionSummary{}}
+		summary := PartitionSummary{BookedMachines: map[string]float64{"gpu": booked}, BookedOnDemand: map[string]float64{"gpu": booked}}
 		for i := range have {
-			in.Machines = append(in.Machines, FleetMachine{ID: fmt.Sprint(i), Kind: Kind{"gpu", "a", false}, Up: i >= booting})
+			input.Machines = append(input.Machines, Machine_{ID: fmt.Sprint(i), Offering: Offering{"gpu", "a", false}, Running: i >= booting})
 		}
 		if waiting > 0 {
-			s.Waiting = []Demand{{GPUs: 4 / float64(per), CPUs: 1, RAM: 1, Tasks: waiting, Seconds: 1000}}
+			summary.Waiting = []Demand{{GPUs: 4 / float64(per), CPUs: 1, MemoryGB: 1, Tasks: waiting, EstimatedRunS: 1000}}
 		}
-		in.Summaries[0] = s
-		p := NewFleet(&tune).Plan(in, time.Unix(0, 0))
+		input.Summaries[0] = summary
+		p := New(&tune).Plan(input, time.Unix(0, 0))
 		want := int(math.Ceil(booked/tune.InFlightTarget - 1e-6))
 		if short := (waiting+per-1)/per - booting; short > 0 {
 			want = max(want, have+short)
 		}
-		if p.Target["gpu"] != want {
-			t.Fatalf("target %d, want %d", p.Target["gpu"], want)
+		if p.TargetMachines["gpu"] != want {
+			t.Fatalf("target %d, want %d", p.TargetMachines["gpu"], want)
 		}
 		rented := 0
 		for _, r := range p.Rentals {
@@ -51,10 +51,10 @@
 // A gang that must be spread waited for ever when one machine held all of it.
 func TestSizingSpreadsOverZones(t *testing.T) {
 	tune := tuning.Default()
-	in := FleetInput{Types: testTypes, Machines: []FleetMachine{{ID: "m-1", Kind: Kind{"cpu", "a", false}, Empty: true, Up: true}},
-		Summaries: map[int]Summary{0: {Waiting: []Demand{{CPUs: 1, RAM: 1, Tasks: 4, Gang: true, ZoneMax: 2, Seconds: 60}}}}}
-	p := NewFleet(&tune).Plan(in, time.Unix(0, 0))
-	if len(p.Rentals) != 1 || p.Rentals[0].Kind.Zone != "b" {
+	input := Input{MachineTypes: testTypes, Machines: []Machine_{{ID: "m-1", Offering: Offering{"cpu", "a", false}, Empty: true, Running: true}},
+		Summaries: map[int]PartitionSummary{0: {Waiting: []Demand{{CPUs: 1, MemoryGB: 1, Tasks: 4, Gang: true, MaxPerZone: 2, EstimatedRunS: 60}}}}}
+	p := New(&tune).Plan(input, time.Unix(0, 0))
+	if len(p.Rentals) != 1 || p.Rentals[0].Offering.Zone != "b" {
 		t.Fatalf("rentals %+v", p.Rentals)
 	}
 }
@@ -62,17 +62,17 @@
 // Empty machines go back only after the lower target has held.
 func TestGiveBackWaitsOutTheHold(t *testing.T) {
 	tune := tuning.Default()
-	f := NewFleet(&tune)
-	in := FleetInput{Types: testTypes, Summaries: map[int]Summary{0: {}},
-		Machines: []FleetMachine{{ID: "m-1", Kind: Kind{"cpu", "a", false}, Empty: true, Up: true}}}
+	f := New(&tune)
+	input := Input{MachineTypes: testTypes, Summaries: map[int]PartitionSummary{0: {}},
+		Machines: []Machine_{{ID: "m-1", Offering: Offering{"cpu", "a", false}, Empty: true, Running: true}}}
 	now := time.Unix(0, 0)
-	if p := f.Plan(in, now); len(p.Returns) != 0 {
+	if p := f.Plan(input, now); len(p.Returns) != 0 {
 		t.Fatal("given back at once")
 	}
-	if p := f.Plan(in, now.Add(tuning.Seconds(tune.GiveBackS-1))); len(p.Returns) != 0 {
+	if p := f.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS-1))); len(p.Returns) != 0 {
 		t.Fatal("given back before the hold")
 	}
-	if p := f.Plan(in, now.Add(tuning.Seconds(tune.GiveBackS))); len(p.Returns) != 1 {
+	if p := f.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS))); len(p.Returns) != 1 {
 		t.Fatal("not given back")
 	}
 }
@@ -81,13 +81,13 @@
 // changed, is told apart from one that boots.
 func TestUnheardMachineIsNoted(t *testing.T) {
 	b := newBed()
-	b.SetMachine("m-1", MachineRecord{Type: "cpu", Zone: "a"}, 100, b.now)
+	b.SetMachine("m-1", MachineRecord{MachineType: "cpu", Zone: "a"}, 100, b.now)
 	b.machine("m-2", "cpu", "a", false)
-	if n := b.Summary(b.now.Add(10 * time.Second)).Machines["m-1"]; n&NoteUnheard != 0 {
+	if n := b.Summary(b.now.Add(10 * time.Second)).MachineDigests["m-1"]; n&DigestNeverHeard != 0 {
 		t.Error("noted as unheard before it could be back")
 	}
-	s := b.Summary(b.now.Add(time.Minute))
-	if s.Machines["m-1"]&NoteUnheard == 0 || s.Machines["m-2"]&NoteUnheard != 0 {
-		t.Errorf("notes %v", s.Machines)
+	summary := b.Summary(b.now.Add(time.Minute))
+	if summary.MachineDigests["m-1"]&DigestNeverHeard == 0 || summary.MachineDigests["m-2"]&DigestNeverHeard != 0 {
+		t.Errorf("notes %v", summary.MachineDigests)
 	}
 }
--- a/internal/core/gang_test.go
+++ b/internal/core/gang_test.go
@@ -14,29 +14,29 @@
 	b := newBed()
 	b.machine("m-1", "cpu", "a", false)
 	b.machine("m-2", "cpu", "a", false)
-	j := array("req-1", 2, 6)
-	j.Shape = wire.Gang
-	b.add(j)
+	job := array("req-1", 2, 6)
+	job.Shape = wire.GangJob
+	b.add(job)
 	b.Schedule(b.now)
 	b.commit()
 	b.report("m-1")
 	b.report("m-2")
-	b.end("m-1", "req-1/0", 1, wire.CausePeers)
+	b.end("m-1", "req-1/0", 1, wire.ExitGangMemberLost)
 	b.report("m-1")
 	b.Schedule(b.now)
-	if n := len(b.jobs["req-1"].placed); n != 1 {
+	if n := len(b.jobs["req-1"].placements); n != 1 {
 		t.Fatalf("%d tasks placed while the old attempt is on a machine", n)
 	}
 	b.report("m-2") // told to stop
 	b.report("m-2") // gone
 	b.Schedule(b.now)
 	b.commit()
-	for _, pl := range b.jobs["req-1"].placed {
-		if pl.try != 2 {
-			t.Fatalf("attempt %d", pl.try)
+	for _, placement := range b.jobs["req-1"].placements {
+		if placement.attempt != 2 {
+			t.Fatalf("attempt %d", placement.attempt)
 		}
 	}
-	if len(b.jobs["req-1"].placed) != 2 {
+	if len(b.jobs["req-1"].placements) != 2 {
 		t.Fatal("the gang is not placed again")
 	}
 }
@@ -47,11 +47,11 @@
 	b := newBed()
 	b.machine("m-1", "cpu", "a", false)
 	g := array("req-1", 2, 4)
-	g.Shape, g.Rank = wire.Gang, "idle"
+	g.Shape, g.Priority = wire.GangJob, "idle"
 	b.add(g)
 	b.Schedule(b.now)
 	u := array("req-2", 1, 8)
-	u.Rank = "urgent"
+	u.Priority = "urgent"
 	b.add(u)
 	b.Schedule(b.now)
 	b.Schedule(b.now)
@@ -59,11 +59,11 @@
 	if got := ops(b.report("m-1")); len(got) != 1 || got[0] != "start req-2/0 1" {
 		t.Fatalf("commands: %v", got)
 	}
-	b.end("m-1", "req-2/0", 1, wire.CauseDone)
+	b.end("m-1", "req-2/0", 1, wire.ExitDone)
 	b.report("m-1")
 	b.commit()
 	b.Schedule(b.now)
-	if n := len(b.jobs["req-1"].placed); n != 2 {
+	if n := len(b.jobs["req-1"].placements); n != 2 {
 		t.Fatalf("%d tasks of the gang placed", n)
 	}
 }
@@ -75,26 +75,26 @@
 	b := newBed()
 	b.machine("m-1", "cpu", "a", false)
 	b.machine("m-2", "cpu", "a", false)
-	j := array("req-1", 2, 8)
-	j.Shape, j.ImageGB = wire.Gang, 60
-	b.add(j)
+	job := array("req-1", 2, 8)
+	job.Shape, job.ImageGB = wire.GangJob, 60
+	b.add(job)
 	show := func(id string, state wire.TaskState) {
-		for k, x := range b.on[id] {
+		for key, x := range b.on[id] {
 			x.State = state
-			b.on[id][k] = x
+			b.on[id][key] = x
 		}
 	}
 	b.Schedule(b.now)
 	b.commit()
 	b.report("m-1")
 	b.report("m-2")
-	show("m-1", wire.WaitingGang)
-	show("m-2", wire.Fetching)
+	show("m-1", wire.TaskWaitingForGang)
+	show("m-2", wire.TaskFetching)
 	b.report("m-1")
 	b.report("m-2")
 	b.now = b.now.Add(35 * time.Second)
-	for k := range b.on["m-1"] {
-		b.end("m-1", k.task, k.try, wire.CauseIncomplete)
+	for key := range b.on["m-1"] {
+		b.end("m-1", key.task, key.attempt, wire.ExitGangIncomplete)
 	}
 	b.report("m-1")
 	if got := ops(b.report("m-2")); len(got) != 0 {
@@ -104,15 +104,15 @@
 	b.Schedule(b.now)
 	b.commit()
 	b.report("m-1")
-	show("m-2", wire.WaitingGang)
+	show("m-2", wire.TaskWaitingForGang)
 	if got := ops(b.report("m-2")); len(got) != 1 || !strings.HasPrefix(got[0], "kill") {
 		t.Fatalf("commands to the one that has its image now: %v", got)
 	}
 	b.report("m-2")
 	b.Schedule(b.now)
 	b.commit()
-	if n := len(b.jobs["req-1"].placed); n != 2 || b.jobs["req-1"].try != 2 {
-		t.Fatalf("%d tasks placed, attempt %d", n, b.jobs["req-1"].try)
+	if n := len(b.jobs["req-1"].placements); n != 2 || b.jobs["req-1"].highestAttempt != 2 {
+		t.Fatalf("%d tasks placed, attempt %d", n, b.jobs["req-1"].highestAttempt)
 	}
 }
 
@@ -121,14 +121,14 @@
 func TestGangDoneInPartIsDone(t *testing.T) {
 	b := newBed()
 	b.machine("m-1", "cpu", "a", false)
-	j := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.Gang, Rank: "standard", Tasks: 3, CPUs: 1, RAM: 1, Image: "i", Estimate: 10}
-	b.Load([]LoadedChunk{{Job: j.ID, Name: "0", Stamp: 50, Record: ChunkRecord{Job: j, Try: 1, Done: []int{0, 1},
-		Live: []LiveRecord{{Task: 1, Try: 1, Machine: "m-lost", Session: 1}, {Task: 2, Try: 1, Machine: "m-1", Session: 1}}}}}, nil)
+	job := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: 3, CPUs: 1, MemoryGB: 1, Image: "i", EstimatedRunS: 10}
+	b.Restore([]LoadedChunk{{JobID: job.ID, Name: "0", Revision: 50, Record: ChunkRecord{Job: job, HighestAttempt: 1, DoneRanges: []int{0, 1},
+		Placements: []PlacementRecord{{Task: 1, Attempt: 1, Machine: "m-lost", Incarnation: 1}, {Task: 2, Attempt: 1, Machine: "m-1", Incarnation: 1}}}}}, nil)
 	b.Schedule(b.now)
-	if x := b.Batch(); x.ended == nil || x.ended.ID != j.ID {
+	if batch := b.PrepareBatch(); batch.endedJob == nil || batch.endedJob.ID != job.ID {
 		t.Error("the job's end is not committed")
 	}
-	if n := len(b.machines["m-1"].places); n != 1 {
+	if n := len(b.machines["m-1"].placements); n != 1 {
 		t.Errorf("%d places booked where its worker has not reported yet", n)
 	}
 }
--- a/internal/core/gather.go
+++ b/internal/core/gather.go
@@ -8,102 +8,102 @@
 	"ambersill/internal/wire"
 )
 
-// vacancy is a place for one task of a job that a machine will have.
-type vacancy struct {
-	m  *Machine
-	in float64 // seconds until then, by the estimates of what runs there
+// futureSlot is a place for one task of a job that a machine will have.
+type futureSlot struct {
+	machine      *Machine
+	availableInS float64 // seconds until then, by the estimates of what runs there
 }
 
-// gather keeps machines free for a gang that has waited long, as the tasks on them
+// reserveForGang keeps machines free for a gang that has waited long, as the tasks on them
 // end: where all the room it needs comes together the soonest. Nothing is stopped
 // for it. Without this, small work takes each place as it falls free, and a gang of
 // many machines never finds them empty together.
-func (p *Partition) gather(j *Job, n int, now time.Time) {
-	if j.Shape != wire.Gang || !j.aged || now.Before(j.gathers) {
+func (p *Partition) reserveForGang(job *Job, n int, now time.Time) {
+	if job.Shape != wire.GangJob || !job.starved || now.Before(job.reservedUntil) {
 		return
 	}
-	zones := map[string][]vacancy{}
-	for _, id := range p.order {
-		m := p.machines[id]
-		if !m.usable() || !allowed(j.Job, m) || j.failedOn[id] {
+	zones := map[string][]futureSlot{}
+	for _, id := range p.machineIDs {
+		machine := p.machines[id]
+		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[id] {
 			continue
 		}
-		if m.reserved != "" && m.reserved != j.ID && now.Before(m.resUntil) {
-			if m.reserved != draining {
-				zones[m.Rec.Zone] = append(zones[m.Rec.Zone], vacancy{in: -1})
+		if machine.reservedFor != "" && machine.reservedFor != job.ID && now.Before(machine.reservedUntil) {
+			if machine.reservedFor != reservedForDrain {
+				zones[machine.Record.Zone] = append(zones[machine.Record.Zone], futureSlot{availableInS: -1})
 			}
 			continue
 		}
-		z := m.Rec.Zone
-		if !j.OneZone {
+		z := machine.Record.Zone
+		if !job.SingleZone {
 			z = ""
 		}
-		zones[z] = append(zones[z], p.vacancies(j, m, now)...)
+		zones[z] = append(zones[z], p.futureSlots(job, machine, now)...)
 	}
-	var best []vacancy
-	limit := (j.Tasks + 1) / 2
+	var best []futureSlot
+	limit := (job.Tasks + 1) / 2
 	for _, z := range sortedKeys(zones) {
 		vs := zones[z]
-		sort.SliceStable(vs, func(a, b int) bool { return vs[a].in < vs[b].in })
-		if len(vs) > 0 && vs[0].in < 0 {
+		sort.SliceStable(vs, func(a, b int) bool { return vs[a].availableInS < vs[b].availableInS })
+		if len(vs) > 0 && vs[0].availableInS < 0 {
 			continue // room is kept for another there, and one at a time gets it
 		}
-		var got []vacancy
+		var got []futureSlot
 		perZone := map[string]int{}
 		for _, v := range vs {
 			if len(got) == n {
 				break
 			}
-			if j.Spread && perZone[v.m.Rec.Zone] >= limit {
+			if job.SpreadZones && perZone[v.machine.Record.Zone] >= limit {
 				continue
 			}
-			perZone[v.m.Rec.Zone]++
+			perZone[v.machine.Record.Zone]++
 			got = append(got, v)
 		}
-		if len(got) == n && (best == nil || got[n-1].in < best[n-1].in) {
+		if len(got) == n && (best == nil || got[n-1].availableInS < best[n-1].availableInS) {
 			best = got
 		}
 	}
 	if best == nil {
 		return
 	}
-	wait := min(max(best[n-1].in, 0), p.t.StarveS) + 3*p.s.Cluster.Workers.ReportS
-	j.gathers = now.Add(tuning.Seconds(wait))
+	wait := min(max(best[n-1].availableInS, 0), p.tuning.StarveS) + 3*p.settings.Cluster.Workers.ReportS
+	job.reservedUntil = now.Add(tuning.Seconds(wait))
 	for _, v := range best {
-		v.m.reserved, v.m.resUntil = j.ID, j.gathers
+		v.machine.reservedFor, v.machine.reservedUntil = job.ID, job.reservedUntil
 	}
-	p.Gathered++
+	p.GangReservations++
 }
 
-// vacancies lists when a machine will have room for one task of a job, for a second
+// futureSlots lists when a machine will have room for one task of a job, for a second
 // one, and so on, if nothing else is placed there.
-func (p *Partition) vacancies(j *Job, m *Machine, now time.Time) []vacancy {
+func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	type end struct {
 		in   float64
-		room Room
+		room Vector
 	}
 	var ends []end
-	for _, k := range sortedAttempts(m.places) {
-		pl := m.places[k]
-		o := pl.job
-		left := runSeconds(o.Job) + p.fetch(o, m)
-		if !pl.began.IsZero() {
-			left = max(runSeconds(o.Job)-now.Sub(pl.began).Seconds(), 1)
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		placement := machine.placements[key]
+		other := placement.job
+		left := runSeconds(other.Job) + p.imageFetchSeconds(other, machine)
+		if !placement.runningSince.IsZero() {
+			left = max(runSeconds(other.Job)-now.Sub(placement.runningSince).Seconds(), 1)
 		}
-		ends = append(ends, end{left, need(o.Job)})
+		ends = append(ends, end{left, OfJob(other.Job)})
 	}
 	sort.SliceStable(ends, func(a, b int) bool { return ends[a].in < ends[b].in })
-	r := need(j.Job)
-	free, in := m.free(), 0.0
-	var out []vacancy
+	request := OfJob(job.Job)
+	free, in := machine.free(), 0.0
+	var out []futureSlot
 	for i := 0; ; i++ {
-		for free.holds(r) && len(out) < j.Tasks {
-			free = free.sub(r)
-			out = append(out, vacancy{m, in})
+		for free.Contains(request) && len(out) < job.Tasks {
+			free = free.Sub(request)
+			out = append(out, futureSlot{machine, in})
 		}
-		if i == len(ends) || len(out) == j.Tasks {
+		if i == len(ends) || len(out) == job.Tasks {
 			return out
 		}
-		free, in = free.add(ends[i].room), ends[i].in
+		free, in = free.Add(ends[i].room), ends[i].in
 	}
 }
--- a/internal/core/journal.go
+++ b/internal/core/journal.go
@@ -17,129 +17,129 @@
 func JournalPrefix(part int) string { return "g/" + strconv.Itoa(part) + "/" }
 
 func (p *Partition) journalKey(seq uint64) string {
-	return JournalPrefix(p.Index) + strconv.FormatUint(p.slot(seq), 10)
+	return JournalPrefix(p.Index) + strconv.FormatUint(p.journalSlot(seq), 10)
 }
 
-func (p *Partition) slot(seq uint64) uint64 { return seq % uint64(len(p.slots)) }
+func (p *Partition) journalSlot(seq uint64) uint64 { return seq % uint64(len(p.slotRevisions)) }
 
 // JournalRecord is one record of the journal. Its number orders it: what a higher
 // one says of a task overrides a lower one, and a chunk's record holds all up to
 // the number it names.
 type JournalRecord struct {
-	Seq     uint64         `cbor:"q"`
-	Entries []JournalEntry `cbor:"e"`
+	Sequence uint64         `cbor:"q"`
+	Entries  []JournalEntry `cbor:"e"`
 }
 
 // JournalEntry is the present state of some tasks of a chunk.
 type JournalEntry struct {
-	_     struct{} `cbor:",toarray"`
-	Job   string
-	Chunk int
-	Try   uint64 // highest attempt given out
-	Live  []LiveRecord
-	Done  []int // ranges, as in a chunk's record
-	Free  []int // ranges of tasks that wait again
+	_              struct{} `cbor:",toarray"`
+	Job            string
+	Chunk          int
+	HighestAttempt uint64 // highest attempt given out
+	Placements     []PlacementRecord
+	DoneRanges     []int // ranges, as in a chunk's record
+	WaitingRanges  []int // ranges of tasks that wait again
 }
 
-// entryBytes is an entry's size without its job's name and tasks.
-const entryBytes = 40
+// JournalEntryOverheadBytes is an entry's size without its job's name and tasks.
+const JournalEntryOverheadBytes = 40
 
-func (e *JournalEntry) bytes() int {
-	n := entryBytes + len(e.Job) + rangeBytes/2*(len(e.Done)+len(e.Free))
-	for _, l := range e.Live {
-		n += l.bytes()
+func (e *JournalEntry) SizeBound() int {
+	n := JournalEntryOverheadBytes + len(e.Job) + RangeBytes/2*(len(e.DoneRanges)+len(e.WaitingRanges))
+	for _, placed := range e.Placements {
+		n += placed.SizeBound()
 	}
 	return n
 }
 
-// touch notes that a task's state has changed, and must be recorded.
-func (p *Partition) touch(c *chunk, task int) {
-	if c.job.final {
+// markDirty notes that a task's state has changed, and must be recorded.
+func (p *Partition) markDirty(chunk *chunk, task int) {
+	if chunk.job.finalized {
 		return
 	}
-	c.version++
-	if len(c.touched) == 0 {
-		c.touched = map[int]int{}
-		p.touches++
-		c.since = p.touches
-		p.dirty[c] = true
+	chunk.changeVersion++
+	if len(chunk.dirtyTasks) == 0 {
+		chunk.dirtyTasks = map[int]int{}
+		p.dirtyCount++
+		chunk.dirtySince = p.dirtyCount
+		p.dirtyChunks[chunk] = true
 	}
-	c.touched[task] = c.version
+	chunk.dirtyTasks[task] = chunk.changeVersion
 }
 
-// settle notes that all changes up to a version are recorded, of the tasks given
+// markCommitted notes that all changes up to a version are recorded, of the tasks given
 // or, for nil, of all.
-func (p *Partition) settle(c *chunk, version int, tasks []int) {
+func (p *Partition) markCommitted(chunk *chunk, version int, tasks []int) {
 	if tasks == nil {
-		for t, v := range c.touched {
+		for t, v := range chunk.dirtyTasks {
 			if v <= version {
-				delete(c.touched, t)
+				delete(chunk.dirtyTasks, t)
 			}
 		}
 	}
 	for _, t := range tasks {
-		if c.touched[t] <= version {
-			delete(c.touched, t)
+		if chunk.dirtyTasks[t] <= version {
+			delete(chunk.dirtyTasks, t)
 		}
 	}
-	c.committed = max(c.committed, version)
-	for _, v := range c.touched {
-		c.committed = min(c.committed, v-1)
+	chunk.committedVersion = max(chunk.committedVersion, version)
+	for _, v := range chunk.dirtyTasks {
+		chunk.committedVersion = min(chunk.committedVersion, v-1)
 	}
-	if len(c.touched) == 0 {
-		delete(p.dirty, c)
+	if len(chunk.dirtyTasks) == 0 {
+		delete(p.dirtyChunks, chunk)
 	}
 }
 
-// dropping tells whether all records of a cancelled job are about to be deleted.
-func (j *Job) dropping() bool { return j.Cancelled && len(j.placed) == 0 }
+// recordsDue tells whether all records of a cancelled job are about to be deleted.
+func (j *Job) recordsDue() bool { return j.Cancelled && len(j.placements) == 0 }
 
-// fold adds the records of chunks whose journal entries the ring will soon
+// compact adds the records of chunks whose journal entries the ring will soon
 // overwrite. It tells whether the journal can go on before those are committed.
-func (p *Partition) fold(b *Batch, size *int, most int) bool {
-	ring := uint64(len(p.slots))
-	due := p.foldable(b, most)
+func (p *Partition) compact(batch *Batch, size *int, most int) bool {
+	ring := uint64(len(p.slotRevisions))
+	due := p.compactionDue(batch, most)
 	if len(due) == 0 {
-		p.convert(b, size, most)
+		p.convertFormat(batch, size, most)
 		return true
 	}
-	oldest := due[0].oldest
-	for _, c := range due {
-		if c.oldest > 0 {
-			oldest = min(oldest, c.oldest)
+	oldest := due[0].oldestUncompacted
+	for _, chunk := range due {
+		if chunk.oldestUncompacted > 0 {
+			oldest = min(oldest, chunk.oldestUncompacted)
 		}
 	}
-	free := oldest+ring > p.seq+uint64(most)
+	free := oldest+ring > p.journalSequence+uint64(most)
 	if free {
 		most /= 2
 	}
-	for _, c := range due {
-		if len(b.Txn.Then) >= most {
+	for _, chunk := range due {
+		if len(batch.Txn.Writes) >= most {
 			break
 		}
-		p.writeChunk(b, size, most, c)
+		p.writeChunk(batch, size, most, chunk)
 	}
 	return free
 }
 
-// foldable lists the chunks whose journal entries the ring will soon overwrite, the
+// compactionDue lists the chunks whose journal entries the ring will soon overwrite, the
 // oldest first; of a job, what was split off before what it was split off from. Soon is
 // within two batches at least: with small values a batch writes many journal records, and
 // the ring once came round to a chunk between two looks.
-func (p *Partition) foldable(b *Batch, most int) []*chunk {
-	ring := uint64(len(p.slots))
+func (p *Partition) compactionDue(batch *Batch, most int) []*chunk {
+	ring := uint64(len(p.slotRevisions))
 	soon := max(ring/4, 2*uint64(most))
 	var due []*chunk
 	oldest := map[*Job]uint64{}
-	for c := range p.unfolded {
-		if !c.job.dropping() && c.job != b.ended && c.oldest+ring <= p.seq+soon {
-			due = append(due, c)
-			if seq, ok := oldest[c.job]; !ok || c.oldest < seq {
-				oldest[c.job] = c.oldest
+	for chunk := range p.uncompactedChunks {
+		if !chunk.job.recordsDue() && chunk.job != batch.endedJob && chunk.oldestUncompacted+ring <= p.journalSequence+soon {
+			due = append(due, chunk)
+			if seq, ok := oldest[chunk.job]; !ok || chunk.oldestUncompacted < seq {
+				oldest[chunk.job] = chunk.oldestUncompacted
 			}
-			for _, part := range c.parts {
-				if part.stamp == 0 && !p.unfolded[part] {
-					due = append(due, part)
+			for _, piece := range chunk.splitOff {
+				if piece.revision == 0 && !p.uncompactedChunks[piece] {
+					due = append(due, piece)
 				}
 			}
 		}
@@ -157,33 +157,33 @@
 	return due
 }
 
-// convert writes one record anew for the sake of its format, now and then, so that none
+// convertFormat writes one record anew for the sake of its format, now and then, so that none
 // of the first format is left in the end.
-func (p *Partition) convert(b *Batch, size *int, most int) {
-	if p.level < SizedChunks || p.now.Sub(p.converted) < tuning.ConversionGap || len(b.Txn.Then) >= most {
+func (p *Partition) convertFormat(batch *Batch, size *int, most int) {
+	if p.featureLevel < FeatureExplicitChunks || p.cycleTime.Sub(p.lastConversion) < tuning.ConversionGap || len(batch.Txn.Writes) >= most {
 		return
 	}
-	p.converted = p.now
-	if c := p.outdated(); c != nil && c.job != b.ended {
-		p.writeChunk(b, size, most, c)
+	p.lastConversion = p.cycleTime
+	if chunk := p.outdatedChunk(); chunk != nil && chunk.job != batch.endedJob {
+		p.writeChunk(batch, size, most, chunk)
 	}
 }
 
-// journal adds the changes of all chunks, those that wait the longest first. A
+// appendJournal adds the changes of all chunks, those that wait the longest first. A
 // number is used once, whatever becomes of the batch: a lost one may be carried out
 // late, and must then count as older than what was written since.
-func (p *Partition) journal(b *Batch, size *int, most int) {
+func (p *Partition) appendJournal(batch *Batch, size *int, most int) {
 	folded := map[*chunk]bool{}
-	for _, f := range b.folds {
-		folded[f.c] = true
+	for _, f := range batch.chunkWrites {
+		folded[f.chunk] = true
 	}
 	var todo []*chunk
-	for c := range p.dirty {
-		if !folded[c] && c.job != b.ended && !c.job.dropping() {
-			todo = append(todo, c)
+	for chunk := range p.dirtyChunks {
+		if !folded[chunk] && chunk.job != batch.endedJob && !chunk.job.recordsDue() {
+			todo = append(todo, chunk)
 		}
 	}
-	sort.Slice(todo, func(a, b int) bool { return todo[a].since < todo[b].since })
+	sort.Slice(todo, func(a, b int) bool { return todo[a].dirtySince < todo[b].dirtySince })
 	limit := p.valueBytes() - 64
 	var cur *JournalRecord
 	used := 0
@@ -191,50 +191,50 @@
 		if cur == nil || len(cur.Entries) == 0 {
 			return
 		}
-		key := p.journalKey(cur.Seq)
-		b.Txn.If = append(b.Txn.If, wire.Cond{Key: key, Revision: p.slots[p.slot(cur.Seq)]})
-		b.Txn.Then = append(b.Txn.Then, wire.Write{Put: key, Value: *cur})
-		b.slots = append(b.slots, cur.Seq)
+		key := p.journalKey(cur.Sequence)
+		batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: key, Revision: p.slotRevisions[p.journalSlot(cur.Sequence)]})
+		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Put: key, Value: *cur})
+		batch.journalSequences = append(batch.journalSequences, cur.Sequence)
 		*size += used
 		cur = nil
 	}
-	for _, c := range todo {
-		tasks := make([]int, 0, len(c.touched))
-		for t := range c.touched {
+	for _, chunk := range todo {
+		tasks := make([]int, 0, len(chunk.dirtyTasks))
+		for t := range chunk.dirtyTasks {
 			tasks = append(tasks, t)
 		}
 		sort.Ints(tasks)
 		for len(tasks) > 0 {
 			if cur == nil {
-				if len(b.Txn.Then) >= most || *size+tuning.MinJournalBytes > tuning.TxnBytes {
+				if len(batch.Txn.Writes) >= most || *size+tuning.MinJournalBytes > tuning.TxnBytes {
 					return
 				}
-				p.seq++
-				cur, used = &JournalRecord{Seq: p.seq}, 0
+				p.journalSequence++
+				cur, used = &JournalRecord{Sequence: p.journalSequence}, 0
 			}
 			room := min(limit, tuning.TxnBytes-*size) - used
-			n := c.fitting(tasks, room-entryBytes-len(c.job.ID))
+			n := chunk.entriesFitting(tasks, room-JournalEntryOverheadBytes-len(chunk.job.ID))
 			if n <= 0 && len(cur.Entries) > 0 {
 				flush()
 				continue
 			}
 			n = max(n, 1)
-			e := c.entry(tasks[:n])
-			used += e.bytes()
-			cur.Entries = append(cur.Entries, e)
-			b.entries = append(b.entries, entryWrite{c, c.version, cur.Seq, tasks[:n]})
+			entry := chunk.journalEntry(tasks[:n])
+			used += entry.SizeBound()
+			cur.Entries = append(cur.Entries, entry)
+			batch.entryWrites = append(batch.entryWrites, entryWrite{chunk, chunk.changeVersion, cur.Sequence, tasks[:n]})
 			tasks = tasks[n:]
 		}
 	}
 	flush()
 }
 
-// fitting is how many of the tasks, the first ones, fit the given bytes of an entry.
-func (c *chunk) fitting(tasks []int, room int) int {
+// entriesFitting is how many of the tasks, the first ones, fit the given bytes of an entry.
+func (c *chunk) entriesFitting(tasks []int, room int) int {
 	for n, t := range tasks {
-		size := rangeBytes
-		if pl := c.job.placed[t]; pl != nil && c.job.tasks[t] != done {
-			size = pl.live().bytes()
+		size := RangeBytes
+		if placement := c.job.placements[t]; placement != nil && c.job.taskStates[t] != taskDone {
+			size = placement.record().SizeBound()
 		}
 		if room -= size; room < 0 {
 			return n
@@ -243,10 +243,10 @@
 	return len(tasks)
 }
 
-// entry is the present state of some tasks, which must be sorted.
-func (c *chunk) entry(tasks []int) JournalEntry {
-	j := c.job
-	e := JournalEntry{Job: j.ID, Chunk: c.index, Try: j.try}
+// journalEntry is the present state of some tasks, which must be sorted.
+func (c *chunk) journalEntry(tasks []int) JournalEntry {
+	job := c.job
+	entry := JournalEntry{Job: job.ID, Chunk: c.index, HighestAttempt: job.highestAttempt}
 	add := func(r []int, t int) []int {
 		if n := len(r); n > 0 && r[n-1] == t {
 			r[n-1] = t + 1
@@ -255,19 +255,19 @@
 		return append(r, t, t+1)
 	}
 	for _, t := range tasks {
-		pl := j.placed[t]
+		placement := job.placements[t]
 		switch {
-		case j.tasks[t] == done:
-			e.Done = add(e.Done, t)
-		case pl != nil:
-			e.Live = append(e.Live, pl.live())
+		case job.taskStates[t] == taskDone:
+			entry.DoneRanges = add(entry.DoneRanges, t)
+		case placement != nil:
+			entry.Placements = append(entry.Placements, placement.record())
 		default:
-			e.Free = add(e.Free, t)
+			entry.WaitingRanges = add(entry.WaitingRanges, t)
 		}
 	}
-	return e
+	return entry
 }
 
-func (pl *Placement) live() LiveRecord {
-	return LiveRecord{Task: pl.task, Try: pl.try, Machine: pl.machine.ID, Session: pl.session}
+func (pl *Placement) record() PlacementRecord {
+	return PlacementRecord{Task: pl.task, Attempt: pl.attempt, Machine: pl.machine.ID, Incarnation: pl.incarnation}
 }
--- a/internal/core/journal_test.go
+++ b/internal/core/journal_test.go
@@ -24,14 +24,14 @@
 }
 
 func (s *plainState) apply(t wire.Txn) bool {
-	for _, c := range t.If {
+	for _, c := range t.Compares {
 		if s.at[c.Key] != c.Revision {
 			return false
 		}
 	}
 	s.rev++
-	s.ops = max(s.ops, len(t.Then))
-	for _, w := range t.Then {
+	s.ops = max(s.ops, len(t.Writes))
+	for _, w := range t.Writes {
 		if w.Put == "" {
 			delete(s.vals, w.Delete)
 			delete(s.at, w.Delete)
@@ -48,27 +48,27 @@
 }
 
 // commit has a batch meet some fate, and the owner find out as it does.
-func (s *plainState) commit(b *bed, x *Batch, fate string) {
+func (s *plainState) commit(b *bed, batch *Batch, fate string) {
 	switch fate {
 	case "refused":
 		return
 	case "late":
-		s.late = append(s.late, x.Txn)
+		s.late = append(s.late, batch.Txn)
 	default:
-		if s.apply(x.Txn) && fate == "done" {
-			b.Committed(x, s.rev)
+		if s.apply(batch.Txn) && fate == "done" {
+			b.ConfirmBatch(batch, s.rev)
 			return
 		}
 	}
-	for _, c := range x.Txn.If {
-		var rec *JobRecord
+	for _, c := range batch.Txn.Compares {
+		var record *JobRecord
 		if v, ok := s.vals[c.Key]; ok && strings.HasPrefix(c.Key, "j/") {
-			rec = &JobRecord{}
-			if wire.Unmarshal(v, rec) != nil {
-				rec = nil
+			record = &JobRecord{}
+			if wire.Unmarshal(v, record) != nil {
+				record = nil
 			}
 		}
-		b.Refresh(x, c.Key, s.at[c.Key], rec, b.now)
+		b.RefreshKey(batch, c.Key, s.at[c.Key], record, b.now)
 	}
 }
 
@@ -76,30 +76,30 @@
 func (s *plainState) successor(t *rapid.T, machines []string, b *bed) *bed {
 	o := newBed()
 	o.limits = b.limits
-	o.SetLevel(b.level)
-	o.slots = make([]uint64, testRing)
+	o.SetLevel(b.featureLevel)
+	o.slotRevisions = make([]uint64, testRing)
 	for _, id := range machines {
 		o.machine(id, "cpu", "a", false)
 	}
 	var chunks []LoadedChunk
-	var slots []LoadedSlot
+	var slots []LoadedJournalRecord
 	for k, v := range s.vals {
-		if id, name, ok := SplitChunkKey(k); ok && strings.HasPrefix(k, "a/") {
-			c := LoadedChunk{Job: id, Name: name, Stamp: s.at[k]}
+		if id, name, ok := ParseChunkKey(k); ok && strings.HasPrefix(k, "a/") {
+			c := LoadedChunk{JobID: id, Name: name, Revision: s.at[k]}
 			if err := wire.Unmarshal(v, &c.Record); err != nil {
 				t.Fatal(err)
 			}
 			chunks = append(chunks, c)
 		}
 		if strings.HasPrefix(k, JournalPrefix(0)) {
-			l := LoadedSlot{Stamp: s.at[k]}
+			l := LoadedJournalRecord{Revision: s.at[k]}
 			if err := wire.Unmarshal(v, &l.Record); err != nil {
 				t.Fatal(err)
 			}
 			slots = append(slots, l)
 		}
 	}
-	o.Load(chunks, slots)
+	o.Restore(chunks, slots)
 	return o
 }
 
@@ -107,15 +107,15 @@
 // levels read: numbered, and without the tasks that they hold.
 func (s *plainState) keepsFirstFormat(t *rapid.T) {
 	for key, v := range s.vals {
-		_, name, ok := SplitChunkKey(key)
+		_, name, ok := ParseChunkKey(key)
 		if !ok || !strings.HasPrefix(key, ChunkPrefix(0)) {
 			continue
 		}
-		var r ChunkRecord
-		if err := wire.Unmarshal(v, &r); err != nil {
+		var record ChunkRecord
+		if err := wire.Unmarshal(v, &record); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := strconv.Atoi(name); err != nil || r.From > 0 || r.To > 0 {
+		if _, err := strconv.Atoi(name); err != nil || record.From > 0 || record.To > 0 {
 			t.Fatalf("%s is in the new format below its level", key)
 		}
 	}
@@ -124,8 +124,8 @@
 // shows tells whether some worker still knows of a task.
 func (b *bed) shows(task string) bool {
 	for _, on := range b.on {
-		for k := range on {
-			if k.task == task {
+		for key := range on {
+			if key.task == task {
 				return true
 			}
 		}
@@ -145,21 +145,21 @@
 func TestJournalSurvivesATakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBed()
-		b.slots = make([]uint64, testRing)
+		b.slotRevisions = make([]uint64, testRing)
 		b.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 		raised := rapid.IntRange(0, 60).Draw(t, "raised")
 		lowered := raised + rapid.IntRange(1, 20).Draw(t, "lowered after")
 		limitKB := rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB")
-		s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{PartitionKey(0): b.Stamp}}
+		s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{PartitionKey(0): b.Revision}}
 		machines := []string{"m-1", "m-2", "m-3"}
 		for _, id := range machines {
 			b.machine(id, "cpu", "a", false)
 		}
 		submit := func(n int) {
-			j := array(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
-			r := &JobRecord{Job: &j, Phase: wire.Queued, At: b.now.UnixMilli()}
-			s.apply(wire.Txn{Then: []wire.Write{{Put: JobKey(j.ID), Value: r}, {Put: FirstChunkKey(0, j.ID), Value: FirstChunk(r, b.level, b.s)}}})
-			b.AddJob(&j, b.now, s.rev)
+			job := array(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
+			record := &JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: b.now.UnixMilli()}
+			s.apply(wire.Txn{Writes: []wire.Write{{Put: JobKey(job.ID), Value: record}, {Put: FirstChunkKey(0, job.ID), Value: NewFirstChunk(record, b.featureLevel, b.settings)}}})
+			b.AddJob(&job, b.now, s.rev)
 		}
 		ended := map[string]bool{} // tasks whose end a worker has reported
 		for round := range rapid.IntRange(1, 60).Draw(t, "rounds") {
@@ -167,7 +167,7 @@
 				submit(round)
 			}
 			if round == raised {
-				b.SetLevel(SizedChunks)
+				b.SetLevel(FeatureExplicitChunks)
 			}
 			if round == lowered {
 				b.limits.ValueKB, b.limits.TxnOps = limitKB, 3
@@ -176,11 +176,11 @@
 			b.now = b.now.Add(time.Second)
 			b.Schedule(b.now)
 			for range 4 {
-				x := b.Batch()
-				if x.Empty() {
+				batch := b.PrepareBatch()
+				if batch.Empty() {
 					break
 				}
-				s.commit(b, x, rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "refused"}).Draw(t, "fate"))
+				s.commit(b, batch, rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "refused"}).Draw(t, "fate"))
 				if n := len(s.late); n > 0 && rapid.Bool().Draw(t, "arrives") {
 					s.apply(s.late[0])
 					s.late = s.late[1:]
@@ -188,49 +188,49 @@
 			}
 			for _, id := range machines {
 				b.report(id)
-				for _, k := range sortedAttempts(b.machines[id].places) {
-					if _, on := b.on[id][k]; on && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
-						why := rapid.SampledFrom([]wire.Cause{wire.CauseDone, wire.CauseDone, wire.CauseStopped}).Draw(t, "cause")
-						b.end(id, k.task, k.try, why)
-						ended[k.task] = ended[k.task] || why == wire.CauseDone
+				for _, key := range sortedTaskAttempts(b.machines[id].placements) {
+					if _, on := b.on[id][key]; on && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
+						why := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped}).Draw(t, "cause")
+						b.end(id, key.task, key.attempt, why)
+						ended[key.task] = ended[key.task] || why == wire.ExitDone
 					}
 				}
 				b.report(id)
 			}
-			if b.level == FirstFormat {
+			if b.featureLevel == FeatureInitialFormat {
 				s.keepsFirstFormat(t)
 			}
 			o := s.successor(t, machines, b)
-			for id, j := range b.jobs {
+			for id, job := range b.jobs {
 				k := o.jobs[id]
 				if k == nil {
-					if j.done < j.Tasks {
+					if job.doneTasks < job.Tasks {
 						t.Fatalf("round %d: %s is not known to a new owner", round, id)
 					}
 					continue
 				}
-				if k.try < j.try && len(j.placed) > 0 {
-					for _, pl := range j.placed {
-						if pl.sent && pl.try > k.try {
-							t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, pl.try, id, k.try)
+				if k.highestAttempt < job.highestAttempt && len(job.placements) > 0 {
+					for _, placement := range job.placements {
+						if placement.startSent && placement.attempt > k.highestAttempt {
+							t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, placement.attempt, id, k.highestAttempt)
 						}
 					}
 				}
-				for i, pl := range j.placed {
-					if !pl.sent {
+				for i, placement := range job.placements {
+					if !placement.startSent {
 						continue
 					}
-					if l := k.placed[i]; l == nil || l.try != pl.try || l.machine.ID != pl.machine.ID {
-						t.Fatalf("round %d: %s/%d attempt %d on %s was started, a new owner has %+v", round, id, i, pl.try, pl.machine.ID, l)
+					if l := k.placements[i]; l == nil || l.attempt != placement.attempt || l.machine.ID != placement.machine.ID {
+						t.Fatalf("round %d: %s/%d attempt %d on %s was started, a new owner has %+v", round, id, i, placement.attempt, placement.machine.ID, l)
 					}
 				}
-				for i, st := range j.tasks {
-					if task := wire.TaskName(id, i); st == done && k.tasks[i] != done && !b.shows(task) {
+				for i, st := range job.taskStates {
+					if task := wire.TaskName(id, i); st == taskDone && k.taskStates[i] != taskDone && !b.shows(task) {
 						t.Fatalf("round %d: %s was cleared, but its end is not on record", round, task)
 					}
 				}
-				for i, st := range k.tasks {
-					if st == done && !ended[wire.TaskName(id, i)] {
+				for i, st := range k.taskStates {
+					if st == taskDone && !ended[wire.TaskName(id, i)] {
 						t.Fatalf("round %d: %s/%d is done on record, but never ended", round, id, i)
 					}
 				}
@@ -241,19 +241,19 @@
 		}
 		// With every commit served, what a new owner reads is all there is.
 		for range 2000 {
-			x := b.Batch()
-			if x.Empty() {
+			batch := b.PrepareBatch()
+			if batch.Empty() {
 				break
 			}
-			s.commit(b, x, "done")
+			s.commit(b, batch, "done")
 		}
-		if len(b.dirty) > 0 {
-			t.Fatalf("%d chunks are not recorded in the end", len(b.dirty))
+		if len(b.dirtyChunks) > 0 {
+			t.Fatalf("%d chunks are not recorded in the end", len(b.dirtyChunks))
 		}
 		o := s.successor(t, machines, b)
-		for id, j := range b.jobs {
-			if k := o.jobs[id]; k.done != j.done || k.waiting != j.waiting || k.try < j.try {
-				t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, j.done, j.waiting, j.try, k.done, k.waiting, k.try)
+		for id, job := range b.jobs {
+			if k := o.jobs[id]; k.doneTasks != job.doneTasks || k.waitingTasks != job.waitingTasks || k.highestAttempt < job.highestAttempt {
+				t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, k.doneTasks, k.waitingTasks, k.highestAttempt)
 			}
 		}
 	})
