--- a/internal/core/fleet.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,12 +1,15 @@
-package core
+package autoscaler
 
 import (
+	"ambersill/internal/records"
+	"ambersill/internal/resource"
+	"ambersill/internal/tuning"
+	"ambersill/internal/wire"
+	"maps"
 	"math"
+	"slices"
 	"sort"
 	"time"
-
-	"ambersill/internal/tuning"
-	"ambersill/internal/wire"
 )
 
 // Offering is what machines are rented by.
@@ -15,8 +18,8 @@
 	Spot              bool
 }
 
-// Machine_ is a machine as the leader sees it.
-type Machine_ struct {
+// Machine is a machine as the leader sees it.
+type Machine struct {
 	ID        string
 	Offering  Offering
 	Partition int
@@ -28,9 +31,9 @@
 // Input is what a sizing round looks at.
 type Input struct {
 	MachineTypes   []wire.MachineType
-	Machines       []Machine_
-	PendingRentals []Machine_ // recorded rentals without an answer yet, one each
-	Summaries      map[int]PartitionSummary
+	Machines       []Machine
+	PendingRentals []Machine // recorded rentals without an answer yet, one each
+	Summaries      map[int]records.PartitionSummary
 	// Unavailable kinds are not asked for now.
 	Unavailable map[Offering]bool
 }
@@ -69,10 +72,10 @@
 }
 
 type capacityBin struct {
-	machine   *Machine_ // nil: to be rented
+	machine   *Machine // nil: to be rented
 	offering  Offering
 	partition int
-	remaining Vector
+	remaining resource.Vector
 	used      bool
 	counted   bool // a rental that is counted already
 }
@@ -92,15 +95,15 @@
 	var bins []*capacityBin
 	for i := range input.Machines {
 		m := &input.Machines[i]
-		if m.Desired == DesiredReturned {
+		if m.Desired == records.DesiredReturned {
 			continue
 		}
 		have[m.Offering.MachineType]++
 		if !m.Offering.Spot {
 			firmHave[m.Offering.MachineType]++
 		}
-		if m.Desired == DesiredInService && (m.Empty || !m.Running) {
-			bins = append(bins, &capacityBin{machine: m, offering: m.Offering, partition: m.Partition, remaining: OfMachineType(types[m.Offering.MachineType])})
+		if m.Desired == records.DesiredInService && (m.Empty || !m.Running) {
+			bins = append(bins, &capacityBin{machine: m, offering: m.Offering, partition: m.Partition, remaining: resource.OfMachineType(types[m.Offering.MachineType])})
 		}
 	}
 	for i := range input.PendingRentals {
@@ -109,7 +112,7 @@
 		if !m.Offering.Spot {
 			firmHave[m.Offering.MachineType]++
 		}
-		bins = append(bins, &capacityBin{offering: m.Offering, partition: m.Partition, remaining: OfMachineType(types[m.Offering.MachineType])})
+		bins = append(bins, &capacityBin{offering: m.Offering, partition: m.Partition, remaining: resource.OfMachineType(types[m.Offering.MachineType])})
 	}
 	type rentKey struct {
 		kind Offering
@@ -141,7 +144,7 @@
 				bin.partition = demand.partition
 			}
 			bin.used = true
-			bin.remaining = bin.remaining.Sub(Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}.Scale(k))
+			bin.remaining = bin.remaining.Sub(demand.Request().Scale(k))
 		}
 	}
 	booked, firm := p.BookedMachines, map[string]float64{}
@@ -161,7 +164,7 @@
 		}
 	}
 	for _, machineType := range input.MachineTypes {
-		inflight := int(math.Ceil(booked[machineType.Name]/f.tuning.InFlightTarget - Epsilon))
+		inflight := int(math.Ceil(booked[machineType.Name]/f.tuning.InFlightTarget - resource.Epsilon))
 		target := inflight
 		if queued[machineType.Name] > 0 {
 			target = max(target, have[machineType.Name]+queued[machineType.Name])
@@ -173,7 +176,7 @@
 				add(offering, busiest, extra)
 			}
 		}
-		f.scaleIn(&p, machineType.Name, have[machineType.Name]-target, int(math.Ceil(firm[machineType.Name]/f.tuning.InFlightTarget-Epsilon)), firmHave[machineType.Name], bins, now)
+		f.scaleIn(&p, machineType.Name, have[machineType.Name]-target, int(math.Ceil(firm[machineType.Name]/f.tuning.InFlightTarget-resource.Epsilon)), firmHave[machineType.Name], bins, now)
 	}
 	for _, k := range order {
 		p.Rentals = append(p.Rentals, Rental{Offering: k.kind, Partition: k.part, Count: rent[k]})
@@ -202,7 +205,7 @@
 		}
 	}
 	var best assignment
-	for _, z := range sortedKeys(zones) {
+	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		a := f.assignInZone(demand, z, input, bins, types, rented)
 		if a.placed > best.placed || (a.placed == best.placed && a.rented < best.rented) {
 			best = a
@@ -213,7 +216,7 @@
 
 func (f *Autoscaler) assignInZone(demand partitionDemand, zone string, input Input, bins []*capacityBin, types map[string]wire.MachineType, rented map[Offering]int) assignment {
 	var a assignment
-	request := Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}
+	request := demand.Request()
 	inZone := map[string]int{}
 	n := f.concurrentTasks(demand.Demand)
 	room := func(z string) int {
@@ -255,7 +258,7 @@
 		if !ok {
 			break
 		}
-		bin := &capacityBin{offering: offering, partition: demand.partition, remaining: OfMachineType(types[offering.MachineType])}
+		bin := &capacityBin{offering: offering, partition: demand.partition, remaining: resource.OfMachineType(types[offering.MachineType])}
 		mine[offering]++
 		a.rented++
 		put(bin, min(room(offering.Zone), bin.remaining.CountOf(request)))
@@ -263,7 +266,7 @@
 	return a
 }
 
-func sortedPartitions(m map[int]PartitionSummary) []int {
+func sortedPartitions(m map[int]records.PartitionSummary) []int {
 	out := make([]int, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -273,7 +276,7 @@
 }
 
 type partitionDemand struct {
-	Demand
+	records.Demand
 	partition int
 }
 
@@ -299,27 +302,27 @@
 
 // concurrentTasks is how many places a demand asks for at once: short tasks of an array
 // follow one another in the same place within the horizon.
-func (f *Autoscaler) concurrentTasks(demand Demand) int {
+func (f *Autoscaler) concurrentTasks(demand records.Demand) int {
 	if demand.Gang || demand.EstimatedRunS >= f.tuning.HorizonS {
 		return demand.Tasks
 	}
 	return max(1, int(math.Ceil(float64(demand.Tasks)*demand.EstimatedRunS/f.tuning.HorizonS/f.tuning.QueueTarget)))
 }
 
-func offeringAllowed(demand Demand, offering Offering, zone string) bool {
-	return TypeAllowed(demand.MachineTypes, offering.MachineType) && (zone == "" || offering.Zone == zone) && (demand.AllowSpot || !offering.Spot)
+func offeringAllowed(demand records.Demand, offering Offering, zone string) bool {
+	return resource.TypeAllowed(demand.MachineTypes, offering.MachineType) && (zone == "" || offering.Zone == zone) && (demand.AllowSpot || !offering.Spot)
 }
 
 // cheapestOffering picks the kind whose machines do the waiting work at the lowest cost.
-func (f *Autoscaler) cheapestOffering(demand Demand, zone string, n int, input Input, types map[string]wire.MachineType, rented map[Offering]int, open func(zone string) bool) (Offering, bool) {
-	request := Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}
+func (f *Autoscaler) cheapestOffering(demand records.Demand, zone string, n int, input Input, types map[string]wire.MachineType, rented map[Offering]int, open func(zone string) bool) (Offering, bool) {
+	request := demand.Request()
 	best, bestCost, bestHave := Offering{}, math.Inf(1), 0
 	for _, machineType := range input.MachineTypes {
-		per := OfMachineType(machineType).CountOf(request)
-		if per == 0 || !TypeAllowed(demand.MachineTypes, machineType.Name) {
+		per := resource.OfMachineType(machineType).CountOf(request)
+		if per == 0 || !resource.TypeAllowed(demand.MachineTypes, machineType.Name) {
 			continue
 		}
-		if demand.GPUs == 0 && machineType.GPUs > 0 && CPUOnlyTypeFits(demand, input.MachineTypes) {
+		if demand.GPUs == 0 && machineType.GPUs > 0 && resource.CPUOnlyTypeFits(request, demand.MachineTypes, slices.Values(input.MachineTypes)) {
 			continue
 		}
 		for _, z := range machineType.Zones {
@@ -343,7 +346,7 @@
 						have++
 					}
 				}
-				if cost < bestCost-Epsilon || (cost < bestCost+Epsilon && have < bestHave) {
+				if cost < bestCost-resource.Epsilon || (cost < bestCost+resource.Epsilon && have < bestHave) {
 					best, bestCost, bestHave = offering, cost, have
 				}
 			}
@@ -352,16 +355,6 @@
 	return best, !math.IsInf(bestCost, 1)
 }
 
-// CPUOnlyTypeFits tells whether a type without GPUs could take the demand.
-func CPUOnlyTypeFits(demand Demand, types []wire.MachineType) bool {
-	for _, machineType := range types {
-		if machineType.GPUs == 0 && TypeAllowed(demand.MachineTypes, machineType.Name) && OfMachineType(machineType).Contains(Vector{demand.CPUs, demand.GPUs, demand.MemoryGB}) {
-			return true
-		}
-	}
-	return false
-}
-
 // offeringWithFewest picks the kind of a machine that the in-flight term asks for: in the
 // zone that has the fewest.
 func (f *Autoscaler) offeringWithFewest(machineType wire.MachineType, spot bool, input Input) (Offering, bool) {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -14,7 +14,7 @@
 func (o *ownedPartition) cancelledJobs(items []wire.KeyValue) []string {
 	ids := make([]string, len(items))
 	for i, it := range items {
-		ids[i] = it.Key[len(core.CancellationPrefix(o.index)):]
+		ids[i] = it.Key[len(records.CancellationPrefix(o.index)):]
 	}
 	return ids
 }
@@ -52,7 +52,7 @@
 	for o.ctx.Err() == nil {
 		o.logStaleness()
 		asked := time.Now()
-		items, _, err := o.controller.store.ListAtOnce(o.ctx, core.CancellationPrefix(o.index))
+		items, _, err := o.controller.store.ListAtOnce(o.ctx, records.CancellationPrefix(o.index))
 		if err != nil {
 			slog.Debug("cancellations not read", "part", o.index, "err", err)
 			transport.Pause(o.ctx, gap/4)
--- a/internal/controller/cluster.go
+++ b/internal/controller/cluster.go
@@ -4,59 +4,37 @@
 	"context"
 	"errors"
 	"log/slog"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
-	"ambersill/internal/core"
-	"ambersill/internal/store"
+	"ambersill/internal/kvstore"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
 
-// Keys of the cluster: who leads, owns and lives, machines and rentals.
-const (
-	clusterPrefix = "c/"
-	leadKey       = "c/lead"
-	levelKey      = "c/level"
-	nodePrefix    = "c/n/"
-	partPrefix    = "c/p/"
-	machinePrefix = "c/m/"
-	rentalPrefix  = "c/h/"
-	summaryPrefix = "s/"
-)
-
-func summaryKey(part int) string { return summaryPrefix + strconv.Itoa(part) }
-
-// notesKey is the key of one of the records of a part's notes on its machines.
-func notesKey(part, i int) string { return summaryKey(part) + "/" + strconv.Itoa(i) }
-
-// demandsKey is the key of one of the records of a part's waiting work, beyond what its
-// summary holds.
-func demandsKey(part, i int) string { return summaryKey(part) + "/w" + strconv.Itoa(i) }
-
 type owner struct {
 	node  string
 	stamp uint64
 }
 
 type machineEntry struct {
-	rec   core.MachineRecord
+	rec   records.MachineRecord
 	group string
 	stamp uint64 // of the group
 }
 
 // nodeEntry is what a live node says of itself.
 type nodeEntry struct {
-	level core.FeatureLevel
+	level records.FeatureLevel
 	stamp uint64
 }
 
 type rentalEntry struct {
-	rec   core.RentalRecord
+	rec   records.RentalRecord
 	stamp uint64
 }
 
@@ -68,7 +46,7 @@
 	lead       owner
 	partitions map[int]owner
 	nodes      map[string]nodeEntry
-	level      core.FeatureLevel
+	level      records.FeatureLevel
 	groups     map[string]groupEntry
 	machines   map[string]machineEntry
 	rentals    map[string]rentalEntry
@@ -76,7 +54,7 @@
 	changed    chan struct{} // closed and replaced at every change
 	onChange   func(machine string, e machineEntry, gone bool)
 	onOwner    func(part int, o owner)
-	onLevel    func(level core.FeatureLevel)
+	onLevel    func(level records.FeatureLevel)
 }
 
 func newCluster() *cluster {
@@ -95,39 +73,39 @@
 	c.mu.Lock()
 	var after func()
 	switch {
-	case key == leadKey:
+	case key == records.LeaderKey:
 		if stamp >= c.lead.stamp {
 			c.lead = c.owner(value, stamp, gone)
 		}
-	case strings.HasPrefix(key, partPrefix):
-		if i, err := strconv.Atoi(key[len(partPrefix):]); err == nil && stamp >= c.partitions[i].stamp {
+	case strings.HasPrefix(key, records.PartitionPrefix):
+		if i, err := strconv.Atoi(key[len(records.PartitionPrefix):]); err == nil && stamp >= c.partitions[i].stamp {
 			o := c.owner(value, stamp, gone)
 			c.partitions[i] = o
 			if c.onOwner != nil {
 				after = func() { c.onOwner(i, o) }
 			}
 		}
-	case strings.HasPrefix(key, nodePrefix):
+	case strings.HasPrefix(key, records.NodePrefix):
 		if gone {
-			delete(c.nodes, key[len(nodePrefix):])
+			delete(c.nodes, key[len(records.NodePrefix):])
 		} else {
-			var r core.NodeRecord
+			var r records.NodeRecord
 			if err := wire.Unmarshal(value, &r); err != nil {
 				slog.Error("record not understood", "key", key, "err", err)
 			}
-			c.nodes[key[len(nodePrefix):]] = nodeEntry{r.Level, stamp}
+			c.nodes[key[len(records.NodePrefix):]] = nodeEntry{r.Level, stamp}
 		}
-	case key == levelKey:
+	case key == records.FeatureLevelKey:
 		after = c.applyLevel(value)
-	case strings.HasPrefix(key, machinePrefix):
-		after = c.applyGroup(key[len(machinePrefix):], value, stamp, gone)
-	case strings.HasPrefix(key, rentalPrefix):
-		id := key[len(rentalPrefix):]
+	case strings.HasPrefix(key, records.MachinePrefix):
+		after = c.applyGroup(key[len(records.MachinePrefix):], value, stamp, gone)
+	case strings.HasPrefix(key, records.RentalPrefix):
+		id := key[len(records.RentalPrefix):]
 		if gone {
 			delete(c.rentals, id)
 			break
 		}
-		var r core.RentalRecord
+		var r records.RentalRecord
 		if wire.Unmarshal(value, &r) == nil {
 			c.rentals[id] = rentalEntry{r, stamp}
 		}
@@ -142,7 +120,7 @@
 
 // applyLevel takes in the feature level, which never goes down.
 func (c *cluster) applyLevel(value wire.Raw) func() {
-	var r core.LevelRecord
+	var r records.LevelRecord
 	if wire.Unmarshal(value, &r) != nil || r.Level <= c.level {
 		return nil
 	}
@@ -154,21 +132,17 @@
 }
 
 // featureLevel is the cluster's feature level as far as this node knows.
-func (c *cluster) featureLevel() core.FeatureLevel {
+func (c *cluster) featureLevel() records.FeatureLevel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.level
 }
 
-func sortedIDs[V any](m map[string]V) []string {
-	return slices.Sorted(maps.Keys(m))
-}
-
 func (c *cluster) owner(value wire.Raw, stamp uint64, gone bool) owner {
 	if gone {
 		return owner{stamp: stamp}
 	}
-	var r core.OwnerRecord
+	var r records.OwnerRecord
 	if wire.Unmarshal(value, &r) != nil {
 		return owner{stamp: stamp}
 	}
@@ -186,26 +160,26 @@
 	c.mu.Lock()
 	var gone []string
 	for i, o := range c.partitions {
-		if k := core.PartitionKey(i); !have[k] && o.node != "" {
+		if k := records.PartitionKey(i); !have[k] && o.node != "" {
 			gone = append(gone, k)
 		}
 	}
-	if c.lead.node != "" && !have[leadKey] {
-		gone = append(gone, leadKey)
+	if c.lead.node != "" && !have[records.LeaderKey] {
+		gone = append(gone, records.LeaderKey)
 	}
 	for n := range c.nodes {
-		if !have[nodePrefix+n] {
-			gone = append(gone, nodePrefix+n)
+		if !have[records.NodePrefix+n] {
+			gone = append(gone, records.NodePrefix+n)
 		}
 	}
 	for n, e := range c.groups {
-		if !have[machinePrefix+n] && e.stamp <= rev {
-			gone = append(gone, machinePrefix+n)
+		if !have[records.MachinePrefix+n] && e.stamp <= rev {
+			gone = append(gone, records.MachinePrefix+n)
 		}
 	}
 	for n := range c.rentals {
-		if !have[rentalPrefix+n] {
-			gone = append(gone, rentalPrefix+n)
+		if !have[records.RentalPrefix+n] {
+			gone = append(gone, records.RentalPrefix+n)
 		}
 	}
 	c.mu.Unlock()
@@ -234,7 +208,7 @@
 
 // follow lists a prefix and then follows its changes until the context ends; upTo is
 // told the revision up to which all have been passed on.
-func follow(ctx context.Context, st *store.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
+func follow(ctx context.Context, st *kvstore.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
 	for ctx.Err() == nil {
 		items, rev, err := st.List(ctx, prefix)
 		if err != nil {
@@ -248,11 +222,11 @@
 }
 
 // followFrom follows a prefix's changes; it returns when they are no longer kept.
-func followFrom(ctx context.Context, st *store.Client, prefix string, rev uint64, event func(wire.Event), upTo func(uint64)) {
+func followFrom(ctx context.Context, st *kvstore.Client, prefix string, rev uint64, event func(wire.Event), upTo func(uint64)) {
 	for ctx.Err() == nil {
 		r, err := st.Watch(ctx, prefix, rev, watchWait)
 		switch {
-		case errors.Is(err, store.ErrCompacted):
+		case errors.Is(err, kvstore.ErrCompacted):
 			return
 		case err != nil:
 			slog.Debug("watch failed", "prefix", prefix, "err", err)
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -6,10 +6,12 @@
 	"errors"
 	"log/slog"
 	"maps"
+	"slices"
 	"time"
 
-	"ambersill/internal/core"
-	"ambersill/internal/store"
+	"ambersill/internal/kvstore"
+	"ambersill/internal/records"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -43,7 +45,7 @@
 }
 
 // commit sends a batch; false: wait before the next one.
-func (o *ownedPartition) commit(b *core.Batch) bool {
+func (o *ownedPartition) commit(b *scheduler.Batch) bool {
 	rev, err := o.controller.store.Commit(o.ctx, b.Txn)
 	if err == nil {
 		o.mu.Lock()
@@ -52,10 +54,10 @@
 		return true
 	}
 	switch {
-	case errors.Is(err, store.ErrRefused):
+	case errors.Is(err, kvstore.ErrRefused):
 		transport.Pause(o.ctx, 100*time.Millisecond)
 		return false
-	case errors.Is(err, store.ErrInvalid):
+	case errors.Is(err, kvstore.ErrInvalid):
 		// Not carried out, and never will be as it is: the next one has to be smaller.
 		slog.Error("commit over the state service's limits", "part", o.index, "changes", len(b.Txn.Writes), "err", err)
 		if err := o.controller.rereadLevel(o.ctx); err != nil {
@@ -67,7 +69,7 @@
 		transport.Pause(o.ctx, 100*time.Millisecond)
 		return false
 	}
-	var conflict *store.Conflict
+	var conflict *kvstore.Conflict
 	if errors.As(err, &conflict) {
 		slog.Debug("commit conflict", "part", o.index, "keys", conflict.Keys)
 	} else {
@@ -83,23 +85,23 @@
 	return false
 }
 
-func (o *ownedPartition) refresh(b *core.Batch, key string) bool {
+func (o *ownedPartition) refresh(b *scheduler.Batch, key string) bool {
 	for o.ctx.Err() == nil {
 		it, err := o.controller.store.Get(o.ctx, key)
-		if err != nil && !errors.Is(err, store.ErrNotFound) {
+		if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 			transport.Pause(o.ctx, 300*time.Millisecond)
 			continue
 		}
-		if key == core.PartitionKey(o.index) {
+		if key == records.PartitionKey(o.index) {
 			if it.Revision != o.revision {
 				o.controller.lose(o, "its key has another stamp")
 				return false
 			}
 			return true
 		}
-		var rec *core.JobRecord
+		var rec *records.JobRecord
 		if len(it.Value) > 0 && key[:2] == "j/" {
-			rec = &core.JobRecord{}
+			rec = &records.JobRecord{}
 			if uerr := wire.Unmarshal(it.Value, rec); uerr != nil {
 				rec = nil
 			}
@@ -116,7 +118,7 @@
 // and raises the tokens of those where an order's outcome is unknown.
 func (o *ownedPartition) release() {
 	o.mu.Lock()
-	changes := map[string]*core.MachineRecord{}
+	changes := map[string]*records.MachineRecord{}
 	for id, r := range o.partition.ReleasableMachines() {
 		changes[id] = &r
 	}
@@ -132,14 +134,14 @@
 		e, _ := o.controller.cluster.machine(id)
 		r.FencingToken = max(o.controller.store.Revision(), o.revision, e.stamp) + 1
 	}
-	if err := o.controller.rewrite(o.ctx, wire.Compare{Key: core.PartitionKey(o.index), Revision: o.revision}, changes); err != nil {
+	if err := o.controller.rewrite(o.ctx, wire.Compare{Key: records.PartitionKey(o.index), Revision: o.revision}, changes); err != nil {
 		slog.Debug("machines' records not rewritten", "part", o.index, "err", err)
 	}
 }
 
 // rewrite changes machines' records under the fence of the part's owner or the
 // leader; nil removes one.
-func (c *Controller) rewrite(ctx context.Context, fence wire.Compare, changes map[string]*core.MachineRecord) error {
+func (c *Controller) rewrite(ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord) error {
 	limit := c.groupLimit()
 	most := min(c.limits.TxnOps, max(1, tuning.TxnBytes/limit))
 	var next groupChange
@@ -190,23 +192,23 @@
 	o.mu.Lock()
 	s := o.partition.Summary(time.Now())
 	o.mu.Unlock()
-	records := map[string]any{}
+	values := map[string]any{}
 	notes := s.SplitMachineDigests(o.controller.limits.ValueKB)
 	for i, n := range notes {
-		records[notesKey(o.index, i)] = n
+		values[records.MachineDigestsKey(o.index, i)] = n
 	}
 	s.DigestRecords = len(notes)
 	more := s.SplitWaiting(o.controller.limits.ValueKB)
 	for i, demands := range more {
-		records[demandsKey(o.index, i)] = demands
+		values[records.WaitingKey(o.index, i)] = demands
 	}
 	s.OverflowRecords = len(more)
-	records[summaryKey(o.index)] = s
+	values[records.SummaryKey(o.index)] = s
 	// The condition on the part's key alone fences it: only owners write here.
-	txn := wire.Txn{Compares: []wire.Compare{{Key: core.PartitionKey(o.index), Revision: o.revision}}}
+	txn := wire.Txn{Compares: []wire.Compare{{Key: records.PartitionKey(o.index), Revision: o.revision}}}
 	changed := map[string][]byte{}
-	for _, key := range sortedIDs(records) {
-		b, err := wire.Marshal(records[key])
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		b, err := wire.Marshal(values[key])
 		if err != nil || bytes.Equal(b, o.last[key]) || len(txn.Writes) == o.controller.limits.TxnOps {
 			continue
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,9 +12,9 @@
 
 	"ambersill/internal/cloud"
 	"ambersill/internal/config"
-	"ambersill/internal/core"
+	"ambersill/internal/kvstore"
 	"ambersill/internal/peerrpc"
-	"ambersill/internal/store"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -26,7 +26,7 @@
 	settings   *config.Settings
 	net        transport.Net
 	tuning     tuning.Tuning
-	store      *store.Client
+	store      *kvstore.Client
 	cloud      *cloud.Client
 	workers    *worker.Client
 	orders     *orders
@@ -36,7 +36,7 @@
 	// limits are those of the state service that all that is written keeps to.
 	limits config.StateLimits
 	// announced is the feature level that this node says it knows.
-	announced core.FeatureLevel
+	announced records.FeatureLevel
 	// forwarders pass workers' reports on, by the node that they go to.
 	forwarders map[string]*forwarder
 	// telling holds a place for each cancellation that an owner is told of.
@@ -48,7 +48,7 @@
 	lease      uint64
 	leaseUntil time.Time // until then the lease lasts for sure, whatever becomes of contact
 	leading    bool
-	finals     map[string]core.JobRecord
+	finals     map[string]records.JobRecord
 	addrs      map[string]string // where machines can be reached, by their reports or the list
 	visits     map[string]visit  // workers that report here but are assigned to other nodes, by machine
 	restPart   map[int]time.Time // parts not to be claimed again at once
@@ -58,9 +58,9 @@
 func New(s *config.Settings, t tuning.Tuning, n transport.Net) *Controller {
 	st := s.WriteLimits()
 	c := &Controller{
-		settings: s, limits: st, announced: core.CurrentFeatureLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
-		owned: map[int]*ownedPartition{}, finals: map[string]core.JobRecord{}, addrs: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, restPart: map[int]time.Time{},
-		store:   store.New(store.Options{Net: n, Addr: s.Outside.State, Timeout: tuning.Seconds(t.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
+		settings: s, limits: st, announced: records.CurrentFeatureLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
+		owned: map[int]*ownedPartition{}, finals: map[string]records.JobRecord{}, addrs: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, restPart: map[int]time.Time{},
+		store:   kvstore.New(kvstore.Options{Net: n, Addr: s.Outside.State, Timeout: tuning.Seconds(t.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
 		cloud:   cloud.New(n, s.Outside.Cloud, s.Cluster.Cloud.RPS),
 		workers: worker.New(n, tuning.Seconds(s.Cluster.Workers.ReportS)),
 		orders:  newOrders(s.Cluster.Limits.MaxSockets), telling: make(chan struct{}, maxTellings),
@@ -102,7 +102,7 @@
 	duty("users and workers", c.serve)
 	duty("peer calls", func(ctx context.Context) error { return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c) })
 	duty("cluster watch", func(ctx context.Context) error {
-		follow(ctx, c.store, clusterPrefix, c.cluster.reset, func(e wire.Event) {
+		follow(ctx, c.store, records.ClusterPrefix, c.cluster.reset, func(e wire.Event) {
 			if e.Delete != "" {
 				c.cluster.apply(e.Delete, nil, e.Revision, true)
 			} else {
--- a/internal/controller/groups.go
+++ b/internal/controller/groups.go
@@ -6,12 +6,12 @@
 	"maps"
 	"slices"
 
-	"ambersill/internal/core"
+	"ambersill/internal/records"
 	"ambersill/internal/wire"
 )
 
 type groupEntry struct {
-	rec   core.MachineGroupRecord
+	rec   records.MachineGroupRecord
 	stamp uint64
 }
 
@@ -21,11 +21,11 @@
 	if stamp < old.stamp {
 		return nil
 	}
-	var g core.MachineGroupRecord
+	var g records.MachineGroupRecord
 	if !gone {
 		var err error
-		if g, err = core.DecodeMachineGroup(name, value, stamp); err != nil {
-			slog.Error("record not understood", "key", machinePrefix+name, "err", err)
+		if g, err = records.DecodeMachineGroup(name, value, stamp); err != nil {
+			slog.Error("record not understood", "key", records.MachinePrefix+name, "err", err)
 			return nil
 		}
 	}
@@ -70,12 +70,12 @@
 
 // regroup builds the writes that change machines' records; nil removes one. Groups
 // that are not in the copy any more are left out. No group is larger than the limit.
-func (c *cluster) regroup(changes map[string]*core.MachineRecord, limit int) []groupChange {
+func (c *cluster) regroup(changes map[string]*records.MachineRecord, limit int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := map[string]core.MachineGroupRecord{}
+	next := map[string]records.MachineGroupRecord{}
 	var order []string
-	for _, id := range sortedIDs(changes) {
+	for _, id := range slices.Sorted(maps.Keys(changes)) {
 		e, ok := c.machines[id]
 		if !ok {
 			continue
@@ -100,8 +100,8 @@
 }
 
 // changeGroup builds the writes of one group.
-func changeGroup(name string, stamp uint64, g core.MachineGroupRecord, limit int) groupChange {
-	key := machinePrefix + name
+func changeGroup(name string, stamp uint64, g records.MachineGroupRecord, limit int) groupChange {
+	key := records.MachinePrefix + name
 	change := groupChange{conds: []wire.Compare{{Key: key, Revision: stamp}}}
 	if len(g.Machines) == 0 {
 		change.then = []wire.Write{{Delete: key}}
@@ -120,7 +120,7 @@
 // the first format could take a machine for gone for a moment when its group is divided,
 // so that none is as long as there may be any.
 func (c *Controller) groupLimit() int {
-	if c.cluster.featureLevel() < core.FeatureExplicitChunks {
+	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return int(c.settings.Cluster.State.ValueKB * 1024)
 	}
 	return int(c.limits.ValueKB * 1024)
@@ -138,8 +138,8 @@
 }
 
 // newGroup is the write of a new group, named after its first machine.
-func newGroup(g core.MachineGroupRecord) (wire.Compare, wire.Write) {
-	key := machinePrefix + slices.Min(sortedIDs(g.Machines))
+func newGroup(g records.MachineGroupRecord) (wire.Compare, wire.Write) {
+	key := records.MachinePrefix + slices.Min(slices.Sorted(maps.Keys(g.Machines)))
 	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: g}
 }
 
@@ -148,9 +148,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
-	for _, name := range sortedIDs(c.groups) {
+	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
 		if g := c.groups[name].rec; g.SizeBound() > limit {
-			out = append(out, slices.Min(sortedIDs(g.Machines)))
+			out = append(out, slices.Min(slices.Sorted(maps.Keys(g.Machines))))
 		}
 	}
 	return out
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -3,10 +3,12 @@
 import (
 	"context"
 	"log/slog"
+	"maps"
 	"slices"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/autoscaler"
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -72,23 +74,23 @@
 // result is false if some could not be recorded.
 func (l *leader) takeIn(ctx context.Context, list []wire.CloudMachine, recs map[string]machineEntry) bool {
 	now := time.Now()
-	groups := map[core.Offering][]string{}
-	taken := map[string]core.MachineRecord{}
+	groups := map[autoscaler.Offering][]string{}
+	taken := map[string]records.MachineRecord{}
 	for _, m := range list {
 		_, known := recs[m.ID]
 		_, returned := l.gone[m.ID]
 		if known || returned || m.State == wire.MachineFailed {
 			continue
 		}
-		rec := core.MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Partition: l.partFor(recs),
+		rec := records.MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Partition: l.partFor(recs),
 			CreatedAtMS: now.UnixMilli() - int64(m.AgeS*1000)}
 		recs[m.ID] = machineEntry{rec: rec}
 		taken[m.ID] = rec
-		k := core.Offering{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
+		k := autoscaler.Offering{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
 		groups[k] = append(groups[k], m.ID)
 	}
 	for k, ids := range groups {
-		for part := range slices.Chunk(ids, core.MachinesPerGroup(l.controller.limits.ValueKB, k.MachineType, k.Zone)) {
+		for part := range slices.Chunk(ids, records.MachinesPerGroup(l.controller.limits.ValueKB, k.MachineType, k.Zone)) {
 			cond, put := newGroup(groupOf(part, taken))
 			rev, err := l.commit(ctx, []wire.Compare{cond}, []wire.Write{put})
 			if err != nil {
@@ -103,8 +105,8 @@
 }
 
 // groupOf joins the records of some machines.
-func groupOf(ids []string, recs map[string]core.MachineRecord) core.MachineGroupRecord {
-	g := core.MachineGroupRecord{Machines: map[string]core.MachineRecord{}}
+func groupOf(ids []string, recs map[string]records.MachineRecord) records.MachineGroupRecord {
+	g := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for _, id := range ids {
 		g.Machines[id] = recs[id]
 	}
@@ -149,15 +151,15 @@
 		late := now.Sub(time.UnixMilli(e.rec.CreatedAtMS)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[e.rec.MachineType]+l.controller.settings.Cluster.Cloud.ListLagS)
 		reason := ""
 		switch {
-		case e.rec.Desired == core.DesiredReturned && e.rec.Released:
+		case e.rec.Desired == records.DesiredReturned && e.rec.Released:
 			reason = "let go"
 		case listed && m.State == wire.MachineFailed:
 			reason = "failed"
 		case l.absent[id] >= gone:
 			reason = "no longer listed"
-		case notes[id]&core.DigestUnhealthy != 0:
+		case notes[id]&records.DigestUnhealthy != 0:
 			reason = "faulty or silent"
-		case late && notes[id]&core.DigestReporting == 0 && !(listed && m.State == wire.MachineRunning):
+		case late && notes[id]&records.DigestReporting == 0 && !(listed && m.State == wire.MachineRunning):
 			reason = "did not come up"
 		}
 		if reason != "" && len(back) < tuning.MaxReturn {
@@ -180,15 +182,15 @@
 		slog.Debug("machines not returned", "ids", ids, "err", err)
 		return
 	}
-	for _, reason := range sortedIDs(why) {
+	for _, reason := range slices.Sorted(maps.Keys(why)) {
 		slog.Info("returned", "machines", why[reason], "why", reason)
 	}
-	changes := map[string]*core.MachineRecord{}
+	changes := map[string]*records.MachineRecord{}
 	for _, id := range ids {
 		l.gone[id] = time.Now()
 		if e, ok := l.controller.cluster.machine(id); ok {
 			// There is room again for its like.
-			delete(l.refused, core.Offering{MachineType: e.rec.MachineType, Zone: e.rec.Zone, Spot: e.rec.Spot})
+			delete(l.refused, autoscaler.Offering{MachineType: e.rec.MachineType, Zone: e.rec.Zone, Spot: e.rec.Spot})
 			changes[id] = nil
 		}
 	}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
@@ -27,7 +27,7 @@
 		if e.Put == "" {
 			return
 		}
-		var r core.JobRecord
+		var r records.JobRecord
 		if err := wire.Unmarshal(e.Value, &r); err != nil || r.Job == nil || r.Partition != o.index {
 			return
 		}
@@ -45,23 +45,23 @@
 
 // reread takes in jobs and cancellations that the watch has missed.
 func (o *ownedPartition) reread() (uint64, error) {
-	_, rev, err := o.controller.store.List(o.ctx, core.PartitionKey(o.index))
+	_, rev, err := o.controller.store.List(o.ctx, records.PartitionKey(o.index))
 	if err != nil {
 		return 0, err
 	}
-	chunks, _, err := o.controller.store.List(o.ctx, core.ChunkPrefix(o.index))
+	chunks, _, err := o.controller.store.List(o.ctx, records.ChunkPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
-	marks, _, err := o.controller.store.List(o.ctx, core.CancellationPrefix(o.index))
+	marks, _, err := o.controller.store.List(o.ctx, records.CancellationPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, it := range chunks {
-		var r core.ChunkRecord
-		if _, name, ok := core.ParseChunkKey(it.Key); ok && core.IsFirstChunk(name) && wire.Unmarshal(it.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
+		var r records.ChunkRecord
+		if _, name, ok := records.ParseChunkKey(it.Key); ok && records.IsFirstChunk(name) && wire.Unmarshal(it.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
 			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), it.Revision)
 		}
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -7,8 +7,9 @@
 	"sort"
 	"time"
 
-	"ambersill/internal/core"
-	"ambersill/internal/store"
+	"ambersill/internal/autoscaler"
+	"ambersill/internal/kvstore"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -26,8 +27,8 @@
 			if lead.node != "" {
 				stamp = lead.stamp // an earlier process of this node, surely gone
 			}
-			if rev, err := c.claimKey(ctx, leadKey, stamp, hold); err == nil {
-				c.cluster.apply(leadKey, must(wire.Marshal(core.OwnerRecord{Node: c.settings.Node})), rev, false)
+			if rev, err := c.claimKey(ctx, records.LeaderKey, stamp, hold); err == nil {
+				c.cluster.apply(records.LeaderKey, must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node})), rev, false)
 				c.setLeading(true)
 				newLeader(c, rev, hold).run(ctx)
 				c.setLeading(false)
@@ -51,9 +52,9 @@
 func (c *Controller) claimKey(ctx context.Context, key string, stamp, hold uint64) (uint64, error) {
 	rev, err := c.store.Commit(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: stamp}},
-		Writes:   []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
+		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
 	})
-	if !errors.Is(err, store.ErrUnknown) {
+	if !errors.Is(err, kvstore.ErrUnknown) {
 		return rev, err
 	}
 	// It may have been carried out: the key tells.
@@ -69,15 +70,15 @@
 	controller *Controller
 	revision   uint64
 	lease      uint64 // that the lead was claimed under
-	fleet      *core.Autoscaler
+	fleet      *autoscaler.Autoscaler
 	next       int // number of the next rental of this term
 
 	listed    map[string]wire.CloudMachine
 	absent    map[string]int       // lists in a row that lack a machine once listed
 	seen      map[string]bool      // machines once listed
 	gone      map[string]time.Time // machines returned, which the list may still show
-	refused   map[core.Offering]refusal
-	summaries map[int]core.PartitionSummary
+	refused   map[autoscaler.Offering]refusal
+	summaries map[int]records.PartitionSummary
 	round     time.Time
 	tried     map[string]time.Time // last call for a recorded rental
 	own       map[string]bool      // rentals recorded in this term
@@ -85,16 +86,16 @@
 }
 
 func newLeader(c *Controller, stamp, hold uint64) *leader {
-	return &leader{controller: c, revision: stamp, lease: hold, fleet: core.New(&c.tuning), listed: map[string]wire.CloudMachine{}, absent: map[string]int{},
-		seen: map[string]bool{}, gone: map[string]time.Time{}, refused: map[core.Offering]refusal{}, summaries: map[int]core.PartitionSummary{}, tried: map[string]time.Time{}, own: map[string]bool{}}
+	return &leader{controller: c, revision: stamp, lease: hold, fleet: autoscaler.New(&c.tuning), listed: map[string]wire.CloudMachine{}, absent: map[string]int{},
+		seen: map[string]bool{}, gone: map[string]time.Time{}, refused: map[autoscaler.Offering]refusal{}, summaries: map[int]records.PartitionSummary{}, tried: map[string]time.Time{}, own: map[string]bool{}}
 }
 
 // maxRent is how many machines one rental may bring: their groups are recorded in one
 // transaction, which deletes the rental's record as well.
-func (l *leader) maxRent(k core.Offering) int {
+func (l *leader) maxRent(k autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, max(1, tuning.TxnBytes/int(limits.ValueKB*1024)))
-	return min(tuning.MaxRent, groups*core.MachinesPerGroup(limits.ValueKB, k.MachineType, k.Zone))
+	return min(tuning.MaxRent, groups*records.MachinesPerGroup(limits.ValueKB, k.MachineType, k.Zone))
 }
 
 // leads tells whether the lead's key still shows this term.
@@ -171,7 +172,9 @@
 	return false
 }
 
-func (l *leader) fence() wire.Compare { return wire.Compare{Key: leadKey, Revision: l.revision} }
+func (l *leader) fence() wire.Compare {
+	return wire.Compare{Key: records.LeaderKey, Revision: l.revision}
+}
 
 // commit runs a transaction of the leader's, fenced by the lead's stamp.
 func (l *leader) commit(ctx context.Context, conds []wire.Compare, then []wire.Write) (uint64, error) {
@@ -191,7 +194,7 @@
 }
 
 func (l *leader) readSummaries(ctx context.Context) {
-	items, _, err := l.controller.store.List(ctx, summaryPrefix)
+	items, _, err := l.controller.store.List(ctx, records.SummaryPrefix)
 	if err != nil {
 		slog.Debug("summaries not read", "err", err)
 		return
@@ -201,21 +204,21 @@
 		values[it.Key] = it.Value
 	}
 	for part := range l.controller.partitions {
-		var s core.PartitionSummary
-		v, ok := values[summaryKey(part)]
+		var s records.PartitionSummary
+		v, ok := values[records.SummaryKey(part)]
 		if !ok || wire.Unmarshal(v, &s) != nil {
 			continue
 		}
-		s.MachineDigests = map[string]core.MachineDigest{}
+		s.MachineDigests = map[string]records.MachineDigest{}
 		for i := range s.DigestRecords {
 			// Into the same map: the records have no name in common.
-			if err := wire.Unmarshal(values[notesKey(part, i)], &s.MachineDigests); err != nil {
+			if err := wire.Unmarshal(values[records.MachineDigestsKey(part, i)], &s.MachineDigests); err != nil {
 				slog.Debug("notes on machines not read", "part", part, "err", err)
 			}
 		}
 		for i := range s.OverflowRecords {
-			var more []core.Demand
-			if err := wire.Unmarshal(values[demandsKey(part, i)], &more); err != nil {
+			var more []records.Demand
+			if err := wire.Unmarshal(values[records.WaitingKey(part, i)], &more); err != nil {
 				slog.Debug("demands not read", "part", part, "err", err)
 			}
 			s.Waiting = append(s.Waiting, more...)
@@ -225,8 +228,8 @@
 }
 
 // notes joins what the parts' owners tell of their machines.
-func (l *leader) notes() map[string]core.MachineDigest {
-	out := map[string]core.MachineDigest{}
+func (l *leader) notes() map[string]records.MachineDigest {
+	out := map[string]records.MachineDigest{}
 	for _, s := range l.summaries {
 		for id, n := range s.MachineDigests {
 			out[id] |= n
@@ -244,19 +247,19 @@
 	now := time.Now()
 	notes := l.notes()
 	ids, recs := l.machines()
-	in := core.Input{MachineTypes: types, Summaries: l.summaries, Unavailable: map[core.Offering]bool{}}
+	in := autoscaler.Input{MachineTypes: types, Summaries: l.summaries, Unavailable: map[autoscaler.Offering]bool{}}
 	for _, id := range ids {
 		r := recs[id].rec
 		// One that is up, but was never heard since its part's owner changed, is cut off or
 		// hangs: as a machine that is still to come it would keep others from being rented.
-		unheard := notes[id]&core.DigestNeverHeard != 0 && l.listed[id].State == wire.MachineRunning
-		in.Machines = append(in.Machines, core.Machine_{ID: id, Offering: core.Offering{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot},
-			Partition: r.Partition, Desired: r.Desired, Empty: notes[id]&core.DigestEmpty != 0, Running: notes[id]&core.DigestReporting != 0 || unheard})
+		unheard := notes[id]&records.DigestNeverHeard != 0 && l.listed[id].State == wire.MachineRunning
+		in.Machines = append(in.Machines, autoscaler.Machine{ID: id, Offering: autoscaler.Offering{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot},
+			Partition: r.Partition, Desired: r.Desired, Empty: notes[id]&records.DigestEmpty != 0, Running: notes[id]&records.DigestReporting != 0 || unheard})
 	}
 	l.controller.cluster.mu.Lock()
 	for _, h := range l.controller.cluster.rentals {
 		for range h.rec.Count {
-			in.PendingRentals = append(in.PendingRentals, core.Machine_{Offering: core.Offering{MachineType: h.rec.MachineType, Zone: h.rec.Zone, Spot: h.rec.Spot}, Partition: h.rec.Partition})
+			in.PendingRentals = append(in.PendingRentals, autoscaler.Machine{Offering: autoscaler.Offering{MachineType: h.rec.MachineType, Zone: h.rec.Zone, Spot: h.rec.Spot}, Partition: h.rec.Partition})
 		}
 	}
 	l.controller.cluster.mu.Unlock()
@@ -273,15 +276,15 @@
 			l.record(ctx, r, min(n, most))
 		}
 	}
-	wishes := map[string]*core.MachineRecord{}
+	wishes := map[string]*records.MachineRecord{}
 	for _, m := range plan.Reassignments {
 		r := recs[m.MachineID].rec
-		r.Desired, r.MoveTo = core.DesiredMoved, m.ToPartition
+		r.Desired, r.MoveTo = records.DesiredMoved, m.ToPartition
 		wishes[m.MachineID] = &r
 	}
 	for _, id := range plan.Returns {
 		r := recs[id].rec
-		r.Desired = core.DesiredReturned
+		r.Desired = records.DesiredReturned
 		wishes[id] = &r
 	}
 	if err := l.controller.rewrite(ctx, l.fence(), wishes); err != nil {
--- a/internal/controller/level.go
+++ b/internal/controller/level.go
@@ -5,13 +5,13 @@
 	"errors"
 	"log/slog"
 
-	"ambersill/internal/core"
-	"ambersill/internal/store"
+	"ambersill/internal/kvstore"
+	"ambersill/internal/records"
 	"ambersill/internal/wire"
 )
 
 // levelRaised tells the owned partitions of a new feature level.
-func (c *Controller) levelRaised(level core.FeatureLevel) {
+func (c *Controller) levelRaised(level records.FeatureLevel) {
 	slog.Info("feature level", "level", level)
 	c.mu.Lock()
 	owned := c.ownedPartitions()
@@ -29,31 +29,31 @@
 // higher one. The commit names what each node's record says, so that one that has come
 // back with an older program meanwhile makes it fail.
 func (l *leader) raiseLevel(ctx context.Context) {
-	conds, ready := l.controller.cluster.readyFor(core.CurrentFeatureLevel, l.controller.memberNames())
+	conds, ready := l.controller.cluster.readyFor(records.CurrentFeatureLevel, l.controller.memberNames())
 	if !ready {
 		return
 	}
 	conds = conds[:min(len(conds), l.maxConditions())]
-	put := wire.Write{Put: levelKey, Value: core.LevelRecord{Level: core.CurrentFeatureLevel}}
+	put := wire.Write{Put: records.FeatureLevelKey, Value: records.LevelRecord{Level: records.CurrentFeatureLevel}}
 	rev, err := l.commit(ctx, conds, []wire.Write{put})
 	if err != nil {
 		slog.Debug("feature level not raised", "err", err)
 		return
 	}
-	l.controller.cluster.apply(levelKey, must(wire.Marshal(put.Value)), rev, false)
+	l.controller.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(put.Value)), rev, false)
 }
 
 // rereadLevel reads the feature level: a copy that is behind must not keep a partition in
 // formats that are too large by now.
 func (c *Controller) rereadLevel(ctx context.Context) error {
-	it, err := c.store.Get(ctx, levelKey)
-	if errors.Is(err, store.ErrNotFound) {
+	it, err := c.store.Get(ctx, records.FeatureLevelKey)
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	c.cluster.apply(levelKey, it.Value, it.Revision, false)
+	c.cluster.apply(records.FeatureLevelKey, it.Value, it.Revision, false)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 
 // readyFor tells whether the level is lower than the given one and all nodes named live
 // and know it, and returns the conditions under which that still holds.
-func (c *cluster) readyFor(level core.FeatureLevel, names []string) ([]wire.Compare, bool) {
+func (c *cluster) readyFor(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.level >= level {
@@ -88,7 +88,7 @@
 		if !live || n.level < level {
 			return nil, false
 		}
-		conds = append(conds, wire.Compare{Key: nodePrefix + name, Revision: n.stamp})
+		conds = append(conds, wire.Compare{Key: records.NodePrefix + name, Revision: n.stamp})
 	}
 	return conds, true
 }
@@ -104,7 +104,7 @@
 	if !ok {
 		return
 	}
-	changes := map[string]*core.MachineRecord{ids[0]: &entry.rec}
+	changes := map[string]*records.MachineRecord{ids[0]: &entry.rec}
 	if err := l.controller.rewrite(ctx, l.fence(), changes); err != nil {
 		slog.Debug("group of machines not divided", "err", err)
 	}
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -2,9 +2,12 @@
 
 import (
 	"log/slog"
+	"maps"
+	"slices"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/records"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/wire"
 )
 
@@ -28,7 +31,7 @@
 		return 0, err
 	}
 	now := time.Now()
-	p := core.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
+	p := scheduler.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
 	p.SetMachineTypes(o.controller.catalog())
 	p.SetLevel(o.controller.cluster.featureLevel())
 	if err := loadMachines(p, records.machines, now); err != nil {
@@ -51,20 +54,20 @@
 		return revision
 	}
 	var key []wire.KeyValue
-	list(machinePrefix, &r.machines)
+	list(records.MachinePrefix, &r.machines)
 	// The watch starts before the jobs are read, so that none falls between.
-	r.revision = list(core.PartitionKey(o.index), &key)
-	list(core.ChunkPrefix(o.index), &r.chunks)
-	list(core.JournalPrefix(o.index), &r.journal)
+	r.revision = list(records.PartitionKey(o.index), &key)
+	list(records.ChunkPrefix(o.index), &r.chunks)
+	list(records.JournalPrefix(o.index), &r.journal)
 	r.askedAt = time.Now()
-	list(core.CancellationPrefix(o.index), &r.cancellations)
+	list(records.CancellationPrefix(o.index), &r.cancellations)
 	return r, err
 }
 
 // loadMachines gives the partition its machines.
-func loadMachines(p *core.Partition, groups []wire.KeyValue, now time.Time) error {
+func loadMachines(p *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
 	for _, it := range groups {
-		g, err := core.DecodeMachineGroup(it.Key[len(machinePrefix):], it.Value, it.Revision)
+		g, err := records.DecodeMachineGroup(it.Key[len(records.MachinePrefix):], it.Value, it.Revision)
 		if err != nil {
 			return err
 		}
@@ -76,42 +79,42 @@
 }
 
 // decodeChunks decodes the chunks of jobs' tasks; what is not understood is left out.
-func decodeChunks(items []wire.KeyValue) []core.LoadedChunk {
-	var all []core.LoadedChunk
+func decodeChunks(items []wire.KeyValue) []records.LoadedChunk {
+	var all []records.LoadedChunk
 	for _, it := range items {
-		id, name, ok := core.ParseChunkKey(it.Key)
-		var r core.ChunkRecord
+		id, name, ok := records.ParseChunkKey(it.Key)
+		var r records.ChunkRecord
 		if err := wire.Unmarshal(it.Value, &r); err != nil || !ok {
 			slog.Error("record not understood", "key", it.Key, "err", err)
 			continue
 		}
-		all = append(all, core.LoadedChunk{JobID: id, Name: name, Revision: it.Revision, Record: r})
+		all = append(all, records.LoadedChunk{JobID: id, Name: name, Revision: it.Revision, Record: r})
 	}
 	return all
 }
 
 // decodeJournal decodes the journal; what is not understood is left out.
-func decodeJournal(items []wire.KeyValue) []core.LoadedJournalRecord {
-	var all []core.LoadedJournalRecord
+func decodeJournal(items []wire.KeyValue) []records.LoadedJournalRecord {
+	var all []records.LoadedJournalRecord
 	for _, it := range items {
-		var r core.JournalRecord
+		var r records.JournalRecord
 		if err := wire.Unmarshal(it.Value, &r); err != nil {
 			slog.Error("record not understood", "key", it.Key, "err", err)
 			continue
 		}
-		all = append(all, core.LoadedJournalRecord{Revision: it.Revision, Record: r})
+		all = append(all, records.LoadedJournalRecord{Revision: it.Revision, Record: r})
 	}
 	return all
 }
 
 // publish has the partition answer reports from now on, with the changes of machines that
 // came while it was read.
-func (o *ownedPartition) publish(p *core.Partition, knownUntil time.Time) {
+func (o *ownedPartition) publish(p *scheduler.Partition, knownUntil time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.partition, o.knownUntil = p, knownUntil
 	o.partition.SetLevel(o.controller.cluster.featureLevel()) // also if it was raised meanwhile
-	for _, id := range sortedIDs(o.early) {
+	for _, id := range slices.Sorted(maps.Keys(o.early)) {
 		o.apply(id, o.early[id].e, o.early[id].gone)
 	}
 	o.early = nil
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/kvstore"
 	"ambersill/internal/peerrpc"
-	"ambersill/internal/store"
+	"ambersill/internal/records"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -61,7 +61,7 @@
 			case err == nil:
 				extended = asked
 				c.setLease(c.lease, asked)
-			case errors.Is(err, store.ErrNotFound):
+			case errors.Is(err, kvstore.ErrNotFound):
 				// The hold ran out: whatever was attached to it is gone, and others
 				// may own it by now.
 				slog.Info("lease lost", "lease", c.lease)
@@ -90,8 +90,8 @@
 // enter writes what this node says of itself under its lease. Without an answer it is
 // written again, which changes nothing.
 func (c *Controller) enter(ctx context.Context) bool {
-	record := core.NodeRecord{Node: c.settings.Node, Level: c.announced}
-	put := wire.Write{Put: nodePrefix + c.settings.Node, Value: record, LeaseID: c.currentLease()}
+	record := records.NodeRecord{Node: c.settings.Node, Level: c.announced}
+	put := wire.Write{Put: records.NodePrefix + c.settings.Node, Value: record, LeaseID: c.currentLease()}
 	_, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{put}})
 	if err != nil {
 		slog.Debug("node not entered", "err", err)
@@ -173,12 +173,12 @@
 	if hold == 0 {
 		return
 	}
-	key := core.PartitionKey(part)
+	key := records.PartitionKey(part)
 	rev, err := c.store.Commit(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: stamp}},
-		Writes:   []wire.Write{{Put: key, Value: core.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
+		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
 	})
-	if errors.Is(err, store.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrUnknown) {
 		// It may have been carried out: the key tells.
 		it, gerr := c.store.Get(ctx, key)
 		if gerr != nil || it.LeaseID != hold {
@@ -202,7 +202,7 @@
 	c.owned[part] = o
 	c.mu.Unlock()
 	c.share()
-	c.cluster.apply(key, must(wire.Marshal(core.OwnerRecord{Node: c.settings.Node})), rev, false)
+	c.cluster.apply(key, must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node})), rev, false)
 	if w := c.cluster.snapshotOwner(part); w.stamp > rev {
 		// The hold ran out on the way, and the news of the next owner came before the
 		// answer: nothing would drop the part that was not there yet.
@@ -252,9 +252,9 @@
 	if claim.Partition < 0 || claim.Partition >= c.partitions {
 		return
 	}
-	value, err := wire.Marshal(core.OwnerRecord{Node: claim.Node})
+	value, err := wire.Marshal(records.OwnerRecord{Node: claim.Node})
 	if err != nil {
 		return
 	}
-	c.cluster.apply(core.PartitionKey(claim.Partition), value, claim.Revision, false)
+	c.cluster.apply(records.PartitionKey(claim.Partition), value, claim.Revision, false)
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
 	"ambersill/internal/worker"
 )
@@ -116,8 +116,8 @@
 
 // order sends a machine its starts and stops.
 func (o *ownedPartition) order(id, addr string) {
-	outcome := core.CommandsExecuted
-	defer func() { o.end(id, outcome == core.CommandsExecuted) }()
+	outcome := scheduler.CommandsExecuted
+	defer func() { o.end(id, outcome == scheduler.CommandsExecuted) }()
 	fresh := o.fresh()
 	o.mu.Lock()
 	ord, ok := o.partition.DirectCommands(id, fresh)
@@ -126,12 +126,12 @@
 		return
 	}
 	r, executed, err := o.controller.workers.Order(o.ctx, addr, ord)
-	outcome = core.CommandsUnknown
+	outcome = scheduler.CommandsUnknown
 	switch {
 	case executed:
-		outcome = core.CommandsExecuted
+		outcome = scheduler.CommandsExecuted
 	case err == nil, errors.Is(err, worker.ErrNotSent):
-		outcome = core.CommandsNotExecuted
+		outcome = scheduler.CommandsNotExecuted
 	}
 	if err != nil {
 		slog.Debug("order unanswered", "machine", id, "err", err)
--- a/internal/controller/owned.go
+++ b/internal/controller/owned.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"ambersill/internal/core"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 )
@@ -21,7 +21,7 @@
 	kick       chan struct{}
 
 	mu        sync.Mutex
-	partition *core.Partition // nil until its records are read
+	partition *scheduler.Partition // nil until its records are read
 	// early are changes of machines that came while the records were read.
 	early      map[string]earlyChange
 	knownUntil time.Time         // every cancellation confirmed before then is known to p
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -6,11 +6,13 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"maps"
 	"slices"
 	"time"
 
+	"ambersill/internal/autoscaler"
 	"ambersill/internal/cloud"
-	"ambersill/internal/core"
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -48,10 +50,10 @@
 	rentalEntry
 }
 
-func (r recordedRental) key() string { return rentalPrefix + r.name }
+func (r recordedRental) key() string { return records.RentalPrefix + r.name }
 
-func (r recordedRental) kind() core.Offering {
-	return core.Offering{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot}
+func (r recordedRental) kind() autoscaler.Offering {
+	return autoscaler.Offering{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot}
 }
 
 // recordedRentals lists them in the order of their recording, which is that of need.
@@ -114,14 +116,14 @@
 func (l *leader) replaceRental(ctx context.Context, r recordedRental, ids []string) {
 	conds := []wire.Compare{{Key: r.key(), Revision: r.stamp}}
 	then := []wire.Write{{Delete: r.key()}}
-	recs := map[string]core.MachineRecord{}
+	recs := map[string]records.MachineRecord{}
 	for _, id := range ids {
 		if _, known := l.controller.cluster.machine(id); !known {
-			recs[id] = core.MachineRecord{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot, Partition: r.rec.Partition, CreatedAtMS: time.Now().UnixMilli()}
+			recs[id] = records.MachineRecord{MachineType: r.rec.MachineType, Zone: r.rec.Zone, Spot: r.rec.Spot, Partition: r.rec.Partition, CreatedAtMS: time.Now().UnixMilli()}
 		}
 	}
-	per := core.MachinesPerGroup(l.controller.limits.ValueKB, r.rec.MachineType, r.rec.Zone)
-	for ids := range slices.Chunk(sortedIDs(recs), per) {
+	per := records.MachinesPerGroup(l.controller.limits.ValueKB, r.rec.MachineType, r.rec.Zone)
+	for ids := range slices.Chunk(slices.Sorted(maps.Keys(recs)), per) {
 		cond, put := newGroup(groupOf(ids, recs))
 		conds, then = append(conds, cond), append(then, put)
 	}
@@ -139,7 +141,7 @@
 }
 
 // refuse notes that the cloud has no more of a kind, which is asked for again later.
-func (l *leader) refuse(k core.Offering) {
+func (l *leader) refuse(k autoscaler.Offering) {
 	r := l.refused[k]
 	if r.wait == 0 {
 		r.wait = l.controller.tuning.RefusalS
@@ -153,14 +155,14 @@
 }
 
 // record writes a rental down; finishRentals calls the cloud for it.
-func (l *leader) record(ctx context.Context, r core.Rental, n int) {
+func (l *leader) record(ctx context.Context, r autoscaler.Rental, n int) {
 	// The term's stamp makes the name unique, whoever leads and whatever is
 	// carried out late.
 	name := fmt.Sprintf("r-%d-%d", l.revision, l.next)
 	l.next++
 	l.own[name] = true
-	rec := core.RentalRecord{MachineType: r.Offering.MachineType, Zone: r.Offering.Zone, Spot: r.Offering.Spot, Count: n, Partition: r.Partition, RecordedAtMS: time.Now().UnixMilli()}
-	key := rentalPrefix + name
+	rec := records.RentalRecord{MachineType: r.Offering.MachineType, Zone: r.Offering.Zone, Spot: r.Offering.Spot, Count: n, Partition: r.Partition, RecordedAtMS: time.Now().UnixMilli()}
+	key := records.RentalPrefix + name
 	rev, err := l.commit(ctx, []wire.Compare{{Key: key, Revision: 0}}, []wire.Write{{Put: key, Value: rec}})
 	if err != nil {
 		slog.Debug("rental not recorded", "err", err)
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"time"
 
-	"ambersill/internal/core"
 	"ambersill/internal/peerrpc"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -148,9 +148,9 @@
 	}
 	fresh := age < tuning.Seconds(c.tuning.FreshS)
 	v, reply := o.partition.HandleHeartbeat(r, time.Now(), fresh)
-	if v != core.HeartbeatAccepted {
+	if v != scheduler.HeartbeatAccepted {
 		slog.Debug("report not taken", "machine", r.Machine, "verdict", v, "token", r.FencingToken)
-		if v == core.HeartbeatSuperseded && !fresh {
+		if v == scheduler.HeartbeatSuperseded && !fresh {
 			// Another owner has spoken to it, and nobody else can tell this node: it
 			// must not keep other machines from that owner.
 			go c.lose(o, "a worker has seen a higher token")
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -8,10 +8,11 @@
 	"net/http"
 	"time"
 
+	"ambersill/internal/admission"
 	"ambersill/internal/api"
-	"ambersill/internal/core"
+	"ambersill/internal/kvstore"
 	"ambersill/internal/peerrpc"
-	"ambersill/internal/store"
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 
@@ -94,14 +95,14 @@
 }
 
 // final returns a job whose end this node knows to be committed.
-func (c *Controller) final(id string) (core.JobRecord, bool) {
+func (c *Controller) final(id string) (records.JobRecord, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r, ok := c.finals[id]
 	return r, ok
 }
 
-func (c *Controller) remember(r core.JobRecord) {
+func (c *Controller) remember(r records.JobRecord) {
 	if !r.Phase.Final() {
 		return
 	}
@@ -118,15 +119,15 @@
 }
 
 // readJob reads a job's record as it stands now.
-func (c *Controller) readJob(ctx context.Context, id string) (core.JobRecord, uint64, error) {
+func (c *Controller) readJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
 	if r, ok := c.final(id); ok {
 		return r, 0, nil
 	}
-	var r core.JobRecord
+	var r records.JobRecord
 	if err := c.inTouch(); err != nil {
 		return r, 0, err
 	}
-	it, err := c.store.Get(ctx, core.JobKey(id))
+	it, err := c.store.Get(ctx, records.JobKey(id))
 	if err != nil {
 		return r, 0, err
 	}
@@ -153,7 +154,7 @@
 		}
 		return 0
 	}
-	return core.PrimaryMachineType(j, c.catalog()) % c.partitions
+	return admission.PrimaryMachineType(j, c.catalog()) % c.partitions
 }
 
 // Submit takes a job in.
@@ -165,20 +166,20 @@
 	if r, ok := c.final(j.ID); ok {
 		return view(r), false, nil
 	}
-	if !core.JobFitsRecord(j, c.settings) {
+	if !records.JobFitsRecord(j, c.settings) {
 		return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: "the description is too long"}
 	}
 	types := c.catalog()
 	if len(types) == 0 {
 		return wire.JobStatus{}, false, errors.New("machine types not known yet")
 	}
-	if why := core.InfeasibleReason(j, c.settings, types); why != "" {
+	if why := admission.InfeasibleReason(j, c.settings, types); why != "" {
 		// A job that was accepted before is known, whatever its repeat says.
 		r, _, err := c.readJob(ctx, j.ID)
 		switch {
 		case err == nil:
 			return view(r), false, nil
-		case errors.Is(err, store.ErrNotFound):
+		case errors.Is(err, kvstore.ErrNotFound):
 			return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusUnprocessableEntity, Reason: why}
 		}
 		return wire.JobStatus{}, false, err
@@ -186,20 +187,20 @@
 	if err := c.inTouch(); err != nil {
 		return wire.JobStatus{}, false, err
 	}
-	rec := core.JobRecord{Job: j, Phase: wire.JobQueued, Partition: c.partitionOf(j), SubmittedAtMS: time.Now().UnixMilli()}
-	key := core.JobKey(j.ID)
+	rec := records.JobRecord{Job: j, Phase: wire.JobQueued, Partition: c.partitionOf(j), SubmittedAtMS: time.Now().UnixMilli()}
+	key := records.JobKey(j.ID)
 	_, err = c.store.CommitFirst(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: 0}},
 		Writes: []wire.Write{
 			{Put: key, Value: rec},
-			{Put: core.FirstChunkKey(rec.Partition, j.ID), Value: core.NewFirstChunk(&rec, c.cluster.featureLevel(), c.settings)},
+			{Put: records.FirstChunkKey(rec.Partition, j.ID), Value: records.NewFirstChunk(&rec, c.cluster.featureLevel(), c.settings)},
 		},
 	})
 	if err == nil {
 		return view(rec), true, nil
 	}
-	var conflict *store.Conflict
-	if errors.As(err, &conflict) || errors.Is(err, store.ErrUnknown) {
+	var conflict *kvstore.Conflict
+	if errors.As(err, &conflict) || errors.Is(err, kvstore.ErrUnknown) {
 		// Known already, or perhaps: the record tells.
 		r, _, gerr := c.readJob(ctx, j.ID)
 		if gerr == nil {
@@ -210,7 +211,7 @@
 	return wire.JobStatus{}, false, err
 }
 
-func view(r core.JobRecord) wire.JobStatus {
+func view(r records.JobRecord) wire.JobStatus {
 	v := wire.JobStatus{ID: r.Job.ID, Phase: r.Phase}
 	if r.Phase == wire.JobDone {
 		v.Done = r.Job.Tasks
@@ -224,7 +225,7 @@
 		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	r, _, err := c.readJob(ctx, id)
-	if errors.Is(err, store.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	if err != nil {
@@ -263,7 +264,7 @@
 	}
 	for {
 		r, stamp, err := c.readJob(ctx, id)
-		if errors.Is(err, store.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
 		}
 		if err != nil {
@@ -274,19 +275,19 @@
 		}
 		r.Phase = wire.JobCancelled
 		_, err = c.store.CommitFirst(ctx, wire.Txn{
-			Compares: []wire.Compare{{Key: core.JobKey(id), Revision: stamp}},
+			Compares: []wire.Compare{{Key: records.JobKey(id), Revision: stamp}},
 			Writes: []wire.Write{
-				{Put: core.JobKey(id), Value: r},
-				{Put: core.CancellationKey(r.Partition, id), Value: true},
+				{Put: records.JobKey(id), Value: r},
+				{Put: records.CancellationKey(r.Partition, id), Value: true},
 			},
 		})
-		var conflict *store.Conflict
+		var conflict *kvstore.Conflict
 		switch {
 		case err == nil:
 			c.remember(r)
 			c.tellCancelled(r.Partition, id)
 			return view(r), nil
-		case errors.As(err, &conflict), errors.Is(err, store.ErrUnknown):
+		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			continue // read again: it ended, or the answer was lost
 		default:
 			return wire.JobStatus{}, err
--- a/internal/standin/state.go
+++ b/internal/emulator/state.go
@@ -1,8 +1,8 @@
-// Package standin holds stand-ins for what lies outside ambersill - the state
+// Package emulator holds stand-ins for what lies outside ambersill - the state
 // service, the cloud, its workers and users - written from the protocol's page.
 // They serve a cluster for trying ambersill out, and the tests. They keep time
 // by package time only, so that a test can run them in virtual time.
-package standin
+package emulator
 
 import (
 	"bytes"
--- a/internal/standin/worker.go
+++ b/internal/emulator/worker.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"context"
--- a/internal/store/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package store is the client of the state service, the only place where
+// Package kvstore is the client of the state service, the only place where
 // controllers keep anything.
-package store
+package kvstore
 
 import (
 	"context"
--- a/internal/core/level.go
+++ b/internal/records/level.go
@@ -1,4 +1,4 @@
-package core
+package records
 
 // FeatureLevel is the cluster's version of records and calls. It is raised once every
 // configured controller runs a program that knows it, and never goes down; until then only
@@ -26,9 +26,3 @@
 type LevelRecord struct {
 	Level FeatureLevel `cbor:"level"`
 }
-
-// Level is the cluster's feature level as far as the partition was told.
-func (p *Partition) Level() FeatureLevel { return p.featureLevel }
-
-// SetLevel tells the cluster's feature level.
-func (p *Partition) SetLevel(level FeatureLevel) { p.featureLevel = max(p.featureLevel, level) }
--- a/internal/core/room.go
+++ b/internal/resource/vector.go
@@ -1,9 +1,8 @@
-package core
+package resource
 
 import (
-	"math"
-
 	"ambersill/internal/wire"
+	"math"
 )
 
 // Epsilon absorbs rounding where amounts are added and taken away again.
--- a/internal/core/commit.go
+++ b/internal/scheduler/commit.go
@@ -1,11 +1,11 @@
-package core
+package scheduler
 
 import (
-	"strconv"
-	"strings"
+	"maps"
+	"slices"
 	"time"
 
-	"ambersill/internal/config"
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -16,42 +16,6 @@
 
 // Keys of the state service.
 
-// JobKey is the key of a job's record.
-func JobKey(id string) string { return "j/" + id }
-
-// ChunkPrefix is the prefix of all chunks of a part.
-func ChunkPrefix(part int) string { return "a/" + strconv.Itoa(part) + "/" }
-
-// ChunkKey is the key of a chunk of a job.
-func ChunkKey(part int, id, name string) string { return ChunkPrefix(part) + id + "/" + name }
-
-// ParseChunkKey takes a chunk's key apart.
-func ParseChunkKey(key string) (id, name string, ok bool) {
-	f := strings.Split(key, "/")
-	if len(f) != 4 {
-		return "", "", false
-	}
-	return f[2], f[3], true
-}
-
-// CancellationPrefix is the prefix of the marks of cancelled jobs of a part.
-func CancellationPrefix(part int) string { return "x/" + strconv.Itoa(part) + "/" }
-
-// CancellationKey marks a job as cancelled for its part's owner.
-func CancellationKey(part int, id string) string { return CancellationPrefix(part) + id }
-
-// PartitionKey is the key that names a part's owner.
-func PartitionKey(part int) string { return "c/p/" + strconv.Itoa(part) }
-
-// NewFirstChunk is the record of a job's first chunk as it is submitted.
-func NewFirstChunk(record *JobRecord, level FeatureLevel, settings *config.Settings) ChunkRecord {
-	c := ChunkRecord{Job: record.Job, SubmittedAtMS: record.SubmittedAtMS}
-	if level >= FeatureExplicitChunks {
-		c.To = min(TasksPerChunk(settings), record.Job.Tasks)
-	}
-	return c
-}
-
 // Batch is a set of changes of a part on its way to the state service.
 type Batch struct {
 	Txn wire.Txn
@@ -86,16 +50,16 @@
 func (b *Batch) Empty() bool { return len(b.Txn.Writes) == 0 }
 
 // record builds a chunk's record.
-func (c *chunk) record() ChunkRecord {
+func (c *chunk) record() records.ChunkRecord {
 	job := c.job
-	record := ChunkRecord{HighestAttempt: job.highestAttempt}
+	record := records.ChunkRecord{HighestAttempt: job.highestAttempt}
 	if c.index == 0 {
 		record.Job, record.SubmittedAtMS, record.JobRevision = job.Job, job.SubmittedAt.UnixMilli(), job.Revision
 	}
 	if c.explicitRange {
 		record.From, record.To = c.from, c.to
 	}
-	record.DoneRanges = EncodeRanges(c.from, c.to, func(i int) bool { return job.taskStates[i] == taskDone })
+	record.DoneRanges = records.EncodeRanges(c.from, c.to, func(i int) bool { return job.taskStates[i] == taskDone })
 	for t := c.from; t < c.to; t++ {
 		if placement := job.placements[t]; placement != nil && job.taskStates[t] != taskDone {
 			record.Placements = append(record.Placements, placement.record())
@@ -104,55 +68,14 @@
 	return record
 }
 
-// SizeBound bounds a record's size in the protocol's measure from above.
-func (r *ChunkRecord) SizeBound() int {
-	n := ChunkOverheadBytes + RangeBytes/2*len(r.DoneRanges)
-	for _, placed := range r.Placements {
-		n += placed.SizeBound()
-	}
-	if r.Job != nil {
-		n += JobDescriptionBytes(r.Job)
-	}
-	return n
-}
-
-// Sizes in the protocol's measure, in bytes.
-const (
-	ChunkOverheadBytes          = 128 // a chunk's record without its tasks and the job's description
-	RangeBytes                  = 14  // two task numbers of up to six digits
-	jobDescriptionOverheadBytes = 560 // a job's description without its names
-	placementOverheadBytes      = 8   // the punctuation of a live placement
-)
-
-// JobDescriptionBytes bounds the size of a job's description from above.
-func JobDescriptionBytes(job *wire.Job) int {
-	n := jobDescriptionOverheadBytes + len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
-	for _, t := range job.MachineTypes {
-		n += len(t) + 3
-	}
-	return n
-}
-
-// JobFitsRecord tells whether a job's description leaves room in a record for a task.
-func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
-	return ChunkOverheadBytes+JobDescriptionBytes(job)+tuning.TaskBytes <= int(settings.WriteLimits().ValueKB*1024)
-}
-
-// SizeBound is a placement's size.
-func (l PlacementRecord) SizeBound() int {
-	return placementOverheadBytes + digits(uint64(l.Task)) + digits(l.Attempt) + len(l.Machine) + digits(l.Incarnation)
-}
-
-func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
-
 // PrepareBatch gathers changes for one transaction: the end of a job first, chunks that
 // the journal's ring makes due, the journal, and records that are to go.
 func (p *Partition) PrepareBatch() *Batch {
 	ops := p.limits.TxnOps
 	batch := &Batch{}
-	batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: PartitionKey(p.Index), Revision: p.Revision})
+	batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: records.PartitionKey(p.Index), Revision: p.Revision})
 	size := 0
-	ids := sortedKeys(p.jobs)
+	ids := slices.Sorted(maps.Keys(p.jobs))
 	for _, id := range ids {
 		job := p.jobs[id]
 		if job.finalized || job.Cancelled || job.doneTasks < job.Tasks {
@@ -163,9 +86,9 @@
 			break
 		}
 		// One end per batch keeps conflicts with cancellations apart.
-		record := JobRecord{Job: job.Job, Phase: wire.JobDone, Partition: p.Index, SubmittedAtMS: job.SubmittedAt.UnixMilli()}
-		batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: JobKey(id), Revision: job.Revision}, wire.Compare{Key: p.chunkKey(job.chunks[0]), Revision: job.chunks[0].revision})
-		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Put: JobKey(id), Value: record}, wire.Write{Delete: p.chunkKey(job.chunks[0])})
+		record := records.JobRecord{Job: job.Job, Phase: wire.JobDone, Partition: p.Index, SubmittedAtMS: job.SubmittedAt.UnixMilli()}
+		batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: records.JobKey(id), Revision: job.Revision}, wire.Compare{Key: p.chunkKey(job.chunks[0]), Revision: job.chunks[0].revision})
+		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Put: records.JobKey(id), Value: record}, wire.Write{Delete: p.chunkKey(job.chunks[0])})
 		batch.endedJob = job
 		size += 1000
 	}
@@ -212,7 +135,7 @@
 		p.deleteChunkRecord(batch, chunk)
 	}
 	if batch.endedJob == nil {
-		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Delete: CancellationKey(p.Index, job.ID)})
+		batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Delete: records.CancellationKey(p.Index, job.ID)})
 		batch.endedJob = job
 	}
 }
@@ -276,8 +199,8 @@
 // RefreshKey takes in what a re-read found of a key after an unknown outcome or a
 // conflict. All stays marked as changed, so that the next commit rewrites the
 // key under its present stamp, which fences whatever is still under way.
-func (p *Partition) RefreshKey(batch *Batch, key string, stamp uint64, record *JobRecord, now time.Time) {
-	if batch.endedJob != nil && key == JobKey(batch.endedJob.ID) {
+func (p *Partition) RefreshKey(batch *Batch, key string, stamp uint64, record *records.JobRecord, now time.Time) {
+	if batch.endedJob != nil && key == records.JobKey(batch.endedJob.ID) {
 		job := batch.endedJob
 		job.Revision = stamp
 		if record == nil {
--- a/internal/core/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -1,11 +1,11 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"time"
 
+	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
-	"ambersill/internal/wire"
 )
 
 // reservedForDrain is put as the holder of the room of a machine that is being emptied;
@@ -33,7 +33,7 @@
 			continue
 		}
 		for name := range p.machineTypes {
-			if TypeAllowed(job.MachineTypes, name) {
+			if resource.TypeAllowed(job.MachineTypes, name) {
 				wanted[name] = true
 			}
 		}
@@ -66,11 +66,11 @@
 
 // canEvacuate tells whether all work of a machine can be moved, and is worth moving.
 func (p *Partition) canEvacuate(machine *Machine, now time.Time) bool {
-	left := map[string]Vector{}
+	left := map[string]resource.Vector{}
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		job := placement.job
-		if placement.stopRequest != nil || placement.gangDone || job.CheckpointIntervalS == 0 || (job.Shape == wire.GangJob && job.Tasks > 1) || !p.settled(placement, now) || job.SingleZone || job.SpreadZones {
+		if placement.stopRequest != nil || placement.gangDone || job.CheckpointIntervalS == 0 || (job.IsGang() && job.Tasks > 1) || !p.settled(placement, now) || job.SingleZone || job.SpreadZones {
 			return false
 		}
 		rest := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
@@ -90,10 +90,10 @@
 			if !ok {
 				request = other.free()
 			}
-			if !request.Contains(OfJob(job.Job)) {
+			if !request.Contains(resource.OfJob(job.Job)) {
 				continue
 			}
-			left[id] = request.Sub(OfJob(job.Job))
+			left[id] = request.Sub(resource.OfJob(job.Job))
 			found = true
 			break
 		}
--- a/internal/core/fit.go
+++ b/internal/scheduler/fit.go
@@ -1,10 +1,12 @@
-package core
+package scheduler
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 	"time"
 
+	"ambersill/internal/resource"
 	"ambersill/internal/wire"
 )
 
@@ -24,25 +26,13 @@
 	if job.Zone != "" && machine.Record.Zone != job.Zone {
 		return false
 	}
-	return TypeAllowed(job.MachineTypes, machine.Record.MachineType)
-}
-
-func TypeAllowed(types []string, name string) bool {
-	if len(types) == 0 {
-		return true
-	}
-	for _, t := range types {
-		if t == name {
-			return true
-		}
-	}
-	return false
+	return resource.TypeAllowed(job.MachineTypes, machine.Record.MachineType)
 }
 
 // findMachines finds machines for up to n tasks of a job among those given, for a gang for all
 // n or none. free tells what room of a machine counts.
-func (p *Partition) findMachines(job *Job, n int, now time.Time, among []*Machine, free func(*Machine) Vector) []*Machine {
-	request := OfJob(job.Job)
+func (p *Partition) findMachines(job *Job, n int, now time.Time, among []*Machine, free func(*Machine) resource.Vector) []*Machine {
+	request := resource.OfJob(job.Job)
 	zones := zoneCount(job)
 	var cands []*Machine
 	for _, machine := range among {
@@ -52,7 +42,7 @@
 		if machine.reservedFor != "" && machine.reservedFor != job.ID && now.Before(machine.reservedUntil) {
 			continue
 		}
-		if job.startOverdue && !job.startForced && job.Shape != wire.GangJob && len(machine.placements) == 0 {
+		if job.startOverdue && !job.startForced && !job.IsGang() && len(machine.placements) == 0 {
 			continue // others that go after it may need the machine as a whole
 		}
 		if f := free(machine); !f.Contains(request) || !leavesGPUShare(job, machine, f) {
@@ -73,12 +63,12 @@
 	}
 	var best []*Machine
 	bestCost := 0.0
-	for _, z := range sortedKeys(names) {
+	for _, z := range slices.Sorted(maps.Keys(names)) {
 		if len(zones) > 0 && zones[z] == 0 {
 			continue
 		}
 		got := p.packCheapest(job, n, names[z], zones, free)
-		if job.Shape == wire.GangJob && len(got) < n {
+		if job.IsGang() && len(got) < n {
 			continue
 		}
 		c := 0.0
@@ -92,30 +82,20 @@
 	return best
 }
 
-// cpuOnlyTypeFits tells whether a type without GPUs could take a job's tasks.
-func (p *Partition) cpuOnlyTypeFits(job *wire.Job) bool {
-	for _, machineType := range p.machineTypes {
-		if machineType.GPUs == 0 && TypeAllowed(job.MachineTypes, machineType.Name) && OfMachineType(machineType).Contains(OfJob(job)) {
-			return true
-		}
-	}
-	return false
-}
-
 // leavesGPUShare tells whether a task that needs no GPU leaves a machine's free GPUs their
 // share of its other room, where other types could do its work: GPUs are the scarce
 // part, and idle with nothing beside. A job that has waited long takes any room.
-func leavesGPUShare(job *Job, machine *Machine, free Vector) bool {
+func leavesGPUShare(job *Job, machine *Machine, free resource.Vector) bool {
 	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cpuOnlyTypeFits || job.ignoresGPUShare {
 		return true
 	}
-	rest := free.Sub(OfJob(job.Job))
+	rest := free.Sub(resource.OfJob(job.Job))
 	k := free.GPUs / machine.capacity.GPUs
-	return rest.CPUs >= k*machine.capacity.CPUs-Epsilon && rest.MemoryGB >= k*machine.capacity.MemoryGB-Epsilon
+	return rest.CPUs >= k*machine.capacity.CPUs-resource.Epsilon && rest.MemoryGB >= k*machine.capacity.MemoryGB-resource.Epsilon
 }
 
 // packCheapest takes the cheapest machines one after the other.
-func (p *Partition) packCheapest(job *Job, n int, cands []*Machine, zones map[string]int, free func(*Machine) Vector) []*Machine {
+func (p *Partition) packCheapest(job *Job, n int, cands []*Machine, zones map[string]int, free func(*Machine) resource.Vector) []*Machine {
 	// What a machine costs does not change while tasks are put there, so the machines
 	// are taken in one order, each until it is full.
 	type choice struct {
@@ -127,7 +107,7 @@
 		choices[i] = choice{machine, p.placementCost(job, machine)}
 	}
 	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(a.cost, b.cost) })
-	request := OfJob(job.Job)
+	request := resource.OfJob(job.Job)
 	perZone := map[string]int{}
 	for z, c := range zones {
 		perZone[z] = c
@@ -162,7 +142,7 @@
 // hold on to the machine while it fetches.
 func (p *Partition) shortestImageFetch(job *Job) float64 {
 	least := -1.0
-	request := OfJob(job.Job)
+	request := resource.OfJob(job.Job)
 	for _, machine := range p.candidates {
 		if !machine.free().Contains(request) || !machineAllowed(job.Job, machine) {
 			continue
--- a/internal/core/gather.go
+++ b/internal/scheduler/gather.go
@@ -1,11 +1,13 @@
-package core
+package scheduler
 
 import (
+	"maps"
+	"slices"
 	"sort"
 	"time"
 
+	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
-	"ambersill/internal/wire"
 )
 
 // futureSlot is a place for one task of a job that a machine will have.
@@ -19,7 +21,7 @@
 // for it. Without this, small work takes each place as it falls free, and a gang of
 // many machines never finds them empty together.
 func (p *Partition) reserveForGang(job *Job, n int, now time.Time) {
-	if job.Shape != wire.GangJob || !job.starved || now.Before(job.reservedUntil) {
+	if !job.IsGang() || !job.starved || now.Before(job.reservedUntil) {
 		return
 	}
 	zones := map[string][]futureSlot{}
@@ -42,7 +44,7 @@
 	}
 	var best []futureSlot
 	limit := (job.Tasks + 1) / 2
-	for _, z := range sortedKeys(zones) {
+	for _, z := range slices.Sorted(maps.Keys(zones)) {
 		vs := zones[z]
 		sort.SliceStable(vs, func(a, b int) bool { return vs[a].availableInS < vs[b].availableInS })
 		if len(vs) > 0 && vs[0].availableInS < 0 {
@@ -80,7 +82,7 @@
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	type end struct {
 		in   float64
-		room Vector
+		room resource.Vector
 	}
 	var ends []end
 	for _, key := range sortedTaskAttempts(machine.placements) {
@@ -90,10 +92,10 @@
 		if !placement.runningSince.IsZero() {
 			left = max(runSeconds(other.Job)-now.Sub(placement.runningSince).Seconds(), 1)
 		}
-		ends = append(ends, end{left, OfJob(other.Job)})
+		ends = append(ends, end{left, resource.OfJob(other.Job)})
 	}
 	sort.SliceStable(ends, func(a, b int) bool { return ends[a].in < ends[b].in })
-	request := OfJob(job.Job)
+	request := resource.OfJob(job.Job)
 	free, in := machine.free(), 0.0
 	var out []futureSlot
 	for i := 0; ; i++ {
--- a/internal/core/journal.go
+++ b/internal/scheduler/journal.go
@@ -1,9 +1,10 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"strconv"
 
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -13,45 +14,12 @@
 // cost one change of the state service, not one per job. A chunk's own record is
 // written anew ("folded") only before the ring comes round to what it lacks.
 
-// JournalPrefix is the prefix of a part's journal.
-func JournalPrefix(part int) string { return "g/" + strconv.Itoa(part) + "/" }
-
 func (p *Partition) journalKey(seq uint64) string {
-	return JournalPrefix(p.Index) + strconv.FormatUint(p.journalSlot(seq), 10)
+	return records.JournalPrefix(p.Index) + strconv.FormatUint(p.journalSlot(seq), 10)
 }
 
 func (p *Partition) journalSlot(seq uint64) uint64 { return seq % uint64(len(p.slotRevisions)) }
 
-// JournalRecord is one record of the journal. Its number orders it: what a higher
-// one says of a task overrides a lower one, and a chunk's record holds all up to
-// the number it names.
-type JournalRecord struct {
-	Sequence uint64         `cbor:"q"`
-	Entries  []JournalEntry `cbor:"e"`
-}
-
-// JournalEntry is the present state of some tasks of a chunk.
-type JournalEntry struct {
-	_              struct{} `cbor:",toarray"`
-	Job            string
-	Chunk          int
-	HighestAttempt uint64 // highest attempt given out
-	Placements     []PlacementRecord
-	DoneRanges     []int // ranges, as in a chunk's record
-	WaitingRanges  []int // ranges of tasks that wait again
-}
-
-// JournalEntryOverheadBytes is an entry's size without its job's name and tasks.
-const JournalEntryOverheadBytes = 40
-
-func (e *JournalEntry) SizeBound() int {
-	n := JournalEntryOverheadBytes + len(e.Job) + RangeBytes/2*(len(e.DoneRanges)+len(e.WaitingRanges))
-	for _, placed := range e.Placements {
-		n += placed.SizeBound()
-	}
-	return n
-}
-
 // markDirty notes that a task's state has changed, and must be recorded.
 func (p *Partition) markDirty(chunk *chunk, task int) {
 	if chunk.job.finalized {
@@ -160,7 +128,7 @@
 // convertFormat writes one record anew for the sake of its format, now and then, so that none
 // of the first format is left in the end.
 func (p *Partition) convertFormat(batch *Batch, size *int, most int) {
-	if p.featureLevel < FeatureExplicitChunks || p.cycleTime.Sub(p.lastConversion) < tuning.ConversionGap || len(batch.Txn.Writes) >= most {
+	if p.featureLevel < records.FeatureExplicitChunks || p.cycleTime.Sub(p.lastConversion) < tuning.ConversionGap || len(batch.Txn.Writes) >= most {
 		return
 	}
 	p.lastConversion = p.cycleTime
@@ -185,7 +153,7 @@
 	}
 	sort.Slice(todo, func(a, b int) bool { return todo[a].dirtySince < todo[b].dirtySince })
 	limit := p.valueBytes() - 64
-	var cur *JournalRecord
+	var cur *records.JournalRecord
 	used := 0
 	flush := func() {
 		if cur == nil || len(cur.Entries) == 0 {
@@ -210,10 +178,10 @@
 					return
 				}
 				p.journalSequence++
-				cur, used = &JournalRecord{Sequence: p.journalSequence}, 0
+				cur, used = &records.JournalRecord{Sequence: p.journalSequence}, 0
 			}
 			room := min(limit, tuning.TxnBytes-*size) - used
-			n := chunk.entriesFitting(tasks, room-JournalEntryOverheadBytes-len(chunk.job.ID))
+			n := chunk.entriesFitting(tasks, room-records.JournalEntryOverheadBytes-len(chunk.job.ID))
 			if n <= 0 && len(cur.Entries) > 0 {
 				flush()
 				continue
@@ -232,7 +200,7 @@
 // entriesFitting is how many of the tasks, the first ones, fit the given bytes of an entry.
 func (c *chunk) entriesFitting(tasks []int, room int) int {
 	for n, t := range tasks {
-		size := RangeBytes
+		size := records.RangeBytes
 		if placement := c.job.placements[t]; placement != nil && c.job.taskStates[t] != taskDone {
 			size = placement.record().SizeBound()
 		}
@@ -244,9 +212,9 @@
 }
 
 // journalEntry is the present state of some tasks, which must be sorted.
-func (c *chunk) journalEntry(tasks []int) JournalEntry {
+func (c *chunk) journalEntry(tasks []int) records.JournalEntry {
 	job := c.job
-	entry := JournalEntry{Job: job.ID, Chunk: c.index, HighestAttempt: job.highestAttempt}
+	entry := records.JournalEntry{Job: job.ID, Chunk: c.index, HighestAttempt: job.highestAttempt}
 	add := func(r []int, t int) []int {
 		if n := len(r); n > 0 && r[n-1] == t {
 			r[n-1] = t + 1
@@ -268,6 +236,6 @@
 	return entry
 }
 
-func (pl *Placement) record() PlacementRecord {
-	return PlacementRecord{Task: pl.task, Attempt: pl.attempt, Machine: pl.machine.ID, Incarnation: pl.incarnation}
+func (pl *Placement) record() records.PlacementRecord {
+	return records.PlacementRecord{Task: pl.task, Attempt: pl.attempt, Machine: pl.machine.ID, Incarnation: pl.incarnation}
 }
--- a/internal/core/layout.go
+++ b/internal/scheduler/layout.go
@@ -1,11 +1,12 @@
-package core
+package scheduler
 
 import (
+	"maps"
 	"slices"
 	"sort"
 	"strconv"
 
-	"ambersill/internal/config"
+	"ambersill/internal/records"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -15,45 +16,29 @@
 // SizedChunks on each record says which tasks it holds, so that a chunk whose record
 // would outgrow a value can be split, and a change of the setting moves nothing.
 
-// firstChunkName is the name of the chunk that holds a job's description.
-const firstChunkName = "0"
-
-// FirstChunkKey is the key of the chunk that holds a job's description.
-func FirstChunkKey(part int, id string) string { return ChunkKey(part, id, firstChunkName) }
-
-// IsFirstChunk tells whether a chunk's name is that of a job's first one.
-func IsFirstChunk(name string) bool { return name == firstChunkName }
-
-// TasksPerChunk is how many tasks a chunk of the first format holds.
-func TasksPerChunk(settings *config.Settings) int {
-	return max(1, int(settings.Cluster.State.ValueKB*1024)/tuning.TaskBytes)
-}
-
 // chunkKey is the key of a chunk's record.
-func (p *Partition) chunkKey(chunk *chunk) string { return ChunkKey(p.Index, chunk.job.ID, chunk.name) }
+func (p *Partition) chunkKey(chunk *chunk) string {
+	return records.ChunkKey(p.Index, chunk.job.ID, chunk.name)
+}
 
 // newChunk makes a chunk without a record.
 func (p *Partition) newChunk(job *Job, from, to int, sized bool) *chunk {
 	c := &chunk{job: job, index: from / p.tasksPerChunk, from: from, to: to, explicitRange: sized}
 	c.name = strconv.Itoa(c.index)
 	if sized && from > 0 {
-		c.name = ExplicitChunkName(from)
+		c.name = records.ExplicitChunkName(from)
 	}
 	return c
 }
 
-// ExplicitChunkName is the name of a chunk that begins at a task; it is no number, so that it is
-// never that of a chunk of the first format.
-func ExplicitChunkName(from int) string { return "t" + strconv.Itoa(from) }
-
 // extent is a range of tasks with the record that tells of them, if any.
 type extent struct {
 	from, to int
-	record   *LoadedChunk
+	record   *records.LoadedChunk
 }
 
 // extentOf tells which tasks a record holds.
-func (p *Partition) extentOf(job *Job, loaded *LoadedChunk) (extent, bool) {
+func (p *Partition) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.To > 0 {
 		e := extent{loaded.Record.From, min(loaded.Record.To, job.Tasks), loaded}
 		return e, e.from >= 0 && e.from < e.to
@@ -68,9 +53,9 @@
 
 // extents divides a job's tasks by the records that tell of them. Where two do, the one
 // that begins later was split off from the other, and counts.
-func (p *Partition) extents(job *Job, records []*LoadedChunk) []extent {
+func (p *Partition) extents(job *Job, loadedChunks []*records.LoadedChunk) []extent {
 	var known []extent
-	for _, loaded := range records {
+	for _, loaded := range loadedChunks {
 		if extent, ok := p.extentOf(job, loaded); ok {
 			known = append(known, extent)
 		}
@@ -109,11 +94,11 @@
 }
 
 // layOutChunks gives a job the chunks that its records show, and returns their states.
-func (p *Partition) layOutChunks(job *Job, records []*LoadedChunk, states map[*chunk]*replayState) {
-	sized := p.featureLevel >= FeatureExplicitChunks || slices.ContainsFunc(records, func(loaded *LoadedChunk) bool { return loaded.Record.To > 0 })
-	heads := map[*LoadedChunk]*chunk{}
+func (p *Partition) layOutChunks(job *Job, loadedChunks []*records.LoadedChunk, states map[*chunk]*replayState) {
+	sized := p.featureLevel >= records.FeatureExplicitChunks || slices.ContainsFunc(loadedChunks, func(loaded *records.LoadedChunk) bool { return loaded.Record.To > 0 })
+	heads := map[*records.LoadedChunk]*chunk{}
 	var chunks []*chunk
-	for _, extent := range p.extents(job, records) {
+	for _, extent := range p.extents(job, loadedChunks) {
 		chunk := p.newChunk(job, extent.from, extent.to, sized)
 		if loaded := extent.record; loaded != nil {
 			if head := heads[loaded]; head == nil {
@@ -123,7 +108,7 @@
 			} else {
 				// The record still tells of these tasks as well: they were to be split
 				// off, and their own record has not been written.
-				chunk.name, chunk.explicitRange = ExplicitChunkName(extent.from), true
+				chunk.name, chunk.explicitRange = records.ExplicitChunkName(extent.from), true
 				chunk.splitFrom = head
 				head.splitOff = append(head.splitOff, chunk)
 			}
@@ -145,15 +130,15 @@
 func (p *Partition) splitChunk(c *chunk) []*chunk {
 	limit := p.valueBytes()
 	var cuts []int
-	size := ChunkOverheadBytes
+	size := records.ChunkOverheadBytes
 	if c.from == 0 {
-		size += JobDescriptionBytes(c.job.Job)
+		size += records.JobDescriptionBytes(c.job.Job)
 	}
 	for t := c.from; t < c.to; t++ {
 		n := c.taskBytes(t)
 		if size+n > limit && t > c.from {
 			cuts = append(cuts, t)
-			size = ChunkOverheadBytes
+			size = records.ChunkOverheadBytes
 		}
 		size += n
 	}
@@ -179,7 +164,7 @@
 
 // splitOff makes a chunk of some tasks of another.
 func (p *Partition) splitOff(c *chunk, from, to int) *chunk {
-	piece := &chunk{job: c.job, name: ExplicitChunkName(from), index: c.index, from: from, to: to, explicitRange: true,
+	piece := &chunk{job: c.job, name: records.ExplicitChunkName(from), index: c.index, from: from, to: to, explicitRange: true,
 		changeVersion: c.changeVersion, committedVersion: c.committedVersion, dirtySince: c.dirtySince, oldestUncompacted: c.oldestUncompacted, dirtyTasks: map[int]int{}}
 	switch {
 	case c.revision != 0:
@@ -224,7 +209,7 @@
 // taskBytes is what a task may take of its chunk's record.
 func (c *chunk) taskBytes(task int) int {
 	if c.job.taskStates[task] == taskDone {
-		return RangeBytes
+		return records.RangeBytes
 	}
 	if placement := c.job.placements[task]; placement != nil {
 		return max(placement.record().SizeBound(), usualTaskBytes)
@@ -255,7 +240,7 @@
 // outdatedChunk finds a record to be written anew for the sake of its format: one of the first
 // format, or one that a chunk which was split off still lacks.
 func (p *Partition) outdatedChunk() *chunk {
-	for _, id := range sortedKeys(p.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
 		if job.finalized || job.recordsDue() {
 			continue
@@ -275,7 +260,7 @@
 // writeChunk adds a chunk's record to a batch of at most so many changes. One that would
 // outgrow a value is split first, and the pieces are written before it.
 func (p *Partition) writeChunk(batch *Batch, size *int, most int, chunk *chunk) {
-	if p.featureLevel >= FeatureExplicitChunks {
+	if p.featureLevel >= records.FeatureExplicitChunks {
 		chunk.explicitRange = true
 		if record := chunk.record(); record.SizeBound() > p.valueBytes() {
 			for _, piece := range slices.Backward(p.splitChunk(chunk)) {
--- a/internal/core/load.go
+++ b/internal/scheduler/load.go
@@ -1,44 +1,31 @@
-package core
+package scheduler
 
 import (
+	"ambersill/internal/records"
+	"maps"
+	"slices"
 	"sort"
 	"time"
-
-	"ambersill/internal/wire"
 )
 
-// LoadedChunk is a chunk's record as its key shows it.
-type LoadedChunk struct {
-	JobID    string
-	Name     string
-	Revision uint64
-	Record   ChunkRecord
-}
-
-// LoadedJournalRecord is a journal record as its key shows it.
-type LoadedJournalRecord struct {
-	Revision uint64
-	Record   JournalRecord
-}
-
 // Restore takes in all records of the part after a takeover. The machines must be
 // known already.
-func (p *Partition) Restore(chunks []LoadedChunk, journal []LoadedJournalRecord) {
-	records := map[string][]*LoadedChunk{}
+func (p *Partition) Restore(chunks []records.LoadedChunk, journal []records.LoadedJournalRecord) {
+	chunksByJob := map[string][]*records.LoadedChunk{}
 	for i := range chunks {
 		loaded := &chunks[i]
-		if IsFirstChunk(loaded.Name) && loaded.Record.Job != nil {
+		if records.IsFirstChunk(loaded.Name) && loaded.Record.Job != nil {
 			job := p.AddJob(loaded.Record.Job, time.UnixMilli(loaded.Record.SubmittedAtMS), loaded.Revision)
 			if loaded.Record.JobRevision > 0 {
 				job.Revision = loaded.Record.JobRevision
 			}
 		}
-		records[loaded.JobID] = append(records[loaded.JobID], loaded)
+		chunksByJob[loaded.JobID] = append(chunksByJob[loaded.JobID], loaded)
 		p.journalSequence = max(p.journalSequence, loaded.Record.JournalSequence)
 	}
 	states := map[*chunk]*replayState{}
-	for _, id := range sortedKeys(p.jobs) {
-		p.layOutChunks(p.jobs[id], records[id], states)
+	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
+		p.layOutChunks(p.jobs[id], chunksByJob[id], states)
 	}
 	sort.Slice(journal, func(a, b int) bool { return journal[a].Record.Sequence < journal[b].Record.Sequence })
 	for _, s := range journal {
@@ -51,7 +38,7 @@
 			}
 		}
 	}
-	for _, id := range sortedKeys(p.jobs) {
+	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		for _, chunk := range p.jobs[id].chunks {
 			if state := states[chunk]; state != nil {
 				p.restoreChunk(chunk, state)
@@ -59,12 +46,12 @@
 		}
 	}
 	for _, job := range p.jobs {
-		if job.Shape == wire.GangJob && job.doneTasks > 0 {
+		if job.IsGang() && job.doneTasks > 0 {
 			// Its records may have been on the way when the last owner ended. The tasks
 			// complete together, and what is left of it could never be placed again.
 			p.finishGang(job)
 		}
-		job.gangBroken = job.Shape == wire.GangJob && job.doneTasks == 0 && len(job.placements) > 0 && len(job.placements) < job.Tasks
+		job.gangBroken = job.IsGang() && job.doneTasks == 0 && len(job.placements) > 0 && len(job.placements) < job.Tasks
 	}
 }
 
@@ -73,13 +60,13 @@
 	sequence uint64 // the newest journal record whose changes are all in the chunk's record
 	attempt  uint64
 	done     map[int]bool
-	live     map[int]PlacementRecord
+	live     map[int]records.PlacementRecord
 }
 
 // newReplay is the state of a range of tasks as a record shows it.
-func newReplay(record *ChunkRecord, from, to int) *replayState {
-	state := &replayState{sequence: record.JournalSequence, attempt: record.HighestAttempt, done: map[int]bool{}, live: map[int]PlacementRecord{}}
-	ForEachInRanges(record.DoneRanges, func(t int) {
+func newReplay(record *records.ChunkRecord, from, to int) *replayState {
+	state := &replayState{sequence: record.JournalSequence, attempt: record.HighestAttempt, done: map[int]bool{}, live: map[int]records.PlacementRecord{}}
+	records.ForEachInRanges(record.DoneRanges, func(t int) {
 		if t >= from && t < to {
 			state.done[t] = true
 		}
@@ -93,7 +80,7 @@
 }
 
 // applyEntry applies a journal entry to the chunks whose records lack it.
-func (j *Job) applyEntry(seq uint64, entry *JournalEntry, states map[*chunk]*replayState) {
+func (j *Job) applyEntry(seq uint64, entry *records.JournalEntry, states map[*chunk]*replayState) {
 	j.highestAttempt = max(j.highestAttempt, entry.HighestAttempt)
 	lacking := func(task int) *replayState {
 		if task < 0 || task >= j.Tasks {
@@ -102,7 +89,7 @@
 		chunk := j.chunkOf(task)
 		state := states[chunk]
 		if state == nil {
-			state = newReplay(&ChunkRecord{}, chunk.from, chunk.to)
+			state = newReplay(&records.ChunkRecord{}, chunk.from, chunk.to)
 			states[chunk] = state
 		}
 		if seq <= state.sequence {
@@ -113,13 +100,13 @@
 		}
 		return state
 	}
-	ForEachInRanges(entry.DoneRanges, func(t int) {
+	records.ForEachInRanges(entry.DoneRanges, func(t int) {
 		if state := lacking(t); state != nil {
 			state.done[t] = true
 			delete(state.live, t)
 		}
 	})
-	ForEachInRanges(entry.WaitingRanges, func(t int) {
+	records.ForEachInRanges(entry.WaitingRanges, func(t int) {
 		if state := lacking(t); state != nil {
 			delete(state.live, t)
 		}
@@ -161,15 +148,3 @@
 		p.attach(&Placement{job: job, task: t, attempt: placed.Attempt, machine: machine, incarnation: placed.Incarnation, startSent: true, observed: true})
 	}
 }
-
-// maxRangeLength bounds a range read from a record, so that a damaged one does no harm.
-const maxRangeLength = 1 << 17
-
-// ForEachInRanges visits the tasks of flattened ranges.
-func ForEachInRanges(r []int, f func(int)) {
-	for i := 0; i+1 < len(r); i += 2 {
-		for t := r[i]; t < r[i+1] && t-r[i] < maxRangeLength; t++ {
-			f(t)
-		}
-	}
-}
--- a/internal/core/machine.go
+++ b/internal/scheduler/machine.go
@@ -1,19 +1,23 @@
-package core
+package scheduler
 
 import (
+	"maps"
+	"slices"
 	"time"
 
+	"ambersill/internal/records"
+	"ambersill/internal/resource"
 	"ambersill/internal/wire"
 )
 
 // Machine is a machine of this part.
 type Machine struct {
 	ID           string
-	Record       MachineRecord
+	Record       records.MachineRecord
 	revision     uint64 // of its record
-	capacity     Vector
+	capacity     resource.Vector
 	machineType  wire.MachineType
-	allocated    Vector
+	allocated    resource.Vector
 	fencingToken uint64
 	incarnation  uint64
 	sequence     uint64
@@ -46,11 +50,11 @@
 	assignedAt         time.Time
 }
 
-func (m *Machine) free() Vector { return m.capacity.Sub(m.allocated) }
+func (m *Machine) free() resource.Vector { return m.capacity.Sub(m.allocated) }
 
 // usable tells whether tasks may be placed here.
 func (m *Machine) usable() bool {
-	return m.tokenAcknowledged && !m.commandUnconfirmed && !m.terminationNotice && !m.leaseExpired && !m.quarantined && m.Record.Desired == DesiredInService && !m.Record.Released
+	return m.tokenAcknowledged && !m.commandUnconfirmed && !m.terminationNotice && !m.leaseExpired && !m.quarantined && m.Record.Desired == records.DesiredInService && !m.Record.Released
 }
 
 // wantsImage tells whether some task placed here wants the image.
@@ -64,7 +68,7 @@
 }
 
 // SetMachine takes in a machine's record, new or changed.
-func (p *Partition) SetMachine(id string, record MachineRecord, stamp uint64, now time.Time) {
+func (p *Partition) SetMachine(id string, record records.MachineRecord, stamp uint64, now time.Time) {
 	if record.Partition != p.Index {
 		if p.machines[id] != nil {
 			p.dropMachine(id, now)
@@ -76,13 +80,13 @@
 		machine = &Machine{ID: id, placements: map[taskAttempt]*Placement{}, pendingForgets: map[taskAttempt]pendingForget{},
 			cachedImages: map[string]time.Time{}, failedJobs: map[string]bool{}, assignedAt: now}
 		p.machines[id] = machine
-		p.machineIDs = sortedKeys(p.machines)
+		p.machineIDs = slices.Sorted(maps.Keys(p.machines))
 	} else if stamp < machine.revision {
 		return
 	}
 	machine.Record, machine.revision = record, stamp
 	machine.machineType = p.machineTypes[record.MachineType]
-	machine.capacity = OfMachineType(machine.machineType)
+	machine.capacity = resource.OfMachineType(machine.machineType)
 	if tok := max(p.Revision, record.FencingToken); tok > machine.fencingToken {
 		machine.fencingToken = tok
 		machine.tokenAcknowledged = false
@@ -109,21 +113,21 @@
 		delete(job.failedMachines, id)
 	}
 	delete(p.machines, id)
-	p.machineIDs = sortedKeys(p.machines)
+	p.machineIDs = slices.Sorted(maps.Keys(p.machines))
 	p.capacityVersion++
 }
 
 // ReleasableMachines lists the machines on which nothing of this part can be live, so
 // that they may be let go as the leader wishes, with the records to write.
-func (p *Partition) ReleasableMachines() map[string]MachineRecord {
-	out := map[string]MachineRecord{}
+func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
+	out := map[string]records.MachineRecord{}
 	for id, machine := range p.machines {
-		if machine.Record.Desired == DesiredInService || machine.Record.Released || len(machine.placements) > 0 || len(machine.pendingForgets) > 0 {
+		if machine.Record.Desired == records.DesiredInService || machine.Record.Released || len(machine.placements) > 0 || len(machine.pendingForgets) > 0 {
 			continue
 		}
 		record := machine.Record
-		if record.Desired == DesiredMoved {
-			record.Partition, record.Desired, record.MoveTo = record.MoveTo, DesiredInService, 0
+		if record.Desired == records.DesiredMoved {
+			record.Partition, record.Desired, record.MoveTo = record.MoveTo, records.DesiredInService, 0
 		} else {
 			record.Released = true
 		}
--- a/internal/core/place.go
+++ b/internal/scheduler/place.go
@@ -1,9 +1,11 @@
-package core
+package scheduler
 
 import (
+	"ambersill/internal/quota"
+	"ambersill/internal/resource"
+	"maps"
+	"slices"
 	"time"
-
-	"ambersill/internal/wire"
 )
 
 // placementSlice is how many tasks of an array a team places before it is another
@@ -21,7 +23,7 @@
 	p.ExpireLeases(now)
 	p.candidates = p.candidates[:0]
 	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; machine.usable() && machine.free().CPUs > Epsilon {
+		if machine := p.machines[id]; machine.usable() && machine.free().CPUs > resource.Epsilon {
 			p.candidates = append(p.candidates, machine)
 		}
 	}
@@ -53,7 +55,7 @@
 }
 
 // placeTasks starts what it can of a job in this turn; false: nothing more now.
-func (p *Partition) placeTasks(job *Job, team *Team, now time.Time) bool {
+func (p *Partition) placeTasks(job *Job, team *quota.Team, now time.Time) bool {
 	if job.noCapacityVersion == p.capacityVersion {
 		return false
 	}
@@ -64,21 +66,21 @@
 	if job.startOverdue {
 		n = min(n, overdueSlice)
 	}
-	if job.Shape == wire.GangJob {
+	if job.IsGang() {
 		n = job.Tasks
 		if job.waitingTasks < n {
 			return false
 		}
 	}
-	left := team.RemainingTasks(OfJob(job.Job))
+	left := team.RemainingTasks(resource.OfJob(job.Job))
 	if left < n {
-		if job.Shape == wire.GangJob || left == 0 {
+		if job.IsGang() || left == 0 {
 			return false
 		}
 		n = left
 	}
 	where := p.findMachines(job, n, now, p.candidates, (*Machine).free)
-	if len(where) == 0 || (job.Shape == wire.GangJob && len(where) < n) {
+	if len(where) == 0 || (job.IsGang() && len(where) < n) {
 		job.noCapacityVersion = p.capacityVersion
 		p.preempt(job, min(n, 2*placementSlice), now)
 		if !job.awaitingPreemption {
@@ -113,7 +115,7 @@
 		p.Started++
 		k++
 	}
-	return job.startableCount(now) > 0 && job.Shape != wire.GangJob
+	return job.startableCount(now) > 0 && !job.IsGang()
 }
 
 // trimImages keeps the guess of a machine's cache to the most recently used.
@@ -121,7 +123,7 @@
 	const most = 12 // images; the cloud's caches hold about as many
 	for len(machine.cachedImages) > most {
 		oldest := ""
-		for _, k := range sortedKeys(machine.cachedImages) {
+		for _, k := range slices.Sorted(maps.Keys(machine.cachedImages)) {
 			if oldest == "" || machine.cachedImages[k].Before(machine.cachedImages[oldest]) {
 				oldest = k
 			}
--- a/internal/core/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,11 +1,11 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"time"
 
+	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
-	"ambersill/internal/wire"
 )
 
 // preempt stops work of lower rank, or what another team runs beyond its
@@ -18,8 +18,8 @@
 		return
 	}
 	job.lastPreemptionSearch = now
-	where := p.findMachines(job, n, now, p.allMachines(), func(machine *Machine) Vector { return p.resourcesAfterPreemption(job, machine) })
-	if len(where) == 0 || (job.Shape == wire.GangJob && len(where) < n) {
+	where := p.findMachines(job, n, now, p.allMachines(), func(machine *Machine) resource.Vector { return p.resourcesAfterPreemption(job, machine) })
+	if len(where) == 0 || (job.IsGang() && len(where) < n) {
 		return
 	}
 	want := map[*Machine]int{}
@@ -36,11 +36,11 @@
 }
 
 // resourcesAfterPreemption is a machine's room for a job with all that yields to it gone.
-func (p *Partition) resourcesAfterPreemption(job *Job, machine *Machine) Vector {
+func (p *Partition) resourcesAfterPreemption(job *Job, machine *Machine) resource.Vector {
 	room := machine.free()
 	for _, placement := range machine.placements {
 		if p.preemptible(placement, job) {
-			room = room.Add(OfJob(placement.job.Job))
+			room = room.Add(resource.OfJob(placement.job.Job))
 		}
 	}
 	return room
@@ -48,11 +48,11 @@
 
 // preemptOnMachine stops as much on a machine as some tasks of a job take, and keeps the room.
 func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
-	goal := OfJob(job.Job).Scale(tasks)
+	goal := resource.OfJob(job.Job).Scale(tasks)
 	room := machine.free()
 	for _, placement := range machine.placements {
 		if placement.stopRequest != nil {
-			room = room.Add(OfJob(placement.job.Job))
+			room = room.Add(resource.OfJob(placement.job.Job))
 		}
 	}
 	grace := 0.0
@@ -63,7 +63,7 @@
 		if placement.stopRequest != nil {
 			continue
 		}
-		room = room.Add(OfJob(placement.job.Job))
+		room = room.Add(resource.OfJob(placement.job.Job))
 		if placement.job.placements[placement.task] != placement {
 			continue // its gang was stopped with a mate before it, and it had not left yet
 		}
--- a/internal/core/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,16 +1,19 @@
-package core
+package scheduler
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
+	"ambersill/internal/quota"
+	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
-	"ambersill/internal/wire"
 )
 
 type queue struct {
-	team *Team
+	team *quota.Team
 	jobs []*Job
 }
 
@@ -73,7 +76,7 @@
 // that gets the most jobs over in good time, and age still wins in the end.
 func (p *Partition) turnAt(job *Job) time.Time {
 	switch {
-	case isService(job.Job):
+	case job.IsService():
 		return job.SubmittedAt
 	case job.DeadlineS > 0:
 		return job.SubmittedAt.Add(tuning.Seconds(job.DeadlineS - job.EstimatedRunS))
@@ -101,7 +104,7 @@
 		}
 	}
 	var out []*queue
-	for _, name := range sortedKeys(all) {
+	for _, name := range slices.Sorted(maps.Keys(all)) {
 		jobs := all[name]
 		team := p.team(name)
 		sort.Slice(jobs, func(a, b int) bool {
@@ -110,16 +113,16 @@
 			}
 			return jobs[a].ID < jobs[b].ID
 		})
-		var sum Vector
+		var sum resource.Vector
 		for _, job := range jobs {
-			sum = sum.Add(OfJob(job.Job).Scale(job.Tasks - job.doneTasks))
+			sum = sum.Add(resource.OfJob(job.Job).Scale(job.Tasks - job.doneTasks))
 			job.withinGuarantee = team.WithinGuarantee(sum)
-			begun := job.seenRunning || job.doneTasks > 0 || (job.Shape != wire.GangJob && len(job.placements) > 0)
+			begun := job.seenRunning || job.doneTasks > 0 || (!job.IsGang() && len(job.placements) > 0)
 			job.starved = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.StarveS)
 			job.startOverdue = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.OverdueS)
 			job.startForced = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.ForceS)
 			job.ignoresGPUShare = now.Sub(job.SubmittedAt) > tuning.Seconds(2*p.tuning.StarveS)
-			job.cpuOnlyTypeFits = job.GPUs == 0 && p.cpuOnlyTypeFits(job.Job)
+			job.cpuOnlyTypeFits = job.GPUs == 0 && resource.CPUOnlyTypeFits(resource.OfJob(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 		}
 		q := &queue{team: team}
 		for _, job := range jobs {
--- a/internal/core/report.go
+++ b/internal/scheduler/report.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"slices"
@@ -184,20 +184,20 @@
 	switch status.ExitCause {
 	case wire.ExitDone:
 		clear(machine.failedJobs)
-		if isService(job.Job) {
+		if job.IsService() {
 			p.replicaEnded(placement, now)
 			p.requeue(placement, now)
 			return
 		}
 		job.retryBackoffS = 0
-		if job.Shape == wire.GangJob {
+		if job.IsGang() {
 			p.finishGang(job)
 		} else {
 			p.finishTask(job, placement.task)
 		}
 		p.detach(placement)
 	case wire.ExitError:
-		if isService(job.Job) {
+		if job.IsService() {
 			p.replicaEnded(placement, now)
 		}
 		p.recordFailure(job, machine, now)
@@ -246,7 +246,7 @@
 		machine.quarantined = true
 		p.capacityVersion++
 	}
-	if len(job.failedMachines) >= 2 && !isService(job.Job) {
+	if len(job.failedMachines) >= 2 && !job.IsService() {
 		// A job that fails everywhere must not keep machines busy or rented.
 		if job.retryBackoffS == 0 {
 			job.retryBackoffS = p.tuning.ErrorBackoffS
@@ -268,7 +268,7 @@
 		switch {
 		case !placement.startSent:
 			p.requeue(placement, now)
-		case isService(job.Job):
+		case job.IsService():
 			// It runs on until the machine goes, unless there is another to go to.
 			if placement.state != wire.TaskRunning || len(p.findMachines(job, 1, now, p.allMachines(), (*Machine).free)) > 0 {
 				p.requestStop(placement, 0, now)
@@ -289,7 +289,7 @@
 	if job.CheckpointIntervalS > 2*job.CheckpointSaveS {
 		grace = job.CheckpointSaveS + p.tuning.GraceS
 	}
-	if job.Shape != wire.GangJob {
+	if !job.IsGang() {
 		p.requestStop(placement, grace, now)
 		return
 	}
--- a/internal/core/service.go
+++ b/internal/scheduler/service.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"time"
@@ -14,12 +14,9 @@
 // is more than any other work takes, and still a number that sums stay exact with.
 const endless = 365 * 24 * 3600.0
 
-// isService tells whether a job's tasks run until it is cancelled.
-func isService(job *wire.Job) bool { return job.Shape == wire.ServiceJob }
-
 // runSeconds is how long a task is expected to run.
 func runSeconds(job *wire.Job) float64 {
-	if isService(job) {
+	if job.IsService() {
 		return endless
 	}
 	return job.EstimatedRunS
--- a/internal/core/state.go
+++ b/internal/scheduler/state.go
@@ -1,10 +1,13 @@
-package core
+package scheduler
 
 import (
 	"sort"
 	"time"
 
 	"ambersill/internal/config"
+	"ambersill/internal/quota"
+	"ambersill/internal/records"
+	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
@@ -18,14 +21,14 @@
 	machineTypes     map[string]wire.MachineType
 	jobs             map[string]*Job
 	machines         map[string]*Machine
-	teams            map[string]*Team
+	teams            map[string]*quota.Team
 	capacityVersion  int // counts changes of free room
 	scheduledVersion int // room as the last pass left it
 	tasksPerChunk    int
 	// limits are those that all that is written keeps to; level is the cluster's
 	// feature level.
 	limits         config.StateLimits
-	featureLevel   FeatureLevel
+	featureLevel   records.FeatureLevel
 	lastConversion time.Time // last rewrite of a record for the sake of its format
 	// finishedJobs are jobs that are over but whose records still stand.
 	finishedJobs    []*Job
@@ -52,10 +55,10 @@
 // NewPartition makes an empty part owned under the given stamp.
 func NewPartition(index int, stamp uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
 	p := &Partition{Index: index, Revision: stamp, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
-		machines: map[string]*Machine{}, teams: map[string]*Team{}, tombstones: map[string]bool{}, dirtyChunks: map[*chunk]bool{}, uncompactedChunks: map[*chunk]bool{}, slotRevisions: make([]uint64, tuning.JournalSlots),
-		tasksPerChunk: TasksPerChunk(settings), limits: settings.WriteLimits()}
+		machines: map[string]*Machine{}, teams: map[string]*quota.Team{}, tombstones: map[string]bool{}, dirtyChunks: map[*chunk]bool{}, uncompactedChunks: map[*chunk]bool{}, slotRevisions: make([]uint64, tuning.JournalSlots),
+		tasksPerChunk: records.TasksPerChunk(settings), limits: settings.WriteLimits()}
 	for _, c := range settings.Cluster.Teams {
-		p.teams[c.Name] = &Team{Team: c}
+		p.teams[c.Name] = &quota.Team{Team: c}
 	}
 	return p
 }
@@ -67,11 +70,11 @@
 	}
 }
 
-func (p *Partition) team(name string) *Team {
+func (p *Partition) team(name string) *quota.Team {
 	team := p.teams[name]
 	if team == nil {
 		// A team that the settings no longer name keeps its accepted jobs.
-		team = &Team{Team: config.Team{Name: name}}
+		team = &quota.Team{Team: config.Team{Name: name}}
 		p.teams[name] = team
 	}
 	return team
@@ -92,9 +95,9 @@
 	job := &Job{Job: description, SubmittedAt: at, Revision: stamp, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
 		placements: map[int]*Placement{}, noCapacityVersion: -1}
 	for from := 0; from < description.Tasks; from += p.tasksPerChunk {
-		job.chunks = append(job.chunks, p.newChunk(job, from, min(from+p.tasksPerChunk, description.Tasks), p.featureLevel >= FeatureExplicitChunks))
+		job.chunks = append(job.chunks, p.newChunk(job, from, min(from+p.tasksPerChunk, description.Tasks), p.featureLevel >= records.FeatureExplicitChunks))
 	}
-	job.chunks[0].revision, job.chunks[0].storedExplicitRange = stamp, p.featureLevel >= FeatureExplicitChunks
+	job.chunks[0].revision, job.chunks[0].storedExplicitRange = stamp, p.featureLevel >= records.FeatureExplicitChunks
 	p.jobs[description.ID] = job
 	return job
 }
@@ -105,8 +108,8 @@
 	job.waitingTasks--
 	job.placements[placement.task] = placement
 	machine.placements[taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt}] = placement
-	machine.allocated = machine.allocated.Add(OfJob(job.Job))
-	p.team(job.Team).Allocated = p.team(job.Team).Allocated.Add(OfJob(job.Job))
+	machine.allocated = machine.allocated.Add(resource.OfJob(job.Job))
+	p.team(job.Team).Allocated = p.team(job.Team).Allocated.Add(resource.OfJob(job.Job))
 	machine.cachedImages[job.Image] = time.Time{}
 }
 
@@ -118,15 +121,15 @@
 	}
 	delete(job.placements, placement.task)
 	delete(machine.placements, taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt})
-	machine.allocated = machine.allocated.Sub(OfJob(job.Job))
+	machine.allocated = machine.allocated.Sub(resource.OfJob(job.Job))
 	if len(machine.placements) == 0 {
-		machine.allocated = Vector{}
+		machine.allocated = resource.Vector{}
 	}
 	if !placement.imageFetched && !machine.wantsImage(job.Image) {
 		delete(machine.cachedImages, job.Image) // the fetch is given up when no task waits for it
 	}
 	team := p.team(job.Team)
-	team.Allocated = team.Allocated.Sub(OfJob(job.Job))
+	team.Allocated = team.Allocated.Sub(resource.OfJob(job.Job))
 	if job.taskStates[placement.task] == taskPlaced {
 		job.taskStates[placement.task] = taskWaiting
 		job.waitingTasks++
@@ -170,7 +173,7 @@
 func (p *Partition) requeue(placement *Placement, now time.Time) {
 	job := placement.job
 	p.detach(placement)
-	if job.Shape != wire.GangJob || placement.gangDone {
+	if !job.IsGang() || placement.gangDone {
 		return
 	}
 	if len(job.placements) == 0 {
@@ -187,7 +190,7 @@
 func (p *Partition) requestStop(placement *Placement, grace float64, now time.Time) {
 	if !placement.startSent {
 		p.detach(placement)
-		if job := placement.job; job.Shape == wire.GangJob && len(job.placements) == 0 {
+		if job := placement.job; job.IsGang() && len(job.placements) == 0 {
 			job.gangBroken = false
 		}
 		return
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -74,6 +74,12 @@
 	DeadlineS           float64  `cbor:"dueS,omitempty"`
 }
 
+// IsGang tells whether all tasks of the job run at the same time.
+func (j *Job) IsGang() bool { return j.Shape == GangJob }
+
+// IsService tells whether the job's tasks run until it is cancelled.
+func (j *Job) IsService() bool { return j.Shape == ServiceJob }
+
 // submission mirrors Job with pointers, so that a missing field shows.
 type submission struct {
 	ID                  *string   `cbor:"uid"`
