--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -17,20 +17,20 @@
 )
 
 type ownership struct {
-	node  string
+	node     string
 	revision uint64
 }
 
 type machineEntry struct {
 	record   records.MachineRecord
-	group string
+	group    string
 	revision uint64 // of the group
 }
 
 // nodeEntry is what a live node says of itself.
 type nodeEntry struct {
 	featureLevel records.FeatureLevel
-	revision uint64
+	revision     uint64
 }
 
 type rentalEntry struct {
@@ -43,16 +43,16 @@
 type clusterCache struct {
 	mu         sync.Mutex
 	loaded     bool
-	leader       ownership
+	leader     ownership
 	partitions map[int]ownership
 	nodes      map[string]nodeEntry
 	level      records.FeatureLevel
 	groups     map[string]groupEntry
 	machines   map[string]machineEntry
 	rentals    map[string]rentalEntry
-	revision       uint64        // all changes up to this revision are in the copy
+	revision   uint64        // all changes up to this revision are in the copy
 	changed    chan struct{} // closed and replaced at every change
-	onMachine   func(machine string, entry machineEntry, gone bool)
+	onMachine  func(machine string, entry machineEntry, gone bool)
 	onOwner    func(partition int, owner ownership)
 	onLevel    func(level records.FeatureLevel)
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -15,14 +15,14 @@
 // that does not answer holds one until it times out, so that without a bound a zone
 // that falls silent would take them all, the lease's renewal included.
 type commandSlots struct {
-	mu    sync.Mutex
-	limit  int
+	mu       sync.Mutex
+	limit    int
 	inFlight map[string]*inFlightCommand // machines that one is under way to
 	// A machine that has not carried the last one out is tried again after a while,
 	// each time twice as long, and all such machines share half of the room, so that
 	// those that answer are never behind them.
-	backoff map[string]commandBackoff
-	inFlightBackedOff    int // under way to machines in rest
+	backoff           map[string]commandBackoff
+	inFlightBackedOff int // under way to machines in rest
 }
 
 type inFlightCommand struct{ backedOff, gone bool }
@@ -91,7 +91,9 @@
 }
 
 // acquireCommandSlot takes room for an order to a machine of this part.
-func (o *ownedPartition) acquireCommandSlot(id string) bool { return o.controller.commandSlots.acquire(id, time.Now()) }
+func (o *ownedPartition) acquireCommandSlot(id string) bool {
+	return o.controller.commandSlots.acquire(id, time.Now())
+}
 
 // releaseCommandSlot gives it back.
 func (o *ownedPartition) releaseCommandSlot(id string, executed bool) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,16 +23,16 @@
 
 // Controller is one node.
 type Controller struct {
-	settings   *config.Settings
-	net        transport.Net
-	tuning     tuning.Tuning
-	store      *kvstore.Client
-	cloud      *cloud.Client
-	workers    *worker.Client
-	commandSlots     *commandSlots
-	cluster    *clusterCache
-	peers      map[string]*peerrpc.Peer
-	partitions int
+	settings     *config.Settings
+	net          transport.Net
+	tuning       tuning.Tuning
+	store        *kvstore.Client
+	cloud        *cloud.Client
+	workers      *worker.Client
+	commandSlots *commandSlots
+	cluster      *clusterCache
+	peers        map[string]*peerrpc.Peer
+	partitions   int
 	// limits are those of the state service that all that is written keeps to.
 	limits config.StateLimits
 	// supportedLevel is the feature level that this node says it knows.
@@ -42,16 +42,16 @@
 	// announcementSlots holds a place for each cancellation that an owner is told of.
 	announcementSlots chan struct{}
 
-	mu         sync.Mutex
-	machineTypes      []wire.MachineType
-	owned      map[int]*ownedPartition
+	mu           sync.Mutex
+	machineTypes []wire.MachineType
+	owned        map[int]*ownedPartition
 	leaseID      uint64
-	leaseExpiry time.Time // until then the lease lasts for sure, whatever becomes of contact
-	leading    bool
-	finalJobs     map[string]records.JobRecord
-	addresses      map[string]string // where machines can be reached, by their reports or the list
-	visits     map[string]visit  // workers that report here but are assigned to other nodes, by machine
-	claimBackoff   map[int]time.Time // parts not to be claimed again at once
+	leaseExpiry  time.Time // until then the lease lasts for sure, whatever becomes of contact
+	leading      bool
+	finalJobs    map[string]records.JobRecord
+	addresses    map[string]string // where machines can be reached, by their reports or the list
+	visits       map[string]visit  // workers that report here but are assigned to other nodes, by machine
+	claimBackoff map[int]time.Time // parts not to be claimed again at once
 }
 
 // New makes a controller that has not started yet.
@@ -60,10 +60,10 @@
 	c := &Controller{
 		settings: settings, limits: st, supportedLevel: records.CurrentFeatureLevel, tuning: tunables, net: network, cluster: newClusterCache(), peers: map[string]*peerrpc.Peer{}, partitions: tunables.Parts,
 		owned: map[int]*ownedPartition{}, finalJobs: map[string]records.JobRecord{}, addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
-		store:   kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
-		cloud:   cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
-		workers: worker.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
-		commandSlots:  newCommandSlots(settings.Cluster.Limits.MaxSockets), announcementSlots: make(chan struct{}, maxAnnouncements),
+		store:        kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
+		cloud:        cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
+		workers:      worker.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
+		commandSlots: newCommandSlots(settings.Cluster.Limits.MaxSockets), announcementSlots: make(chan struct{}, maxAnnouncements),
 	}
 	if c.partitions == 0 {
 		c.partitions = settings.Cluster.Count
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -32,7 +32,7 @@
 // forwardRequest is a report on its way; its answer is sent once.
 type forwardRequest struct {
 	heartbeat *wire.Heartbeat
-	answer chan forwardAnswer
+	answer    chan forwardAnswer
 }
 
 type forwardAnswer struct {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -28,9 +28,9 @@
 
 // visit is the state of a worker that reports to a node it is not assigned to.
 type visit struct {
-	lastHeartbeat  time.Time // its newest report here
-	redirectAt time.Time // it may stay until then
-	redirected  bool      // it was sent to its assigned node then
+	lastHeartbeat time.Time // its newest report here
+	redirectAt    time.Time // it may stay until then
+	redirected    bool      // it was sent to its assigned node then
 }
 
 // Heartbeat answers a worker, or names the node to which it should report.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -69,20 +69,20 @@
 type leader struct {
 	controller *Controller
 	revision   uint64
-	leaseID      uint64 // that the lead was claimed under
-	autoscaler      *autoscaler.Autoscaler
-	nextRental       int // number of the next rental of this term
+	leaseID    uint64 // that the lead was claimed under
+	autoscaler *autoscaler.Autoscaler
+	nextRental int // number of the next rental of this term
 
-	listed    map[string]wire.CloudMachine
-	missedListings    map[string]int       // lists in a row that lack a machine once listed
-	everListed      map[string]bool      // machines once listed
-	returnedAt      map[string]time.Time // machines returned, which the list may still show
-	refused   map[autoscaler.Offering]offeringBackoff
-	summaries map[int]records.PartitionSummary
-	lastSizing     time.Time
-	lastAttempt     map[string]time.Time // last call for a recorded rental
-	recordedThisTerm       map[string]bool      // rentals recorded in this term
-	resize     bool                 // size again at once
+	listed           map[string]wire.CloudMachine
+	missedListings   map[string]int       // lists in a row that lack a machine once listed
+	everListed       map[string]bool      // machines once listed
+	returnedAt       map[string]time.Time // machines returned, which the list may still show
+	refused          map[autoscaler.Offering]offeringBackoff
+	summaries        map[int]records.PartitionSummary
+	lastSizing       time.Time
+	lastAttempt      map[string]time.Time // last call for a recorded rental
+	recordedThisTerm map[string]bool      // rentals recorded in this term
+	resize           bool                 // size again at once
 }
 
 func newLeader(c *Controller, revision, leaseID uint64) *leader {
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -25,16 +25,16 @@
 	// pendingChanges are changes of machines that came while the records were read.
 	pendingChanges      map[string]pendingMachineChange
 	cancellationsReadAt time.Time         // every cancellation confirmed before then is known to p
-	writtenSummary       map[string][]byte // summary's records as last written
-	lastSummary time.Time
-	summaryGap time.Duration // until the next one
+	writtenSummary      map[string][]byte // summary's records as last written
+	lastSummary         time.Time
+	summaryGap          time.Duration // until the next one
 	// noted is what was last logged of the news: late, and reports still answered.
 	loggedStaleness [2]bool
 }
 
 type pendingMachineChange struct {
-	entry    machineEntry
-	gone bool
+	entry machineEntry
+	gone  bool
 }
 
 // machineChanged takes in a change of a machine's record. One that comes while the part is
