--- a/internal/worker/client.go
+++ b/internal/agentclient/client.go
@@ -1,5 +1,5 @@
-// Package worker sends orders straight to workers.
-package worker
+// Package agentclient sends commands directly to the agents on worker machines.
+package agentclient
 
 import (
 	"context"
@@ -29,9 +29,9 @@
 	return &Client{timeout: timeout, http: transport.Client(n, 1, tuning.IdleOrders, min(timeout, tuning.TakeoverTimeout))}
 }
 
-// Order sends orders. executed is true only if the worker carried them out; on
+// SendCommands sends orders. executed is true only if the worker carried them out; on
 // an error but ErrNotSent they may still be, for as long as token and session match.
-func (c *Client) Order(ctx context.Context, addr string, o wire.CommandRequest) (r *wire.Heartbeat, executed bool, err error) {
+func (c *Client) SendCommands(ctx context.Context, addr string, o wire.CommandRequest) (r *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var connected atomic.Bool
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -19,8 +19,8 @@
 var (
 	// ErrNoCapacity: none of this type, zone and kind is to be had now.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrTrouble: refused for another reason, or unanswered; it may have been executed.
-	ErrTrouble = errors.New("cloud: trouble")
+	// ErrRequestFailed: refused for another reason, or unanswered; it may have been executed.
+	ErrRequestFailed = errors.New("cloud: trouble")
 )
 
 // Client talks to the cloud within its call rate.
@@ -53,7 +53,7 @@
 	defer cancel()
 	resp, err := transport.Send(ctx, c.http, method, c.base+path, body)
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrTrouble, err)
+		return fmt.Errorf("%w: %v", ErrRequestFailed, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
@@ -62,7 +62,7 @@
 			return nil
 		}
 		if err := wire.ReadResponse(resp.Body, out); err != nil {
-			return fmt.Errorf("%w: %v", ErrTrouble, err)
+			return fmt.Errorf("%w: %v", ErrRequestFailed, err)
 		}
 		return nil
 	}
@@ -71,7 +71,7 @@
 	if resp.StatusCode == http.StatusServiceUnavailable && problem.Error == "no capacity" {
 		return ErrNoCapacity
 	}
-	return fmt.Errorf("%w: status %d %s", ErrTrouble, resp.StatusCode, problem.Error)
+	return fmt.Errorf("%w: status %d %s", ErrRequestFailed, resp.StatusCode, problem.Error)
 }
 
 // Catalog reads the machine types with their present prices.
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -52,7 +52,7 @@
 	for o.ctx.Err() == nil {
 		o.logStaleness()
 		asked := time.Now()
-		items, _, err := o.controller.store.ListAtOnce(o.ctx, records.CancellationPrefix(o.index))
+		items, _, err := o.controller.store.ListUnthrottled(o.ctx, records.CancellationPrefix(o.index))
 		if err != nil {
 			slog.Debug("cancellations not read", "part", o.index, "err", err)
 			transport.Pause(o.ctx, gap/4)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
+	"ambersill/internal/agentclient"
 	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
-	"ambersill/internal/worker"
 )
 
 // commandSlots bounds what is sent straight to workers. Each order is a socket, and a worker
@@ -127,12 +127,12 @@
 	if !ok {
 		return
 	}
-	heartbeat, executed, err := o.controller.workers.Order(o.ctx, addr, ord)
+	heartbeat, executed, err := o.controller.workers.SendCommands(o.ctx, addr, ord)
 	outcome = scheduler.CommandsUnknown
 	switch {
 	case executed:
 		outcome = scheduler.CommandsExecuted
-	case err == nil, errors.Is(err, worker.ErrNotSent):
+	case err == nil, errors.Is(err, agentclient.ErrNotSent):
 		outcome = scheduler.CommandsNotExecuted
 	}
 	if err != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,6 +10,7 @@
 	"sync"
 	"time"
 
+	"ambersill/internal/agentclient"
 	"ambersill/internal/cloud"
 	"ambersill/internal/config"
 	"ambersill/internal/kvstore"
@@ -18,7 +19,6 @@
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
-	"ambersill/internal/worker"
 )
 
 // Controller is one node.
@@ -28,7 +28,7 @@
 	tuning       tuning.Tuning
 	store        *kvstore.Client
 	cloud        *cloud.Client
-	workers      *worker.Client
+	workers      *agentclient.Client
 	commandSlots *commandSlots
 	cluster      *clusterCache
 	peers        map[string]*peerrpc.Peer
@@ -62,7 +62,7 @@
 		owned: map[int]*ownedPartition{}, finalJobs: map[string]records.JobRecord{}, addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
 		store:        kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
 		cloud:        cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
-		workers:      worker.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
+		workers:      agentclient.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
 		commandSlots: newCommandSlots(settings.Cluster.Limits.MaxSockets), announcementSlots: make(chan struct{}, maxAnnouncements),
 	}
 	if c.partitions == 0 {
@@ -135,7 +135,7 @@
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.Seconds(c.tuning.StateTimeoutS))
 		defer cancel()
-		_ = c.store.EndLease(ctx, leaseID)
+		_ = c.store.RevokeLease(ctx, leaseID)
 	}
 	slog.Info("stopped", "node", c.settings.Node)
 }
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -54,7 +54,7 @@
 	// A machine that is there answers in milliseconds; this one must not hold up the rest.
 	ctx, cancel := context.WithTimeout(o.ctx, tuning.TakeoverTimeout)
 	defer cancel()
-	heartbeat, done, err := o.controller.workers.Order(ctx, addr, ord)
+	heartbeat, done, err := o.controller.workers.SendCommands(ctx, addr, ord)
 	executed = done
 	if err != nil {
 		slog.Debug("machine not taken over yet", "machine", id, "err", err)
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -54,7 +54,7 @@
 		Compares: []wire.Compare{{Key: key, Revision: revision}},
 		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: leaseID}},
 	})
-	if !errors.Is(err, kvstore.ErrUnknown) {
+	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return revision, err
 	}
 	// It may have been carried out: the key tells.
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -28,7 +28,7 @@
 	}
 	c.mu.Unlock()
 	f *= 1 - c.tuning.ShareReserve
-	c.store.SetShare(st.RPS*f, st.WriteRPS*f)
+	c.store.SetRateLimits(st.RPS*f, st.WriteRPS*f)
 }
 
 // runMembership keeps the node's lease, and claims parts that nobody owns.
@@ -178,7 +178,7 @@
 		Compares: []wire.Compare{{Key: key, Revision: revision}},
 		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: leaseID}},
 	})
-	if errors.Is(err, kvstore.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		// It may have been carried out: the key tells.
 		item, gerr := c.store.Get(ctx, key)
 		if gerr != nil || item.LeaseID != leaseID {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -189,7 +189,7 @@
 	}
 	record := records.JobRecord{Job: job, Phase: wire.JobQueued, Partition: c.partitionOf(job), SubmittedAtMS: time.Now().UnixMilli()}
 	key := records.JobKey(job.ID)
-	_, err = c.store.CommitFirst(ctx, wire.Txn{
+	_, err = c.store.CommitUrgent(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: 0}},
 		Writes: []wire.Write{
 			{Put: key, Value: record},
@@ -200,7 +200,7 @@
 		return jobStatus(record), true, nil
 	}
 	var conflict *kvstore.ConflictError
-	if errors.As(err, &conflict) || errors.Is(err, kvstore.ErrUnknown) {
+	if errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		// Known already, or perhaps: the record tells.
 		record, _, gerr := c.readJob(ctx, job.ID)
 		if gerr == nil {
@@ -274,7 +274,7 @@
 			return jobStatus(record), nil
 		}
 		record.Phase = wire.JobCancelled
-		_, err = c.store.CommitFirst(ctx, wire.Txn{
+		_, err = c.store.CommitUrgent(ctx, wire.Txn{
 			Compares: []wire.Compare{{Key: records.JobKey(id), Revision: revision}},
 			Writes: []wire.Write{
 				{Put: records.JobKey(id), Value: record},
@@ -287,7 +287,7 @@
 			c.cacheFinalJob(record)
 			c.announceCancellation(record.Partition, id)
 			return jobStatus(record), nil
-		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
+		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrOutcomeUnknown):
 			continue // read again: it ended, or the answer was lost
 		default:
 			return wire.JobStatus{}, err
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -25,15 +25,15 @@
 	ErrNotFound = errors.New("state: not found")
 	// ErrRefused: the request was certainly not executed.
 	ErrRefused = errors.New("state: refused")
-	// ErrUnknown: no answer; the request may have been, or may yet be, executed.
-	ErrUnknown = errors.New("state: outcome unknown")
+	// ErrOutcomeUnknown: no answer; the request may have been, or may yet be, executed.
+	ErrOutcomeUnknown = errors.New("state: outcome unknown")
 	// ErrCompacted: a watch began too far back; read the keys again.
 	ErrCompacted = errors.New("state: revision too old")
 	// ErrInvalid: the request is malformed or over a limit of size, was not executed, and
 	// never will be as it is.
 	ErrInvalid = errors.New("state: request not valid")
-	// ErrNoLease: a put named a lease that has ended.
-	ErrNoLease = errors.New("state: lease has ended")
+	// ErrLeaseNotFound: a put named a lease that has ended.
+	ErrLeaseNotFound = errors.New("state: lease has ended")
 )
 
 // ConflictError says which conditions of a transaction failed.
@@ -80,8 +80,8 @@
 	}
 }
 
-// SetShare changes this node's share of the service's limits, per second.
-func (c *Client) SetShare(reads, writes float64) {
+// SetRateLimits changes this node's share of the service's limits, per second.
+func (c *Client) SetRateLimits(reads, writes float64) {
 	if c.reads.Limit() != rate.Limit(reads) {
 		c.reads.SetLimit(rate.Limit(reads))
 	}
@@ -126,7 +126,7 @@
 	resp, err := transport.Send(ctx, cl, method, c.base+path, body)
 	if err != nil {
 		c.count(&c.calls.unknown)
-		return fmt.Errorf("%w: %v", ErrUnknown, err)
+		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
@@ -147,7 +147,7 @@
 			return nil
 		}
 		if err := wire.ReadResponse(resp.Body, out); err != nil {
-			return fmt.Errorf("%w: %v", ErrUnknown, err)
+			return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 		}
 		return nil
 	case http.StatusNotFound:
@@ -159,14 +159,14 @@
 	case http.StatusConflict:
 		var r wire.TxnResponse
 		if err := wire.ReadResponse(resp.Body, &r); err != nil {
-			return fmt.Errorf("%w: %v", ErrUnknown, err)
+			return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
 		}
 		return &ConflictError{Keys: r.Failed}
 	default:
 		var problem wire.ErrorResponse
 		_ = wire.ReadResponse(resp.Body, &problem)
 		if problem.Error == "no such lease" {
-			return ErrNoLease
+			return ErrLeaseNotFound
 		}
 		if resp.StatusCode == http.StatusBadRequest {
 			return fmt.Errorf("%w: %s", ErrInvalid, problem.Error)
@@ -205,9 +205,9 @@
 	return c.list(ctx, prefix, c.reads)
 }
 
-// ListAtOnce is List without the budget, for the few reads that must not wait behind
+// ListUnthrottled is List without the budget, for the few reads that must not wait behind
 // users' questions.
-func (c *Client) ListAtOnce(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
+func (c *Client) ListUnthrottled(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, rate.NewLimiter(rate.Inf, 0))
 }
 
@@ -238,7 +238,7 @@
 	}
 }
 
-// Commit runs a transaction. ErrUnknown means it may still take effect.
+// Commit runs a transaction. ErrOutcomeUnknown means it may still take effect.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	if err := c.wait(ctx, c.reads, 1); err != nil {
 		return 0, err
@@ -251,10 +251,10 @@
 	return c.commit(ctx, txn)
 }
 
-// CommitFirst is Commit ahead of those that wait for the budget: its changes are taken from
+// CommitUrgent is Commit ahead of those that wait for the budget: its changes are taken from
 // the budget, but waited for only if that is overdrawn by more than a moment's worth. It
 // is for what users wait for.
-func (c *Client) CommitFirst(ctx context.Context, txn wire.Txn) (uint64, error) {
+func (c *Client) CommitUrgent(ctx context.Context, txn wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 {
 		r := c.writes.ReserveN(time.Now(), n)
 		if !r.OK() || r.Delay() > maxOverdraft {
@@ -301,8 +301,8 @@
 	return c.call(ctx, http.MethodPost, "/holds/"+strconv.FormatUint(leaseID, 10)+"/extend", nil, nil)
 }
 
-// EndLease ends a lease at once.
-func (c *Client) EndLease(ctx context.Context, leaseID uint64) error {
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	return c.call(ctx, http.MethodDelete, "/holds/"+strconv.FormatUint(leaseID, 10), nil, nil)
 }
 
