--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -31,9 +31,9 @@
 var exchangeMachines = []string{"m-1", "m-2", "m-3", "m-4"}
 
 // jobsOf is the state of a partition's jobs.
-func jobsOf(b *bed) map[string]exchangeJob {
+func jobsOf(harness *partitionHarness) map[string]exchangeJob {
 	out := map[string]exchangeJob{}
-	for id, job := range b.jobs {
+	for id, job := range harness.jobs {
 		e := exchangeJob{Done: job.doneTasks, Waiting: job.waitingTasks, Try: job.highestAttempt, Live: map[int]string{}}
 		for task, placement := range job.placements {
 			e.Live[task] = fmt.Sprint(placement.machine.ID, " ", placement.attempt, " ", placement.incarnation)
@@ -46,43 +46,43 @@
 // writeExchange plays jobs for long enough that chunks are folded, and writes what is
 // stored then.
 func writeExchange(t *testing.T, file string) {
-	b := newBed()
-	b.slotRevisions = make([]uint64, 16)
-	s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{records.PartitionKey(0): b.Revision}}
+	harness := newPartitionHarness()
+	harness.slotRevisions = make([]uint64, 16)
+	store := &fakeStore{revision: 1000, values: map[string]wire.Raw{}, revisions: map[string]uint64{records.PartitionKey(0): harness.Revision}}
 	for _, id := range exchangeMachines {
-		b.machine(id, "cpu", "a", false)
+		harness.addMachine(id, "cpu", "a", false)
 	}
 	for n := range 5 {
-		job := array(fmt.Sprintf("req-%d", n), 150+50*n, 0.5)
+		job := newArrayJob(fmt.Sprintf("req-%d", n), 150+50*n, 0.5)
 		job.MachineTypes, job.DeadlineS, job.SpreadZones = []string{"cpu"}, 5000, n == 3
-		record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: b.now.UnixMilli()}
-		s.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, firstChunkWrite(record)}})
-		b.AddJob(&job, b.now, s.rev)
+		record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
+		store.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, firstChunkWrite(record)}})
+		harness.AddJob(&job, harness.now, store.revision)
 	}
 	for round := range 25 {
-		b.Schedule(b.now)
-		for batch := b.PrepareBatch(); !batch.Empty(); batch = b.PrepareBatch() {
-			s.commit(b, batch, "done")
+		harness.Schedule(harness.now)
+		for batch := harness.PrepareBatch(); !batch.Empty(); batch = harness.PrepareBatch() {
+			store.commit(harness, batch, "done")
 		}
 		for i, id := range exchangeMachines {
-			b.report(id)
-			b.report(id)
-			for n, key := range sortedTaskAttempts(b.machines[id].placements) {
+			harness.sendHeartbeat(id)
+			harness.sendHeartbeat(id)
+			for n, key := range sortedTaskAttempts(harness.machines[id].placements) {
 				if round < 24 && (n+i+round)%3 == 0 {
-					b.end(id, key.task, key.attempt, []wire.ExitCause{wire.ExitDone, wire.ExitStopped}[n%2])
+					harness.endTask(id, key.task, key.attempt, []wire.ExitCause{wire.ExitDone, wire.ExitStopped}[n%2])
 				}
 			}
-			b.report(id)
+			harness.sendHeartbeat(id)
 		}
 	}
-	for batch := b.PrepareBatch(); !batch.Empty(); batch = b.PrepareBatch() {
-		s.commit(b, batch, "done")
+	for batch := harness.PrepareBatch(); !batch.Empty(); batch = harness.PrepareBatch() {
+		store.commit(harness, batch, "done")
 	}
 	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{"m-1": {MachineType: "cpu", Zone: "a", Partition: 0, CreatedAtMS: 5, FencingToken: 7}}}
-	summary := b.Summary(b.now)
-	s.apply(wire.Txn{Writes: []wire.Write{{Put: "c/m/m-1", Value: group}, {Put: "s/0", Value: summary},
+	summary := harness.Summary(harness.now)
+	store.apply(wire.Txn{Writes: []wire.Write{{Put: "c/m/m-1", Value: group}, {Put: "s/0", Value: summary},
 		{Put: "c/h/r-1-1", Value: records.RentalRecord{MachineType: "cpu", Zone: "a", Count: 3, RecordedAtMS: 9}}, {Put: "c/p/0", Value: records.OwnerRecord{Node: "n"}}}})
-	raw, err := wire.Marshal(exchange{s.vals, s.at, jobsOf(b)})
+	raw, err := wire.Marshal(exchange{store.values, store.revisions, jobsOf(harness)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -13,43 +13,43 @@
 	"pgregory.net/rapid"
 )
 
-// plainState is a state service of the plainest kind: keys with stamps, and
+// fakeStore is a state service of the plainest kind: keys with stamps, and
 // transactions that are lost or come late.
-type plainState struct {
-	rev  uint64
-	vals map[string]wire.Raw
-	at   map[string]uint64
-	late []wire.Txn
-	big  int // bytes of the largest value since the limits were lowered, as JSON
-	ops  int // changes of the largest transaction since
+type fakeStore struct {
+	revision  uint64
+	values    map[string]wire.Raw
+	revisions map[string]uint64
+	late      []wire.Txn
+	big       int // bytes of the largest value since the limits were lowered, as JSON
+	ops       int // changes of the largest transaction since
 }
 
-func (s *plainState) apply(t wire.Txn) bool {
+func (s *fakeStore) apply(t wire.Txn) bool {
 	for _, c := range t.Compares {
-		if s.at[c.Key] != c.Revision {
+		if s.revisions[c.Key] != c.Revision {
 			return false
 		}
 	}
-	s.rev++
+	s.revision++
 	s.ops = max(s.ops, len(t.Writes))
 	for _, w := range t.Writes {
 		if w.Put == "" {
-			delete(s.vals, w.Delete)
-			delete(s.at, w.Delete)
+			delete(s.values, w.Delete)
+			delete(s.revisions, w.Delete)
 			continue
 		}
 		v, err := wire.Marshal(w.Value)
 		if err != nil {
 			panic(err)
 		}
-		s.vals[w.Put], s.at[w.Put] = v, s.rev
-		s.big = max(s.big, valueBytes(w.Value))
+		s.values[w.Put], s.revisions[w.Put] = v, s.revision
+		s.big = max(s.big, encodedBytesOrZero(w.Value))
 	}
 	return true
 }
 
 // commit has a batch meet some fate, and the owner find out as it does.
-func (s *plainState) commit(b *bed, batch *Batch, fate string) {
+func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, fate string) {
 	switch fate {
 	case "refused":
 		return
@@ -57,57 +57,57 @@
 		s.late = append(s.late, batch.Txn)
 	default:
 		if s.apply(batch.Txn) && fate == "done" {
-			b.ConfirmBatch(batch, s.rev)
+			harness.ConfirmBatch(batch, s.revision)
 			return
 		}
 	}
 	for _, c := range batch.Txn.Compares {
 		var record *records.JobRecord
-		if v, ok := s.vals[c.Key]; ok && strings.HasPrefix(c.Key, "j/") {
+		if v, ok := s.values[c.Key]; ok && strings.HasPrefix(c.Key, "j/") {
 			record = &records.JobRecord{}
 			if wire.Unmarshal(v, record) != nil {
 				record = nil
 			}
 		}
-		b.RefreshKey(batch, c.Key, s.at[c.Key], record, b.now)
+		harness.RefreshKey(batch, c.Key, s.revisions[c.Key], record, harness.now)
 	}
 }
 
 // successor is a new owner that knows only what the state service holds.
-func (s *plainState) successor(t *rapid.T, machines []string, b *bed) *bed {
-	o := newBed()
-	o.limits = b.limits
-	o.SetLevel(b.featureLevel)
-	o.slotRevisions = make([]uint64, testRing)
+func (s *fakeStore) successor(t *rapid.T, machines []string, harness *partitionHarness) *partitionHarness {
+	successor := newPartitionHarness()
+	successor.limits = harness.limits
+	successor.SetLevel(harness.featureLevel)
+	successor.slotRevisions = make([]uint64, testRing)
 	for _, id := range machines {
-		o.machine(id, "cpu", "a", false)
+		successor.addMachine(id, "cpu", "a", false)
 	}
 	var chunks []records.LoadedChunk
 	var slots []records.LoadedJournalRecord
-	for k, v := range s.vals {
+	for k, v := range s.values {
 		if id, name, ok := records.ParseChunkKey(k); ok && strings.HasPrefix(k, "a/") {
-			c := records.LoadedChunk{JobID: id, Name: name, Revision: s.at[k]}
+			c := records.LoadedChunk{JobID: id, Name: name, Revision: s.revisions[k]}
 			if err := wire.Unmarshal(v, &c.Record); err != nil {
 				t.Fatal(err)
 			}
 			chunks = append(chunks, c)
 		}
 		if strings.HasPrefix(k, records.JournalPrefix(0)) {
-			l := records.LoadedJournalRecord{Revision: s.at[k]}
+			l := records.LoadedJournalRecord{Revision: s.revisions[k]}
 			if err := wire.Unmarshal(v, &l.Record); err != nil {
 				t.Fatal(err)
 			}
 			slots = append(slots, l)
 		}
 	}
-	o.Restore(chunks, slots)
-	return o
+	successor.Restore(chunks, slots)
+	return successor
 }
 
 // keepsFirstFormat checks that chunks' records are such as programs of before the feature
 // levels read: numbered, and without the tasks that they hold.
-func (s *plainState) keepsFirstFormat(t *rapid.T) {
-	for key, v := range s.vals {
+func (s *fakeStore) keepsFirstFormat(t *rapid.T) {
+	for key, v := range s.values {
 		_, name, ok := records.ParseChunkKey(key)
 		if !ok || !strings.HasPrefix(key, records.ChunkPrefix(0)) {
 			continue
@@ -123,8 +123,8 @@
 }
 
 // shows tells whether some worker still knows of a task.
-func (b *bed) shows(task string) bool {
-	for _, on := range b.on {
+func (h *partitionHarness) shows(task string) bool {
+	for _, on := range h.workerTasks {
 		for key := range on {
 			if key.task == task {
 				return true
@@ -145,22 +145,22 @@
 // stored by then is larger than what may be written.
 func TestJournalSurvivesATakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBed()
-		b.slotRevisions = make([]uint64, testRing)
-		b.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+		harness := newPartitionHarness()
+		harness.slotRevisions = make([]uint64, testRing)
+		harness.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 		raised := rapid.IntRange(0, 60).Draw(t, "raised")
 		lowered := raised + rapid.IntRange(1, 20).Draw(t, "lowered after")
 		limitKB := rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB")
-		s := &plainState{rev: 1000, vals: map[string]wire.Raw{}, at: map[string]uint64{records.PartitionKey(0): b.Revision}}
+		store := &fakeStore{revision: 1000, values: map[string]wire.Raw{}, revisions: map[string]uint64{records.PartitionKey(0): harness.Revision}}
 		machines := []string{"m-1", "m-2", "m-3"}
 		for _, id := range machines {
-			b.machine(id, "cpu", "a", false)
+			harness.addMachine(id, "cpu", "a", false)
 		}
 		submit := func(n int) {
-			job := array(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
-			record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: b.now.UnixMilli()}
-			s.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, {Put: records.FirstChunkKey(0, job.ID), Value: records.NewFirstChunk(record, b.featureLevel, b.settings)}}})
-			b.AddJob(&job, b.now, s.rev)
+			job := newArrayJob(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
+			record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
+			store.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, {Put: records.FirstChunkKey(0, job.ID), Value: records.NewFirstChunk(record, harness.featureLevel, harness.settings)}}})
+			harness.AddJob(&job, harness.now, store.revision)
 		}
 		ended := map[string]bool{} // tasks whose end a worker has reported
 		for round := range rapid.IntRange(1, 60).Draw(t, "rounds") {
@@ -168,42 +168,42 @@
 				submit(round)
 			}
 			if round == raised {
-				b.SetLevel(records.FeatureExplicitChunks)
+				harness.SetLevel(records.FeatureExplicitChunks)
 			}
 			if round == lowered {
-				b.limits.ValueKB, b.limits.TxnOps = limitKB, 3
-				s.big, s.ops = 0, 0
+				harness.limits.ValueKB, harness.limits.TxnOps = limitKB, 3
+				store.big, store.ops = 0, 0
 			}
-			b.now = b.now.Add(time.Second)
-			b.Schedule(b.now)
+			harness.now = harness.now.Add(time.Second)
+			harness.Schedule(harness.now)
 			for range 4 {
-				batch := b.PrepareBatch()
+				batch := harness.PrepareBatch()
 				if batch.Empty() {
 					break
 				}
-				s.commit(b, batch, rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "refused"}).Draw(t, "fate"))
-				if n := len(s.late); n > 0 && rapid.Bool().Draw(t, "arrives") {
-					s.apply(s.late[0])
-					s.late = s.late[1:]
+				store.commit(harness, batch, rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "refused"}).Draw(t, "fate"))
+				if n := len(store.late); n > 0 && rapid.Bool().Draw(t, "arrives") {
+					store.apply(store.late[0])
+					store.late = store.late[1:]
 				}
 			}
 			for _, id := range machines {
-				b.report(id)
-				for _, key := range sortedTaskAttempts(b.machines[id].placements) {
-					if _, on := b.on[id][key]; on && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
+				harness.sendHeartbeat(id)
+				for _, key := range sortedTaskAttempts(harness.machines[id].placements) {
+					if _, on := harness.workerTasks[id][key]; on && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
 						why := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped}).Draw(t, "cause")
-						b.end(id, key.task, key.attempt, why)
+						harness.endTask(id, key.task, key.attempt, why)
 						ended[key.task] = ended[key.task] || why == wire.ExitDone
 					}
 				}
-				b.report(id)
+				harness.sendHeartbeat(id)
 			}
-			if b.featureLevel == records.FeatureInitialFormat {
-				s.keepsFirstFormat(t)
+			if harness.featureLevel == records.FeatureInitialFormat {
+				store.keepsFirstFormat(t)
 			}
-			o := s.successor(t, machines, b)
-			for id, job := range b.jobs {
-				k := o.jobs[id]
+			successor := store.successor(t, machines, harness)
+			for id, job := range harness.jobs {
+				k := successor.jobs[id]
 				if k == nil {
 					if job.doneTasks < job.Tasks {
 						t.Fatalf("round %d: %s is not known to a new owner", round, id)
@@ -226,7 +226,7 @@
 					}
 				}
 				for i, st := range job.taskStates {
-					if task := wire.TaskName(id, i); st == taskDone && k.taskStates[i] != taskDone && !b.shows(task) {
+					if task := wire.TaskName(id, i); st == taskDone && k.taskStates[i] != taskDone && !harness.shows(task) {
 						t.Fatalf("round %d: %s was cleared, but its end is not on record", round, task)
 					}
 				}
@@ -236,24 +236,24 @@
 					}
 				}
 			}
-			if s.big > int(b.limits.ValueKB*1024) || s.ops > b.limits.TxnOps {
-				t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, s.big, s.ops)
+			if store.big > int(harness.limits.ValueKB*1024) || store.ops > harness.limits.TxnOps {
+				t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, store.big, store.ops)
 			}
 		}
 		// With every commit served, what a new owner reads is all there is.
 		for range 2000 {
-			batch := b.PrepareBatch()
+			batch := harness.PrepareBatch()
 			if batch.Empty() {
 				break
 			}
-			s.commit(b, batch, "done")
+			store.commit(harness, batch, "done")
 		}
-		if len(b.dirtyChunks) > 0 {
-			t.Fatalf("%d chunks are not recorded in the end", len(b.dirtyChunks))
+		if len(harness.dirtyChunks) > 0 {
+			t.Fatalf("%d chunks are not recorded in the end", len(harness.dirtyChunks))
 		}
-		o := s.successor(t, machines, b)
-		for id, job := range b.jobs {
-			if k := o.jobs[id]; k.doneTasks != job.doneTasks || k.waitingTasks != job.waitingTasks || k.highestAttempt < job.highestAttempt {
+		successor := store.successor(t, machines, harness)
+		for id, job := range harness.jobs {
+			if k := successor.jobs[id]; k.doneTasks != job.doneTasks || k.waitingTasks != job.waitingTasks || k.highestAttempt < job.highestAttempt {
 				t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, k.doneTasks, k.waitingTasks, k.highestAttempt)
 			}
 		}
--- a/internal/scheduler/production_test.go
+++ b/internal/scheduler/production_test.go
@@ -11,10 +11,10 @@
 )
 
 // loadExchange has this version load what is stored.
-func loadExchange(t *testing.T, e *exchange) *bed {
-	o := newBed()
+func loadExchange(t *testing.T, e *exchange) *partitionHarness {
+	harness := newPartitionHarness()
 	for _, id := range exchangeMachines {
-		o.machine(id, "cpu", "a", false)
+		harness.addMachine(id, "cpu", "a", false)
 	}
 	var chunks []records.LoadedChunk
 	var journal []records.LoadedJournalRecord
@@ -35,8 +35,8 @@
 		}
 		readOthers(t, key, raw)
 	}
-	o.Restore(chunks, journal)
-	return o
+	harness.Restore(chunks, journal)
+	return harness
 }
 
 // firstChunkWrite is the write of a new job's first chunk below the feature level.
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -21,50 +21,50 @@
 }
 
 func benchmarkPass(b *testing.B, machines, jobs int) {
-	d := newBed()
+	harness := newPartitionHarness()
 	for i := range machines {
-		d.machine(fmt.Sprintf("m-%06d", i), "cpu", "a", false)
+		harness.addMachine(fmt.Sprintf("m-%06d", i), "cpu", "a", false)
 	}
 	next := 0
 	for i := 0; b.Loop(); i++ {
-		for len(d.jobs) < jobs {
-			job := array(fmt.Sprintf("req-%06d", next), 220, 1)
+		for len(harness.jobs) < jobs {
+			job := newArrayJob(fmt.Sprintf("req-%06d", next), 220, 1)
 			job.Image, job.ImageGB = fmt.Sprint("img-", next%18), 1
-			d.add(job)
+			harness.addJob(job)
 			next++
 		}
-		d.now = d.now.Add(100 * time.Millisecond)
-		d.Schedule(d.now)
-		d.commit()
-		for k, id := range d.machineIDs {
+		harness.now = harness.now.Add(100 * time.Millisecond)
+		harness.Schedule(harness.now)
+		harness.commitBatches()
+		for k, id := range harness.machineIDs {
 			if (k+i)%20 != 0 {
 				continue
 			}
-			d.report(id)
-			for _, a := range sortedTaskAttempts(d.machines[id].placements) {
-				d.end(id, a.task, a.attempt, wire.ExitDone)
+			harness.sendHeartbeat(id)
+			for _, a := range sortedTaskAttempts(harness.machines[id].placements) {
+				harness.endTask(id, a.task, a.attempt, wire.ExitDone)
 			}
-			d.report(id)
-			d.report(id)
+			harness.sendHeartbeat(id)
+			harness.sendHeartbeat(id)
 		}
-		d.MachinesAwaitingCommands(true)
+		harness.MachinesAwaitingCommands(true)
 		if i%10 == 0 {
-			d.Summary(d.now)
+			harness.Summary(harness.now)
 		}
 	}
 }
 
-// jsonBytes is a value's size in the protocol's measure.
-func jsonBytes(t *testing.T, v any) int {
-	n := valueBytes(v)
+// encodedBytes is a value's size in the protocol's measure.
+func encodedBytes(t *testing.T, v any) int {
+	n := encodedBytesOrZero(v)
 	if n == 0 {
 		t.Fatalf("%v has no size", v)
 	}
 	return n
 }
 
-// valueBytes is jsonBytes; 0 for what is no value.
-func valueBytes(v any) int {
+// encodedBytesOrZero is jsonBytes; 0 for what is no value.
+func encodedBytesOrZero(v any) int {
 	raw, err := wire.Marshal(v)
 	if err != nil {
 		return 0
@@ -73,24 +73,24 @@
 	if wire.Unmarshal(raw, &plain) != nil {
 		return 0
 	}
-	out, err := json.Marshal(textKeys(plain))
+	out, err := json.Marshal(withStringKeys(plain))
 	if err != nil {
 		return 0
 	}
 	return len(out)
 }
 
-func textKeys(v any) any {
+func withStringKeys(v any) any {
 	switch x := v.(type) {
 	case map[any]any:
 		out := map[string]any{}
 		for k, e := range x {
-			out[fmt.Sprint(k)] = textKeys(e)
+			out[fmt.Sprint(k)] = withStringKeys(e)
 		}
 		return out
 	case []any:
 		for i := range x {
-			x[i] = textKeys(x[i])
+			x[i] = withStringKeys(x[i])
 		}
 	}
 	return v
@@ -100,59 +100,59 @@
 // stays within a value, and a transaction within 64 KiB: one that does not would be
 // refused for ever, and with it all that it holds.
 func TestRecordsStayWithinTheirLimits(t *testing.T) {
-	b := newBed()
-	limit := int(b.settings.Cluster.State.ValueKB * 1024)
+	harness := newPartitionHarness()
+	limit := int(harness.settings.Cluster.State.ValueKB * 1024)
 	long := strings.Repeat("x", 60)
 	recs := map[string]records.MachineRecord{}
-	per := records.MachinesPerGroup(b.settings.Cluster.State.ValueKB, long, long)
+	per := records.MachinesPerGroup(harness.settings.Cluster.State.ValueKB, long, long)
 	for i := range 1500 {
 		id := fmt.Sprintf("m-%09d", i)
-		b.machine(id, "cpu", "a", false)
+		harness.addMachine(id, "cpu", "a", false)
 		if i < per {
 			recs[id] = records.MachineRecord{MachineType: long, Zone: long, Spot: true, Partition: 4, Desired: records.DesiredReturned, MoveTo: 3, Released: true, CreatedAtMS: 1 << 41, FencingToken: 1 << 40}
 		}
 	}
-	if n := jsonBytes(t, records.MachineGroupRecord{Machines: recs}); n > limit {
+	if n := encodedBytes(t, records.MachineGroupRecord{Machines: recs}); n > limit {
 		t.Errorf("a group of %d bytes", n)
 	}
 	for i := range 600 {
-		job := array(fmt.Sprintf("req-%06d", i), 128, 1+float64(i)/1000)
+		job := newArrayJob(fmt.Sprintf("req-%06d", i), 128, 1+float64(i)/1000)
 		job.Class, job.Team, job.Image = long, long, long
-		b.add(job)
+		harness.addJob(job)
 	}
 	for round := range 3 {
-		b.Schedule(b.now)
+		harness.Schedule(harness.now)
 		for {
-			batch := b.PrepareBatch()
+			batch := harness.PrepareBatch()
 			if batch.Empty() {
 				break
 			}
-			if n := jsonBytes(t, batch.Txn); n > 64<<10 || len(batch.Txn.Writes) > b.settings.Cluster.State.TxnOps || len(batch.Txn.Compares) > 4*b.settings.Cluster.State.TxnOps {
+			if n := encodedBytes(t, batch.Txn); n > 64<<10 || len(batch.Txn.Writes) > harness.settings.Cluster.State.TxnOps || len(batch.Txn.Compares) > 4*harness.settings.Cluster.State.TxnOps {
 				t.Fatalf("a transaction of %d bytes, %d changes, %d conditions", n, len(batch.Txn.Writes), len(batch.Txn.Compares))
 			}
 			for _, w := range batch.Txn.Writes {
-				if n := jsonBytes(t, w.Value); n > limit {
+				if n := encodedBytes(t, w.Value); n > limit {
 					t.Fatalf("%s has %d bytes", w.Put, n)
 				}
 			}
-			b.rev++
-			b.ConfirmBatch(batch, b.rev)
+			harness.revision++
+			harness.ConfirmBatch(batch, harness.revision)
 		}
-		summary := b.Summary(b.now)
-		for _, notes := range summary.SplitMachineDigests(b.settings.Cluster.State.ValueKB) {
-			if n := jsonBytes(t, notes); n > limit {
+		summary := harness.Summary(harness.now)
+		for _, notes := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
+			if n := encodedBytes(t, notes); n > limit {
 				t.Fatalf("notes of %d bytes", n)
 			}
 		}
-		if n := jsonBytes(t, summary); n > limit || len(summary.Waiting) == 0 {
+		if n := encodedBytes(t, summary); n > limit || len(summary.Waiting) == 0 {
 			t.Fatalf("a summary of %d bytes with %d demands", n, len(summary.Waiting))
 		}
-		for _, id := range b.machineIDs[:300*(round+1)] {
-			b.report(id)
-			for _, a := range sortedTaskAttempts(b.machines[id].placements) {
-				b.end(id, a.task, a.attempt, wire.ExitDone)
+		for _, id := range harness.machineIDs[:300*(round+1)] {
+			harness.sendHeartbeat(id)
+			for _, a := range sortedTaskAttempts(harness.machines[id].placements) {
+				harness.endTask(id, a.task, a.attempt, wire.ExitDone)
 			}
-			b.report(id)
+			harness.sendHeartbeat(id)
 		}
 	}
 }
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -17,13 +17,13 @@
 // left waiting that would fit.
 func TestPlacementAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBed()
+		harness := newPartitionHarness()
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
 			typ := rapid.SampledFrom([]string{"cpu", "gpu"}).Draw(t, "type")
-			b.machine(fmt.Sprintf("m-%d", i), typ, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
+			harness.addMachine(fmt.Sprintf("m-%d", i), typ, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"), rapid.Bool().Draw(t, "spot"))
 		}
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
-			job := array(fmt.Sprintf("req-%d", i), rapid.IntRange(1, 9).Draw(t, "tasks"), float64(rapid.IntRange(1, 5).Draw(t, "cpus")))
+			job := newArrayJob(fmt.Sprintf("req-%d", i), rapid.IntRange(1, 9).Draw(t, "tasks"), float64(rapid.IntRange(1, 5).Draw(t, "cpus")))
 			job.GPUs = float64(rapid.IntRange(0, 2).Draw(t, "gpus"))
 			job.Team = rapid.SampledFrom([]string{"limited", "sure", "free"}).Draw(t, "team")
 			job.AllowSpot, job.SingleZone = rapid.Bool().Draw(t, "spot"), rapid.Bool().Draw(t, "one zone")
@@ -35,15 +35,15 @@
 				job.MachineTypes = []string{"gpu"}
 			}
 			job.Priority = rapid.SampledFrom([]wire.Priority{"idle", "standard"}).Draw(t, "rank")
-			b.add(job)
+			harness.addJob(job)
 		}
-		for was := -1; was != b.capacityVersion; { // work that is placed or stopped can make room for others
-			was = b.capacityVersion
-			b.Schedule(b.now)
+		for was := -1; was != harness.capacityVersion; { // work that is placed or stopped can make room for others
+			was = harness.capacityVersion
+			harness.Schedule(harness.now)
 		}
 		used := map[string]resource.Vector{}
 		teams := map[string]resource.Vector{}
-		for _, job := range b.jobs {
+		for _, job := range harness.jobs {
 			zones := map[string]int{}
 			for _, placement := range job.placements {
 				used[placement.machine.ID] = used[placement.machine.ID].Add(resource.OfJob(job.Job))
@@ -66,19 +66,19 @@
 			}
 		}
 		for id, request := range used {
-			if !b.machines[id].capacity.Contains(request) {
+			if !harness.machines[id].capacity.Contains(request) {
 				t.Fatalf("%s holds %v", id, request)
 			}
 		}
 		if l := teams["limited"]; l.CPUs > 10 || l.GPUs > 3 {
 			t.Fatalf("a team uses %v", l)
 		}
-		for _, job := range b.jobs {
+		for _, job := range harness.jobs {
 			request := resource.OfJob(job.Job)
-			if job.waitingTasks == 0 || job.IsGang() || job.SingleZone || job.SpreadZones || !b.team(job.Team).WithinLimit(request) {
+			if job.waitingTasks == 0 || job.IsGang() || job.SingleZone || job.SpreadZones || !harness.team(job.Team).WithinLimit(request) {
 				continue
 			}
-			for id, machine := range b.machines {
+			for id, machine := range harness.machines {
 				if left := machine.capacity.Sub(used[id]); left.Contains(request) && leavesGPUShare(job, machine, left) && machineAllowed(job.Job, machine) && (machine.reservedFor == "" || machine.reservedFor == job.ID) {
 					t.Fatalf("a task of %s waits though it fits on %s", job.ID, id)
 				}
@@ -95,25 +95,25 @@
 		head time.Duration // by which the job without its image is older
 		want string
 	}{{time.Second, "req-3"}, {10 * time.Minute, "req-2"}} {
-		b := newBed()
-		b.machine("m-1", "gpu", "a", false)
+		harness := newPartitionHarness()
+		harness.addMachine("m-1", "gpu", "a", false)
 		whole := func(id, image string) wire.Job {
-			job := array(id, 1, 16)
+			job := newArrayJob(id, 1, 16)
 			job.GPUs, job.Image, job.ImageGB = 4, image, 20
 			return job
 		}
-		b.add(whole("req-1", "x"))
-		b.Schedule(b.now)
-		b.commit()
-		b.report("m-1")
-		b.add(whole("req-2", "y"))
-		b.now = b.now.Add(c.head)
-		b.add(whole("req-3", "x"))
-		b.end("m-1", "req-1/0", 1, wire.ExitDone)
-		b.report("m-1")
-		b.Schedule(b.now)
+		harness.addJob(whole("req-1", "x"))
+		harness.Schedule(harness.now)
+		harness.commitBatches()
+		harness.sendHeartbeat("m-1")
+		harness.addJob(whole("req-2", "y"))
+		harness.now = harness.now.Add(c.head)
+		harness.addJob(whole("req-3", "x"))
+		harness.endTask("m-1", "req-1/0", 1, wire.ExitDone)
+		harness.sendHeartbeat("m-1")
+		harness.Schedule(harness.now)
 		for _, id := range []string{"req-2", "req-3"} {
-			if got := len(b.jobs[id].placements) == 1; got != (id == c.want) {
+			if got := len(harness.jobs[id].placements) == 1; got != (id == c.want) {
 				t.Errorf("%v older: %s placed: %v", c.head, id, got)
 			}
 		}
@@ -123,37 +123,37 @@
 // A job that fails everywhere backs off and is no demand; the machine is not
 // blamed for a single job.
 func TestJobThatFailsEverywhereBacksOff(t *testing.T) {
-	b := newBed()
+	harness := newPartitionHarness()
 	for i := range 4 {
-		b.machine(fmt.Sprintf("m-%d", i), "cpu", "a", false)
+		harness.addMachine(fmt.Sprintf("m-%d", i), "cpu", "a", false)
 	}
-	b.add(array("req-1", 1, 1))
+	harness.addJob(newArrayJob("req-1", 1, 1))
 	for range 2 {
-		b.Schedule(b.now)
-		b.commit()
-		for _, placement := range sortedPlacements(b.jobs["req-1"]) {
+		harness.Schedule(harness.now)
+		harness.commitBatches()
+		for _, placement := range sortedPlacements(harness.jobs["req-1"]) {
 			id := placement.machine.ID
-			b.report(id)
-			b.end(id, "req-1/0", placement.attempt, wire.ExitError)
-			b.report(id)
+			harness.sendHeartbeat(id)
+			harness.endTask(id, "req-1/0", placement.attempt, wire.ExitError)
+			harness.sendHeartbeat(id)
 		}
 	}
-	b.Schedule(b.now)
-	if len(b.jobs["req-1"].placements) != 0 || len(b.Summary(b.now).Waiting) != 0 {
+	harness.Schedule(harness.now)
+	if len(harness.jobs["req-1"].placements) != 0 || len(harness.Summary(harness.now).Waiting) != 0 {
 		t.Fatal("it is tried again at once, or counted as demand")
 	}
-	for id, n := range b.Summary(b.now).MachineDigests {
+	for id, n := range harness.Summary(harness.now).MachineDigests {
 		if n&records.DigestUnhealthy == 0 {
 			continue
 		}
 		t.Fatalf("%s is blamed", id)
 	}
-	b.now = b.now.Add(time.Minute)
+	harness.now = harness.now.Add(time.Minute)
 	for i := range 4 {
-		b.report(fmt.Sprintf("m-%d", i))
+		harness.sendHeartbeat(fmt.Sprintf("m-%d", i))
 	}
-	b.Schedule(b.now)
-	if len(b.jobs["req-1"].placements) != 1 {
+	harness.Schedule(harness.now)
+	if len(harness.jobs["req-1"].placements) != 1 {
 		t.Fatal("it is not tried again later")
 	}
 }
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -11,49 +11,49 @@
 	"ambersill/internal/wire"
 )
 
-func serviceOf(id string, replicas int, cpus float64) wire.Job {
+func newServiceJob(id string, replicas int, cpus float64) wire.Job {
 	return wire.Job{ID: id, Team: "free", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas, CPUs: cpus, MemoryGB: 1, Image: "i"}
 }
 
-// warned sends a report in which a machine has notice, and returns the commands.
-func (b *bed) warned(id string) []wire.Command {
-	b.seq[id]++
+// sendTerminationNotice sends a report in which a machine has notice, and returns the commands.
+func (h *partitionHarness) sendTerminationNotice(id string) []wire.Command {
+	h.sequences[id]++
 	notice := 10.0
-	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: b.seq[id], FencingToken: b.machines[id].fencingToken, TerminationNoticeS: &notice}
-	for _, t := range b.on[id] {
+	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].fencingToken, TerminationNoticeS: &notice}
+	for _, t := range h.workerTasks[id] {
 		heartbeat.Tasks = append(heartbeat.Tasks, t)
 	}
-	_, reply := b.HandleHeartbeat(heartbeat, b.now, true)
+	_, reply := h.HandleHeartbeat(heartbeat, h.now, true)
 	return reply.Commands
 }
 
 // A replica leaves a machine that is about to go while there is another for it, and stays
 // to the end where there is none.
 func TestReplicaLeavesAMachineWithNotice(t *testing.T) {
-	b := newBed()
-	b.machine("m-1", "cpu", "a", false)
-	b.add(serviceOf("req-1", 1, 6))
-	b.Schedule(b.now)
-	b.commit()
-	b.report("m-1") // started
-	b.report("m-1") // shown as running
-	if got := b.warned("m-1"); len(got) != 0 {
-		t.Fatalf("with nowhere to go: %v", ops(got))
+	harness := newPartitionHarness()
+	harness.addMachine("m-1", "cpu", "a", false)
+	harness.addJob(newServiceJob("req-1", 1, 6))
+	harness.Schedule(harness.now)
+	harness.commitBatches()
+	harness.sendHeartbeat("m-1") // started
+	harness.sendHeartbeat("m-1") // shown as running
+	if got := harness.sendTerminationNotice("m-1"); len(got) != 0 {
+		t.Fatalf("with nowhere to go: %v", commandTexts(got))
 	}
-	b.machine("m-2", "cpu", "a", false)
-	got := b.warned("m-1")
+	harness.addMachine("m-2", "cpu", "a", false)
+	got := harness.sendTerminationNotice("m-1")
 	if len(got) != 1 || got[0].Op != wire.StopTask {
-		t.Fatalf("with room on another machine: %v", ops(got))
+		t.Fatalf("with room on another machine: %v", commandTexts(got))
 	}
 }
 
 // A service that waits is as many machine units as it has replicas: they do not follow one
 // another in the same place, as short tasks do.
 func TestServiceIsSizedByItsReplicas(t *testing.T) {
-	b := newBed()
-	b.add(serviceOf("req-1", 5, 8)) // a machine each
-	input := autoscaler.Input{MachineTypes: testTypes, Summaries: map[int]records.PartitionSummary{0: b.Summary(b.now)}}
-	plan := autoscaler.New(b.tuning).Plan(input, b.now)
+	harness := newPartitionHarness()
+	harness.addJob(newServiceJob("req-1", 5, 8)) // a machine each
+	input := autoscaler.Input{MachineTypes: testTypes, Summaries: map[int]records.PartitionSummary{0: harness.Summary(harness.now)}}
+	plan := autoscaler.New(harness.tuning).Plan(input, harness.now)
 	rented := 0
 	for _, r := range plan.Rentals {
 		rented += r.Count
@@ -66,35 +66,35 @@
 // A service that runs for long, and whose replicas end thousands of times, takes no more
 // memory and no larger records than at first.
 func TestLongLivedServiceStaysSmall(t *testing.T) {
-	b := newBed()
-	b.slotRevisions = make([]uint64, testRing)
-	b.SetLevel(records.FeatureExplicitChunks)
-	b.machine("m-1", "cpu", "a", false)
-	job := b.add(serviceOf("req-1", 4, 1))
+	harness := newPartitionHarness()
+	harness.slotRevisions = make([]uint64, testRing)
+	harness.SetLevel(records.FeatureExplicitChunks)
+	harness.addMachine("m-1", "cpu", "a", false)
+	job := harness.addJob(newServiceJob("req-1", 4, 1))
 	largest := 0
 	for range 2000 {
-		b.Schedule(b.now)
+		harness.Schedule(harness.now)
 		for {
-			batch := b.PrepareBatch()
+			batch := harness.PrepareBatch()
 			if batch.Empty() {
 				break
 			}
 			for _, w := range batch.Txn.Writes {
-				largest = max(largest, valueBytes(w.Value))
+				largest = max(largest, encodedBytesOrZero(w.Value))
 			}
-			b.rev++
-			b.ConfirmBatch(batch, b.rev)
+			harness.revision++
+			harness.ConfirmBatch(batch, harness.revision)
 		}
-		b.report("m-1")
-		b.report("m-1")
-		for _, key := range sortedTaskAttempts(b.machines["m-1"].placements) {
-			b.end("m-1", key.task, key.attempt, wire.ExitDone)
+		harness.sendHeartbeat("m-1")
+		harness.sendHeartbeat("m-1")
+		for _, key := range sortedTaskAttempts(harness.machines["m-1"].placements) {
+			harness.endTask("m-1", key.task, key.attempt, wire.ExitDone)
 		}
-		b.now = b.now.Add(10 * time.Minute)
-		b.report("m-1")
-		b.report("m-1")
+		harness.now = harness.now.Add(10 * time.Minute)
+		harness.sendHeartbeat("m-1")
+		harness.sendHeartbeat("m-1")
 	}
-	machine := b.machines["m-1"]
+	machine := harness.machines["m-1"]
 	if job.highestAttempt < 1900 {
 		t.Fatalf("%d attempts", job.highestAttempt)
 	}
@@ -110,7 +110,7 @@
 func TestServiceAboveItsTeamsLimitIsImpossible(t *testing.T) {
 	settings := testSettings()
 	for replicas, possible := range map[int]bool{2: true, 3: false} {
-		job := serviceOf("req-1", replicas, 4) // of 10 CPUs
+		job := newServiceJob("req-1", replicas, 4) // of 10 CPUs
 		job.Team = "limited"
 		if why := admission.InfeasibleReason(&job, settings, testTypes); (why == "") != possible {
 			t.Errorf("%d replicas: %q", replicas, why)
@@ -120,23 +120,23 @@
 
 // A state service that finds a commit invalid is offered smaller ones from then on.
 func TestCommitsShrinkAfterAnInvalidOne(t *testing.T) {
-	b := newBed()
-	b.SetLevel(records.FeatureExplicitChunks)
+	harness := newPartitionHarness()
+	harness.SetLevel(records.FeatureExplicitChunks)
 	for i := range 40 {
-		b.machine(fmt.Sprintf("m-%d", i), "cpu", "a", false)
+		harness.addMachine(fmt.Sprintf("m-%d", i), "cpu", "a", false)
 	}
-	b.add(array("req-1", 300, 1))
-	b.Schedule(b.now)
-	before := b.PrepareBatch()
-	b.ReduceLimits()
-	b.ReduceLimits()
-	after := b.PrepareBatch()
+	harness.addJob(newArrayJob("req-1", 300, 1))
+	harness.Schedule(harness.now)
+	before := harness.PrepareBatch()
+	harness.ReduceLimits()
+	harness.ReduceLimits()
+	after := harness.PrepareBatch()
 	for _, w := range after.Txn.Writes {
-		if n := valueBytes(w.Value); n > 2<<10 {
+		if n := encodedBytesOrZero(w.Value); n > 2<<10 {
 			t.Errorf("%s has %d bytes", w.Put, n)
 		}
 	}
-	if n := valueBytes(before.Txn.Writes[0].Value); n <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
+	if n := encodedBytesOrZero(before.Txn.Writes[0].Value); n <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
 		t.Errorf("a value of %d bytes before, %d changes after", n, len(after.Txn.Writes))
 	}
 }
