--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -1,244 +1,288 @@
 package controller
 
 import (
-	"context"
-	"errors"
 	"log/slog"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 
-	"ambersill/internal/kvstore"
 	"ambersill/internal/records"
-	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
 
+// ownership is the owner of a partition, or the leader.
 type ownership struct {
-	node     string
-	revision uint64
+	node     string // empty if nobody owns it
+	revision uint64 // of the key, or of its deletion
 }
 
+// machineEntry is a machine's record together with the group that holds it.
 type machineEntry struct {
 	record   records.MachineRecord
 	group    string
-	revision uint64 // of the group
+	revision uint64 // of the group's key
 }
 
-// nodeEntry is what a live node says of itself.
+// nodeEntry is what a live node has published about itself.
 type nodeEntry struct {
 	featureLevel records.FeatureLevel
 	revision     uint64
 }
 
+// rentalEntry is a rental that the cloud has not answered yet, as far as is known.
 type rentalEntry struct {
 	record   records.RentalRecord
 	revision uint64
 }
 
-// clusterCache is a copy of the cluster's keys, kept by a watch. It lags, so that
-// decisions based on it are only ever committed under the stamps it shows.
+// clusterCache is a copy of the cluster's keys, kept up to date by a watch. It lags behind
+// the key-value store, so that decisions based on it are only ever committed on the
+// condition that the revisions it shows are still current.
 type clusterCache struct {
+	// mu guards all fields below but the callbacks.
 	mu         sync.Mutex
-	loaded     bool
+	loaded     bool // the first listing is in the copy
 	leader     ownership
 	partitions map[int]ownership
-	nodes      map[string]nodeEntry
+	nodes      map[string]nodeEntry // live nodes, by name
 	level      records.FeatureLevel
-	groups     map[string]groupEntry
-	machines   map[string]machineEntry
-	rentals    map[string]rentalEntry
-	revision   uint64        // all changes up to this revision are in the copy
-	changed    chan struct{} // closed and replaced at every change
-	onMachine  func(machine string, entry machineEntry, gone bool)
-	onOwner    func(partition int, owner ownership)
-	onLevel    func(level records.FeatureLevel)
+	groups     map[string]groupEntry   // groups of machines, by name
+	machines   map[string]machineEntry // the machines of all groups, by machine ID
+	rentals    map[string]rentalEntry  // by rental ID
+	revision   uint64                  // all changes up to this revision are in the copy
+	changed    chan struct{}           // closed and replaced at every change
+
+	// The callbacks are set before the first use and called without mu held.
+	onMachine func(machine string, entry machineEntry, gone bool)
+	onOwner   func(partition int, owner ownership)
+	onLevel   func(level records.FeatureLevel)
 }
 
 func newClusterCache() *clusterCache {
-	return &clusterCache{partitions: map[int]ownership{}, nodes: map[string]nodeEntry{}, groups: map[string]groupEntry{}, machines: map[string]machineEntry{},
-		rentals: map[string]rentalEntry{}, changed: make(chan struct{})}
+	return &clusterCache{
+		partitions: map[int]ownership{},
+		nodes:      map[string]nodeEntry{},
+		groups:     map[string]groupEntry{},
+		machines:   map[string]machineEntry{},
+		rentals:    map[string]rentalEntry{},
+		changed:    make(chan struct{}),
+	}
+}
+
+// watchHandler returns the handler that keeps the copy up to date.
+func (c *clusterCache) watchHandler() watchHandler {
+	return watchHandler{onListing: c.replaceAll, onEvent: c.applyEvent, onRevision: c.advanceTo}
 }
 
+// changes returns a channel that is closed at the next change of the copy.
 func (c *clusterCache) changes() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// apply takes in one key; gone: it was deleted at that stamp.
-func (c *clusterCache) apply(key string, value wire.Raw, revision uint64, gone bool) {
-	c.mu.Lock()
-	var after func()
-	switch {
-	case key == records.LeaderKey:
-		if revision >= c.leader.revision {
-			c.leader = c.decodeOwner(value, revision, gone)
-		}
-	case strings.HasPrefix(key, records.PartitionPrefix):
-		if i, err := strconv.Atoi(key[len(records.PartitionPrefix):]); err == nil && revision >= c.partitions[i].revision {
-			owner := c.decodeOwner(value, revision, gone)
-			c.partitions[i] = owner
-			if c.onOwner != nil {
-				after = func() { c.onOwner(i, owner) }
-			}
-		}
-	case strings.HasPrefix(key, records.NodePrefix):
-		if gone {
-			delete(c.nodes, key[len(records.NodePrefix):])
-		} else {
-			var r records.NodeRecord
-			if err := wire.Unmarshal(value, &r); err != nil {
-				slog.Error("record not understood", "key", key, "err", err)
-			}
-			c.nodes[key[len(records.NodePrefix):]] = nodeEntry{r.Level, revision}
-		}
-	case key == records.FeatureLevelKey:
-		after = c.applyLevel(value)
-	case strings.HasPrefix(key, records.MachinePrefix):
-		after = c.applyGroup(key[len(records.MachinePrefix):], value, revision, gone)
-	case strings.HasPrefix(key, records.RentalPrefix):
-		id := key[len(records.RentalPrefix):]
-		if gone {
-			delete(c.rentals, id)
-			break
-		}
-		var r records.RentalRecord
-		if wire.Unmarshal(value, &r) == nil {
-			c.rentals[id] = rentalEntry{r, revision}
-		}
-	}
+// signalChange wakes those that wait for a change; c.mu must be held.
+func (c *clusterCache) signalChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
+}
+
+// keyChange is a change of one key of the cluster.
+type keyChange struct {
+	key      string
+	value    wire.Raw // nil if deleted
+	revision uint64   // of the value, or of the deletion
+	deleted  bool
+}
+
+func (c *clusterCache) applyEvent(event wire.Event) {
+	if event.Delete != "" {
+		c.apply(event.Delete, nil, event.Revision, true)
+		return
+	}
+	c.apply(event.Put, event.Value, event.Revision, false)
+}
+
+// apply updates the copy by one key, which was written or deleted at the revision, and
+// then calls the callback that the change concerns.
+func (c *clusterCache) apply(key string, value wire.Raw, revision uint64, deleted bool) {
+	change := keyChange{key: key, value: value, revision: revision, deleted: deleted}
+	c.mu.Lock()
+	notify := c.applyByKind(change)
+	c.signalChange()
 	c.mu.Unlock()
-	if after != nil {
-		after()
+	if notify != nil {
+		notify()
+	}
+}
+
+// applyByKind applies a change by the kind of its key. It returns what is to be called once
+// c.mu, which must be held, is free again; nil if nothing is.
+func (c *clusterCache) applyByKind(change keyChange) (notify func()) {
+	switch change.key {
+	case records.LeaderKey:
+		c.applyLeader(change)
+		return nil
+	case records.FeatureLevelKey:
+		return c.applyLevel(change)
+	}
+	if name, ok := strings.CutPrefix(change.key, records.PartitionPrefix); ok {
+		return c.applyPartition(name, change)
+	}
+	if name, ok := strings.CutPrefix(change.key, records.NodePrefix); ok {
+		c.applyNode(name, change)
+		return nil
+	}
+	if name, ok := strings.CutPrefix(change.key, records.MachinePrefix); ok {
+		return c.applyGroup(name, change.value, change.revision, change.deleted)
 	}
+	if id, ok := strings.CutPrefix(change.key, records.RentalPrefix); ok {
+		c.applyRental(id, change)
+	}
+	return nil
 }
 
-// applyLevel takes in the feature level, which never goes down.
-func (c *clusterCache) applyLevel(value wire.Raw) func() {
-	var r records.LevelRecord
-	if wire.Unmarshal(value, &r) != nil || r.Level <= c.level {
+// applyLeader ignores changes older than the one known: a claim's answer and its event
+// arrive in either order.
+func (c *clusterCache) applyLeader(change keyChange) {
+	if change.revision >= c.leader.revision {
+		c.leader = decodeOwnership(change)
+	}
+}
+
+// applyPartition ignores changes older than the one known, as applyLeader does.
+func (c *clusterCache) applyPartition(name string, change keyChange) (notify func()) {
+	partition, err := strconv.Atoi(name)
+	if err != nil || change.revision < c.partitions[partition].revision {
 		return nil
 	}
-	c.level = r.Level
+	owner := decodeOwnership(change)
+	c.partitions[partition] = owner
+	if c.onOwner == nil {
+		return nil
+	}
+	return func() { c.onOwner(partition, owner) }
+}
+
+// applyNode keeps a node whose record cannot be decoded, at the lowest feature level: it is
+// live all the same.
+func (c *clusterCache) applyNode(name string, change keyChange) {
+	if change.deleted {
+		delete(c.nodes, name)
+		return
+	}
+	var record records.NodeRecord
+	if err := wire.Unmarshal(change.value, &record); err != nil {
+		slog.Error("record not understood", "key", change.key, "err", err)
+	}
+	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
+}
+
+// applyLevel applies the feature level, which never goes down.
+func (c *clusterCache) applyLevel(change keyChange) (notify func()) {
+	var record records.LevelRecord
+	if wire.Unmarshal(change.value, &record) != nil || record.Level <= c.level {
+		return nil
+	}
+	c.level = record.Level
 	if c.onLevel == nil {
 		return nil
 	}
-	return func() { c.onLevel(r.Level) }
+	return func() { c.onLevel(record.Level) }
 }
 
-// featureLevel is the cluster's feature level as far as this node knows.
-func (c *clusterCache) featureLevel() records.FeatureLevel {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.level
+func (c *clusterCache) applyRental(id string, change keyChange) {
+	if change.deleted {
+		delete(c.rentals, id)
+		return
+	}
+	var record records.RentalRecord
+	if wire.Unmarshal(change.value, &record) == nil {
+		c.rentals[id] = rentalEntry{record: record, revision: change.revision}
+	}
 }
 
-func (c *clusterCache) decodeOwner(value wire.Raw, revision uint64, gone bool) ownership {
-	if gone {
-		return ownership{revision: revision}
+// decodeOwnership returns an ownership without a node if the key was deleted, or if its
+// record cannot be decoded.
+func decodeOwnership(change keyChange) ownership {
+	owner := ownership{revision: change.revision}
+	if change.deleted {
+		return owner
 	}
-	var r records.OwnerRecord
-	if wire.Unmarshal(value, &r) != nil {
-		return ownership{revision: revision}
+	var record records.OwnerRecord
+	if wire.Unmarshal(change.value, &record) == nil {
+		owner.node = record.Node
 	}
-	return ownership{node: r.Node, revision: revision}
+	return owner
 }
 
-// replaceAll replaces the copy by a fresh listing.
+// replaceAll replaces the copy by a listing of all keys as of a revision.
 func (c *clusterCache) replaceAll(items []wire.KeyValue, revision uint64) {
-	have := map[string]bool{}
-	// The highest names first, as in inOrder.
+	listed := make(map[string]bool, len(items))
+	// In descending order of their names, for the reason given at sortEvents.
 	for _, item := range slices.Backward(items) {
-		have[item.Key] = true
+		listed[item.Key] = true
 		c.apply(item.Key, item.Value, item.Revision, false)
 	}
+	for _, key := range c.keysMissingFrom(listed, revision) {
+		c.apply(key, nil, revision, true)
+	}
+	c.mu.Lock()
+	c.loaded = true
+	c.mu.Unlock()
+	c.advanceTo(revision)
+}
+
+// keysMissingFrom returns the keys of the copy that a listing as of a revision lacks: they
+// were deleted before it.
+func (c *clusterCache) keysMissingFrom(listed map[string]bool, revision uint64) []string {
 	c.mu.Lock()
-	var gone []string
-	for i, owner := range c.partitions {
-		if k := records.PartitionKey(i); !have[k] && owner.node != "" {
-			gone = append(gone, k)
+	defer c.mu.Unlock()
+	var missing []string
+	addUnlessListed := func(key string) {
+		if !listed[key] {
+			missing = append(missing, key)
 		}
 	}
-	if c.leader.node != "" && !have[records.LeaderKey] {
-		gone = append(gone, records.LeaderKey)
-	}
-	for n := range c.nodes {
-		if !have[records.NodePrefix+n] {
-			gone = append(gone, records.NodePrefix+n)
+	for partition, owner := range c.partitions {
+		if owner.node != "" {
+			addUnlessListed(records.PartitionKey(partition))
 		}
 	}
-	for n, e := range c.groups {
-		if !have[records.MachinePrefix+n] && e.revision <= revision {
-			gone = append(gone, records.MachinePrefix+n)
-		}
+	if c.leader.node != "" {
+		addUnlessListed(records.LeaderKey)
 	}
-	for n := range c.rentals {
-		if !have[records.RentalPrefix+n] {
-			gone = append(gone, records.RentalPrefix+n)
+	for name := range c.nodes {
+		addUnlessListed(records.NodePrefix + name)
+	}
+	for name, group := range c.groups {
+		// A newer group was written by this node after the listing.
+		if group.revision <= revision {
+			addUnlessListed(records.MachinePrefix + name)
 		}
 	}
-	c.mu.Unlock()
-	for _, k := range gone {
-		c.apply(k, nil, revision, true)
+	for id := range c.rentals {
+		addUnlessListed(records.RentalPrefix + id)
 	}
-	c.mu.Lock()
-	c.loaded = true
-	c.mu.Unlock()
-	c.advanceTo(revision)
+	return missing
 }
 
-// advanceTo notes that all changes up to a revision are in the copy.
+// advanceTo records that all changes up to a revision are in the copy.
 func (c *clusterCache) advanceTo(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision > c.revision {
 		c.revision = revision
-		close(c.changed)
-		c.changed = make(chan struct{})
+		c.signalChange()
 	}
 }
 
-// watchTimeout is how long one watch stays open.
-const watchTimeout = 20 * time.Second
-
-// watchPrefix lists a prefix and then follows its changes until the context ends; upTo is
-// told the revision up to which all have been passed on.
-func watchPrefix(ctx context.Context, store *kvstore.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
-	for ctx.Err() == nil {
-		items, revision, err := store.List(ctx, prefix)
-		if err != nil {
-			slog.Debug("listing failed", "prefix", prefix, "err", err)
-			transport.Pause(ctx, 500*time.Millisecond)
-			continue
-		}
-		list(items, revision)
-		watchPrefixFrom(ctx, store, prefix, revision, event, upTo)
-	}
-}
-
-// watchPrefixFrom follows a prefix's changes; it returns when they are no longer kept.
-func watchPrefixFrom(ctx context.Context, store *kvstore.Client, prefix string, revision uint64, event func(wire.Event), upTo func(uint64)) {
-	for ctx.Err() == nil {
-		r, err := store.Watch(ctx, prefix, revision, watchTimeout)
-		switch {
-		case errors.Is(err, kvstore.ErrCompacted):
-			return
-		case err != nil:
-			slog.Debug("watch failed", "prefix", prefix, "err", err)
-			transport.Pause(ctx, 300*time.Millisecond)
-			continue
-		}
-		for _, e := range sortEvents(r.Events) {
-			event(e)
-		}
-		revision = max(revision, r.Revision)
-		upTo(revision)
-	}
+// featureLevel returns the cluster's feature level as far as this node knows it.
+func (c *clusterCache) featureLevel() records.FeatureLevel {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.level
 }
 
 func (c *clusterCache) partitionOwner(partition int) ownership {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -102,13 +102,7 @@
 	duty("users and workers", c.serve)
 	duty("peer calls", func(ctx context.Context) error { return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c) })
 	duty("cluster watch", func(ctx context.Context) error {
-		watchPrefix(ctx, c.store, records.ClusterPrefix, c.cluster.replaceAll, func(event wire.Event) {
-			if event.Delete != "" {
-				c.cluster.apply(event.Delete, nil, event.Revision, true)
-			} else {
-				c.cluster.apply(event.Put, event.Value, event.Revision, false)
-			}
-		}, c.cluster.advanceTo)
+		watchPrefix(ctx, c.store, records.ClusterPrefix, c.cluster.watchHandler())
 		return nil
 	})
 	duty("catalog", c.runCatalog)
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -23,7 +23,7 @@
 }
 
 func (o *ownedPartition) watchJobsFrom(revision uint64) {
-	watchPrefixFrom(o.ctx, o.controller.store, "j/", revision, func(event wire.Event) {
+	watchPrefixFrom(o.ctx, o.controller.store, "j/", revision, watchHandler{onEvent: func(event wire.Event) {
 		if event.Put == "" {
 			return
 		}
@@ -40,7 +40,7 @@
 		}
 		o.mu.Unlock()
 		o.wakeUp()
-	}, func(uint64) {})
+	}})
 }
 
 // relist takes in jobs and cancellations that the watch has missed.
