--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -18,8 +18,13 @@
 	{Name: "gpu", CPUs: 16, GPUs: 4, MemoryGB: 64, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 40, Zones: []string{"a", "b"}},
 }
 
-// Sizing against the two terms written down plainly, for like tasks of one type.
-func TestSizingAgainstNaive(t *testing.T) {
+// emptyMachine returns an on-demand machine that runs and has no tasks.
+func emptyMachine() Machine {
+	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Running: true}
+}
+
+// Plan agrees with the two terms written down plainly, for alike tasks of one machine type.
+func TestPlanMatchesNaiveFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tune := tuning.Default()
 		tune.InFlightTarget = rapid.SampledFrom([]float64{0.8, 1}).Draw(t, "target")
@@ -55,31 +60,39 @@
 	})
 }
 
-// A gang that must be spread waited for ever when one machine held all of it.
-func TestSizingSpreadsOverZones(t *testing.T) {
+// A gang that must be spread over zones waited for ever when one machine had the capacity
+// for all of it.
+func TestPlanSpreadsGangOverZones(t *testing.T) {
 	tune := tuning.Default()
-	input := Input{MachineTypes: testTypes, Machines: []Machine{{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a", Spot: false}, Empty: true, Running: true}},
-		Summaries: map[int]records.PartitionSummary{0: {Waiting: []records.Demand{{CPUs: 1, MemoryGB: 1, Tasks: 4, Gang: true, MaxPerZone: 2, EstimatedRunS: 60}}}}}
+	gang := records.Demand{CPUs: 1, MemoryGB: 1, Tasks: 4, Gang: true, MaxPerZone: 2, EstimatedRunS: 60}
+	input := Input{
+		MachineTypes: testTypes,
+		Machines:     []Machine{emptyMachine()},
+		Summaries:    map[int]records.PartitionSummary{0: {Waiting: []records.Demand{gang}}},
+	}
 	p := New(&tune).Plan(input, time.Unix(0, 0))
 	if len(p.Rentals) != 1 || p.Rentals[0].Offering.Zone != "b" {
 		t.Fatalf("rentals %+v", p.Rentals)
 	}
 }
 
-// Empty machines go back only after the lower target has held.
-func TestGiveBackWaitsOutTheHold(t *testing.T) {
+// Empty machines are returned only once the surplus has lasted for GiveBackS.
+func TestScaleInWaitsForLastingSurplus(t *testing.T) {
 	tune := tuning.Default()
-	f := New(&tune)
-	input := Input{MachineTypes: testTypes, Summaries: map[int]records.PartitionSummary{0: {}},
-		Machines: []Machine{{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a", Spot: false}, Empty: true, Running: true}}}
+	sizer := New(&tune)
+	input := Input{
+		MachineTypes: testTypes,
+		Machines:     []Machine{emptyMachine()},
+		Summaries:    map[int]records.PartitionSummary{0: {}},
+	}
 	now := time.Unix(0, 0)
-	if p := f.Plan(input, now); len(p.Returns) != 0 {
-		t.Fatal("given back at once")
+	if p := sizer.Plan(input, now); len(p.Returns) != 0 {
+		t.Fatal("returned at once")
 	}
-	if p := f.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS-1))); len(p.Returns) != 0 {
-		t.Fatal("given back before the hold")
+	if p := sizer.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS-1))); len(p.Returns) != 0 {
+		t.Fatal("returned before the surplus had lasted")
 	}
-	if p := f.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS))); len(p.Returns) != 1 {
-		t.Fatal("not given back")
+	if p := sizer.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS))); len(p.Returns) != 1 {
+		t.Fatal("not returned")
 	}
 }
--- /dev/null
+++ b/internal/autoscaler/binpacking.go
@@ -0,0 +1,178 @@
+package autoscaler
+
+import (
+	"maps"
+	"slices"
+
+	"ambersill/internal/records"
+	"ambersill/internal/resource"
+)
+
+// capacityBin is the free capacity of a machine that is empty, still to come, or to be
+// rented.
+type capacityBin struct {
+	machine   *Machine // nil if it has no ID yet
+	offering  Offering
+	partition int
+	remaining resource.Vector
+	used      bool // tasks are assigned to it, or it is returned
+	queued    bool // its rental is part of the plan
+}
+
+// placement is a number of a demand's tasks in one bin.
+type placement struct {
+	bin   *capacityBin
+	tasks int
+}
+
+// assignment is where the tasks of a demand would go.
+type assignment struct {
+	placements []placement
+	tasks      int // in all placements
+	newRentals int
+}
+
+// betterThan reports whether an assignment places more tasks than another, or as many with
+// fewer rentals.
+func (a assignment) betterThan(other assignment) bool {
+	if a.tasks != other.tasks {
+		return a.tasks > other.tasks
+	}
+	return a.newRentals < other.newRentals
+}
+
+// assign finds bins for the tasks of a demand and adds what has to be rented. A demand that
+// must stay in one zone gets the one where most of it can be, at the least rentals.
+func (r *sizingRound) assign(demand partitionDemand) assignment {
+	if !demand.SingleZone || demand.Zone != "" {
+		return r.assignInZone(demand, demand.Zone)
+	}
+	var best assignment
+	for _, zone := range r.zones() {
+		if candidate := r.assignInZone(demand, zone); candidate.betterThan(best) {
+			best = candidate
+		}
+	}
+	return best
+}
+
+// zones returns the names of all zones in order.
+func (r *sizingRound) zones() []string {
+	names := map[string]bool{}
+	for _, machineType := range r.input.MachineTypes {
+		for _, zone := range machineType.Zones {
+			names[zone] = true
+		}
+	}
+	return slices.Sorted(maps.Keys(names))
+}
+
+// assignInZone finds bins in a zone, or in any if it is empty. The partition's own machines
+// come first, then empty ones of other partitions, then rentals.
+func (r *sizingRound) assignInZone(demand partitionDemand, zone string) assignment {
+	p := newPacking(r, demand, zone)
+	p.fillBins(p.usableInPartition)
+	p.fillBins(p.usableByReassignment)
+	p.fillRentals()
+	return p.assignment
+}
+
+// packing is one attempt to assign the tasks of a demand to bins. It changes no bin.
+type packing struct {
+	round    *sizingRound
+	demand   partitionDemand
+	request  resource.Vector
+	zone     string         // the only zone allowed; empty for any
+	unplaced int            // tasks without a bin
+	inZone   map[string]int // tasks assigned in each zone
+	// queued counts the planned rentals by offering, those of this attempt included.
+	queued     map[Offering]int
+	assignment assignment
+}
+
+func newPacking(round *sizingRound, demand partitionDemand, zone string) *packing {
+	return &packing{
+		round:    round,
+		demand:   demand,
+		request:  demand.Request(),
+		zone:     zone,
+		unplaced: round.concurrentTasks(demand.Demand),
+		inZone:   map[string]int{},
+		queued:   maps.Clone(round.queued),
+	}
+}
+
+// allowedIn returns how many more tasks may go to a zone.
+func (p *packing) allowedIn(zone string) int {
+	if p.demand.MaxPerZone == 0 {
+		return p.unplaced
+	}
+	return min(p.unplaced, p.demand.MaxPerZone-p.inZone[zone])
+}
+
+// fill assigns as many tasks to a bin as may go there and fit.
+func (p *packing) fill(bin *capacityBin) {
+	tasks := min(p.allowedIn(bin.offering.Zone), bin.remaining.CountOf(p.request))
+	if tasks <= 0 {
+		return
+	}
+	p.assignment.placements = append(p.assignment.placements, placement{bin: bin, tasks: tasks})
+	p.assignment.tasks += tasks
+	p.inZone[bin.offering.Zone] += tasks
+	p.unplaced -= tasks
+}
+
+func (p *packing) fillBins(usable func(*capacityBin) bool) {
+	for _, bin := range p.round.bins {
+		if p.unplaced == 0 {
+			return
+		}
+		if p.suits(bin) && usable(bin) {
+			p.fill(bin)
+		}
+	}
+}
+
+// suits reports whether the demand's tasks may use a bin's machine. Work without GPUs stays
+// off machines with GPUs, which are dearer.
+func (p *packing) suits(bin *capacityBin) bool {
+	if p.demand.GPUs == 0 && p.round.types[bin.offering.MachineType].GPUs > 0 {
+		return false
+	}
+	return offeringAllowed(p.demand.Demand, bin.offering, p.zone)
+}
+
+// usableInPartition reports whether a bin of the demand's own partition can take tasks. The
+// partition's scheduler has not placed the waiting tasks on its empty machines, so these
+// are no help; only several tasks of a gang can use some of them beside other machines.
+func (p *packing) usableInPartition(bin *capacityBin) bool {
+	if bin.partition != p.demand.partition {
+		return false
+	}
+	empty := bin.machine != nil && bin.machine.Empty
+	return !empty || (p.demand.Gang && p.demand.Tasks > 1)
+}
+
+// usableByReassignment reports whether a bin is an unused machine of another partition.
+func (p *packing) usableByReassignment(bin *capacityBin) bool {
+	return bin.partition != p.demand.partition && !bin.used && bin.machine != nil
+}
+
+// fillRentals rents machines for the tasks that are left.
+func (p *packing) fillRentals() {
+	for p.unplaced > 0 {
+		offering, ok := p.cheapestOffering()
+		if !ok {
+			return
+		}
+		p.queued[offering]++
+		p.assignment.newRentals++
+		p.fill(p.round.newBin(offering, p.demand.partition))
+	}
+}
+
+func offeringAllowed(demand records.Demand, offering Offering, zone string) bool {
+	return resource.TypeAllowed(demand.MachineTypes, offering.MachineType) &&
+		(zone == "" || offering.Zone == zone) &&
+		(demand.AllowSpot || !offering.Spot)
+}
--- /dev/null
+++ b/internal/autoscaler/offering.go
@@ -0,0 +1,127 @@
+package autoscaler
+
+import (
+	"math"
+	"slices"
+
+	"ambersill/internal/resource"
+	"ambersill/internal/wire"
+)
+
+// bootCostS is the boot time, in seconds, that counts as much as the price of the machine:
+// machines that are up sooner are worth some more.
+const bootCostS = 300
+
+// offeringCost is an offering with what decides whether it is rented.
+type offeringCost struct {
+	offering Offering
+	cost     float64 // of the waiting work, per task
+	machines int     // of this offering, there or planned
+}
+
+// betterThan reports whether an offering is cheaper than another, or as cheap with fewer
+// machines: that spreads alike machines over the zones.
+func (c offeringCost) betterThan(other offeringCost) bool {
+	if c.cost < other.cost-resource.Epsilon {
+		return true
+	}
+	return c.cost < other.cost+resource.Epsilon && c.machines < other.machines
+}
+
+// cheapestOffering returns the offering whose machines run the tasks that are left at the
+// lowest cost, and whether there is one.
+func (p *packing) cheapestOffering() (Offering, bool) {
+	best := offeringCost{cost: math.Inf(1)}
+	for _, machineType := range p.round.input.MachineTypes {
+		tasksPerMachine := p.tasksPerMachine(machineType)
+		if tasksPerMachine == 0 {
+			continue
+		}
+		for _, offering := range p.openOfferings(machineType) {
+			candidate := offeringCost{
+				offering: offering,
+				cost:     p.costPerTask(machineType, offering.Spot, tasksPerMachine),
+				machines: p.queued[offering] + p.round.existing[offering],
+			}
+			if candidate.betterThan(best) {
+				best = candidate
+			}
+		}
+	}
+	return best.offering, !math.IsInf(best.cost, 1)
+}
+
+// tasksPerMachine returns how many of the demand's tasks a machine of a type holds; 0 if it
+// is not to be rented for them.
+func (p *packing) tasksPerMachine(machineType wire.MachineType) int {
+	if !resource.TypeAllowed(p.demand.MachineTypes, machineType.Name) {
+		return 0
+	}
+	if p.demand.GPUs == 0 && machineType.GPUs > 0 && p.fitsWithoutGPUs() {
+		return 0
+	}
+	return resource.OfMachineType(machineType).CountOf(p.request)
+}
+
+func (p *packing) fitsWithoutGPUs() bool {
+	types := slices.Values(p.round.input.MachineTypes)
+	return resource.CPUOnlyTypeFits(p.request, p.demand.MachineTypes, types)
+}
+
+// openOfferings returns the offerings of a machine type that the demand may use and the
+// cloud may have, spot machines first.
+func (p *packing) openOfferings(machineType wire.MachineType) []Offering {
+	var open []Offering
+	for _, zone := range machineType.Zones {
+		if p.allowedIn(zone) <= 0 {
+			continue
+		}
+		for _, spot := range []bool{true, false} {
+			offering := Offering{MachineType: machineType.Name, Zone: zone, Spot: spot}
+			if offeringAllowed(p.demand.Demand, offering, p.zone) && !p.round.input.Unavailable[offering] {
+				open = append(open, offering)
+			}
+		}
+	}
+	return open
+}
+
+// costPerTask returns the hourly price of the machines for all tasks that are left, divided
+// by these and weighted by the boot time.
+func (p *packing) costPerTask(machineType wire.MachineType, spot bool, tasksPerMachine int) float64 {
+	price := machineType.HourlyPrice
+	if spot {
+		price = machineType.HourlySpotPrice
+	}
+	machines := (p.unplaced + tasksPerMachine - 1) / tasksPerMachine
+	return price * float64(machines) / float64(p.unplaced) * (1 + machineType.BootS/bootCostS)
+}
+
+// rentInEmptiestZone plans the rental of machines that the in-flight term asks for, in the
+// zone that has the fewest of them. If no spot machines are to be had, others are rented.
+func (r *sizingRound) rentInEmptiestZone(machineType wire.MachineType, spot bool, partition, count int) {
+	offering, ok := r.offeringWithFewest(machineType, spot)
+	if !ok && spot {
+		offering, ok = r.offeringWithFewest(machineType, false)
+	}
+	if ok {
+		r.rent(offering, partition, count)
+	}
+}
+
+// offeringWithFewest returns the available offering that has the fewest machines, and
+// whether there is one.
+func (r *sizingRound) offeringWithFewest(machineType wire.MachineType, spot bool) (Offering, bool) {
+	var best Offering
+	found := false
+	for _, zone := range machineType.Zones {
+		offering := Offering{MachineType: machineType.Name, Zone: zone, Spot: spot}
+		if r.input.Unavailable[offering] {
+			continue
+		}
+		if !found || r.existing[offering] < r.existing[best] {
+			best, found = offering, true
+		}
+	}
+	return best, found
+}
--- /dev/null
+++ b/internal/autoscaler/scalein.go
@@ -0,0 +1,62 @@
+package autoscaler
+
+import (
+	"time"
+
+	"ambersill/internal/tuning"
+)
+
+// machineSurplus is by how many machines a type exceeds what is needed; negative if some are
+// missing.
+type machineSurplus struct {
+	total    int
+	onDemand int // beyond what jobs need that may not use spot machines
+}
+
+// scaleIn plans the return of empty machines once a surplus has lasted. On-demand machines
+// go first, being dearer.
+func (a *Autoscaler) scaleIn(round *sizingRound, machineType string, surplus machineSurplus, now time.Time) {
+	if !a.surplusHasLasted(machineType, surplus.total, now) {
+		return
+	}
+	returned := round.returnEmpty(machineType, false, min(surplus.total, surplus.onDemand))
+	round.returnEmpty(machineType, true, surplus.total-returned)
+}
+
+// surplusHasLasted reports whether a machine type has had a surplus for GiveBackS. It
+// records when the surplus began.
+func (a *Autoscaler) surplusHasLasted(machineType string, total int, now time.Time) bool {
+	if total <= 0 {
+		delete(a.belowTargetSince, machineType)
+		return false
+	}
+	since, ok := a.belowTargetSince[machineType]
+	if !ok {
+		a.belowTargetSince[machineType] = now
+		return false
+	}
+	return now.Sub(since) >= tuning.Seconds(a.tuning.GiveBackS)
+}
+
+// returnEmpty plans the return of at most the given number of unused machines, and returns
+// how many there are.
+func (r *sizingRound) returnEmpty(machineType string, spot bool, limit int) int {
+	returned := 0
+	for _, bin := range r.bins {
+		if returned >= limit {
+			break
+		}
+		if bin.offering.MachineType != machineType || bin.offering.Spot != spot || !bin.isUnusedMachine() {
+			continue
+		}
+		bin.used = true
+		returned++
+		r.plan.Returns = append(r.plan.Returns, bin.machine.ID)
+	}
+	return returned
+}
+
+// isUnusedMachine reports whether a bin is a machine that runs, is empty and stays so.
+func (b *capacityBin) isUnusedMachine() bool {
+	return b.machine != nil && b.machine.Empty && !b.used
+}
