--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -261,8 +261,8 @@
 		for _, owned := range all {
 			owned.mu.Lock()
 			if owned.partition != nil {
-				args = append(args, "part", owned.index, "jobs", owned.partition.JobCount(), "machines", len(owned.partition.MachineIDs()), "started", owned.partition.Started,
-					"finished", owned.partition.Finished, "requeued", owned.partition.Requeued, "preempted", owned.partition.Preempted, "moved", owned.partition.Moved, "gathered", owned.partition.GangReservations, "incomplete", owned.partition.GangTimeouts, "journaled", owned.partition.JournalRecords, "folded", owned.partition.Compactions)
+				args = append(args, "part", owned.index, "jobs", owned.partition.JobCount(), "machines", len(owned.partition.MachineIDs()), "started", owned.partition.Counters.Started,
+					"finished", owned.partition.Counters.Finished, "requeued", owned.partition.Counters.Requeued, "preempted", owned.partition.Counters.Preempted, "moved", owned.partition.Counters.Moved, "gathered", owned.partition.Counters.GangReservations, "incomplete", owned.partition.Counters.GangTimeouts, "journaled", owned.partition.Counters.JournalRecords, "folded", owned.partition.Counters.Compactions)
 			}
 			owned.mu.Unlock()
 		}
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -145,8 +145,8 @@
 	for _, seq := range batch.journalSequences {
 		p.slotRevisions[p.journalSlot(seq)] = revision
 	}
-	p.JournalRecords += len(batch.journalSequences)
-	p.Compactions += len(batch.chunkWrites)
+	p.Counters.JournalRecords += len(batch.journalSequences)
+	p.Counters.Compactions += len(batch.chunkWrites)
 	for _, w := range batch.entryWrites {
 		p.markCommitted(w.chunk, w.changeVersion, w.tasks)
 		if w.chunk.oldestUncompacted == 0 && !w.chunk.job.finalized {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -14,7 +14,7 @@
 	if machine == nil || machine.Record.Released {
 		return wire.CommandRequest{}, false
 	}
-	return wire.CommandRequest{FencingToken: machine.fencingToken, Incarnation: machine.incarnation, Commands: []wire.Command{}}, true
+	return wire.CommandRequest{FencingToken: machine.token.current, Incarnation: machine.latest.incarnation, Commands: []wire.Command{}}, true
 }
 
 // MachinesNotFenced lists the machines with work of an earlier owner that have not shown the
@@ -22,7 +22,7 @@
 func (p *Partition) MachinesNotFenced() []string {
 	var out []string
 	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; !machine.tokenAcknowledged && !machine.everAcknowledged && len(machine.placements) > 0 {
+		if machine := p.machines[id]; !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0 {
 			out = append(out, id)
 		}
 	}
@@ -35,7 +35,7 @@
 	var out []string
 	for _, id := range p.machineIDs {
 		machine := p.machines[id]
-		if !machine.tokenAcknowledged || machine.leaseExpired || machine.commandInFlight || machine.commandUnconfirmed {
+		if !machine.token.acknowledged || machine.lease.expired || machine.command.inFlight || machine.command.unconfirmed {
 			continue
 		}
 		for _, placement := range machine.placements {
@@ -56,7 +56,7 @@
 // startable tells whether a placement's start may leave: only after it is committed.
 func (p *Partition) startable(placement *Placement) bool {
 	return !placement.observed && placement.stopRequest == nil && !placement.gangDone && !placement.job.Cancelled &&
-		placement.incarnation == placement.machine.incarnation && placement.chunk().committedVersion >= placement.chunkVersion
+		placement.incarnation == placement.machine.latest.incarnation && placement.chunk().committedVersion >= placement.chunkVersion
 }
 
 // startableTasks are the machine's placements whose starts may leave, in order.
@@ -74,10 +74,10 @@
 // back on the way could start a task once more after it was cleared.
 func (p *Partition) DirectCommands(id string, fresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines[id]
-	if machine == nil || machine.commandInFlight || machine.commandUnconfirmed || !machine.tokenAcknowledged {
+	if machine == nil || machine.command.inFlight || machine.command.unconfirmed || !machine.token.acknowledged {
 		return wire.CommandRequest{}, false
 	}
-	o := wire.CommandRequest{FencingToken: machine.fencingToken, Incarnation: machine.incarnation}
+	o := wire.CommandRequest{FencingToken: machine.token.current, Incarnation: machine.latest.incarnation}
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		if len(o.Commands) >= tuning.MaxCommands {
 			break
@@ -89,9 +89,9 @@
 			o.Commands = append(o.Commands, wire.Command{Op: wire.StopTask, Task: key.task, Attempt: key.attempt, GracePeriodS: placement.stopRequest.gracePeriodS})
 		case fresh && !placement.startSent && !machine.terminationNotice && p.startable(placement):
 			// A start sent in the answer to a report is repeated only there.
-			placement.startSent, placement.startSequence, placement.directToken = true, machine.heartbeatSequence, machine.fencingToken
+			placement.startSent, placement.startSequence, placement.directToken = true, machine.latest.heartbeatSequence, machine.token.current
 			o.Commands = append(o.Commands, wire.Command{Op: wire.StartTask, Task: key.task, Attempt: key.attempt})
-			machine.commandInFlight = true
+			machine.command.inFlight = true
 		}
 	}
 	return o, len(o.Commands) > 0
@@ -121,7 +121,7 @@
 		case placement == nil:
 		case c.Op == wire.StopTask && outcome == CommandsNotExecuted && placement.stopRequest != nil:
 			placement.stopRequest.sent = false
-		case c.Op != wire.StartTask || !machine.commandInFlight:
+		case c.Op != wire.StartTask || !machine.command.inFlight:
 		case outcome == CommandsExecuted:
 			placement.observed = true
 		case outcome == CommandsNotExecuted:
@@ -129,11 +129,11 @@
 			// that it is not there. Taken as not sent, nothing would ever free it.
 			placement.startSent, placement.directToken = placement.stopRequest != nil, 0
 		default:
-			machine.commandUnconfirmed, machine.unconfirmedToken = true, machine.fencingToken
+			machine.command.unconfirmed, machine.command.unconfirmedToken = true, machine.token.current
 		}
 	}
-	if machine.commandInFlight {
-		machine.commandInFlight = false
+	if machine.command.inFlight {
+		machine.command.inFlight = false
 		p.capacityVersion++
 	}
 }
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -54,7 +54,7 @@
 		if p.canEvacuate(machine, now) {
 			for _, key := range sortedTaskAttempts(machine.placements) {
 				if placement := machine.placements[key]; placement != nil {
-					p.Moved++
+					p.Counters.Moved++
 					p.stopGracefully(placement, now)
 				}
 			}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -74,7 +74,7 @@
 	for _, v := range best {
 		v.machine.reservedFor, v.machine.reservedUntil = job.ID, job.reservedUntil
 	}
-	p.GangReservations++
+	p.Counters.GangReservations++
 }
 
 // futureSlots lists when a machine will have room for one task of a job, for a second
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -68,7 +68,7 @@
 // sendHeartbeat sends a worker's report and carries the answer out.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
 	h.sequences[id]++
-	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].fencingToken}
+	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].token.current}
 	for _, t := range h.workerTasks[id] {
 		heartbeat.Tasks = append(heartbeat.Tasks, t)
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -28,50 +28,50 @@
 	if machine == nil || machine.Record.Released {
 		return HeartbeatNotOwned, reply
 	}
-	if heartbeat.FencingToken > machine.fencingToken {
+	if heartbeat.FencingToken > machine.token.current {
 		return HeartbeatSuperseded, reply
 	}
-	if machine.leaseExpired && heartbeat.Incarnation <= machine.incarnation {
+	if machine.lease.expired && heartbeat.Incarnation <= machine.latest.incarnation {
 		// Its lease has surely run out, after which its session rises: what still
 		// comes of the old one is a late copy, and the machine may be dead.
 		return HeartbeatStale, reply
 	}
 	// Reports held back by a cut arrive late; their lists are as old as they are.
-	if heartbeat.Incarnation < machine.incarnation || (heartbeat.Incarnation == machine.incarnation && heartbeat.Sequence <= machine.sequence) {
-		if heartbeat.Incarnation == machine.incarnation && heartbeat.Sequence > max(machine.heartbeatSequence, machine.overtakenSequence) {
+	if heartbeat.Incarnation < machine.latest.incarnation || (heartbeat.Incarnation == machine.latest.incarnation && heartbeat.Sequence <= machine.latest.sequence) {
+		if heartbeat.Incarnation == machine.latest.incarnation && heartbeat.Sequence > max(machine.latest.heartbeatSequence, machine.latest.overtakenSequence) {
 			// Not late: the answer to an order has overtaken it on the way. Its list
 			// is old, but refused, the worker would turn to another node.
-			machine.overtakenSequence = heartbeat.Sequence
-			machine.lastAnswered = now
-			return HeartbeatAccepted, wire.HeartbeatResponse{FencingToken: machine.fencingToken, Commands: []wire.Command{}}
+			machine.latest.overtakenSequence = heartbeat.Sequence
+			machine.lease.lastAnswered = now
+			return HeartbeatAccepted, wire.HeartbeatResponse{FencingToken: machine.token.current, Commands: []wire.Command{}}
 		}
 		return HeartbeatStale, reply
 	}
 	p.detectUnreachableWorker(machine, heartbeat, now)
-	if heartbeat.Incarnation > machine.incarnation {
-		machine.overtakenSequence = 0
+	if heartbeat.Incarnation > machine.latest.incarnation {
+		machine.latest.overtakenSequence = 0
 	}
-	machine.incarnation, machine.sequence, machine.heartbeatSequence = heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Sequence
-	machine.lastAnswered, machine.heartbeatReceived = now, true
-	if machine.leaseExpired {
-		machine.leaseExpired = false
+	machine.latest.incarnation, machine.latest.sequence, machine.latest.heartbeatSequence = heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Sequence
+	machine.lease.lastAnswered = now
+	if machine.lease.expired {
+		machine.lease.expired = false
 		p.capacityVersion++
 	}
 	if n := heartbeat.TerminationNoticeS != nil; n != machine.terminationNotice {
 		machine.terminationNotice = n
 		p.capacityVersion++
 	}
-	acked := heartbeat.FencingToken == machine.fencingToken
+	acked := heartbeat.FencingToken == machine.token.current
 	if acked {
 		p.acknowledgeToken(machine, now)
 	}
-	switch unheard := !acked || machine.commandUnconfirmed; {
+	switch unheard := !acked || machine.command.unconfirmed; {
 	case !unheard:
-		machine.unresponsiveSince = time.Time{}
-	case machine.unresponsiveSince.IsZero():
-		machine.unresponsiveSince = now
+		machine.token.unacknowledgedSince = time.Time{}
+	case machine.token.unacknowledgedSince.IsZero():
+		machine.token.unacknowledgedSince = now
 	}
-	reply.FencingToken = machine.fencingToken
+	reply.FencingToken = machine.token.current
 	p.reconcileTasks(machine, heartbeat, acked, now)
 	if machine.terminationNotice {
 		p.evacuateOnNotice(machine, now)
@@ -85,17 +85,17 @@
 // placed there until it has shown a token that it can have from an answer only.
 func (p *Partition) detectUnreachableWorker(machine *Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	lease := tuning.Seconds(p.settings.Cluster.Workers.LeaseS)
-	if machine.answeredSince.IsZero() || now.Sub(machine.lastAnswered) > lease {
-		machine.answeredSince = now
+	if machine.lease.answeredSince.IsZero() || now.Sub(machine.lease.lastAnswered) > lease {
+		machine.lease.answeredSince = now
 	}
-	if heartbeat.Incarnation <= machine.incarnation {
+	if heartbeat.Incarnation <= machine.latest.incarnation {
 		return
 	}
-	if machine.everAcknowledged && !machine.commandUnconfirmed && now.Sub(machine.answeredSince) >= lease {
-		machine.commandUnconfirmed, machine.unconfirmedToken = true, machine.fencingToken
+	if machine.token.everAcknowledged && !machine.command.unconfirmed && now.Sub(machine.lease.answeredSince) >= lease {
+		machine.command.unconfirmed, machine.command.unconfirmedToken = true, machine.token.current
 		p.capacityVersion++
 	}
-	machine.answeredSince = now
+	machine.lease.answeredSince = now
 }
 
 // reconcileTasks compares the worker's list with the placements.
@@ -142,7 +142,7 @@
 			// The worker killed and forgot everything of its last session, and
 			// drops whatever was meant for that session.
 			p.requeue(placement, now)
-		case acked && placement.directToken > 0 && placement.directToken < machine.fencingToken:
+		case acked && placement.directToken > 0 && placement.directToken < machine.token.current:
 			// Its order was never answered, and can no longer be carried out.
 			p.requeue(placement, now)
 		case acked && placement.observed:
@@ -203,7 +203,7 @@
 		p.recordFailure(job, machine, now)
 		p.requeue(placement, now)
 	case wire.ExitGangIncomplete:
-		p.GangTimeouts++
+		p.Counters.GangTimeouts++
 		p.gangTimedOut(placement, now)
 	default:
 		p.requeue(placement, now)
@@ -231,7 +231,7 @@
 	job.taskStates[task] = taskDone
 	job.doneTasks++
 	p.markDirty(job.chunkOf(task), task)
-	p.Finished++
+	p.Counters.Finished++
 }
 
 // recordFailure notes an error: of the job if it fails on several machines, of the
@@ -313,7 +313,7 @@
 		switch {
 		case status.State == wire.TaskExited:
 			// Unknown exited tasks are those whose end is already on record.
-			if c, ok := machine.pendingForgets[key]; (!ok || c.ready()) && !machine.commandInFlight && !machine.commandUnconfirmed {
+			if c, ok := machine.pendingForgets[key]; (!ok || c.ready()) && !machine.command.inFlight && !machine.command.unconfirmed {
 				out = append(out, wire.Command{Op: wire.ForgetTask, Task: status.Task, Attempt: status.Attempt})
 			}
 		case placement == nil:
@@ -324,7 +324,7 @@
 			placement.stopRequest.sent = true
 		}
 	}
-	if !fresh || !machine.tokenAcknowledged || machine.terminationNotice || machine.commandInFlight || machine.commandUnconfirmed {
+	if !fresh || !machine.token.acknowledged || machine.terminationNotice || machine.command.inFlight || machine.command.unconfirmed {
 		return out
 	}
 	for _, key := range p.startableTasks(machine) {
@@ -355,7 +355,7 @@
 func (p *Partition) MachinesToRefence() []string {
 	var out []string
 	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; machine.commandUnconfirmed && machine.fencingToken == machine.unconfirmedToken {
+		if machine := p.machines[id]; machine.command.unconfirmed && machine.token.current == machine.command.unconfirmedToken {
 			out = append(out, id)
 		}
 	}
@@ -366,35 +366,35 @@
 // which only answers to reports do.
 func (p *Partition) HandleCommandResponse(heartbeat *wire.Heartbeat, now time.Time) {
 	machine := p.machines[heartbeat.Machine]
-	if machine == nil || heartbeat.FencingToken > machine.fencingToken || heartbeat.Incarnation < machine.incarnation || (heartbeat.Incarnation == machine.incarnation && heartbeat.Sequence <= machine.sequence) {
+	if machine == nil || heartbeat.FencingToken > machine.token.current || heartbeat.Incarnation < machine.latest.incarnation || (heartbeat.Incarnation == machine.latest.incarnation && heartbeat.Sequence <= machine.latest.sequence) {
 		return
 	}
-	if machine.everAcknowledged && heartbeat.Incarnation > machine.incarnation {
+	if machine.token.everAcknowledged && heartbeat.Incarnation > machine.latest.incarnation {
 		// Its lease ran out, and no report of the new session has come. Work that was
 		// placed in it once was freed with the old one's, a lease too early: the time
 		// that Sweep waits counts from the last report that was answered.
 		return
 	}
-	machine.incarnation, machine.sequence = heartbeat.Incarnation, heartbeat.Sequence
-	if heartbeat.FencingToken == machine.fencingToken {
+	machine.latest.incarnation, machine.latest.sequence = heartbeat.Incarnation, heartbeat.Sequence
+	if heartbeat.FencingToken == machine.token.current {
 		p.acknowledgeToken(machine, now)
 	}
-	p.reconcileTasks(machine, heartbeat, heartbeat.FencingToken == machine.fencingToken, now)
+	p.reconcileTasks(machine, heartbeat, heartbeat.FencingToken == machine.token.current, now)
 }
 
 // acknowledgeToken notes that the worker has seen the present token.
 func (p *Partition) acknowledgeToken(machine *Machine, now time.Time) {
-	if !machine.everAcknowledged {
+	if !machine.token.everAcknowledged {
 		// Answers of earlier owners are dropped from now on, so the lease was
 		// last renewed no later than this.
-		machine.everAcknowledged, machine.lastAnswered = true, now
+		machine.token.everAcknowledged, machine.lease.lastAnswered = true, now
 	}
-	if machine.commandUnconfirmed && machine.fencingToken > machine.unconfirmedToken {
-		machine.commandUnconfirmed = false
+	if machine.command.unconfirmed && machine.token.current > machine.command.unconfirmedToken {
+		machine.command.unconfirmed = false
 		p.capacityVersion++
 	}
-	if !machine.tokenAcknowledged {
-		machine.tokenAcknowledged = true
+	if !machine.token.acknowledged {
+		machine.token.acknowledged = true
 		p.capacityVersion++
 	}
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -27,7 +27,7 @@
 	}
 	harness.now = harness.now.Add(16 * time.Second) // beyond its lease
 	harness.Schedule(harness.now)
-	if diff := cmp.Diff([]string{"m-2"}, bad()); diff != "" || !harness.machines["m-1"].leaseExpired {
+	if diff := cmp.Diff([]string{"m-2"}, bad()); diff != "" || !harness.machines["m-1"].lease.expired {
 		t.Fatal("the silent machine goes back at once: ", diff)
 	}
 	harness.now = harness.now.Add(31 * time.Second) // and a boot of 30 s
@@ -70,11 +70,11 @@
 	job := newArrayJob("req-1", 1, 1)
 	harness.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: harness.revision, Record: records.ChunkRecord{Job: &job, HighestAttempt: 3, Placements: []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: 1}}}}}, nil)
 	machine := harness.machines["m-1"]
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, FencingToken: machine.fencingToken - 1}, harness.now, true)
+	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, FencingToken: machine.token.current - 1}, harness.now, true)
 	if len(machine.placements) != 1 {
 		t.Fatal("freed by a report under an older token")
 	}
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 2, FencingToken: machine.fencingToken}, harness.now, true)
+	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 2, FencingToken: machine.token.current}, harness.now, true)
 	if len(machine.placements) != 0 {
 		t.Fatal("not freed by a report under the present token")
 	}
@@ -85,7 +85,7 @@
 func TestOldReportsAndHigherTokens(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
-	tok := harness.machines["m-1"].fencingToken
+	tok := harness.machines["m-1"].token.current
 	for _, c := range []struct {
 		r    wire.Heartbeat
 		want HeartbeatVerdict
@@ -115,14 +115,14 @@
 	harness.commitBatches()
 	harness.sendHeartbeat("m-1")
 	machine := harness.machines["m-1"]
-	tok := machine.fencingToken
+	tok := machine.token.current
 	harness.now = harness.now.Add(20 * time.Second)
 	harness.Schedule(harness.now) // silent now
 	late := &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 90, FencingToken: tok}
-	if v, _ := harness.HandleHeartbeat(late, harness.now, true); v != HeartbeatStale || !machine.leaseExpired || machine.usable() {
+	if v, _ := harness.HandleHeartbeat(late, harness.now, true); v != HeartbeatStale || !machine.lease.expired || machine.usable() {
 		t.Fatalf("verdict %v: a late copy makes a dead machine look alive", v)
 	}
-	if v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 91, FencingToken: tok}, harness.now, true); v != HeartbeatAccepted || machine.leaseExpired {
+	if v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 91, FencingToken: tok}, harness.now, true); v != HeartbeatAccepted || machine.lease.expired {
 		t.Fatalf("verdict %v on a report of the next session", v)
 	}
 	left := 9.0
@@ -158,7 +158,7 @@
 	speak := func(session uint64, d time.Duration) {
 		for end := harness.now.Add(d); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
 			seq++
-			harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, FencingToken: machine.fencingToken}, harness.now, true)
+			harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, FencingToken: machine.token.current}, harness.now, true)
 		}
 	}
 	speak(1, 16*time.Second)
@@ -195,7 +195,7 @@
 	machine := harness.machines["m-1"]
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.now = harness.now.Add(14500 * time.Millisecond)
-	harness.HandleCommandResponse(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 50, FencingToken: machine.fencingToken}, harness.now) // the refusal's body
+	harness.HandleCommandResponse(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 50, FencingToken: machine.token.current}, harness.now) // the refusal's body
 	harness.Schedule(harness.now)
 	harness.commitBatches()
 	if o, ok := harness.DirectCommands("m-1", true); ok && o.Incarnation != 1 {
@@ -203,12 +203,12 @@
 	}
 	harness.now = harness.now.Add(2 * time.Second)
 	harness.Schedule(harness.now)
-	if !machine.leaseExpired {
+	if !machine.lease.expired {
 		t.Error("not silent although its lease has run out")
 	}
-	v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 51, FencingToken: machine.fencingToken}, harness.now, true)
-	if v != HeartbeatAccepted || machine.leaseExpired || machine.incarnation != 2 {
-		t.Errorf("verdict %v, silent %v, session %d after the first report of session 2", v, machine.leaseExpired, machine.incarnation)
+	v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 51, FencingToken: machine.token.current}, harness.now, true)
+	if v != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
+		t.Errorf("verdict %v, silent %v, session %d after the first report of session 2", v, machine.lease.expired, machine.latest.incarnation)
 	}
 }
 
@@ -227,7 +227,7 @@
 	if harness.NeedsScheduling() {
 		t.Error("a pass is asked for after one that left nothing to do")
 	}
-	heartbeat := &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: harness.sequences["m-1"], FencingToken: harness.machines["m-1"].fencingToken}
+	heartbeat := &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: harness.sequences["m-1"], FencingToken: harness.machines["m-1"].token.current}
 	for _, x := range harness.workerTasks["m-1"] {
 		heartbeat.Tasks = append(heartbeat.Tasks, x)
 	}
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -15,10 +15,10 @@
 		// Only an owner that has itself spoken with the worker under its token
 		// knows when the lease was last renewed; after a takeover the
 		// machine's return must be confirmed instead.
-		if !machine.everAcknowledged || machine.leaseExpired || now.Sub(machine.lastAnswered) <= lease {
+		if !machine.token.everAcknowledged || machine.lease.expired || now.Sub(machine.lease.lastAnswered) <= lease {
 			continue
 		}
-		machine.leaseExpired, machine.leaseExpiredAt = true, now
+		machine.lease.expired, machine.lease.expiredAt = true, now
 		p.capacityVersion++
 		for _, key := range sortedTaskAttempts(machine.placements) {
 			if placement := machine.placements[key]; placement != nil {
@@ -31,11 +31,11 @@
 	// start may be under way in the answer to a report.
 	for _, id := range p.machineIDs {
 		machine := p.machines[id]
-		if machine.commandInFlight || machine.commandUnconfirmed || !machine.tokenAcknowledged {
+		if machine.command.inFlight || machine.command.unconfirmed || !machine.token.acknowledged {
 			continue
 		}
 		gone := func(placement *Placement) bool {
-			return placement != nil && placement.stopRequest != nil && !placement.observed && placement.startSent && placement.incarnation == machine.incarnation && machine.heartbeatSequence > placement.startSequence
+			return placement != nil && placement.stopRequest != nil && !placement.observed && placement.startSent && placement.incarnation == machine.latest.incarnation && machine.latest.heartbeatSequence > placement.startSequence
 		}
 		some := false
 		for _, placement := range machine.placements {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -10,51 +10,39 @@
 	"ambersill/internal/wire"
 )
 
-// Machine is a machine of this part.
+// Machine is a machine of this partition, with what its worker last reported.
 type Machine struct {
-	ID           string
-	Record       records.MachineRecord
-	revision     uint64 // of its record
-	capacity     resource.Vector
-	machineType  wire.MachineType
-	allocated    resource.Vector
-	fencingToken uint64
-	incarnation  uint64
-	sequence     uint64
-	// tokenAcknowledged: a report under the present token has come, so that whatever an
-	// earlier owner ordered has taken effect or never will.
-	tokenAcknowledged bool
-	everAcknowledged  bool      // has been acked under this ownership at least once
-	statusLists       uint64    // counts the lists of tasks taken in
-	heartbeatSequence uint64    // number of the newest message that was a report
-	overtakenSequence uint64    // number of the newest report that an order's answer overtook
-	lastAnswered      time.Time // last report answered
-	answeredSince     time.Time // since when its reports have been answered without a gap
-	unresponsiveSince time.Time // since when it reports without showing the present token
-	heartbeatReceived bool
-	terminationNotice bool
-	// commandInFlight: an order with starts is under way. doubt: one was not answered,
-	// and may be carried out until the worker has seen a token above doubtToken.
-	commandInFlight    bool
-	commandUnconfirmed bool
-	unconfirmedToken   uint64
-	leaseExpired       bool
-	leaseExpiredAt     time.Time // when its lease had surely run out, if silent
-	quarantined        bool
-	placements         map[taskAttempt]*Placement
-	pendingForgets     map[taskAttempt]pendingForget
-	cachedImages       map[string]time.Time
-	failedJobs         map[string]bool // jobs that failed here since the last success
-	reservedFor        string          // job that room is kept for
-	reservedUntil      time.Time
-	assignedAt         time.Time
+	ID          string
+	Record      records.MachineRecord
+	revision    uint64 // of its record
+	machineType wire.MachineType
+	capacity    resource.Vector
+	allocated   resource.Vector
+	assignedAt  time.Time // when this owner first read its record
+
+	latest  messageOrder
+	token   tokenState
+	lease   leaseState
+	command commandState
+
+	terminationNotice bool // the cloud has announced that it takes the machine away
+	quarantined       bool // too many jobs failed here in a row
+
+	placements     map[taskAttempt]*Placement
+	pendingForgets map[taskAttempt]pendingForget
+	statusLists    uint64 // counts the task lists that were reconciled
+	cachedImages   map[string]time.Time
+	failedJobs     map[string]bool // jobs that failed here since the last success
+
+	reservedFor   string // job that capacity is reserved for
+	reservedUntil time.Time
 }
 
 func (m *Machine) free() resource.Vector { return m.capacity.Sub(m.allocated) }
 
 // usable tells whether tasks may be placed here.
 func (m *Machine) usable() bool {
-	return m.tokenAcknowledged && !m.commandUnconfirmed && !m.terminationNotice && !m.leaseExpired && !m.quarantined && m.Record.Desired == records.DesiredInService && !m.Record.Released
+	return m.token.acknowledged && !m.command.unconfirmed && !m.terminationNotice && !m.lease.expired && !m.quarantined && m.Record.Desired == records.DesiredInService && !m.Record.Released
 }
 
 // wantsImage tells whether some task placed here wants the image.
@@ -87,9 +75,9 @@
 	machine.Record, machine.revision = record, revision
 	machine.machineType = p.machineTypes[record.MachineType]
 	machine.capacity = resource.OfMachineType(machine.machineType)
-	if tok := max(p.Revision, record.FencingToken); tok > machine.fencingToken {
-		machine.fencingToken = tok
-		machine.tokenAcknowledged = false
+	if tok := max(p.Revision, record.FencingToken); tok > machine.token.current {
+		machine.token.current = tok
+		machine.token.acknowledged = false
 	}
 	p.capacityVersion++
 }
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -46,10 +46,21 @@
 	uncompactedChunks map[*chunk]bool
 	dirtyCount        int
 	cycleTime         time.Time // of the pass under way
-	// stats for the log line
-	Started, Finished, Requeued, Preempted, Moved               int
-	JournalRecords, Compactions, GangReservations, GangTimeouts int
-	lastConsolidation                                           time.Time
+	Counters          Counters
+	lastConsolidation time.Time
+}
+
+// Counters count what a partition has done under this owner.
+type Counters struct {
+	Started          int // placements made
+	Finished         int // tasks completed
+	Requeued         int // placements that ended without a result
+	Preempted        int // placements stopped for others
+	Moved            int // placements moved to free a machine
+	JournalRecords   int // journal records written
+	Compactions      int // chunk records written
+	GangReservations int // reservations of machines for gangs
+	GangTimeouts     int // gang tasks that waited in vain for the others
 }
 
 // NewPartition makes an empty part owned under the given stamp.
@@ -133,7 +144,7 @@
 	if job.taskStates[placement.task] == taskPlaced {
 		job.taskStates[placement.task] = taskWaiting
 		job.waitingTasks++
-		p.Requeued++
+		p.Counters.Requeued++
 		job.noCapacityVersion = -1
 	}
 	p.markDirty(placement.chunk(), placement.task)
--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/partition_test.go
@@ -86,7 +86,7 @@
 	record.FencingToken = harness.revision
 	harness.SetMachine("m-1", record, harness.revision, harness.now) // the rewritten record
 	harness.sendHeartbeat("m-1")                                     // carries the higher token
-	if len(harness.machines["m-1"].placements) != 0 || harness.machines["m-1"].commandUnconfirmed {
+	if len(harness.machines["m-1"].placements) != 0 || harness.machines["m-1"].command.unconfirmed {
 		t.Fatal("the placement stands although its order can no longer be carried out")
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -68,7 +68,7 @@
 			continue // its gang was stopped with a mate before it, and it had not left yet
 		}
 		grace = max(grace, placement.job.CheckpointSaveS)
-		p.Preempted++
+		p.Counters.Preempted++
 		p.stopGracefully(placement, now)
 	}
 	machine.reservedFor = job.ID
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		machine := where[k]
-		placement := &Placement{job: job, task: i, attempt: job.highestAttempt, machine: machine, incarnation: machine.incarnation, preemptionProtected: job.startForced}
+		placement := &Placement{job: job, task: i, attempt: job.highestAttempt, machine: machine, incarnation: machine.latest.incarnation, preemptionProtected: job.startForced}
 		p.attach(placement)
 		chunk := placement.chunk()
 		p.markDirty(chunk, i)
@@ -112,7 +112,7 @@
 		if machine.reservedFor == job.ID {
 			machine.reservedFor = ""
 		}
-		p.Started++
+		p.Counters.Started++
 		k++
 	}
 	return job.startableCount(now) > 0 && !job.IsGang()
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -19,7 +19,7 @@
 func (h *partitionHarness) sendTerminationNotice(id string) []wire.Command {
 	h.sequences[id]++
 	notice := 10.0
-	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].fencingToken, TerminationNoticeS: &notice}
+	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].token.current, TerminationNoticeS: &notice}
 	for _, t := range h.workerTasks[id] {
 		heartbeat.Tasks = append(heartbeat.Tasks, t)
 	}
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -46,7 +46,7 @@
 // digest is what there is to tell of a machine.
 func (p *Partition) digest(machine *Machine, now time.Time) records.MachineDigest {
 	var note records.MachineDigest
-	if machine.tokenAcknowledged {
+	if machine.token.acknowledged {
 		note |= records.DigestReporting
 	}
 	if len(machine.placements) == 0 && machine.usable() && !(machine.reservedFor != "" && now.Before(machine.reservedUntil)) {
@@ -54,19 +54,19 @@
 	}
 	// A silent machine may hang or be cut off, and be back with its images sooner than
 	// another could boot in its place; if it is gone, the cloud's list tells.
-	if machine.quarantined || (machine.leaseExpired && now.Sub(machine.leaseExpiredAt) > tuning.Seconds(machine.machineType.BootS)) {
+	if machine.quarantined || (machine.lease.expired && now.Sub(machine.lease.expiredAt) > tuning.Seconds(machine.machineType.BootS)) {
 		note |= records.DigestUnhealthy
 	}
 	w := p.settings.Cluster.Workers
 	patience := tuning.Seconds(w.LeaseS + 3*w.ReportS)
 	switch {
-	case !machine.tokenAcknowledged && len(machine.placements) > 0 && now.Sub(machine.assignedAt) > patience:
+	case !machine.token.acknowledged && len(machine.placements) > 0 && now.Sub(machine.assignedAt) > patience:
 		// Never heard since the takeover: only its return frees its tasks.
 		note |= records.DigestUnhealthy
-	case !machine.everAcknowledged && now.Sub(machine.assignedAt) > patience:
+	case !machine.token.everAcknowledged && now.Sub(machine.assignedAt) > patience:
 		// Booting still, or cut off: the cloud's list tells.
 		note |= records.DigestNeverHeard
-	case !machine.unresponsiveSince.IsZero() && now.Sub(machine.unresponsiveSince) > patience:
+	case !machine.token.unacknowledgedSince.IsZero() && now.Sub(machine.token.unacknowledgedSince) > patience:
 		// It reports, but neither answers nor orders arrive there.
 		note |= records.DigestUnhealthy
 	}
