--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -15,41 +15,61 @@
 	"ambersill/internal/wire"
 )
 
-// ErrNotSent tells that no connection came about, so the order has certainly not left.
-var ErrNotSent = errors.New("worker: not reached")
+// ErrNotSent reports that there was no connection, so that the commands have certainly not
+// left this node.
+var ErrNotSent = errors.New("commands not sent")
 
-// Client talks to workers.
+// connsPerAgent bounds the sockets that one silent machine can occupy.
+const connsPerAgent = 1
+
+// commandsPath is where agents accept commands.
+const commandsPath = "/orders"
+
+// Client sends commands to agents.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// New makes a client that waits for an answer for the given time at most.
+// New returns a client that waits for a response for at most the given time.
 func New(n transport.Net, timeout time.Duration) *Client {
-	return &Client{timeout: timeout, http: transport.Client(n, 1, tuning.IdleOrders, min(timeout, tuning.TakeoverTimeout))}
+	connectTimeout := min(timeout, tuning.TakeoverTimeout)
+	return &Client{
+		timeout: timeout,
+		http:    transport.Client(n, connsPerAgent, tuning.IdleOrders, connectTimeout),
+	}
 }
 
-// SendCommands sends orders. executed is true only if the worker carried them out; on
-// an error but ErrNotSent they may still be, for as long as token and session match.
-func (c *Client) SendCommands(ctx context.Context, addr string, o wire.CommandRequest) (r *wire.Heartbeat, executed bool, err error) {
+// SendCommands sends commands to the agent at an address, and returns the heartbeat that it
+// answers with. executed reports whether the agent executed them. After an error other than
+// ErrNotSent it may still do so, as long as fencing token and incarnation match.
+func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.CommandRequest) (heartbeat *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var connected atomic.Bool
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }})
-	resp, err := transport.Send(ctx, c.http, http.MethodPost, "http://"+addr+"/orders", o)
+	resp, err := c.post(ctx, addr, commands)
 	if err != nil {
-		if !connected.Load() {
-			return nil, false, fmt.Errorf("%w: %v", ErrNotSent, err)
-		}
-		return nil, false, err
+		return nil, false, fmt.Errorf("agent at %s: %w", addr, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, false, fmt.Errorf("worker: status %d", resp.StatusCode)
+		return nil, false, fmt.Errorf("agent at %s: %w", addr, &transport.StatusError{Code: resp.StatusCode})
 	}
-	var rep wire.Heartbeat
-	if err := wire.ReadResponse(resp.Body, &rep); err != nil {
-		return nil, false, err
+	heartbeat = &wire.Heartbeat{}
+	if err := wire.ReadResponse(resp.Body, heartbeat); err != nil {
+		return nil, false, fmt.Errorf("agent at %s: reading the heartbeat: %w", addr, err)
+	}
+	return heartbeat, resp.StatusCode == http.StatusOK, nil
+}
+
+// post sends the request, and returns ErrNotSent if it failed before there was a connection.
+func (c *Client) post(ctx context.Context, addr string, commands wire.CommandRequest) (*http.Response, error) {
+	var connected atomic.Bool
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
+	})
+	resp, err := transport.Send(ctx, c.http, http.MethodPost, "http://"+addr+commandsPath, commands)
+	if err != nil && !connected.Load() {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	return &rep, resp.StatusCode == http.StatusOK, nil
+	return resp, err
 }
--- /dev/null
+++ b/internal/agentclient/client_test.go
@@ -0,0 +1,42 @@
+package agentclient
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"ambersill/internal/transport"
+	"ambersill/internal/wire"
+)
+
+var errUnreachable = errors.New("unreachable")
+
+// unreachable is a network without any host.
+type unreachable struct{ transport.TCP }
+
+func (unreachable) Dial(context.Context, string) (net.Conn, error) { return nil, errUnreachable }
+
+func TestFailedConnectionMeansNotSent(t *testing.T) {
+	client := New(unreachable{}, time.Second)
+	_, executed, err := client.SendCommands(context.Background(), "10.0.0.1:1", wire.CommandRequest{})
+	if executed || !errors.Is(err, ErrNotSent) || !errors.Is(err, errUnreachable) || !strings.Contains(err.Error(), "10.0.0.1:1") {
+		t.Fatal(executed, err)
+	}
+}
+
+func TestUnexpectedStatusIsNotNotSent(t *testing.T) {
+	server := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(server.Close)
+	client := New(transport.TCP{}, time.Second)
+	t.Cleanup(client.http.CloseIdleConnections)
+	_, executed, err := client.SendCommands(context.Background(), strings.TrimPrefix(server.URL, "http://"), wire.CommandRequest{})
+	var status *transport.StatusError
+	if executed || errors.Is(err, ErrNotSent) || !errors.As(err, &status) || status.Code != http.StatusNotFound {
+		t.Fatal(executed, err)
+	}
+}
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud that rents out machines.
 package cloud
 
 import (
@@ -15,101 +15,144 @@
 	"golang.org/x/time/rate"
 )
 
-// Errors that callers tell apart.
+// Errors that callers distinguish with errors.Is.
 var (
-	// ErrNoCapacity: none of this type, zone and kind is to be had now.
-	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrRequestFailed: refused for another reason, or unanswered; it may have been executed.
-	ErrRequestFailed = errors.New("cloud: trouble")
+	// ErrNoCapacity reports that the cloud has no machine of this type and zone, spot or
+	// on demand as asked for, at present.
+	ErrNoCapacity = errors.New("no capacity")
+	// ErrRequestFailed reports that the request was refused for another reason or left
+	// unanswered; it may have been executed.
+	ErrRequestFailed = errors.New("request failed")
 )
 
-// Client talks to the cloud within its call rate.
-type Client struct {
-	base string
-	http *http.Client
-	rate *rate.Limiter
-}
+// reasonNoCapacity is the cloud's reason for refusing a rental for lack of machines.
+const reasonNoCapacity = "no capacity"
 
 const (
-	connect  = 2 * time.Second
-	timeout  = 10 * time.Second // rentals are slower than reads; a lost one is repeated
-	pageSize = 500              // the most that the cloud lists at once
+	maxConns       = 4
+	connectTimeout = 2 * time.Second
+	// requestTimeout is long, since rentals are slower than reads; a lost one is repeated.
+	requestTimeout = 10 * time.Second
+	// pageSize is the most machines that the cloud lists at once.
+	pageSize = 500
+	// rateFraction is the fraction of the cloud's rate limit that is used; the rest is margin.
+	rateFraction = 0.8
 )
 
-// New makes a client that stays under rps calls a second.
-func New(n transport.Net, addr string, rps float64) *Client {
-	return &Client{
-		base: "http://" + addr,
-		http: transport.Client(n, 4, 4, connect),
-		rate: rate.NewLimiter(rate.Limit(rps*0.8), max(1, int(rps))),
-	}
+// OperationError reports which operation failed, and what it was for.
+type OperationError struct {
+	Operation string
+	Target    string // a rental request or a machine type; empty if there is none
+	Err       error
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
-	if err := c.rate.Wait(ctx); err != nil {
-		return err
+func (e *OperationError) Error() string {
+	if e.Target == "" {
+		return fmt.Sprintf("cloud: %s: %v", e.Operation, e.Err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
-	defer cancel()
-	resp, err := transport.Send(ctx, c.http, method, c.base+path, body)
-	if err != nil {
-		return fmt.Errorf("%w: %v", ErrRequestFailed, err)
-	}
-	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusOK {
-		if out == nil {
-			transport.Discard(resp)
-			return nil
-		}
-		if err := wire.ReadResponse(resp.Body, out); err != nil {
-			return fmt.Errorf("%w: %v", ErrRequestFailed, err)
-		}
-		return nil
-	}
-	var problem wire.ErrorResponse
-	_ = wire.ReadResponse(resp.Body, &problem)
-	if resp.StatusCode == http.StatusServiceUnavailable && problem.Error == "no capacity" {
-		return ErrNoCapacity
+	return fmt.Sprintf("cloud: %s %q: %v", e.Operation, e.Target, e.Err)
+}
+
+func (e *OperationError) Unwrap() error { return e.Err }
+
+// Client sends requests to the cloud within its rate limit.
+type Client struct {
+	base    string
+	http    *http.Client
+	limiter *rate.Limiter
+}
+
+// New returns a client for a cloud that serves the given number of requests per second.
+func New(n transport.Net, addr string, requestsPerSecond float64) *Client {
+	return &Client{
+		base:    "http://" + addr,
+		http:    transport.Client(n, maxConns, maxConns, connectTimeout),
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*rateFraction), max(1, int(requestsPerSecond))),
 	}
-	return fmt.Errorf("%w: status %d %s", ErrRequestFailed, resp.StatusCode, problem.Error)
 }
 
 // Catalog reads the machine types with their present prices.
 func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
-	var r wire.Catalog
-	err := c.call(ctx, http.MethodGet, "/catalog", nil, &r)
-	return r.Types, err
+	var catalog wire.Catalog
+	if err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
+		return nil, &OperationError{Operation: "catalog", Err: err}
+	}
+	return catalog.Types, nil
 }
 
-// Rent asks for machines. The request's name makes repeats harmless.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
-	var n wire.MachineIDs
-	err := c.call(ctx, http.MethodPost, "/hosts", r, &n)
-	return n.Machines, err
+// Rent rents machines and returns their IDs. The request's ID makes retries idempotent.
+func (c *Client) Rent(ctx context.Context, rental wire.RentRequest) ([]string, error) {
+	var rented wire.MachineIDs
+	if err := c.call(ctx, http.MethodPost, "/hosts", rental, &rented); err != nil {
+		return nil, &OperationError{Operation: "rent", Target: rental.RequestID, Err: err}
+	}
+	return rented.Machines, nil
 }
 
-// Return gives machines back; nil means that they and all on them are gone.
+// Return returns machines to the cloud. Without an error, they are gone with all that runs
+// on them.
 func (c *Client) Return(ctx context.Context, ids []string) error {
-	return c.call(ctx, http.MethodPost, "/hosts/return", wire.MachineIDs{Machines: ids}, nil)
+	err := c.call(ctx, http.MethodPost, "/hosts/return", wire.MachineIDs{Machines: ids}, nil)
+	if err != nil {
+		return &OperationError{Operation: "return", Target: fmt.Sprint(ids), Err: err}
+	}
+	return nil
 }
 
-// List reads the whole list of machines, which lags.
+// List reads the whole list of machines, which lags behind their actual state.
 func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
-	var all []wire.CloudMachine
-	since := ""
+	var machines []wire.CloudMachine
+	lastID := ""
 	for {
-		q := fmt.Sprintf("/hosts?most=%d", pageSize)
-		if since != "" {
-			q += "&since=" + url.QueryEscape(since)
+		page, err := c.listPage(ctx, lastID)
+		if err != nil {
+			return nil, &OperationError{Operation: "list", Err: err}
 		}
-		var p wire.MachinePage
-		if err := c.call(ctx, http.MethodGet, q, nil, &p); err != nil {
-			return nil, err
+		machines = append(machines, page.Machines...)
+		if !page.More || len(page.Machines) == 0 {
+			return machines, nil
 		}
-		all = append(all, p.Machines...)
-		if !p.More || len(p.Machines) == 0 {
-			return all, nil
-		}
-		since = p.Machines[len(p.Machines)-1].ID
+		lastID = page.Machines[len(page.Machines)-1].ID
+	}
+}
+
+// listPage reads the page that follows a machine, or the first page if lastID is empty.
+func (c *Client) listPage(ctx context.Context, lastID string) (wire.MachinePage, error) {
+	path := fmt.Sprintf("/hosts?most=%d", pageSize)
+	if lastID != "" {
+		path += "&since=" + url.QueryEscape(lastID)
+	}
+	var page wire.MachinePage
+	err := c.call(ctx, http.MethodGet, path, nil, &page)
+	return page, err
+}
+
+func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
+	if err := c.limiter.Wait(ctx); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	resp, err := transport.Send(ctx, c.http, method, c.base+path, body)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrRequestFailed, err)
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return responseError(resp)
+	}
+	if err := transport.Decode(resp, out); err != nil {
+		return fmt.Errorf("%w: %w", ErrRequestFailed, err)
+	}
+	return nil
+}
+
+// responseError returns the error that a response other than 200 stands for.
+func responseError(resp *http.Response) error {
+	reason := transport.Reason(resp)
+	if resp.StatusCode == http.StatusServiceUnavailable && reason == reasonNoCapacity {
+		return ErrNoCapacity
 	}
+	cause := &transport.StatusError{Code: resp.StatusCode, Reason: reason}
+	return fmt.Errorf("%w: %w", ErrRequestFailed, cause)
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,15 +1,12 @@
-// Package kvstore is the client of the state service, the only place where
-// controllers keep anything.
+// Package kvstore is the client of the key-value store, the only place where controllers
+// keep state.
 package kvstore
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"net/http"
 	"net/url"
 	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -19,304 +16,117 @@
 	"golang.org/x/time/rate"
 )
 
-// Errors that callers tell apart.
-var (
-	// ErrNotFound: the key or the lease does not exist.
-	ErrNotFound = errors.New("state: not found")
-	// ErrRefused: the request was certainly not executed.
-	ErrRefused = errors.New("state: refused")
-	// ErrOutcomeUnknown: no answer; the request may have been, or may yet be, executed.
-	ErrOutcomeUnknown = errors.New("state: outcome unknown")
-	// ErrCompacted: a watch began too far back; read the keys again.
-	ErrCompacted = errors.New("state: revision too old")
-	// ErrInvalid: the request is malformed or over a limit of size, was not executed, and
-	// never will be as it is.
-	ErrInvalid = errors.New("state: request not valid")
-	// ErrLeaseNotFound: a put named a lease that has ended.
-	ErrLeaseNotFound = errors.New("state: lease has ended")
+// Connections to the store. Watches have their own, since each holds one while it is open.
+const (
+	requestConns = 16
+	watchConns   = 8
 )
 
-// ConflictError says which conditions of a transaction failed.
-type ConflictError struct{ Keys []string }
+// pageSize is the most keys that the store lists at once.
+const pageSize = 1000
 
-func (c *ConflictError) Error() string { return fmt.Sprintf("state: conflict on %v", c.Keys) }
-
-// Options of a client.
+// Options configure a client.
 type Options struct {
 	Net     transport.Net
 	Addr    string
-	Timeout time.Duration
-	// ReadRate and WriteRate are this node's share of the service's limits,
-	// per second.
+	Timeout time.Duration // of one request, except a watch
+	// ReadRate and WriteRate are this node's fraction of the store's rate limits, in
+	// requests and in writes per second.
 	ReadRate, WriteRate float64
 }
 
-// Client talks to the state service within a budget.
+// Client sends requests to the key-value store within a rate limit.
 type Client struct {
-	base    string
-	timeout time.Duration
-	http    *http.Client
-	watch   *http.Client
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	contact atomic.Int64 // when the newest answered request was sent, in nanoseconds since start
-	rev     atomic.Uint64
+	base        string
+	timeout     time.Duration
+	requestHTTP *http.Client
+	watchHTTP   *http.Client
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	unthrottled *rate.Limiter
+	counters    counters
 
-	mu    sync.Mutex
-	start time.Time
-	calls struct{ ok, refused, unknown int }
+	start           time.Time
+	lastServed      atomic.Int64  // when the newest served request was sent, in nanoseconds since start
+	highestRevision atomic.Uint64 // of this client's commits
 }
 
-// New makes a client.
+// New returns a client.
 func New(o Options) *Client {
 	return &Client{
-		base:    "http://" + o.Addr,
-		timeout: o.Timeout,
-		http:    transport.Client(o.Net, 16, 16, o.Timeout),
-		watch:   transport.Client(o.Net, 8, 8, o.Timeout),
-		reads:   rate.NewLimiter(rate.Limit(o.ReadRate), max(1, int(o.ReadRate/2))),
-		writes:  rate.NewLimiter(rate.Limit(o.WriteRate), max(16, int(o.WriteRate))),
-		start:   time.Now(),
-	}
-}
-
-// SetRateLimits changes this node's share of the service's limits, per second.
-func (c *Client) SetRateLimits(reads, writes float64) {
-	if c.reads.Limit() != rate.Limit(reads) {
-		c.reads.SetLimit(rate.Limit(reads))
+		base:        "http://" + o.Addr,
+		timeout:     o.Timeout,
+		requestHTTP: transport.Client(o.Net, requestConns, requestConns, o.Timeout),
+		watchHTTP:   transport.Client(o.Net, watchConns, watchConns, o.Timeout),
+		reads:       rate.NewLimiter(rate.Limit(o.ReadRate), readBurst(o.ReadRate)),
+		writes:      rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
+		unthrottled: rate.NewLimiter(rate.Inf, 0),
+		start:       time.Now(),
 	}
-	if c.writes.Limit() != rate.Limit(writes) {
-		c.writes.SetLimit(rate.Limit(writes))
-	}
-}
-
-// SinceContact is the age of the newest request that the service has served. An answer
-// says nothing of what came after its request, and one to a watch may be seconds late: it
-// stays open through an outage, and ends in the midst of it.
-func (c *Client) SinceContact() time.Duration {
-	return time.Since(c.start) - time.Duration(c.contact.Load())
-}
-
-// Counts returns how many calls were served, refused and left unanswered.
-func (c *Client) Counts() (ok, refused, unknown int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.calls.ok, c.calls.refused, c.calls.unknown
-}
-
-func (c *Client) count(n *int) {
-	c.mu.Lock()
-	*n++
-	c.mu.Unlock()
-}
-
-// served notes that a request that was sent at the given time has been served.
-func (c *Client) served(sent time.Time) {
-	at := int64(sent.Sub(c.start))
-	for {
-		old := c.contact.Load()
-		if at <= old || c.contact.CompareAndSwap(old, at) {
-			return
-		}
-	}
-}
-
-func (c *Client) do(ctx context.Context, cl *http.Client, method, path string, body, out any) error {
-	sent := time.Now()
-	resp, err := transport.Send(ctx, cl, method, c.base+path, body)
-	if err != nil {
-		c.count(&c.calls.unknown)
-		return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
-	}
-	defer resp.Body.Close()
-	switch resp.StatusCode {
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		c.count(&c.calls.refused)
-		transport.Discard(resp)
-		return fmt.Errorf("%w: status %d", ErrRefused, resp.StatusCode)
-	}
-	// Any other answer shows that the service serves this node, or did so when it was asked.
-	if cl != c.watch {
-		c.served(sent)
-	}
-	c.count(&c.calls.ok)
-	switch resp.StatusCode {
-	case http.StatusOK:
-		if out == nil {
-			transport.Discard(resp)
-			return nil
-		}
-		if err := wire.ReadResponse(resp.Body, out); err != nil {
-			return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
-		}
-		return nil
-	case http.StatusNotFound:
-		transport.Discard(resp)
-		return ErrNotFound
-	case http.StatusGone:
-		transport.Discard(resp)
-		return ErrCompacted
-	case http.StatusConflict:
-		var r wire.TxnResponse
-		if err := wire.ReadResponse(resp.Body, &r); err != nil {
-			return fmt.Errorf("%w: %v", ErrOutcomeUnknown, err)
-		}
-		return &ConflictError{Keys: r.Failed}
-	default:
-		var problem wire.ErrorResponse
-		_ = wire.ReadResponse(resp.Body, &problem)
-		if problem.Error == "no such lease" {
-			return ErrLeaseNotFound
-		}
-		if resp.StatusCode == http.StatusBadRequest {
-			return fmt.Errorf("%w: %s", ErrInvalid, problem.Error)
-		}
-		return fmt.Errorf("state: status %d %s", resp.StatusCode, problem.Error)
-	}
-}
-
-func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	return c.do(ctx, c.http, method, path, body, out)
 }
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
+	req := request{
+		operation: "get",
+		target:    key,
+		method:    http.MethodGet,
+		path:      "/store/" + key,
+	}
 	var item wire.KeyValue
-	if err := c.wait(ctx, c.reads, 1); err != nil {
+	if err := c.throttle(ctx, c.reads, 1, req); err != nil {
 		return item, err
 	}
-	err := c.call(ctx, http.MethodGet, "/store/"+key, nil, &item)
+	err := c.call(ctx, req, &item)
 	return item, err
 }
 
-// wait takes n from a budget; a wait longer than the context allows is a refusal.
-func (c *Client) wait(ctx context.Context, l *rate.Limiter, n int) error {
-	if err := l.WaitN(ctx, n); err != nil {
-		return fmt.Errorf("%w: over budget", ErrRefused)
-	}
-	return nil
-}
-
-// List reads all keys with a prefix. The revision is that of the first page: a
-// watch from there misses nothing.
+// List reads all keys with a prefix. The revision is that of the first page: a watch from
+// there misses no change.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, c.reads)
 }
 
-// ListUnthrottled is List without the budget, for the few reads that must not wait behind
-// users' questions.
+// ListUnthrottled is List without the rate limit, for the few reads that must not queue
+// behind users' queries.
 func (c *Client) ListUnthrottled(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
-	return c.list(ctx, prefix, rate.NewLimiter(rate.Inf, 0))
+	return c.list(ctx, prefix, c.unthrottled)
 }
 
-func (c *Client) list(ctx context.Context, prefix string, budget *rate.Limiter) ([]wire.KeyValue, uint64, error) {
-	var all []wire.KeyValue
+func (c *Client) list(ctx context.Context, prefix string, limiter *rate.Limiter) ([]wire.KeyValue, uint64, error) {
+	var items []wire.KeyValue
 	var revision uint64
-	since := ""
+	lastKey := ""
 	for {
-		if err := c.wait(ctx, budget, 1); err != nil {
+		req := listRequest(prefix, lastKey)
+		if err := c.throttle(ctx, limiter, 1, req); err != nil {
 			return nil, 0, err
 		}
 		var page wire.KeyValuePage
-		q := "/store?prefix=" + url.QueryEscape(prefix) + "&most=1000"
-		if since != "" {
-			q += "&since=" + url.QueryEscape(since)
-		}
-		if err := c.call(ctx, http.MethodGet, q, nil, &page); err != nil {
+		if err := c.call(ctx, req, &page); err != nil {
 			return nil, 0, err
 		}
 		if revision == 0 {
 			revision = page.Revision
 		}
-		all = append(all, page.Items...)
+		items = append(items, page.Items...)
 		if !page.More || len(page.Items) == 0 {
-			return all, revision, nil
-		}
-		since = page.Items[len(page.Items)-1].Key
-	}
-}
-
-// Commit runs a transaction. ErrOutcomeUnknown means it may still take effect.
-func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
-	if err := c.wait(ctx, c.reads, 1); err != nil {
-		return 0, err
-	}
-	if n := len(txn.Writes); n > 0 {
-		if err := c.wait(ctx, c.writes, n); err != nil {
-			return 0, err
-		}
-	}
-	return c.commit(ctx, txn)
-}
-
-// CommitUrgent is Commit ahead of those that wait for the budget: its changes are taken from
-// the budget, but waited for only if that is overdrawn by more than a moment's worth. It
-// is for what users wait for.
-func (c *Client) CommitUrgent(ctx context.Context, txn wire.Txn) (uint64, error) {
-	if n := len(txn.Writes); n > 0 {
-		r := c.writes.ReserveN(time.Now(), n)
-		if !r.OK() || r.Delay() > maxOverdraft {
-			r.Cancel()
-			return c.Commit(ctx, txn)
+			return items, revision, nil
 		}
+		lastKey = page.Items[len(page.Items)-1].Key
 	}
-	return c.commit(ctx, txn)
 }
 
-// maxOverdraft is by how much the budget of changes may be overdrawn, as the time in which
-// it is made up for. The state service allows bursts of a second's worth.
-const maxOverdraft = time.Second
-
-func (c *Client) commit(ctx context.Context, txn wire.Txn) (uint64, error) {
-	if txn.Compares == nil {
-		txn.Compares = []wire.Compare{}
-	}
-	var r wire.TxnResponse
-	if err := c.call(ctx, http.MethodPost, "/commit", txn, &r); err != nil {
-		return 0, err
+// listRequest asks for the page that follows a key, or the first page if it is empty.
+func listRequest(prefix, lastKey string) request {
+	path := "/store?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(pageSize)
+	if lastKey != "" {
+		path += "&since=" + url.QueryEscape(lastKey)
 	}
-	for {
-		old := c.rev.Load()
-		if r.Revision <= old || c.rev.CompareAndSwap(old, r.Revision) {
-			return r.Revision, nil
-		}
-	}
-}
-
-// Revision is the highest that a commit of this node was answered with.
-func (c *Client) Revision() uint64 { return c.rev.Load() }
-
-// GrantLease makes a lease. Leases are never kept back by the budget: without them
-// everything else is lost.
-func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var r wire.LeaseResponse
-	err := c.call(ctx, http.MethodPost, "/holds", wire.LeaseRequest{TTLMS: life.Milliseconds()}, &r)
-	return r.LeaseID, err
-}
-
-// RenewLease renews a lease.
-func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
-	return c.call(ctx, http.MethodPost, "/holds/"+strconv.FormatUint(leaseID, 10)+"/extend", nil, nil)
-}
-
-// RevokeLease ends a lease at once.
-func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
-	return c.call(ctx, http.MethodDelete, "/holds/"+strconv.FormatUint(leaseID, 10), nil, nil)
-}
-
-// Watch waits for changes under a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.WatchResponse, error) {
-	var r wire.WatchResponse
-	if err := c.wait(ctx, c.reads, 1); err != nil {
-		return r, err
+	return request{
+		operation: "list",
+		target:    prefix,
+		method:    http.MethodGet,
+		path:      path,
 	}
-	// An outage holds watches open; the slack keeps one from hanging for ever
-	// on a connection that a cut has swallowed.
-	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
-	defer cancel()
-	q := fmt.Sprintf("/watch?prefix=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
-	err := c.do(ctx, c.watch, http.MethodGet, q, nil, &r)
-	return r, err
 }
--- /dev/null
+++ b/internal/kvstore/errors_test.go
@@ -0,0 +1,118 @@
+package kvstore
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"ambersill/internal/transport"
+	"ambersill/internal/wire"
+)
+
+const testKey = "jobs/req-7"
+
+// newTestClient returns a client of a store that answers every request alike.
+func newTestClient(t *testing.T, status int, message any) *Client {
+	t.Helper()
+	body, err := wire.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		w.WriteHeader(status)
+		_, _ = w.Write(body)
+	}))
+	t.Cleanup(server.Close)
+	client := New(Options{
+		Net:       transport.TCP{},
+		Addr:      strings.TrimPrefix(server.URL, "http://"),
+		Timeout:   time.Second,
+		ReadRate:  100,
+		WriteRate: 100,
+	})
+	t.Cleanup(client.requestHTTP.CloseIdleConnections)
+	return client
+}
+
+func commitOneKey(client *Client) error {
+	_, err := client.Commit(context.Background(), wire.Txn{Writes: []wire.Write{{Put: testKey, Value: 1}}})
+	return err
+}
+
+func TestStatusDeterminesError(t *testing.T) {
+	for _, test := range []struct {
+		status int
+		reason string
+		want   error
+	}{
+		{http.StatusNotFound, "", ErrNotFound},
+		{http.StatusGone, "", ErrCompacted},
+		{http.StatusTooManyRequests, "", ErrRefused},
+		{http.StatusServiceUnavailable, "", ErrRefused},
+		{http.StatusBadRequest, "too large", ErrInvalid},
+		{http.StatusBadRequest, reasonNoLease, ErrLeaseNotFound},
+	} {
+		client := newTestClient(t, test.status, wire.ErrorResponse{Error: test.reason})
+		err := commitOneKey(client)
+		if !errors.Is(err, test.want) {
+			t.Errorf("status %d %q: got %v, want %v", test.status, test.reason, err, test.want)
+		}
+		var operation *OperationError
+		if !errors.As(err, &operation) || operation.Operation != "commit" || operation.Target != testKey {
+			t.Errorf("status %d %q: %v does not name the operation and the key", test.status, test.reason, err)
+		}
+	}
+}
+
+func TestUnexpectedStatusIsKept(t *testing.T) {
+	client := newTestClient(t, http.StatusTeapot, wire.ErrorResponse{Error: "no coffee"})
+	_, err := client.Get(context.Background(), testKey)
+	var status *transport.StatusError
+	if !errors.As(err, &status) || status.Code != http.StatusTeapot || status.Reason != "no coffee" {
+		t.Fatal(err)
+	}
+}
+
+func TestConflictNamesKeys(t *testing.T) {
+	client := newTestClient(t, http.StatusConflict, wire.TxnResponse{Failed: []string{testKey}})
+	err := commitOneKey(client)
+	var conflict *ConflictError
+	if !errors.As(err, &conflict) || len(conflict.Keys) != 1 || conflict.Keys[0] != testKey {
+		t.Fatal(err)
+	}
+}
+
+// A response that cannot be read leaves open whether the transaction was executed.
+func TestUnreadableResponseLeavesOutcomeUnknown(t *testing.T) {
+	for _, status := range []int{http.StatusOK, http.StatusConflict} {
+		if err := commitOneKey(newTestClient(t, status, "text")); !errors.Is(err, ErrOutcomeUnknown) {
+			t.Errorf("status %d: %v", status, err)
+		}
+	}
+}
+
+func TestUnansweredRequestKeepsCause(t *testing.T) {
+	client := newTestClient(t, http.StatusOK, wire.KeyValue{})
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	err := client.call(ctx, request{operation: "get", target: testKey, method: http.MethodGet, path: "/store/" + testKey}, nil)
+	if !errors.Is(err, ErrOutcomeUnknown) || !errors.Is(err, context.Canceled) {
+		t.Fatal(err)
+	}
+	if served, refused, unanswered := client.Counts(); served != 0 || refused != 0 || unanswered != 1 {
+		t.Fatal(served, refused, unanswered)
+	}
+}
+
+func TestRateLimitRefuses(t *testing.T) {
+	client := newTestClient(t, http.StatusOK, wire.KeyValue{})
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if _, err := client.Get(ctx, testKey); !errors.Is(err, ErrRefused) || !errors.Is(err, errRateLimited) {
+		t.Fatal(err)
+	}
+}
--- /dev/null
+++ b/internal/kvstore/transaction.go
@@ -0,0 +1,82 @@
+package kvstore
+
+import (
+	"context"
+	"net/http"
+	"strings"
+
+	"ambersill/internal/wire"
+)
+
+// Commit executes a transaction and returns its revision. After ErrOutcomeUnknown it may
+// still take effect.
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
+	req := commitRequest(txn)
+	if err := c.throttle(ctx, c.reads, 1, req); err != nil {
+		return 0, err
+	}
+	if n := len(txn.Writes); n > 0 {
+		if err := c.throttle(ctx, c.writes, n, req); err != nil {
+			return 0, err
+		}
+	}
+	return c.commit(ctx, req)
+}
+
+// CommitUrgent is Commit ahead of the transactions that wait for the rate limit, for those
+// that users wait for. Its writes count against the limit, but wait for it only when it is
+// exceeded by more than maxOverdraft.
+func (c *Client) CommitUrgent(ctx context.Context, txn wire.Txn) (uint64, error) {
+	if n := len(txn.Writes); n > 0 && !c.reserveUrgentWrites(n) {
+		return c.Commit(ctx, txn)
+	}
+	return c.commit(ctx, commitRequest(txn))
+}
+
+// Revision returns the highest revision of this client's commits.
+func (c *Client) Revision() uint64 { return c.highestRevision.Load() }
+
+func (c *Client) commit(ctx context.Context, req request) (uint64, error) {
+	var response wire.TxnResponse
+	if err := c.call(ctx, req, &response); err != nil {
+		return 0, err
+	}
+	c.noteRevision(response.Revision)
+	return response.Revision, nil
+}
+
+// noteRevision raises the highest revision; commits may be answered out of order.
+func (c *Client) noteRevision(revision uint64) {
+	for {
+		highest := c.highestRevision.Load()
+		if revision <= highest || c.highestRevision.CompareAndSwap(highest, revision) {
+			return
+		}
+	}
+}
+
+func commitRequest(txn wire.Txn) request {
+	if txn.Compares == nil {
+		txn.Compares = []wire.Compare{} // encoded as an empty list instead of null
+	}
+	return request{
+		operation: "commit",
+		target:    writtenKeys(txn),
+		method:    http.MethodPost,
+		path:      "/commit",
+		body:      txn,
+	}
+}
+
+// writtenKeys names the keys that a transaction writes, for errors.
+func writtenKeys(txn wire.Txn) string {
+	keys := make([]string, 0, len(txn.Writes))
+	for _, write := range txn.Writes {
+		if write.Delete != "" {
+			keys = append(keys, write.Delete)
+		} else {
+			keys = append(keys, write.Put)
+		}
+	}
+	return strings.Join(keys, " ")
+}
--- /dev/null
+++ b/internal/kvstore/watch.go
@@ -0,0 +1,32 @@
+package kvstore
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/url"
+	"time"
+
+	"ambersill/internal/wire"
+)
+
+// Watch waits at most the given time for changes under a prefix after a revision.
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.WatchResponse, error) {
+	query := fmt.Sprintf("prefix=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
+	req := request{
+		operation: "watch",
+		target:    prefix,
+		method:    http.MethodGet,
+		path:      "/watch?" + query,
+	}
+	var response wire.WatchResponse
+	if err := c.throttle(ctx, c.reads, 1, req); err != nil {
+		return response, err
+	}
+	// The store keeps watches open through an outage; the additional time bounds the wait on
+	// a connection that was cut without notice.
+	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
+	defer cancel()
+	err := c.callWatch(ctx, req, &response)
+	return response, err
+}
