--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -146,28 +146,28 @@
 	most := min(c.limits.TxnOps, max(1, tuning.TxnBytes/limit))
 	var next groupChange
 	for _, change := range c.cluster.groupChanges(changes, limit) {
-		if len(next.then) > 0 && len(next.then)+len(change.then) > most {
+		if len(next.writes) > 0 && len(next.writes)+len(change.writes) > most {
 			if err := c.commitGroups(ctx, fence, next); err != nil {
 				return err
 			}
 			next = groupChange{}
 		}
-		next.conds = append(next.conds, change.conds...)
-		next.then = append(next.then, change.then...)
+		next.compares = append(next.compares, change.compares...)
+		next.writes = append(next.writes, change.writes...)
 	}
 	return c.commitGroups(ctx, fence, next)
 }
 
 // commitGroups commits changes of groups, and takes them into the copy in their order.
 func (c *Controller) commitGroups(ctx context.Context, fence wire.Compare, change groupChange) error {
-	if len(change.then) == 0 {
+	if len(change.writes) == 0 {
 		return nil
 	}
-	revision, err := c.store.Commit(ctx, wire.Txn{Compares: append([]wire.Compare{fence}, change.conds...), Writes: change.then})
+	revision, err := c.store.Commit(ctx, wire.Txn{Compares: append([]wire.Compare{fence}, change.compares...), Writes: change.writes})
 	if err != nil {
 		return err
 	}
-	for _, w := range change.then {
+	for _, w := range change.writes {
 		if w.Put != "" {
 			c.cluster.apply(w.Put, must(wire.Marshal(w.Value)), revision, false)
 		} else {
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -64,8 +64,8 @@
 // groupChange is a change of a group's record, to be committed as a whole: one that
 // outgrows a value is divided into several.
 type groupChange struct {
-	conds []wire.Compare
-	then  []wire.Write
+	compares []wire.Compare
+	writes   []wire.Write
 }
 
 // groupChanges builds the writes that change machines' records; nil removes one. Groups
@@ -102,17 +102,17 @@
 // changeGroup builds the writes of one group.
 func changeGroup(name string, revision uint64, group records.MachineGroupRecord, limit int) groupChange {
 	key := records.MachinePrefix + name
-	change := groupChange{conds: []wire.Compare{{Key: key, Revision: revision}}}
+	change := groupChange{compares: []wire.Compare{{Key: key, Revision: revision}}}
 	if len(group.Machines) == 0 {
-		change.then = []wire.Write{{Delete: key}}
+		change.writes = []wire.Write{{Delete: key}}
 		return change
 	}
 	pieces := group.Split(limit)
 	for _, piece := range pieces[1:] {
 		cond, put := newGroup(piece)
-		change.conds, change.then = append(change.conds, cond), append(change.then, put)
+		change.compares, change.writes = append(change.compares, cond), append(change.writes, put)
 	}
-	change.then = append(change.then, wire.Write{Put: key, Value: pieces[0]})
+	change.writes = append(change.writes, wire.Write{Put: key, Value: pieces[0]})
 	return change
 }
 
