--- a/internal/records/ranges.go
+++ b/internal/records/ranges.go
@@ -12,18 +12,22 @@
 	}
 }
 
-// EncodeRanges packs the set of finished tasks of [from, to) for a record.
-func EncodeRanges(from, to int, done func(int) bool) []int {
-	var out []int
-	for i := from; i < to; i++ {
-		if !done(i) {
-			continue
-		}
-		if n := len(out); n > 0 && out[n-1] == i {
-			out[n-1] = i + 1
-		} else {
-			out = append(out, i, i+1)
+// EncodeRanges returns the tasks of [from, to) that are included as flattened ranges.
+func EncodeRanges(from, to int, included func(task int) bool) []int {
+	var ranges []int
+	for task := from; task < to; task++ {
+		if included(task) {
+			ranges = AppendToRanges(ranges, task)
 		}
 	}
-	return out
+	return ranges
+}
+
+// AppendToRanges adds a task above all others to flattened ranges.
+func AppendToRanges(ranges []int, task int) []int {
+	if n := len(ranges); n > 0 && ranges[n-1] == task {
+		ranges[n-1] = task + 1
+		return ranges
+	}
+	return append(ranges, task, task+1)
 }
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -49,6 +49,9 @@
 	To   int `cbor:"to,omitempty"`
 }
 
+// HasExplicitRange reports whether the record contains the range of its tasks.
+func (r *ChunkRecord) HasExplicitRange() bool { return r.To > 0 }
+
 // PlacementRecord is a placement that may be in effect.
 type PlacementRecord struct {
 	_           struct{} `cbor:",toarray"`
--- /dev/null
+++ b/internal/scheduler/confirm.go
@@ -0,0 +1,121 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"ambersill/internal/records"
+	"ambersill/internal/wire"
+)
+
+// ConfirmBatch applies the outcome of a batch that was committed at the given revision.
+func (p *Partition) ConfirmBatch(batch *Batch, revision uint64) {
+	p.confirmJournal(batch, revision)
+	p.confirmChunks(batch, revision)
+	for _, chunk := range batch.deletedChunks {
+		chunk.revision = 0
+	}
+	if batch.endedJob != nil {
+		p.finalizeJob(batch.endedJob)
+	}
+	p.finishedJobs = slices.DeleteFunc(p.finishedJobs, func(job *Job) bool {
+		return !slices.ContainsFunc(job.chunks, (*chunk).isLeftover)
+	})
+}
+
+// confirmJournal notes that a batch's journal records are committed.
+func (p *Partition) confirmJournal(batch *Batch, revision uint64) {
+	p.Counters.JournalRecords += len(batch.journalSequences)
+	for _, sequence := range batch.journalSequences {
+		p.journal.setRevision(sequence, revision)
+	}
+	for _, write := range batch.entryWrites {
+		p.journal.tasksCommitted(write.chunk, write.changeVersion, write.tasks)
+		p.journal.markUncompacted(write.chunk, write.sequence)
+	}
+}
+
+// confirmChunks notes that a batch's chunk records are committed.
+func (p *Partition) confirmChunks(batch *Batch, revision uint64) {
+	p.Counters.Compactions += len(batch.chunkWrites)
+	for _, write := range batch.chunkWrites {
+		chunk := write.chunk
+		chunk.revision = revision
+		chunk.storedFormat = write.format
+		chunk.splitFrom, chunk.splitOff = nil, nil
+		p.journal.markCompacted(chunk)
+		p.journal.chunkCommitted(chunk, write.changeVersion)
+	}
+}
+
+// finalizeJob forgets a job whose end is committed. Placements of a finished gang that its
+// workers have not reported yet keep their capacity until they do.
+func (p *Partition) finalizeJob(job *Job) {
+	job.finalized = true
+	delete(p.jobs, job.ID)
+	p.tombstones.add(job.ID)
+	job.chunks[0].revision = 0
+	for _, chunk := range job.chunks {
+		p.journal.forget(chunk)
+	}
+	p.finishedJobs = append(p.finishedJobs, job)
+}
+
+// RefreshKey applies what a read of one of a batch's keys found after an unknown outcome or a
+// conflict; record is that of a job's key, or nil. All of the batch's changes stay dirty, so
+// that the next commit rewrites the keys under their present revisions, which fences the
+// transaction if it is still under way.
+func (p *Partition) RefreshKey(batch *Batch, key string, revision uint64, record *records.JobRecord, now time.Time) {
+	switch {
+	case batch.endedJob != nil && key == records.JobKey(batch.endedJob.ID):
+		p.refreshJob(batch.endedJob, revision, record, now)
+	case p.refreshJournal(batch, key, revision):
+	default:
+		p.refreshChunks(batch, key, revision)
+	}
+}
+
+// refreshJob applies what a read of the record of a job that was to end has found.
+func (p *Partition) refreshJob(job *Job, revision uint64, record *records.JobRecord, now time.Time) {
+	job.Revision = revision
+	if record == nil {
+		return
+	}
+	switch record.Phase {
+	case wire.JobDone:
+		p.finalizeJob(job)
+	case wire.JobCancelled:
+		p.Cancel(job.ID, now)
+	}
+}
+
+// refreshJournal notes the revision of a key of the journal, and reports whether it is one.
+func (p *Partition) refreshJournal(batch *Batch, key string, revision uint64) bool {
+	for _, sequence := range batch.journalSequences {
+		if key == p.journal.key(sequence) {
+			p.journal.setRevision(sequence, revision)
+			return true
+		}
+	}
+	return false
+}
+
+// refreshChunks notes the revision of a key of a chunk that the batch writes or deletes.
+func (p *Partition) refreshChunks(batch *Batch, key string, revision uint64) {
+	for _, write := range batch.chunkWrites {
+		if key == p.layout.chunkKey(write.chunk) {
+			write.chunk.revision = revision
+		}
+	}
+	for _, chunk := range batch.deletedChunks {
+		if key == p.layout.chunkKey(chunk) {
+			chunk.revision = revision
+		}
+	}
+	if batch.endedJob == nil {
+		return
+	}
+	if firstChunk := batch.endedJob.chunks[0]; key == p.layout.chunkKey(firstChunk) {
+		firstChunk.revision = revision
+	}
+}
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -47,7 +47,7 @@
 // stored then.
 func writeExchange(t *testing.T, file string) {
 	harness := newPartitionHarness()
-	harness.slotRevisions = make([]uint64, 16)
+	harness.journal.slotRevisions = make([]uint64, 16)
 	store := &fakeStore{revision: 1000, values: map[string]wire.Raw{}, revisions: map[string]uint64{records.PartitionKey(0): harness.Revision}}
 	for _, id := range exchangeMachines {
 		harness.addMachine(id, "cpu", "a", false)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -230,7 +230,7 @@
 	}
 	job.taskStates[task] = taskDone
 	job.doneTasks++
-	p.markDirty(job.chunkOf(task), task)
+	p.journal.markDirty(job.chunkOf(task), task)
 	p.Counters.Finished++
 }
 
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -15,32 +15,6 @@
 	taskDone
 )
 
-// chunk is a range of a job's tasks that shares one record.
-type chunk struct {
-	job *Job
-	// name is the last part of its record's key; index is its place in the layout of
-	// the first format, which the journal's entries name.
-	name     string
-	index    int
-	from, to int
-	// explicitRange: its record is to say which tasks it holds; ranged: the stored one does.
-	explicitRange, storedExplicitRange bool
-	// splitFrom is the chunk whose record holds this one's state until this one has a record
-	// of its own; parts are the chunks that were split off from this one, whose records
-	// must be written before its own is.
-	splitFrom        *chunk
-	splitOff         []*chunk
-	revision         uint64 // of the key, as last read or written
-	changeVersion    int    // counts changes in memory
-	committedVersion int    // version known to be in the state service
-	// dirtyTasks are the tasks with changes that are not committed, by the version
-	// of their last one; since orders chunks by how long they have any.
-	dirtyTasks map[int]int
-	dirtySince int
-	// oldestUncompacted journal record with something that the chunk's own lacks; 0: none.
-	oldestUncompacted uint64
-}
-
 // Job is a job that is not over, with the state of its tasks.
 type Job struct {
 	*wire.Job
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -76,9 +76,9 @@
 // successor is a new owner that knows only what the state service holds.
 func (s *fakeStore) successor(t *rapid.T, machines []string, harness *partitionHarness) *partitionHarness {
 	successor := newPartitionHarness()
-	successor.limits = harness.limits
-	successor.SetLevel(harness.featureLevel)
-	successor.slotRevisions = make([]uint64, testRing)
+	successor.layout.limits = harness.layout.limits
+	successor.SetLevel(harness.Level())
+	successor.journal.slotRevisions = make([]uint64, testRing)
 	for _, id := range machines {
 		successor.addMachine(id, "cpu", "a", false)
 	}
@@ -146,8 +146,8 @@
 func TestJournalSurvivesATakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		harness := newPartitionHarness()
-		harness.slotRevisions = make([]uint64, testRing)
-		harness.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+		harness.journal.slotRevisions = make([]uint64, testRing)
+		harness.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 		raised := rapid.IntRange(0, 60).Draw(t, "raised")
 		lowered := raised + rapid.IntRange(1, 20).Draw(t, "lowered after")
 		limitKB := rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB")
@@ -159,7 +159,7 @@
 		submit := func(n int) {
 			job := newArrayJob(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
 			record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
-			store.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, {Put: records.FirstChunkKey(0, job.ID), Value: records.NewFirstChunk(record, harness.featureLevel, harness.settings)}}})
+			store.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, {Put: records.FirstChunkKey(0, job.ID), Value: records.NewFirstChunk(record, harness.Level(), harness.settings)}}})
 			harness.AddJob(&job, harness.now, store.revision)
 		}
 		ended := map[string]bool{} // tasks whose end a worker has reported
@@ -171,7 +171,7 @@
 				harness.SetLevel(records.FeatureExplicitChunks)
 			}
 			if round == lowered {
-				harness.limits.ValueKB, harness.limits.TxnOps = limitKB, 3
+				harness.layout.limits.ValueKB, harness.layout.limits.TxnOps = limitKB, 3
 				store.big, store.ops = 0, 0
 			}
 			harness.now = harness.now.Add(time.Second)
@@ -198,7 +198,7 @@
 				}
 				harness.sendHeartbeat(id)
 			}
-			if harness.featureLevel == records.FeatureInitialFormat {
+			if harness.Level() == records.FeatureInitialFormat {
 				store.keepsFirstFormat(t)
 			}
 			successor := store.successor(t, machines, harness)
@@ -236,7 +236,7 @@
 					}
 				}
 			}
-			if store.big > int(harness.limits.ValueKB*1024) || store.ops > harness.limits.TxnOps {
+			if store.big > int(harness.layout.limits.ValueKB*1024) || store.ops > harness.layout.limits.TxnOps {
 				t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, store.big, store.ops)
 			}
 		}
@@ -248,8 +248,8 @@
 			}
 			store.commit(harness, batch, "done")
 		}
-		if len(harness.dirtyChunks) > 0 {
-			t.Fatalf("%d chunks are not recorded in the end", len(harness.dirtyChunks))
+		if len(harness.journal.dirtyChunks) > 0 {
+			t.Fatalf("%d chunks are not recorded in the end", len(harness.journal.dirtyChunks))
 		}
 		successor := store.successor(t, machines, harness)
 		for id, job := range harness.jobs {
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -6,7 +6,6 @@
 
 	"ambersill/internal/config"
 	"ambersill/internal/quota"
-	"ambersill/internal/records"
 	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -24,28 +23,16 @@
 	teams            map[string]*quota.Team
 	capacityVersion  int // counts changes of free room
 	scheduledVersion int // room as the last pass left it
-	tasksPerChunk    int
-	// limits are those that all that is written keeps to; level is the cluster's
-	// feature level.
-	limits         config.StateLimits
-	featureLevel   records.FeatureLevel
-	lastConversion time.Time // last rewrite of a record for the sake of its format
+	layout           chunkLayout
+	journal          journal
+	conversion       formatConversion
 	// finishedJobs are jobs that are over but whose records still stand.
-	finishedJobs    []*Job
-	machineIDs      []string        // machine names, sorted
-	candidates      []*Machine      // those that could take work when the pass began
-	cancelledJobIDs map[string]bool // jobs marked as cancelled, by the last listing
-	// tombstones are jobs that ended here, so that a late word of their submission does not
-	// revive them; overBefore those of before, once there were many.
-	tombstones, olderTombstones map[string]bool
-	// The journal: the last number given out, the stamps of its keys, the chunks
-	// with changes to record and those whose records lack some of it.
-	journalSequence   uint64
-	slotRevisions     []uint64
-	dirtyChunks       map[*chunk]bool
-	uncompactedChunks map[*chunk]bool
-	dirtyCount        int
-	cycleTime         time.Time // of the pass under way
+	finishedJobs      []*Job
+	machineIDs        []string        // machine names, sorted
+	candidates        []*Machine      // those that could take work when the pass began
+	cancelledJobIDs   map[string]bool // jobs marked as cancelled, by the last listing
+	tombstones        tombstones
+	cycleTime         time.Time // of the scheduling cycle under way
 	Counters          Counters
 	lastConsolidation time.Time
 }
@@ -66,8 +53,8 @@
 // NewPartition makes an empty part owned under the given stamp.
 func NewPartition(index int, revision uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
 	p := &Partition{Index: index, Revision: revision, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
-		machines: map[string]*Machine{}, teams: map[string]*quota.Team{}, tombstones: map[string]bool{}, dirtyChunks: map[*chunk]bool{}, uncompactedChunks: map[*chunk]bool{}, slotRevisions: make([]uint64, tuning.JournalSlots),
-		tasksPerChunk: records.TasksPerChunk(settings), limits: settings.WriteLimits()}
+		machines: map[string]*Machine{}, teams: map[string]*quota.Team{}, tombstones: newTombstones(),
+		layout: newChunkLayout(index, settings), journal: newJournal(index, tuning.JournalSlots)}
 	for _, c := range settings.Cluster.Teams {
 		p.teams[c.Name] = &quota.Team{Team: c}
 	}
@@ -100,15 +87,12 @@
 		}
 		return job
 	}
-	if p.tombstones[description.ID] || p.olderTombstones[description.ID] {
+	if p.tombstones.contains(description.ID) {
 		return nil
 	}
 	job := &Job{Job: description, SubmittedAt: at, Revision: revision, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
 		placements: map[int]*Placement{}, noCapacityVersion: -1}
-	for from := 0; from < description.Tasks; from += p.tasksPerChunk {
-		job.chunks = append(job.chunks, p.newChunk(job, from, min(from+p.tasksPerChunk, description.Tasks), p.featureLevel >= records.FeatureExplicitChunks))
-	}
-	job.chunks[0].revision, job.chunks[0].storedExplicitRange = revision, p.featureLevel >= records.FeatureExplicitChunks
+	job.chunks = p.layout.newChunks(job, revision)
 	p.jobs[description.ID] = job
 	return job
 }
@@ -147,7 +131,7 @@
 		p.Counters.Requeued++
 		job.noCapacityVersion = -1
 	}
-	p.markDirty(placement.chunk(), placement.task)
+	p.journal.markDirty(placement.chunk(), placement.task)
 	p.capacityVersion++
 }
 
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -51,7 +51,7 @@
 // NeedsScheduling tells whether anything has changed since the last pass that one would act on
 // before time alone makes it do so.
 func (p *Partition) NeedsScheduling() bool {
-	return len(p.dirtyChunks) > 0 || p.capacityVersion != p.scheduledVersion
+	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
 }
 
 // placeTasks starts what it can of a job in this turn; false: nothing more now.
@@ -105,7 +105,7 @@
 		placement := &Placement{job: job, task: i, attempt: job.highestAttempt, machine: machine, incarnation: machine.latest.incarnation, preemptionProtected: job.startForced}
 		p.attach(placement)
 		chunk := placement.chunk()
-		p.markDirty(chunk, i)
+		p.journal.markDirty(chunk, i)
 		placement.chunkVersion = chunk.changeVersion
 		machine.cachedImages[job.Image] = now
 		p.trimImages(machine)
--- a/internal/scheduler/tombstone_test.go
+++ b/internal/scheduler/tombstone_test.go
@@ -24,7 +24,7 @@
 			}
 		}
 	}
-	if kept := len(harness.tombstones) + len(harness.olderTombstones); kept > 2*maxTombstones {
+	if kept := len(harness.tombstones.recent) + len(harness.tombstones.older); kept > 2*maxTombstones {
 		t.Errorf("%d ended jobs are kept", kept)
 	}
 }
--- /dev/null
+++ b/internal/scheduler/tombstones.go
@@ -0,0 +1,27 @@
+package scheduler
+
+// maxTombstones is the number of ended jobs after which those before them are forgotten. A
+// submission that arrives late is seconds old, in which far fewer jobs end.
+const maxTombstones = 4096
+
+// tombstones are jobs that ended under this owner, so that a late notice of their submission
+// does not add them again. Two generations bound the memory.
+type tombstones struct {
+	recent map[string]bool
+	older  map[string]bool
+}
+
+// newTombstones returns an empty set.
+func newTombstones() tombstones { return tombstones{recent: map[string]bool{}} }
+
+// add remembers an ended job, and forgets the older generation once the recent one is full.
+func (t *tombstones) add(id string) {
+	if len(t.recent) >= maxTombstones {
+		t.older = t.recent
+		t.recent = map[string]bool{}
+	}
+	t.recent[id] = true
+}
+
+// contains reports whether a job is known to have ended.
+func (t *tombstones) contains(id string) bool { return t.recent[id] || t.older[id] }
