--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,60 +1,102 @@
+// Package admission decides which jobs are accepted, and for which machine type each is
+// meant.
 package admission
 
 import (
+	"errors"
+	"slices"
+
 	"ambersill/internal/config"
 	"ambersill/internal/quota"
 	"ambersill/internal/resource"
 	"ambersill/internal/wire"
-	"slices"
 )
 
-// PrimaryMachineType numbers the machine types that a job is meant for by the first of them
-// in the catalog's order. Types with GPUs are not meant for work without, if there
-// are others.
+// Reasons why a job can never run. Their texts are sent to users as the answer to the
+// submission.
+var (
+	ErrUnknownTeam        = errors.New("unknown team")
+	ErrNoMachineTypeFits  = errors.New("a task fits no allowed machine type")
+	ErrTeamLimitExceeded  = errors.New("more than the team's limit")
+	ErrGangCannotBeSpread = errors.New("the gang can't be spread")
+)
+
+// minSpreadZones: zones that a gang needs at least to be spread.
+const minSpreadZones = 2
+
+// PrimaryMachineType returns the index, in the catalog's order, of the first machine type
+// that a job is meant for, 0 if it fits none. Types with GPUs are not meant for work
+// without, if a type without GPUs fits.
 func PrimaryMachineType(job *wire.Job, types []wire.MachineType) int {
 	request := resource.OfJob(job)
-	cpuOnly := resource.CPUOnlyTypeFits(request, job.MachineTypes, slices.Values(types))
+	cpuOnlyTypeFits := resource.CPUOnlyTypeFits(request, job.MachineTypes, slices.Values(types))
 	for i, machineType := range types {
-		if resource.TypeAllowed(job.MachineTypes, machineType.Name) && resource.OfMachineType(machineType).Contains(request) && (job.GPUs > 0 || machineType.GPUs == 0 || !cpuOnly) {
-			return i
+		if !typeFits(job, machineType) {
+			continue
 		}
+		if job.GPUs == 0 && machineType.GPUs > 0 && cpuOnlyTypeFits {
+			continue
+		}
+		return i
 	}
 	return 0
 }
 
-// InfeasibleReason says why a job can never run; "" if it can.
-func InfeasibleReason(job *wire.Job, settings *config.Settings, types []wire.MachineType) string {
-	c, ok := settings.Team(job.Team)
+// Check returns the reason why a job can never run, nil if it can.
+func Check(job *wire.Job, settings *config.Settings, types []wire.MachineType) error {
+	team, ok := settings.Team(job.Team)
 	if !ok {
-		return "unknown team"
+		return ErrUnknownTeam
 	}
-	request := resource.OfJob(job)
-	fits := 0
+	zones := feasibleZones(job, types)
+	if len(zones) == 0 {
+		return ErrNoMachineTypeFits
+	}
+	allocation := &quota.Team{Team: team}
+	if !allocation.WithinLimit(simultaneousRequest(job)) {
+		return ErrTeamLimitExceeded
+	}
+	if mustSpread(job) && (job.SingleZone || len(zones) < minSpreadZones) {
+		return ErrGangCannotBeSpread
+	}
+	return nil
+}
+
+// typeFits reports whether a machine of a type may run a task of a job, and has the
+// capacity for it.
+func typeFits(job *wire.Job, machineType wire.MachineType) bool {
+	return resource.TypeAllowed(job.MachineTypes, machineType.Name) &&
+		resource.OfMachineType(machineType).Contains(resource.OfJob(job))
+}
+
+// feasibleZones returns the zones in which machines that fit a job can be rented.
+func feasibleZones(job *wire.Job, types []wire.MachineType) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range types {
-		if !resource.TypeAllowed(job.MachineTypes, machineType.Name) || !resource.OfMachineType(machineType).Contains(request) {
+		if !typeFits(job, machineType) {
 			continue
 		}
-		for _, z := range machineType.Zones {
-			if job.Zone == "" || job.Zone == z {
-				fits++
-				zones[z] = true
+		for _, zone := range machineType.Zones {
+			if job.Zone == "" || job.Zone == zone {
+				zones[zone] = true
 			}
 		}
 	}
-	if fits == 0 {
-		return "a task fits no allowed machine type"
-	}
-	all := request
+	return zones
+}
+
+// simultaneousRequest returns what a job must be able to allocate at once: all tasks of a
+// gang and all replicas of a service run at the same time, an array's can take turns.
+func simultaneousRequest(job *wire.Job) resource.Vector {
+	request := resource.OfJob(job)
 	if job.IsGang() || job.IsService() {
-		all = request.Scale(job.Tasks)
-	}
-	if team := (&quota.Team{Team: c}); !team.WithinLimit(all) {
-		return "more than the team's limit"
+		return request.Scale(job.Tasks)
 	}
-	// All tasks of a gang run at the same time, so they can't be spread over one zone.
-	if job.SpreadZones && job.IsGang() && job.Tasks > 1 && (job.SingleZone || len(zones) < 2) {
-		return "the gang can't be spread"
-	}
-	return ""
+	return request
+}
+
+// mustSpread reports whether the job's tasks have to run in different zones at the same
+// time.
+func mustSpread(job *wire.Job) bool {
+	return job.SpreadZones && job.IsGang() && job.Tasks > 1
 }
--- /dev/null
+++ b/internal/admission/admission_test.go
@@ -0,0 +1,90 @@
+package admission
+
+import (
+	"errors"
+	"testing"
+
+	"ambersill/internal/config"
+	"ambersill/internal/wire"
+)
+
+var testTypes = []wire.MachineType{
+	{Name: "cpu", CPUs: 8, MemoryGB: 32, Zones: []string{"a", "b"}},
+	{Name: "gpu", CPUs: 16, GPUs: 4, MemoryGB: 64, Zones: []string{"a", "b"}},
+}
+
+func testSettings() *config.Settings {
+	settings := &config.Settings{}
+	settings.Cluster.Teams = []config.Team{
+		{Name: "limited", CPUsMax: 10, GPUsMax: 3},
+		{Name: "free"},
+	}
+	return settings
+}
+
+// Jobs that compete for the same machines are meant for the same type, and work without
+// GPUs is not meant for machines with GPUs.
+func TestPrimaryMachineTypeGroupsCompetingJobs(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		job  wire.Job
+		want int
+	}{
+		{"small", wire.Job{CPUs: 1}, 0},
+		{"with a GPU", wire.Job{CPUs: 1, GPUs: 1}, 1},
+		{"whole GPU machine", wire.Job{CPUs: 16, GPUs: 4}, 1},
+		{"named type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
+		{"too large for the type without GPUs", wire.Job{CPUs: 12}, 1},
+	} {
+		if got := PrimaryMachineType(&c.job, testTypes); got != c.want {
+			t.Errorf("%s: type %d, want %d", c.name, got, c.want)
+		}
+	}
+}
+
+func TestCheckRejectsInfeasibleJobs(t *testing.T) {
+	settings := testSettings()
+	for _, c := range []struct {
+		name string
+		job  wire.Job
+		want error
+	}{
+		{"array", wire.Job{Team: "free", Tasks: 9, CPUs: 1}, nil},
+		{"unknown team", wire.Job{Team: "none", Tasks: 1, CPUs: 1}, ErrUnknownTeam},
+		{"too large", wire.Job{Team: "free", Tasks: 1, CPUs: 17}, ErrNoMachineTypeFits},
+		{"unknown type", wire.Job{Team: "free", Tasks: 1, CPUs: 1, MachineTypes: []string{"x"}}, ErrNoMachineTypeFits},
+		{"unknown zone", wire.Job{Team: "free", Tasks: 1, CPUs: 1, Zone: "x"}, ErrNoMachineTypeFits},
+		{"array beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
+		{"gang beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
+		{"gang spread over one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
+	} {
+		if err := Check(&c.job, settings, testTypes); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+		}
+	}
+}
+
+// All replicas together must be within the team's limit, for all run at the same time.
+func TestCheckRejectsServiceAboveItsTeamsLimit(t *testing.T) {
+	settings := testSettings()
+	for replicas, want := range map[int]error{2: nil, 3: ErrTeamLimitExceeded} {
+		job := wire.Job{ID: "req-1", Team: "limited", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas, CPUs: 4, MemoryGB: 1, Image: "i"}
+		if err := Check(&job, settings, testTypes); !errors.Is(err, want) {
+			t.Errorf("%d replicas of 4 CPUs with a limit of 10: %v, want %v", replicas, err, want)
+		}
+	}
+}
+
+// The reasons are part of the answers that users get.
+func TestReasonsKeepTheirTexts(t *testing.T) {
+	for err, want := range map[error]string{
+		ErrUnknownTeam:        "unknown team",
+		ErrNoMachineTypeFits:  "a task fits no allowed machine type",
+		ErrTeamLimitExceeded:  "more than the team's limit",
+		ErrGangCannotBeSpread: "the gang can't be spread",
+	} {
+		if err.Error() != want {
+			t.Errorf("%q, want %q", err, want)
+		}
+	}
+}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -173,14 +173,14 @@
 	if len(types) == 0 {
 		return wire.JobStatus{}, false, errors.New("machine types not known yet")
 	}
-	if why := admission.InfeasibleReason(job, c.settings, types); why != "" {
+	if infeasible := admission.Check(job, c.settings, types); infeasible != nil {
 		// A job that was accepted before is known, whatever its repeat says.
 		record, _, err := c.readJob(ctx, job.ID)
 		switch {
 		case err == nil:
 			return jobStatus(record), false, nil
 		case errors.Is(err, kvstore.ErrNotFound):
-			return wire.JobStatus{}, false, &api.StatusError{Status: http.StatusUnprocessableEntity, Reason: why}
+			return wire.JobStatus{}, false, &api.StatusError{Status: http.StatusUnprocessableEntity, Reason: infeasible.Error()}
 		}
 		return wire.JobStatus{}, false, err
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,3 +1,4 @@
+// Package quota keeps what each team has allocated against its guarantee and its limit.
 package quota
 
 import (
@@ -5,35 +6,49 @@
 	"ambersill/internal/resource"
 )
 
+// Team is a team's quota with what its tasks have allocated.
 type Team struct {
 	config.Team
 	Allocated resource.Vector
 }
 
-// WithinLimit tells whether the team may use more by the given room.
+// WithinLimit reports whether the team may allocate request on top of what it has.
 func (t *Team) WithinLimit(request resource.Vector) bool {
-	u := t.Allocated.Add(request)
-	return (t.CPUsMax == 0 || u.CPUs <= t.CPUsMax+resource.Epsilon) && (t.GPUsMax == 0 || u.GPUs <= t.GPUsMax+resource.Epsilon)
+	total := t.Allocated.Add(request)
+	return withinMax(total.CPUs, t.CPUsMax) && withinMax(total.GPUs, t.GPUsMax)
 }
 
-// RemainingTasks is how many tasks of the given room the team may still start.
+// withinMax reports whether an amount stays within a limit; 0 is no limit.
+func withinMax(amount, limit float64) bool {
+	return limit == 0 || amount <= limit+resource.Epsilon
+}
+
+// RemainingTasks returns how many tasks with the given request the team may still start,
+// resource.Unlimited where no limit applies.
 func (t *Team) RemainingTasks(request resource.Vector) int {
-	n := 1 << 20
-	if t.CPUsMax > 0 && request.CPUs > resource.Epsilon {
-		n = min(n, int((t.CPUsMax-t.Allocated.CPUs+resource.Epsilon)/request.CPUs))
-	}
-	if t.GPUsMax > 0 && request.GPUs > resource.Epsilon {
-		n = min(n, int((t.GPUsMax-t.Allocated.GPUs+resource.Epsilon)/request.GPUs))
+	count := min(
+		remainingTasks(t.CPUsMax, t.Allocated.CPUs, request.CPUs),
+		remainingTasks(t.GPUsMax, t.Allocated.GPUs, request.GPUs),
+	)
+	return max(0, count)
+}
+
+// remainingTasks is RemainingTasks in one dimension; a limit of 0 is none.
+func remainingTasks(limit, allocated, requested float64) int {
+	if limit <= 0 || requested <= resource.Epsilon {
+		return resource.Unlimited
 	}
-	return max(0, n)
+	return min(resource.Unlimited, int((limit-allocated+resource.Epsilon)/requested))
 }
 
-// WithinGuarantee tells whether the guarantee holds the given room; a team without one
-// is guaranteed nothing.
+// WithinGuarantee reports whether the team's guarantee covers request. A team without a
+// guarantee is guaranteed nothing, and one without guaranteed GPUs no work that needs any.
 func (t *Team) WithinGuarantee(request resource.Vector) bool {
 	if t.CPUs == 0 && t.GPUs == 0 {
 		return false
 	}
-	return (t.CPUs == 0 || request.CPUs <= t.CPUs+resource.Epsilon) && (t.GPUs == 0 || request.GPUs <= t.GPUs+resource.Epsilon) &&
-		(t.GPUs > 0 || request.GPUs == 0)
+	if t.GPUs == 0 && request.GPUs != 0 {
+		return false
+	}
+	return withinMax(request.CPUs, t.CPUs) && withinMax(request.GPUs, t.GPUs)
 }
--- a/internal/resource/machinetype.go
+++ b/internal/resource/machinetype.go
@@ -1,24 +1,20 @@
 package resource
 
 import (
-	"ambersill/internal/wire"
 	"iter"
+	"slices"
+
+	"ambersill/internal/wire"
 )
 
-func TypeAllowed(types []string, name string) bool {
-	if len(types) == 0 {
-		return true
-	}
-	for _, t := range types {
-		if t == name {
-			return true
-		}
-	}
-	return false
+// TypeAllowed reports whether a job that names the machine types in allowed, or none for
+// any, may run on the type called name.
+func TypeAllowed(allowed []string, name string) bool {
+	return len(allowed) == 0 || slices.Contains(allowed, name)
 }
 
-// CPUOnlyTypeFits tells whether a machine type without GPUs, among those allowed, has room
-// for a request.
+// CPUOnlyTypeFits reports whether request fits a machine type without GPUs among those
+// allowed.
 func CPUOnlyTypeFits(request Vector, allowed []string, types iter.Seq[wire.MachineType]) bool {
 	for machineType := range types {
 		if machineType.GPUs == 0 && TypeAllowed(allowed, machineType.Name) && OfMachineType(machineType).Contains(request) {
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -1,61 +1,97 @@
+// Package resource does arithmetic on the amounts of machines that tasks take, and matches
+// requests to machine types.
 package resource
 
 import (
-	"ambersill/internal/wire"
 	"math"
+
+	"ambersill/internal/wire"
 )
 
-// Epsilon absorbs rounding where amounts are added and taken away again.
+// Epsilon absorbs rounding where amounts are added and subtracted again.
 const Epsilon = 1e-6
 
-// Vector is an amount of a machine.
+// Unlimited is the count of tasks where nothing limits it: more than any job has, and still
+// far from overflow where counts are added.
+const Unlimited = 1 << 20
+
+// Vector is an amount of each of a machine's resources.
 type Vector struct{ CPUs, GPUs, MemoryGB float64 }
 
-func (r Vector) Add(o Vector) Vector {
-	return Vector{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
+// Add returns the sum of both amounts.
+func (v Vector) Add(other Vector) Vector {
+	return Vector{
+		CPUs:     v.CPUs + other.CPUs,
+		GPUs:     v.GPUs + other.GPUs,
+		MemoryGB: v.MemoryGB + other.MemoryGB,
+	}
 }
 
-func (r Vector) Sub(o Vector) Vector {
-	return Vector{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
+// Sub returns what remains of v without other.
+func (v Vector) Sub(other Vector) Vector {
+	return Vector{
+		CPUs:     v.CPUs - other.CPUs,
+		GPUs:     v.GPUs - other.GPUs,
+		MemoryGB: v.MemoryGB - other.MemoryGB,
+	}
 }
 
-func (r Vector) Scale(n int) Vector {
-	f := float64(n)
-	return Vector{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
+// Scale returns v count times.
+func (v Vector) Scale(count int) Vector {
+	factor := float64(count)
+	return Vector{
+		CPUs:     v.CPUs * factor,
+		GPUs:     v.GPUs * factor,
+		MemoryGB: v.MemoryGB * factor,
+	}
 }
 
-// Contains tells whether o fits into r.
-func (r Vector) Contains(o Vector) bool {
-	return o.CPUs <= r.CPUs+Epsilon && o.GPUs <= r.GPUs+Epsilon && o.MemoryGB <= r.MemoryGB+Epsilon
+// Contains reports whether request fits into v.
+func (v Vector) Contains(request Vector) bool {
+	return request.CPUs <= v.CPUs+Epsilon &&
+		request.GPUs <= v.GPUs+Epsilon &&
+		request.MemoryGB <= v.MemoryGB+Epsilon
 }
 
-// CountOf is how many of o fit into r.
-func (r Vector) CountOf(o Vector) int {
-	n := math.Inf(1)
-	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.MemoryGB, o.MemoryGB}} {
-		if p[1] > Epsilon {
-			n = math.Min(n, math.Floor((p[0]+Epsilon)/p[1]))
-		}
+// CountOf returns how many times request fits into v, Unlimited for an empty request.
+func (v Vector) CountOf(request Vector) int {
+	count := math.Min(countIn(v.CPUs, request.CPUs), countIn(v.GPUs, request.GPUs))
+	count = math.Min(count, countIn(v.MemoryGB, request.MemoryGB))
+	if math.IsInf(count, 1) {
+		return Unlimited
 	}
-	if math.IsInf(n, 1) {
-		return 1 << 20
+	return max(0, int(count))
+}
+
+// countIn returns how many times requested fits into available, in one dimension.
+func countIn(available, requested float64) float64 {
+	if requested <= Epsilon {
+		return math.Inf(1)
 	}
-	return max(0, int(n))
+	return math.Floor((available + Epsilon) / requested)
 }
 
-// DominantShare is how much of a machine of size r o takes: its scarcest dimension.
-func (r Vector) DominantShare(o Vector) float64 {
-	s := 0.0
-	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.MemoryGB, o.MemoryGB}} {
-		if p[0] > Epsilon {
-			s = math.Max(s, p[1]/p[0])
-		}
+// DominantShare returns the share of a machine of capacity v that used takes, in the
+// dimension of which it takes the most.
+func (v Vector) DominantShare(used Vector) float64 {
+	share := math.Max(shareOf(v.CPUs, used.CPUs), shareOf(v.GPUs, used.GPUs))
+	return math.Max(share, shareOf(v.MemoryGB, used.MemoryGB))
+}
+
+// shareOf returns the share of capacity that used takes, in one dimension.
+func shareOf(capacity, used float64) float64 {
+	if capacity <= Epsilon {
+		return 0
 	}
-	return s
+	return math.Max(0, used/capacity)
 }
 
-func OfJob(job *wire.Job) Vector { return Vector{job.CPUs, job.GPUs, job.MemoryGB} }
+// OfJob returns what one task of a job requests.
+func OfJob(job *wire.Job) Vector {
+	return Vector{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
+}
 
+// OfMachineType returns the capacity of a machine of a type.
 func OfMachineType(machineType wire.MachineType) Vector {
-	return Vector{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+	return Vector{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
--- /dev/null
+++ b/internal/resource/vector_test.go
@@ -0,0 +1,40 @@
+package resource
+
+import "testing"
+
+func TestCountOfIsBoundByTheScarcestDimension(t *testing.T) {
+	machine := Vector{CPUs: 8, GPUs: 4, MemoryGB: 32}
+	for _, c := range []struct {
+		name    string
+		request Vector
+		want    int
+	}{
+		{"CPUs", Vector{CPUs: 3, GPUs: 1, MemoryGB: 1}, 2},
+		{"GPUs", Vector{CPUs: 1, GPUs: 2, MemoryGB: 1}, 2},
+		{"memory", Vector{CPUs: 1, MemoryGB: 30}, 1},
+		{"too large", Vector{CPUs: 9}, 0},
+		{"rounding", Vector{CPUs: 8.0 / 3}, 3},
+		{"nothing requested", Vector{}, Unlimited},
+	} {
+		if got := machine.CountOf(c.request); got != c.want {
+			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+		}
+	}
+}
+
+func TestDominantShareIsOfTheDimensionUsedMost(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		capacity, used Vector
+		want           float64
+	}{
+		{"CPUs", Vector{CPUs: 8, GPUs: 4, MemoryGB: 32}, Vector{CPUs: 4, GPUs: 1, MemoryGB: 8}, 0.5},
+		{"GPUs", Vector{CPUs: 8, GPUs: 4, MemoryGB: 32}, Vector{CPUs: 4, GPUs: 3, MemoryGB: 8}, 0.75},
+		{"no GPUs", Vector{CPUs: 8, MemoryGB: 32}, Vector{CPUs: 2, GPUs: 1, MemoryGB: 4}, 0.25},
+		{"unknown type", Vector{}, Vector{CPUs: 2}, 0},
+	} {
+		if got := c.capacity.DominantShare(c.used); got != c.want {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		}
+	}
+}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -24,25 +24,33 @@
 	return settings
 }
 
-// partitionHarness is a part with helpers that play the state service and the workers.
+// partitionHarness is a partition with helpers that stand in for the key-value store and
+// the workers.
 type partitionHarness struct {
 	*Partition
 	now         time.Time
 	revision    uint64
-	sequences   map[string]uint64
-	workerTasks map[string]map[taskAttempt]wire.TaskStatus
+	sequences   map[string]uint64                          // of the last heartbeat, by machine
+	workerTasks map[string]map[taskAttempt]wire.TaskStatus // what each worker runs, by machine
 }
 
 func newPartitionHarness() *partitionHarness {
-	t := tuning.Default()
-	harness := &partitionHarness{Partition: NewPartition(0, 10, testSettings(), &t), now: time.Unix(1000, 0), revision: 100, sequences: map[string]uint64{}, workerTasks: map[string]map[taskAttempt]wire.TaskStatus{}}
+	defaults := tuning.Default()
+	harness := &partitionHarness{
+		Partition:   NewPartition(0, 10, testSettings(), &defaults),
+		now:         time.Unix(1000, 0),
+		revision:    100,
+		sequences:   map[string]uint64{},
+		workerTasks: map[string]map[taskAttempt]wire.TaskStatus{},
+	}
 	harness.SetMachineTypes(testTypes)
 	return harness
 }
 
-func (h *partitionHarness) addMachine(id, typ, zone string, spot bool) {
+// addMachine adds a machine whose worker has acknowledged the partition's fencing token.
+func (h *partitionHarness) addMachine(id, machineType, zone string, spot bool) {
 	h.revision++
-	h.SetMachine(id, records.MachineRecord{MachineType: typ, Zone: zone, Spot: spot}, h.revision, h.now)
+	h.SetMachine(id, records.MachineRecord{MachineType: machineType, Zone: zone, Spot: spot}, h.revision, h.now)
 	h.workerTasks[id] = map[taskAttempt]wire.TaskStatus{}
 	h.sendHeartbeat(id)
 	h.sendHeartbeat(id)
@@ -53,7 +61,7 @@
 	return h.AddJob(&job, h.now, h.revision)
 }
 
-// commitBatches has the state service take all changes.
+// commitBatches commits all changes to the key-value store.
 func (h *partitionHarness) commitBatches() {
 	for {
 		batch := h.PrepareBatch()
@@ -65,46 +73,69 @@
 	}
 }
 
-// sendHeartbeat sends a worker's report and carries the answer out.
+// sendHeartbeat sends a worker's heartbeat and carries out the commands of the reply.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
 	h.sequences[id]++
 	heartbeat := &wire.Heartbeat{Machine: id, Incarnation: 1, Sequence: h.sequences[id], FencingToken: h.machines[id].token.current}
-	for _, t := range h.workerTasks[id] {
-		heartbeat.Tasks = append(heartbeat.Tasks, t)
+	for _, status := range h.workerTasks[id] {
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
-	v, reply := h.HandleHeartbeat(heartbeat, h.now, true)
-	if v != HeartbeatAccepted {
+	outcome, reply := h.HandleHeartbeat(heartbeat, h.now, true)
+	if outcome != HeartbeatAccepted {
 		return nil
 	}
-	for _, c := range reply.Commands {
-		key := taskAttempt{c.Task, c.Attempt}
-		switch c.Op {
-		case wire.StartTask:
-			h.workerTasks[id][key] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
-		case wire.StopTask:
-			if t, ok := h.workerTasks[id][key]; ok {
-				t.State, t.ExitCause = wire.TaskExited, wire.ExitStopped
-				h.workerTasks[id][key] = t
-			}
-		case wire.ForgetTask:
-			delete(h.workerTasks[id], key)
-		}
+	for _, command := range reply.Commands {
+		h.execute(id, command)
 	}
 	return reply.Commands
 }
 
-func (h *partitionHarness) endTask(id, task string, try uint64, why wire.ExitCause) {
-	h.workerTasks[id][taskAttempt{task, try}] = wire.TaskStatus{Task: task, Attempt: try, State: wire.TaskExited, ExitCause: why}
+// execute carries out a command as the machine's worker would.
+func (h *partitionHarness) execute(id string, command wire.Command) {
+	tasks := h.workerTasks[id]
+	key := taskAttempt{command.Task, command.Attempt}
+	switch command.Op {
+	case wire.StartTask:
+		tasks[key] = wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning}
+	case wire.StopTask:
+		if status, ok := tasks[key]; ok {
+			status.State, status.ExitCause = wire.TaskExited, wire.ExitStopped
+			tasks[key] = status
+		}
+	case wire.ForgetTask:
+		delete(tasks, key)
+	}
+}
+
+// endTask has a worker report a task as exited from its next heartbeat on.
+func (h *partitionHarness) endTask(id, task string, attempt uint64, cause wire.ExitCause) {
+	h.workerTasks[id][taskAttempt{task, attempt}] = wire.TaskStatus{
+		Task:      task,
+		Attempt:   attempt,
+		State:     wire.TaskExited,
+		ExitCause: cause,
+	}
 }
 
-func commandTexts(cs []wire.Command) []string {
-	var out []string
-	for _, c := range cs {
-		out = append(out, fmt.Sprint(c.Op, " ", c.Task, " ", c.Attempt))
+// commandTexts formats each command as "operation task attempt".
+func commandTexts(commands []wire.Command) []string {
+	var texts []string
+	for _, command := range commands {
+		texts = append(texts, fmt.Sprint(command.Op, " ", command.Task, " ", command.Attempt))
 	}
-	return out
+	return texts
 }
 
-func newArrayJob(id string, n int, cpus float64) wire.Job {
-	return wire.Job{ID: id, Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: n, CPUs: cpus, MemoryGB: 1, Image: "i", EstimatedRunS: 60}
+func newArrayJob(id string, tasks int, cpus float64) wire.Job {
+	return wire.Job{
+		ID:            id,
+		Team:          "free",
+		Shape:         wire.ArrayJob,
+		Priority:      "standard",
+		Tasks:         tasks,
+		CPUs:          cpus,
+		MemoryGB:      1,
+		Image:         "i",
+		EstimatedRunS: 60,
+	}
 }
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// fakeStore is a state service of the plainest kind: keys with stamps, and
-// transactions that are lost or come late.
+// fakeStore is an in-memory key-value store: keys with revisions, and transactions
+// that are lost or applied late.
 type fakeStore struct {
 	revision  uint64
 	values    map[string]wire.Raw
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"ambersill/internal/admission"
 	"ambersill/internal/records"
 	"ambersill/internal/resource"
 	"ambersill/internal/wire"
@@ -157,45 +156,3 @@
 		t.Fatal("it is not tried again later")
 	}
 }
-
-// Jobs that want the same machines share a part, and work without GPUs does not
-// follow the GPUs.
-func TestCompetingJobsShareAPart(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		j    wire.Job
-		want int
-	}{
-		{"small", wire.Job{CPUs: 1}, 0},
-		{"with a GPU", wire.Job{CPUs: 1, GPUs: 1}, 1},
-		{"whole GPU machine", wire.Job{CPUs: 16, GPUs: 4}, 1},
-		{"named type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
-		{"too large for the plain type", wire.Job{CPUs: 12}, 1},
-	} {
-		if got := admission.PrimaryMachineType(&c.j, testTypes); got != c.want {
-			t.Errorf("%s: %d", c.name, got)
-		}
-	}
-}
-
-func TestImpossibleJobs(t *testing.T) {
-	settings := testSettings()
-	for _, c := range []struct {
-		name string
-		j    wire.Job
-		ok   bool
-	}{
-		{"plain", wire.Job{Team: "free", Tasks: 9, CPUs: 1}, true},
-		{"unknown team", wire.Job{Team: "none", Tasks: 1, CPUs: 1}, false},
-		{"too large", wire.Job{Team: "free", Tasks: 1, CPUs: 17}, false},
-		{"unknown type", wire.Job{Team: "free", Tasks: 1, CPUs: 1, MachineTypes: []string{"x"}}, false},
-		{"unknown zone", wire.Job{Team: "free", Tasks: 1, CPUs: 1, Zone: "x"}, false},
-		{"array beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, true},
-		{"gang beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, false},
-		{"gang spread over one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, false},
-	} {
-		if got := admission.InfeasibleReason(&c.j, settings, testTypes); (got == "") != c.ok {
-			t.Errorf("%s: %q", c.name, got)
-		}
-	}
-}
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"ambersill/internal/admission"
 	"ambersill/internal/autoscaler"
 	"ambersill/internal/records"
 	"ambersill/internal/wire"
@@ -106,18 +105,6 @@
 	}
 }
 
-// All replicas together must be within the team's limit, for all run at the same time.
-func TestServiceAboveItsTeamsLimitIsImpossible(t *testing.T) {
-	settings := testSettings()
-	for replicas, possible := range map[int]bool{2: true, 3: false} {
-		job := newServiceJob("req-1", replicas, 4) // of 10 CPUs
-		job.Team = "limited"
-		if why := admission.InfeasibleReason(&job, settings, testTypes); (why == "") != possible {
-			t.Errorf("%d replicas: %q", replicas, why)
-		}
-	}
-}
-
 // A state service that finds a commit invalid is offered smaller ones from then on.
 func TestCommitsShrinkAfterAnInvalidOne(t *testing.T) {
 	harness := newPartitionHarness()
