--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -1,42 +1,49 @@
 package wire
 
-import (
-	"errors"
-	"fmt"
-	"math"
-	"regexp"
-)
+import "regexp"
 
-// JobShape tells how the tasks of a job belong together.
+// JobShape says how the tasks of a job relate to each other.
 type JobShape string
 
-// The shapes of jobs.
 const (
+	// ArrayJob is a job array: independent tasks.
 	ArrayJob JobShape = "array"
-	GangJob  JobShape = "ensemble"
-	// ServiceJob: independent tasks, its replicas, that run until the job is cancelled.
+	// GangJob is scheduled as a gang: its tasks run at the same time or not at all.
+	GangJob JobShape = "ensemble"
+	// ServiceJob has independent tasks, its replicas, which run until the job is cancelled.
 	ServiceJob JobShape = "service"
 )
 
-// Priority is a job's priority.
+// Priority is the priority of a job.
 type Priority string
 
-// Value orders ranks: the higher, the more urgent; -1 is no rank.
-func (r Priority) Value() int {
-	switch r {
-	case "production":
+// The priorities, highest first.
+const (
+	PriorityProduction Priority = "production"
+	PriorityUrgent     Priority = "urgent"
+	PriorityStandard   Priority = "standard"
+	PriorityIdle       Priority = "idle"
+)
+
+// unknownPriority is the value of a priority that the protocol does not define.
+const unknownPriority = -1
+
+// Value orders priorities: the higher, the more urgent. It is negative for an unknown one.
+func (p Priority) Value() int {
+	switch p {
+	case PriorityProduction:
 		return 3
-	case "urgent":
+	case PriorityUrgent:
 		return 2
-	case "standard":
+	case PriorityStandard:
 		return 1
-	case "idle":
+	case PriorityIdle:
 		return 0
 	}
-	return -1
+	return unknownPriority
 }
 
-// JobPhase is what users are told of a job.
+// JobPhase is the phase of a job as users see it.
 type JobPhase string
 
 // The phases of a job.
@@ -47,153 +54,48 @@
 	JobCancelled JobPhase = "aborted"
 )
 
-// Final tells whether a job in this phase can never change again.
+// Final reports whether a job in this phase can never change again.
 func (p JobPhase) Final() bool { return p == JobDone || p == JobCancelled }
 
-// Job is the description of a job as its user submits it.
+// Job is the specification of a job as its user submits it. Resources are per task.
 type Job struct {
 	ID                  string   `cbor:"uid"`
-	Class               string   `cbor:"lane"`
-	Team                string   `cbor:"crew"`
+	Class               string   `cbor:"lane"` // kind of work, such as training
+	Team                string   `cbor:"crew"` // whose quota the job counts against
 	Shape               JobShape `cbor:"shape"`
 	Priority            Priority `cbor:"rank"`
-	Tasks               int      `cbor:"pieces"`
-	CPUs                float64  `cbor:"cores"`
-	GPUs                float64  `cbor:"gpus"`
-	MemoryGB            float64  `cbor:"ramGb"`
-	Image               string   `cbor:"pattern"`
-	ImageGB             float64  `cbor:"imageGb"`
-	MachineTypes        []string `cbor:"breeds,omitempty"`
-	Zone                string   `cbor:"field,omitempty"`
-	SingleZone          bool     `cbor:"samePlace"`
-	SpreadZones         bool     `cbor:"spread"`
-	AllowSpot           bool     `cbor:"windfall"`
-	EstimatedRunS       float64  `cbor:"guessS"`
-	CheckpointIntervalS float64  `cbor:"stitchS"`
-	CheckpointSaveS     float64  `cbor:"bankS"`
-	DeadlineS           float64  `cbor:"dueS,omitempty"`
+	Tasks               int      `cbor:"pieces"`           // number of tasks
+	CPUs                float64  `cbor:"cores"`            // cores of a task
+	GPUs                float64  `cbor:"gpus"`             // GPUs of a task
+	MemoryGB            float64  `cbor:"ramGb"`            // memory of a task, in GB
+	Image               string   `cbor:"pattern"`          // container image
+	ImageGB             float64  `cbor:"imageGb"`          // size of the image, in GB
+	MachineTypes        []string `cbor:"breeds,omitempty"` // machine types allowed; empty: all
+	Zone                string   `cbor:"field,omitempty"`  // zone required; empty: any
+	SingleZone          bool     `cbor:"samePlace"`        // all tasks in one zone
+	SpreadZones         bool     `cbor:"spread"`           // tasks spread over zones
+	AllowSpot           bool     `cbor:"windfall"`         // spot instances are allowed
+	EstimatedRunS       float64  `cbor:"guessS"`           // run time of a task, in seconds; 0 for services
+	CheckpointIntervalS float64  `cbor:"stitchS"`          // seconds between checkpoints
+	CheckpointSaveS     float64  `cbor:"bankS"`            // seconds that saving a checkpoint takes
+	DeadlineS           float64  `cbor:"dueS,omitempty"`   // seconds after submission; 0: none
 }
 
-// IsGang tells whether all tasks of the job run at the same time.
+// IsGang reports whether all tasks of the job run at the same time.
 func (j *Job) IsGang() bool { return j.Shape == GangJob }
 
-// IsService tells whether the job's tasks run until it is cancelled.
+// IsService reports whether the job's tasks run until it is cancelled.
 func (j *Job) IsService() bool { return j.Shape == ServiceJob }
 
-// submission mirrors Job with pointers, so that a missing field shows.
-type submission struct {
-	ID                  *string   `cbor:"uid"`
-	Class               *string   `cbor:"lane"`
-	Team                *string   `cbor:"crew"`
-	Shape               *JobShape `cbor:"shape"`
-	Priority            *Priority `cbor:"rank"`
-	Tasks               *int64    `cbor:"pieces"`
-	CPUs                *float64  `cbor:"cores"`
-	GPUs                *float64  `cbor:"gpus"`
-	MemoryGB            *float64  `cbor:"ramGb"`
-	Image               *string   `cbor:"pattern"`
-	ImageGB             *float64  `cbor:"imageGb"`
-	MachineTypes        *[]string `cbor:"breeds"`
-	Zone                *string   `cbor:"field"`
-	SingleZone          *bool     `cbor:"samePlace"`
-	SpreadZones         *bool     `cbor:"spread"`
-	AllowSpot           *bool     `cbor:"windfall"`
-	EstimatedRunS       *float64  `cbor:"guessS"`
-	CheckpointIntervalS *float64  `cbor:"stitchS"`
-	CheckpointSaveS     *float64  `cbor:"bankS"`
-	DeadlineS           *float64  `cbor:"dueS"`
-}
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
 
-const (
-	maxTasks        = 100000 // tasks in a job, by the protocol
-	maxNameBytes    = 200    // bytes in a name; larger ones could not be part of a record
-	maxMachineTypes = 64     // machine types a job may name
-	// maxMachineTypeBytes bounds their names together, which stand in a record.
-	maxMachineTypeBytes = 1024
-	maxDurationS        = 1e9 // seconds; more is no time at all
-)
-
-var jobID = regexp.MustCompile(`^req-[0-9]{1,18}$`)
-
-// ValidJobID tells whether id has the form of job ids.
-func ValidJobID(id string) bool { return jobID.MatchString(id) }
-
-var errFieldMissing = errors.New("field missing")
-
-// ParseJob decodes and checks a submission. Its errors are the submitter's.
-func ParseJob(body []byte) (*Job, error) {
-	var s submission
-	if err := Unmarshal(body, &s); err != nil {
-		return nil, fmt.Errorf("not a job: %w", err)
-	}
-	for _, p := range []bool{s.ID == nil, s.Class == nil, s.Team == nil, s.Shape == nil, s.Priority == nil, s.Tasks == nil,
-		s.CPUs == nil, s.GPUs == nil, s.MemoryGB == nil, s.Image == nil, s.ImageGB == nil, s.SingleZone == nil,
-		s.SpreadZones == nil, s.AllowSpot == nil, s.EstimatedRunS == nil, s.CheckpointIntervalS == nil, s.CheckpointSaveS == nil} {
-		if p {
-			return nil, errFieldMissing
-		}
-	}
-	j := &Job{ID: *s.ID, Class: *s.Class, Team: *s.Team, Shape: *s.Shape, Priority: *s.Priority, CPUs: *s.CPUs, GPUs: *s.GPUs,
-		MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB, SingleZone: *s.SingleZone, SpreadZones: *s.SpreadZones, AllowSpot: *s.AllowSpot,
-		EstimatedRunS: *s.EstimatedRunS, CheckpointIntervalS: *s.CheckpointIntervalS, CheckpointSaveS: *s.CheckpointSaveS}
-	if !ValidJobID(j.ID) {
-		return nil, errors.New("bad job id")
-	}
-	if *s.Tasks < 1 || *s.Tasks > maxTasks {
-		return nil, errors.New("bad number of tasks")
-	}
-	j.Tasks = int(*s.Tasks)
-	if j.Shape != ArrayJob && j.Shape != GangJob && j.Shape != ServiceJob {
-		return nil, errors.New("unknown shape")
-	}
-	if j.Priority.Value() < 0 {
-		return nil, errors.New("unknown rank")
-	}
-	for _, n := range []string{j.Class, j.Team, j.Image} {
-		if n == "" || len(n) > maxNameBytes {
-			return nil, errors.New("bad name")
-		}
-	}
-	for _, v := range []float64{j.CPUs, j.GPUs, j.MemoryGB, j.ImageGB, j.EstimatedRunS, j.CheckpointIntervalS, j.CheckpointSaveS} {
-		if math.IsNaN(v) || v < 0 || v > maxDurationS {
-			return nil, errors.New("amount out of range")
-		}
-	}
-	if j.Shape == ServiceJob && j.EstimatedRunS != 0 {
-		return nil, errors.New("a service has no estimate of its run time")
-	}
-	if s.MachineTypes != nil {
-		j.MachineTypes = *s.MachineTypes
-		if len(j.MachineTypes) == 0 || len(j.MachineTypes) > maxMachineTypes {
-			return nil, errors.New("bad machine types")
-		}
-		sum := 0
-		for _, t := range j.MachineTypes {
-			sum += len(t)
-			if t == "" || sum > maxMachineTypeBytes {
-				return nil, errors.New("bad machine type")
-			}
-		}
-	}
-	if s.Zone != nil {
-		if *s.Zone == "" || len(*s.Zone) > maxNameBytes {
-			return nil, errors.New("bad zone")
-		}
-		j.Zone = *s.Zone
-	}
-	if s.DeadlineS != nil {
-		if !(*s.DeadlineS > 0 && *s.DeadlineS <= maxDurationS) {
-			return nil, errors.New("bad deadline")
-		}
-		j.DeadlineS = *s.DeadlineS
-	}
-	return j, nil
-}
+// ValidJobID reports whether id has the form of a job ID.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// JobStatus is the answer to a submission, a query or a cancellation.
+// JobStatus answers a submission, a query or a cancellation.
 type JobStatus struct {
 	ID      string   `cbor:"uid"`
 	Phase   JobPhase `cbor:"phase"`
-	Done    int      `cbor:"done"`
-	Running int      `cbor:"running"`
+	Done    int      `cbor:"done"`    // tasks done
+	Running int      `cbor:"running"` // tasks running
 }
--- /dev/null
+++ b/internal/wire/submission.go
@@ -0,0 +1,253 @@
+package wire
+
+import "fmt"
+
+// Limits of a submission.
+const (
+	maxTasks        = 100000 // tasks in a job, by the protocol
+	maxNameBytes    = 200    // bytes in a name, since names are part of records of bounded size
+	maxMachineTypes = 64     // machine types that a job may allow
+	// maxMachineTypeBytes bounds the names of a job's machine types together, in bytes,
+	// since they are part of the job's record.
+	maxMachineTypeBytes = 1024
+	// maxAmount bounds resources and, in seconds, durations: more can't be meant.
+	maxAmount = 1e9
+)
+
+// ValidationError reports a field of a submission that is missing or invalid.
+type ValidationError struct {
+	Field   string // its name in the protocol
+	Problem string
+}
+
+func (e *ValidationError) Error() string { return e.Field + ": " + e.Problem }
+
+func invalid(field, format string, args ...any) error {
+	return &ValidationError{Field: field, Problem: fmt.Sprintf(format, args...)}
+}
+
+// submission mirrors Job with pointers, which tell a missing field from a zero.
+type submission struct {
+	ID                  *string   `cbor:"uid"`
+	Class               *string   `cbor:"lane"`
+	Team                *string   `cbor:"crew"`
+	Shape               *JobShape `cbor:"shape"`
+	Priority            *Priority `cbor:"rank"`
+	Tasks               *int64    `cbor:"pieces"`
+	CPUs                *float64  `cbor:"cores"`
+	GPUs                *float64  `cbor:"gpus"`
+	MemoryGB            *float64  `cbor:"ramGb"`
+	Image               *string   `cbor:"pattern"`
+	ImageGB             *float64  `cbor:"imageGb"`
+	MachineTypes        *[]string `cbor:"breeds"`
+	Zone                *string   `cbor:"field"`
+	SingleZone          *bool     `cbor:"samePlace"`
+	SpreadZones         *bool     `cbor:"spread"`
+	AllowSpot           *bool     `cbor:"windfall"`
+	EstimatedRunS       *float64  `cbor:"guessS"`
+	CheckpointIntervalS *float64  `cbor:"stitchS"`
+	CheckpointSaveS     *float64  `cbor:"bankS"`
+	DeadlineS           *float64  `cbor:"dueS"`
+}
+
+// ParseJob decodes and validates a submission. Its errors are the submitter's to correct: a
+// *ValidationError, or the error of decoding the body.
+func ParseJob(body []byte) (*Job, error) {
+	var s submission
+	if err := Unmarshal(body, &s); err != nil {
+		return nil, fmt.Errorf("not a job: %w", err)
+	}
+	if err := s.checkRequired(); err != nil {
+		return nil, err
+	}
+	// All checks of values rely on the required fields being there.
+	for _, check := range []func() error{
+		s.checkID,
+		s.checkTasks,
+		s.checkShape,
+		s.checkPriority,
+		s.checkNames,
+		s.checkAmounts,
+		s.checkRunTime,
+		s.checkMachineTypes,
+		s.checkZone,
+		s.checkDeadline,
+	} {
+		if err := check(); err != nil {
+			return nil, err
+		}
+	}
+	return s.job(), nil
+}
+
+func (s *submission) checkRequired() error {
+	for _, required := range []struct {
+		field   string
+		missing bool
+	}{
+		{"uid", s.ID == nil},
+		{"lane", s.Class == nil},
+		{"crew", s.Team == nil},
+		{"shape", s.Shape == nil},
+		{"rank", s.Priority == nil},
+		{"pieces", s.Tasks == nil},
+		{"cores", s.CPUs == nil},
+		{"gpus", s.GPUs == nil},
+		{"ramGb", s.MemoryGB == nil},
+		{"pattern", s.Image == nil},
+		{"imageGb", s.ImageGB == nil},
+		{"samePlace", s.SingleZone == nil},
+		{"spread", s.SpreadZones == nil},
+		{"windfall", s.AllowSpot == nil},
+		{"guessS", s.EstimatedRunS == nil},
+		{"stitchS", s.CheckpointIntervalS == nil},
+		{"bankS", s.CheckpointSaveS == nil},
+	} {
+		if required.missing {
+			return invalid(required.field, "missing")
+		}
+	}
+	return nil
+}
+
+func (s *submission) checkID() error {
+	if !ValidJobID(*s.ID) {
+		return invalid("uid", "not a job ID")
+	}
+	return nil
+}
+
+func (s *submission) checkTasks() error {
+	if *s.Tasks < 1 || *s.Tasks > maxTasks {
+		return invalid("pieces", "must be from 1 to %d", maxTasks)
+	}
+	return nil
+}
+
+func (s *submission) checkShape() error {
+	switch *s.Shape {
+	case ArrayJob, GangJob, ServiceJob:
+		return nil
+	}
+	return invalid("shape", "unknown")
+}
+
+func (s *submission) checkPriority() error {
+	if s.Priority.Value() == unknownPriority {
+		return invalid("rank", "unknown")
+	}
+	return nil
+}
+
+func (s *submission) checkNames() error {
+	for _, name := range []struct{ field, value string }{
+		{"lane", *s.Class},
+		{"crew", *s.Team},
+		{"pattern", *s.Image},
+	} {
+		if err := checkName(name.field, name.value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func checkName(field, name string) error {
+	if name == "" || len(name) > maxNameBytes {
+		return invalid(field, "must have 1 to %d bytes", maxNameBytes)
+	}
+	return nil
+}
+
+func (s *submission) checkAmounts() error {
+	for _, amount := range []struct {
+		field string
+		value float64
+	}{
+		{"cores", *s.CPUs},
+		{"gpus", *s.GPUs},
+		{"ramGb", *s.MemoryGB},
+		{"imageGb", *s.ImageGB},
+		{"guessS", *s.EstimatedRunS},
+		{"stitchS", *s.CheckpointIntervalS},
+		{"bankS", *s.CheckpointSaveS},
+	} {
+		// Written so that NaN, which compares to nothing, is out of range too.
+		if !(amount.value >= 0 && amount.value <= maxAmount) {
+			return invalid(amount.field, "must be from 0 to %g", maxAmount)
+		}
+	}
+	return nil
+}
+
+func (s *submission) checkRunTime() error {
+	if *s.Shape == ServiceJob && *s.EstimatedRunS != 0 {
+		return invalid("guessS", "must be 0 for a service, which runs until it is cancelled")
+	}
+	return nil
+}
+
+func (s *submission) checkMachineTypes() error {
+	if s.MachineTypes == nil {
+		return nil
+	}
+	names := *s.MachineTypes
+	if len(names) == 0 || len(names) > maxMachineTypes {
+		return invalid("breeds", "must have 1 to %d entries, or be left out", maxMachineTypes)
+	}
+	total := 0
+	for _, name := range names {
+		total += len(name)
+		if name == "" || total > maxMachineTypeBytes {
+			return invalid("breeds", "must not have empty names, nor over %d bytes together", maxMachineTypeBytes)
+		}
+	}
+	return nil
+}
+
+func (s *submission) checkZone() error {
+	if s.Zone == nil {
+		return nil
+	}
+	return checkName("field", *s.Zone)
+}
+
+func (s *submission) checkDeadline() error {
+	if s.DeadlineS != nil && !(*s.DeadlineS > 0 && *s.DeadlineS <= maxAmount) {
+		return invalid("dueS", "must be above 0 and at most %g, or be left out", maxAmount)
+	}
+	return nil
+}
+
+// job returns the job that a valid submission specifies.
+func (s *submission) job() *Job {
+	job := &Job{
+		ID:                  *s.ID,
+		Class:               *s.Class,
+		Team:                *s.Team,
+		Shape:               *s.Shape,
+		Priority:            *s.Priority,
+		Tasks:               int(*s.Tasks),
+		CPUs:                *s.CPUs,
+		GPUs:                *s.GPUs,
+		MemoryGB:            *s.MemoryGB,
+		Image:               *s.Image,
+		ImageGB:             *s.ImageGB,
+		SingleZone:          *s.SingleZone,
+		SpreadZones:         *s.SpreadZones,
+		AllowSpot:           *s.AllowSpot,
+		EstimatedRunS:       *s.EstimatedRunS,
+		CheckpointIntervalS: *s.CheckpointIntervalS,
+		CheckpointSaveS:     *s.CheckpointSaveS,
+	}
+	if s.MachineTypes != nil {
+		job.MachineTypes = *s.MachineTypes
+	}
+	if s.Zone != nil {
+		job.Zone = *s.Zone
+	}
+	if s.DeadlineS != nil {
+		job.DeadlineS = *s.DeadlineS
+	}
+	return job
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -1,6 +1,8 @@
 package wire
 
 import (
+	"errors"
+	"math"
 	"strings"
 	"testing"
 )
@@ -52,6 +54,49 @@
 	}
 }
 
+func TestParseJobNamesTheInvalidField(t *testing.T) {
+	for _, test := range []struct {
+		field string
+		value any
+	}{
+		{"uid", "412"},
+		{"lane", ""},
+		{"crew", strings.Repeat("x", maxNameBytes+1)},
+		{"shape", "pair"},
+		{"rank", "high"},
+		{"pieces", 0},
+		{"cores", math.NaN()},
+		{"gpus", -1.0},
+		{"ramGb", math.Inf(1)},
+		{"guessS", nil},
+		{"stitchS", maxAmount * 2},
+		{"breeds", []string{""}},
+		{"field", ""},
+		{"dueS", 0.0},
+	} {
+		job := goodJob()
+		job[test.field] = test.value
+		body, err := Marshal(job)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = ParseJob(body)
+		var invalid *ValidationError
+		if !errors.As(err, &invalid) || invalid.Field != test.field {
+			t.Errorf("%s = %v: %v", test.field, test.value, err)
+		}
+	}
+}
+
+func TestReadResponseIsBounded(t *testing.T) {
+	var message any
+	err := ReadResponse(strings.NewReader(strings.Repeat("x", maxResponseBytes+1)), &message)
+	var tooLarge *ResponseTooLargeError
+	if !errors.As(err, &tooLarge) || tooLarge.LimitBytes != maxResponseBytes {
+		t.Fatal(err)
+	}
+}
+
 func FuzzParseJob(f *testing.F) {
 	b, err := Marshal(goodJob())
 	if err != nil {
