--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -23,7 +23,7 @@
 	c = New(d.settings(0), tuning.Default(), nil)
 	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{"m-000001": {MachineType: "big", Zone: "a"}}}
 	c.cluster.apply(records.MachinePrefix+"m-000001", must(wire.Marshal(group)), 5, false)
-	owned := c.newOwnedPartition(tb.Context(), 0, 10)
+	owned := c.newOwnedPartition(0, 10, func() {})
 	partition := scheduler.NewPartition(0, 10, c.settings, &c.tuning)
 	partition.SetMachineTypes(dayTypes)
 	job := work(1, tasks, 1, 1000)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,146 +1,89 @@
 package controller
 
 import (
+	"context"
 	"errors"
 	"log/slog"
-	"sync"
 	"time"
 
 	"ambersill/internal/agentclient"
 	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
+	"ambersill/internal/wire"
 )
 
-// commandSlots bounds what is sent straight to workers. Each order is a socket, and a worker
-// that does not answer holds one until it times out, so that without a bound a zone
-// that falls silent would take them all, the lease's renewal included.
-type commandSlots struct {
-	mu       sync.Mutex
-	limit    int
-	inFlight map[string]*inFlightCommand // machines that one is under way to
-	// A machine that has not carried the last one out is tried again after a while,
-	// each time twice as long, and all such machines share half of the room, so that
-	// those that answer are never behind them.
-	backoff           map[string]commandBackoff
-	inFlightBackedOff int // under way to machines in rest
-}
-
-type inFlightCommand struct{ backedOff, gone bool }
-
-type commandBackoff struct {
-	until time.Time
-	wait  time.Duration
-}
-
-func newCommandSlots(sockets int) *commandSlots {
-	return &commandSlots{limit: max(2, int(float64(sockets)*tuning.OrderShare)), inFlight: map[string]*inFlightCommand{}, backoff: map[string]commandBackoff{}}
-}
-
-// acquire takes room for an order to a machine; false: not now.
-func (q *commandSlots) acquire(id string, now time.Time) bool {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	r, slow := q.backoff[id]
-	if q.inFlight[id] != nil || len(q.inFlight) >= q.limit || (slow && (now.Before(r.until) || q.inFlightBackedOff >= q.limit/2)) {
-		return false
-	}
-	q.inFlight[id] = &inFlightCommand{backedOff: slow}
-	if slow {
-		q.inFlightBackedOff++
+// sendCommands sends starts and stops without waiting for the machines' next heartbeats. What
+// finds no free slot now goes with a later scheduling cycle, or in the response to a
+// heartbeat. While the owner's knowledge of cancellations is too old, only the tasks of
+// cancelled jobs are stopped, which is right whoever owns the partition by now.
+func (o *ownedPartition) sendCommands(ctx context.Context) {
+	mayStart := o.mayStartTasks()
+	o.mu.Lock()
+	ids := o.partition.MachinesAwaitingCommands(mayStart)
+	o.mu.Unlock()
+	for _, id := range ids {
+		o.startRequest(ctx, id, o.sendCommandsTo)
 	}
-	return true
 }
 
-// release gives the room back, and notes whether the order was carried out; least and most
-// bound how long the machine is left alone if not.
-func (q *commandSlots) release(id string, executed bool, now time.Time, least, most time.Duration) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	u := q.inFlight[id]
-	delete(q.inFlight, id)
-	if u.backedOff {
-		q.inFlightBackedOff--
-	}
-	if executed || u.gone {
-		delete(q.backoff, id)
+// startRequest runs send in a goroutine if the machine's address is known and a command slot
+// is free. send reports whether the worker has executed the request, on which the machine's
+// back-off depends.
+func (o *ownedPartition) startRequest(ctx context.Context, id string, send func(ctx context.Context, id, address string) (executed bool)) {
+	slots := o.controller.commandSlots
+	address := o.controller.address(id)
+	if address == "" || !slots.acquire(id, time.Now()) {
 		return
 	}
-	r := q.backoff[id]
-	r.wait = min(max(2*r.wait, least), most)
-	r.until = now.Add(r.wait)
-	q.backoff[id] = r
-}
-
-// resetBackoff notes that a machine reports, so that it may be tried at once.
-func (q *commandSlots) resetBackoff(id string) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	if _, ok := q.backoff[id]; ok && q.inFlight[id] == nil {
-		q.backoff[id] = commandBackoff{}
-	}
+	go func() {
+		executed := send(ctx, id, address)
+		slots.release(id, executed, time.Now(), o.controller.commandBackoffLimits())
+	}()
 }
 
-// forget drops what is known of a machine that is gone.
-func (q *commandSlots) forget(id string) {
-	q.mu.Lock()
-	defer q.mu.Unlock()
-	delete(q.backoff, id)
-	if u := q.inFlight[id]; u != nil {
-		u.gone = true
-	}
+// commandBackoffLimits returns the waits after a request that a worker did not execute, from
+// the time between two heartbeats up to a lease.
+func (c *Controller) commandBackoffLimits() backoffLimits {
+	workers := c.settings.Cluster.Workers
+	return backoffLimits{shortest: tuning.Seconds(workers.ReportS), longest: tuning.Seconds(workers.LeaseS)}
 }
 
-// acquireCommandSlot takes room for an order to a machine of this part.
-func (o *ownedPartition) acquireCommandSlot(id string) bool {
-	return o.controller.commandSlots.acquire(id, time.Now())
-}
-
-// releaseCommandSlot gives it back.
-func (o *ownedPartition) releaseCommandSlot(id string, executed bool) {
-	w := o.controller.settings.Cluster.Workers
-	o.controller.commandSlots.release(id, executed, time.Now(), tuning.Seconds(w.ReportS), tuning.Seconds(w.LeaseS))
-}
-
-// sendCommands sends starts and stops without waiting for the next report. What finds no
-// room now goes with a later pass, or in the answer to a report. Without news only the
-// tasks of cancelled jobs are stopped, which is right whoever owns the part by now.
-func (o *ownedPartition) sendCommands() {
-	fresh := o.fresh()
+// sendCommandsTo sends a machine its starts and stops, and reports whether the worker has
+// executed them; nothing to send counts as executed.
+func (o *ownedPartition) sendCommandsTo(ctx context.Context, id, address string) (executed bool) {
+	mayStart := o.mayStartTasks()
 	o.mu.Lock()
-	ids := o.partition.MachinesAwaitingCommands(fresh)
+	request, ok := o.partition.DirectCommands(id, mayStart)
 	o.mu.Unlock()
-	for _, id := range ids {
-		if addr := o.controller.address(id); addr != "" && o.acquireCommandSlot(id) {
-			go o.sendCommandsTo(id, addr)
-		}
+	if !ok {
+		return true
+	}
+	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
+	if err != nil {
+		slog.Debug("commands not answered", "machine", id, "err", err)
 	}
+	o.handleCommandResponse(id, request, heartbeat, commandOutcome(executed, err))
+	return executed
 }
 
-// sendCommandsTo sends a machine its starts and stops.
-func (o *ownedPartition) sendCommandsTo(id, addr string) {
-	outcome := scheduler.CommandsExecuted
-	defer func() { o.releaseCommandSlot(id, outcome == scheduler.CommandsExecuted) }()
-	fresh := o.fresh()
-	o.mu.Lock()
-	ord, ok := o.partition.DirectCommands(id, fresh)
-	o.mu.Unlock()
-	if !ok {
-		return
-	}
-	heartbeat, executed, err := o.controller.workers.SendCommands(o.ctx, addr, ord)
-	outcome = scheduler.CommandsUnknown
+// commandOutcome returns what became of a request to a worker.
+func commandOutcome(executed bool, err error) scheduler.CommandOutcome {
 	switch {
 	case executed:
-		outcome = scheduler.CommandsExecuted
+		return scheduler.CommandsExecuted
 	case err == nil, errors.Is(err, agentclient.ErrNotSent):
-		outcome = scheduler.CommandsNotExecuted
-	}
-	if err != nil {
-		slog.Debug("order unanswered", "machine", id, "err", err)
+		return scheduler.CommandsNotExecuted
+	default:
+		return scheduler.CommandsUnknown
 	}
+}
+
+// handleCommandResponse reconciles the outcome of a request and the worker's response; the
+// heartbeat is nil if there was none.
+func (o *ownedPartition) handleCommandResponse(id string, request wire.CommandRequest, heartbeat *wire.Heartbeat, outcome scheduler.CommandOutcome) {
 	o.mu.Lock()
-	o.partition.HandleCommandOutcome(ord, id, outcome)
-	if err == nil {
+	o.partition.HandleCommandOutcome(request, id, outcome)
+	if heartbeat != nil {
 		o.partition.HandleCommandResponse(heartbeat, time.Now())
 	}
 	o.mu.Unlock()
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -12,7 +12,7 @@
 // each is left alone for longer and longer; one that reports is tried at once.
 func TestSilentMachinesLeaveRoomForOrders(t *testing.T) {
 	q, now := newCommandSlots(200), time.Unix(1000, 0) // room for 20
-	least, most := 3*time.Second, 10*time.Second
+	limits := backoffLimits{shortest: 3 * time.Second, longest: 10 * time.Second}
 	begun := func(prefix string) (out []string) {
 		for i := range 150 {
 			if id := fmt.Sprint(prefix, i); q.acquire(id, now) {
@@ -23,7 +23,7 @@
 	}
 	end := func(ids []string, executed bool) {
 		for _, id := range ids {
-			q.release(id, executed, now, least, most)
+			q.release(id, executed, now, limits)
 		}
 	}
 	// The first time nobody knows that they are silent.
@@ -34,7 +34,7 @@
 		}
 		end(ids, false)
 	}
-	now = now.Add(least)
+	now = now.Add(limits.shortest)
 	if n := len(begun("silent-")); n != 10 {
 		t.Errorf("%d orders to silent machines", n)
 	}
@@ -47,20 +47,20 @@
 		if !q.acquire("m", now) {
 			t.Fatal("not tried again")
 		}
-		q.release("m", false, now, least, most)
+		q.release("m", false, now, limits)
 		if now = now.Add(w*time.Second - 1); q.acquire("m", now) {
 			t.Fatalf("tried again before %d s", w)
 		}
 		now = now.Add(1)
 	}
 	q.acquire("m", now)
-	q.release("m", false, now, least, most)
+	q.release("m", false, now, limits)
 	q.resetBackoff("m")
 	if !q.acquire("m", now) {
 		t.Error("a machine that reports was not tried")
 	}
 	q.forget("m")
-	q.release("m", false, now, least, most)
+	q.release("m", false, now, limits)
 	if len(q.backoff)+len(q.inFlight)+q.inFlightBackedOff != 0 {
 		t.Errorf("%d, %d, %d left of a machine that is gone", len(q.backoff), len(q.inFlight), q.inFlightBackedOff)
 	}
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -9,59 +9,73 @@
 	"ambersill/internal/tuning"
 )
 
-// fenceMachines raises the token of every machine at once, rather than at its next report,
-// and goes on until all have shown it: workers that report to a former owner, which is
-// cut off and does not know, hear of this one by no other way.
-func (o *ownedPartition) fenceMachines() {
-	listed, again := false, time.Time{}
-	for o.ctx.Err() == nil {
+// fencingInterval is the wait between two rounds over the machines that have not shown the
+// owner's fencing token yet: a small part of a lease, so that rounds do not add up.
+const fencingInterval = 200 * time.Millisecond
+
+// fenceMachines raises the fencing token of every machine with work of a former owner, and
+// goes on until all have shown it. Waiting for their next heartbeats would not do: workers
+// that report to a former owner, which is cut off and does not know that it was replaced,
+// learn of this owner in no other way.
+func (o *ownedPartition) fenceMachines(ctx context.Context) {
+	var lookup addressLookup
+	for ctx.Err() == nil {
 		o.mu.Lock()
 		ids := o.partition.MachinesNotFenced()
 		o.mu.Unlock()
 		if len(ids) == 0 {
 			return
 		}
-		if now := time.Now(); !listed && now.After(again) {
-			list, err := o.controller.cloud.List(o.ctx)
-			for _, machine := range list {
-				o.controller.recordAddress(machine.ID, machine.Address)
-			}
-			listed, again = err == nil, now.Add(tuning.Seconds(o.controller.settings.Cluster.Workers.ReportS))
-		}
+		lookup.run(ctx, o.controller)
 		for _, id := range ids {
-			if addr := o.controller.address(id); addr != "" && o.acquireCommandSlot(id) {
-				go o.fenceMachine(id, addr)
-			}
+			o.startRequest(ctx, id, o.fenceMachine)
 		}
-		transport.Pause(o.ctx, fencingInterval)
+		transport.Pause(ctx, fencingInterval)
 	}
 }
 
-// fencingInterval is how often machines are looked for that have not shown the token yet:
-// a small part of a lease, so that rounds do not add up.
-const fencingInterval = 200 * time.Millisecond
+// addressLookup reads the machines' addresses from the cloud's list, once with success: a
+// new owner may know none, and learns later ones from heartbeats.
+type addressLookup struct {
+	succeeded bool
+	// notBefore is when the next attempt may be made.
+	notBefore time.Time
+}
+
+// run reads the list, unless that has succeeded or the last attempt was just made.
+func (l *addressLookup) run(ctx context.Context, c *Controller) {
+	now := time.Now()
+	if l.succeeded || !now.After(l.notBefore) {
+		return
+	}
+	machines, err := c.cloud.List(ctx)
+	for _, machine := range machines {
+		c.recordAddress(machine.ID, machine.Address)
+	}
+	l.succeeded = err == nil
+	l.notBefore = now.Add(tuning.Seconds(c.settings.Cluster.Workers.ReportS))
+}
 
-// fenceMachine raises one machine's token, and takes the answer in as a report.
-func (o *ownedPartition) fenceMachine(id, addr string) {
-	executed := false
-	defer func() { o.releaseCommandSlot(id, executed) }()
+// fenceMachine raises one machine's fencing token, and reports whether the worker has
+// carried the request out. The response is reconciled like a heartbeat.
+func (o *ownedPartition) fenceMachine(ctx context.Context, id, address string) (executed bool) {
 	o.mu.Lock()
-	ord, ok := o.partition.FencingRequest(id)
+	request, ok := o.partition.FencingRequest(id)
 	o.mu.Unlock()
 	if !ok {
-		return
+		return false
 	}
-	// A machine that is there answers in milliseconds; this one must not hold up the rest.
-	ctx, cancel := context.WithTimeout(o.ctx, tuning.TakeoverTimeout)
+	// A machine that is up answers in milliseconds; this one must not hold up the rest.
+	ctx, cancel := context.WithTimeout(ctx, tuning.TakeoverTimeout)
 	defer cancel()
-	heartbeat, done, err := o.controller.workers.SendCommands(ctx, addr, ord)
-	executed = done
+	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
-		slog.Debug("machine not taken over yet", "machine", id, "err", err)
-		return
+		slog.Debug("machine not fenced yet", "machine", id, "err", err)
+		return executed
 	}
 	o.mu.Lock()
 	o.partition.HandleCommandResponse(heartbeat, time.Now())
 	o.mu.Unlock()
 	o.wakeUp()
+	return executed
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -117,14 +117,6 @@
 	return ends
 }
 
-// stalenessLimit is the age of an owner's news up to which it answers reports. A job that was
-// cancelled just after them goes on for as long as reports are answered, and then for the
-// lease that the last answered one renewed when it was sent.
-func (c *Controller) stalenessLimit() time.Duration {
-	w := c.settings.Cluster.Workers
-	return tuning.Seconds(w.CancelS - w.LeaseS*(1+c.tuning.Drift) - w.ReportS - c.tuning.MarginS)
-}
-
 // OwnedHeartbeat answers a report as the owner of its machine's partition.
 func (c *Controller) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
@@ -136,9 +128,9 @@
 		return peerrpc.HeartbeatResult{}
 	}
 	c.recordAddress(heartbeat.Machine, heartbeat.Address)
-	age := owned.staleness()
-	if age > c.stalenessLimit() {
-		// Cancellations may have been told elsewhere; the leases must run out.
+	knowledge := c.cancellationKnowledgeAt(owned.cancellationAge())
+	if !knowledge.answersHeartbeats {
+		// Cancellations may have been confirmed by other nodes; the leases must run out.
 		return peerrpc.HeartbeatResult{}
 	}
 	owned.mu.Lock()
@@ -146,11 +138,10 @@
 	if owned.partition == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	fresh := age < tuning.Seconds(c.tuning.FreshS)
-	v, reply := owned.partition.HandleHeartbeat(heartbeat, time.Now(), fresh)
+	v, reply := owned.partition.HandleHeartbeat(heartbeat, time.Now(), knowledge.startsTasks)
 	if v != scheduler.HeartbeatAccepted {
 		slog.Debug("report not taken", "machine", heartbeat.Machine, "verdict", v, "token", heartbeat.FencingToken)
-		if v == scheduler.HeartbeatSuperseded && !fresh {
+		if v == scheduler.HeartbeatSuperseded && !knowledge.startsTasks {
 			// Another owner has spoken to it, and nobody else can tell this node: it
 			// must not keep other machines from that owner.
 			go c.releasePartition(owned, "a worker has seen a higher token")
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"context"
 	"time"
 
 	"ambersill/internal/records"
@@ -8,63 +9,91 @@
 	"ambersill/internal/wire"
 )
 
-// watchJobs learns of submissions and cancellations.
-func (o *ownedPartition) watchJobs(revision uint64) {
-	o.watchJobsFrom(revision)
-	for o.ctx.Err() == nil {
-		// Too far behind: what was missed stands in the part's records.
-		revision, err := o.relist()
+// relistRetryDelay is the wait before jobs are listed again after an error. The watch that
+// was lost is minutes behind then, so that half a second more does not matter.
+const relistRetryDelay = 500 * time.Millisecond
+
+// jobPrefix is the prefix of the records of all jobs.
+var jobPrefix = records.JobKey("")
+
+// watchJobs adds submitted jobs to the partition and cancels jobs, from a revision on.
+func (o *ownedPartition) watchJobs(ctx context.Context, revision uint64) {
+	o.watchJobsFrom(ctx, revision)
+	for ctx.Err() == nil {
+		// The watch is further behind than the store keeps changes; the partition's
+		// records hold what was missed.
+		revision, err := o.relistJobs(ctx)
 		if err != nil {
-			transport.Pause(o.ctx, 500*time.Millisecond)
+			transport.Pause(ctx, relistRetryDelay)
 			continue
 		}
-		o.watchJobsFrom(revision)
+		o.watchJobsFrom(ctx, revision)
 	}
 }
 
-func (o *ownedPartition) watchJobsFrom(revision uint64) {
-	watchPrefixFrom(o.ctx, o.controller.store, "j/", revision, watchHandler{onEvent: func(event wire.Event) {
-		if event.Put == "" {
-			return
-		}
-		var record records.JobRecord
-		if err := wire.Unmarshal(event.Value, &record); err != nil || record.Job == nil || record.Partition != o.index {
-			return
-		}
-		o.mu.Lock()
-		switch record.Phase {
-		case wire.JobQueued:
-			o.partition.AddJob(record.Job, time.UnixMilli(record.SubmittedAtMS), event.Revision)
-		case wire.JobCancelled:
-			o.partition.Cancel(record.Job.ID, time.Now())
-		}
-		o.mu.Unlock()
-		o.wakeUp()
-	}})
+// watchJobsFrom follows the jobs' records until the context ends or the store no longer
+// keeps the changes that come next.
+func (o *ownedPartition) watchJobsFrom(ctx context.Context, revision uint64) {
+	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.jobChanged})
 }
 
-// relist takes in jobs and cancellations that the watch has missed.
-func (o *ownedPartition) relist() (uint64, error) {
-	_, revision, err := o.controller.store.List(o.ctx, records.PartitionKey(o.index))
+// jobChanged applies a change of a job's record.
+func (o *ownedPartition) jobChanged(event wire.Event) {
+	if event.Put == "" {
+		return
+	}
+	var record records.JobRecord
+	if err := wire.Unmarshal(event.Value, &record); err != nil || record.Job == nil || record.Partition != o.index {
+		return
+	}
+	o.mu.Lock()
+	switch record.Phase {
+	case wire.JobQueued:
+		o.partition.AddJob(record.Job, time.UnixMilli(record.SubmittedAtMS), event.Revision)
+	case wire.JobCancelled:
+		o.partition.Cancel(record.Job.ID, time.Now())
+	}
+	o.mu.Unlock()
+	o.wakeUp()
+}
+
+// relistJobs adds the jobs and cancellations that the watch has missed, and returns the
+// revision to watch from.
+func (o *ownedPartition) relistJobs(ctx context.Context) (uint64, error) {
+	store := o.controller.store
+	_, revision, err := store.List(ctx, records.PartitionKey(o.index))
 	if err != nil {
 		return 0, err
 	}
-	chunks, _, err := o.controller.store.List(o.ctx, records.ChunkPrefix(o.index))
+	chunks, _, err := store.List(ctx, records.ChunkPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
-	cancellations, _, err := o.controller.store.List(o.ctx, records.CancellationPrefix(o.index))
+	cancellations, _, err := store.List(ctx, records.CancellationPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, item := range chunks {
-		var r records.ChunkRecord
-		if _, name, ok := records.ParseChunkKey(item.Key); ok && records.IsFirstChunk(name) && wire.Unmarshal(item.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
-			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), item.Revision)
+		if chunk, ok := submittedChunk(item); ok {
+			o.partition.AddJob(chunk.Job, time.UnixMilli(chunk.SubmittedAtMS), item.Revision)
 		}
 	}
 	o.partition.SetCancelledJobs(o.cancelledJobs(cancellations), time.Now())
 	return revision, nil
 }
+
+// submittedChunk decodes a first chunk that still is as the job's submission wrote it. One
+// with a job revision was rewritten by an owner, which has known the job since.
+func submittedChunk(item wire.KeyValue) (*records.ChunkRecord, bool) {
+	_, name, ok := records.ParseChunkKey(item.Key)
+	if !ok || !records.IsFirstChunk(name) {
+		return nil, false
+	}
+	var chunk records.ChunkRecord
+	if err := wire.Unmarshal(item.Value, &chunk); err != nil {
+		return nil, false
+	}
+	return &chunk, chunk.Job != nil && chunk.JobRevision == 0
+}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -197,7 +197,8 @@
 		return
 	}
 	slog.Info("part claimed", "part", partition, "stamp", revision)
-	owned := c.newOwnedPartition(ctx, partition, revision)
+	ctx, cancel := context.WithCancel(ctx)
+	owned := c.newOwnedPartition(partition, revision, cancel)
 	c.mu.Lock()
 	c.owned[partition] = owned
 	c.mu.Unlock()
@@ -209,7 +210,7 @@
 		c.releasePartition(owned, "owned by "+owner.node)
 		return
 	}
-	go owned.run()
+	go owned.run(ctx)
 	for _, peer := range c.peers {
 		go func() {
 			_ = peer.AnnounceClaim(peerrpc.OwnershipClaim{Partition: partition, Revision: revision, Node: c.settings.Node}, 2*time.Second)
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -11,58 +11,96 @@
 	"ambersill/internal/tuning"
 )
 
-// ownedPartition is a part while this node owns it.
+const (
+	// loadRetryDelay is the wait before a partition's records are read again after an error:
+	// short beside the seconds that a takeover may last, and long enough that a busy
+	// key-value store is not kept busy by the attempts.
+	loadRetryDelay = 300 * time.Millisecond
+	// slowCycle is the duration from which a scheduling cycle is logged as slow.
+	slowCycle = time.Second
+)
+
+// ownedPartition is a partition for as long as this node owns it. A node that loses a
+// partition and claims it again has a new one.
+//
+// Controller.claim starts run in a goroutine. Once the partition is loaded, run starts
+// watchJobs, pollCancellations and fenceMachines, and runs the scheduling cycles itself.
+// Cycles and fenceMachines start one short-lived goroutine for each request to a worker.
+// All of them use the context that claim has made for the partition and end with it, which
+// cancel does: when ownership is lost, and when the controller stops.
 type ownedPartition struct {
 	controller *Controller
 	index      int
-	revision   uint64
-	ctx        context.Context
-	cancel     context.CancelFunc
-	wake       chan struct{}
+	// revision is that of the partition's key when this node claimed it. Every write of the
+	// owner has the condition that the key still has it, which fences former owners.
+	revision uint64
+	cancel   context.CancelFunc
+	// wake asks for a scheduling cycle before the next tick.
+	wake chan struct{}
+
+	// summary is used by the goroutine of run alone.
+	summary summaryWriter
+	// loggedKnowledge is what was last logged; used by pollCancellations alone.
+	loggedKnowledge cancellationKnowledge
 
-	mu        sync.Mutex
-	partition *scheduler.Partition // nil until its records are read
-	// pendingChanges are changes of machines that came while the records were read.
-	pendingChanges      map[string]pendingMachineChange
-	cancellationsReadAt time.Time         // every cancellation confirmed before then is known to p
-	writtenSummary      map[string][]byte // summary's records as last written
-	lastSummary         time.Time
-	summaryGap          time.Duration // until the next one
-	// noted is what was last logged of the news: late, and reports still answered.
-	loggedStaleness [2]bool
+	// mu guards the fields below and all that partition refers to. It is not held while
+	// the key-value store or a worker is waited for.
+	mu sync.Mutex
+	// partition is nil until the partition's records are read.
+	partition *scheduler.Partition
+	// pendingChanges are the newest changes of machines that came while the records were
+	// read, by machine; nil after that.
+	pendingChanges map[string]pendingMachineChange
+	// cancellationsReadAt is when the newest reading of the cancellations was asked for:
+	// every cancellation that was confirmed before then is known to partition.
+	cancellationsReadAt time.Time
 }
 
+// pendingMachineChange is a change of a machine's record that is still to be applied.
 type pendingMachineChange struct {
 	entry machineEntry
 	gone  bool
 }
 
-// machineChanged takes in a change of a machine's record. One that comes while the part is
-// being read waits: the listing may be older, and the copy tells of it only once.
+// newOwnedPartition returns a partition that was claimed at a revision of its key; cancel
+// ends the context that is passed to run.
+func (c *Controller) newOwnedPartition(index int, revision uint64, cancel context.CancelFunc) *ownedPartition {
+	return &ownedPartition{
+		controller:      c,
+		index:           index,
+		revision:        revision,
+		cancel:          cancel,
+		wake:            make(chan struct{}, 1),
+		summary:         newSummaryWriter(),
+		loggedKnowledge: cancellationKnowledge{startsTasks: true, answersHeartbeats: true},
+		pendingChanges:  map[string]pendingMachineChange{},
+	}
+}
+
+// machineChanged applies a change of a machine's record. While the partition is loaded the
+// change is kept for later: the listing may be older, and the cluster cache reports each
+// change only once.
 func (o *ownedPartition) machineChanged(id string, entry machineEntry, gone bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
+	change := pendingMachineChange{entry: entry, gone: gone}
 	if o.partition == nil {
-		o.pendingChanges[id] = pendingMachineChange{entry, gone}
+		o.pendingChanges[id] = change
 		return
 	}
-	o.applyMachine(id, entry, gone)
+	o.applyMachine(id, change)
 }
 
-// applyMachine hands a change on to the part; o.mu must be held.
-func (o *ownedPartition) applyMachine(id string, entry machineEntry, gone bool) {
-	if gone {
+// applyMachine applies a change of a machine's record to the partition; o.mu must be held.
+func (o *ownedPartition) applyMachine(id string, change pendingMachineChange) {
+	if change.gone {
 		o.partition.RemoveMachine(id, time.Now())
-	} else {
-		o.partition.SetMachine(id, entry.record, entry.revision, time.Now())
+		return
 	}
+	o.partition.SetMachine(id, change.entry.record, change.entry.revision, time.Now())
 }
 
-func (c *Controller) newOwnedPartition(ctx context.Context, index int, revision uint64) *ownedPartition {
-	ctx, cancel := context.WithCancel(ctx)
-	return &ownedPartition{controller: c, index: index, revision: revision, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), pendingChanges: map[string]pendingMachineChange{}, loggedStaleness: [2]bool{false, true}, writtenSummary: map[string][]byte{}}
-}
-
+// wakeUp asks for a scheduling cycle; several requests before it begins are one.
 func (o *ownedPartition) wakeUp() {
 	select {
 	case o.wake <- struct{}{}:
@@ -70,39 +108,50 @@
 	}
 }
 
-// run reads the part's records, and then schedules until the part is lost.
-func (o *ownedPartition) run() {
-	var revision uint64
-	for o.ctx.Err() == nil {
-		r, err := o.load()
+// run loads the partition, and then schedules until the context ends.
+func (o *ownedPartition) run(ctx context.Context) {
+	revision, loaded := o.loadUntilDone(ctx)
+	if !loaded {
+		return
+	}
+	go o.watchJobs(ctx, revision)
+	go o.pollCancellations(ctx)
+	go o.fenceMachines(ctx)
+	o.runCycles(ctx)
+}
+
+// loadUntilDone loads the partition, with retries. It returns the revision to watch jobs
+// from, and false if the context has ended.
+func (o *ownedPartition) loadUntilDone(ctx context.Context) (revision uint64, loaded bool) {
+	for ctx.Err() == nil {
+		revision, err := o.load(ctx)
 		if err == nil {
-			revision = r
-			break
+			return revision, ctx.Err() == nil
 		}
-		slog.Info("part not read yet", "part", o.index, "err", err)
-		transport.Pause(o.ctx, 300*time.Millisecond)
+		slog.Info("partition not loaded yet", "partition", o.index, "err", err)
+		transport.Pause(ctx, loadRetryDelay)
 	}
-	if o.ctx.Err() != nil {
-		return
-	}
-	go o.watchJobs(revision)
-	go o.pollCancellations()
-	go o.fenceMachines()
+	return 0, false
+}
+
+// runCycles runs a scheduling cycle at each tick and whenever one is asked for, with a
+// least gap between two.
+func (o *ownedPartition) runCycles(ctx context.Context) {
 	gap := tuning.Seconds(o.controller.tuning.PassGapS)
-	tick := time.NewTicker(tuning.Seconds(o.controller.tuning.TickS))
-	defer tick.Stop()
-	for o.ctx.Err() == nil {
+	ticker := time.NewTicker(tuning.Seconds(o.controller.tuning.TickS))
+	defer ticker.Stop()
+	for ctx.Err() == nil {
 		select {
-		case <-o.ctx.Done():
+		case <-ctx.Done():
 			return
 		case <-o.wake:
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		began := time.Now()
-		o.runCycle()
-		if d := time.Since(began); d > time.Second {
-			slog.Debug("slow pass", "part", o.index, "seconds", d.Seconds())
+		o.runCycle(ctx)
+		if took := time.Since(began); took > slowCycle {
+			slog.Debug("slow scheduling cycle", "partition", o.index, "seconds", took.Seconds())
 		}
-		transport.Pause(o.ctx, gap)
+		transport.Pause(ctx, gap)
 	}
 }
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"context"
+	"fmt"
 	"log/slog"
 	"maps"
 	"slices"
@@ -11,65 +13,76 @@
 	"ambersill/internal/wire"
 )
 
-// partitionRecords are all records of a partition, as they were listed.
+// partitionRecords are all records that a partition is restored from, as they were listed.
 type partitionRecords struct {
-	machines, chunks, journal, cancellations []wire.KeyValue
+	machines []wire.KeyValue
+	chunks   []wire.KeyValue
+	journal  []wire.KeyValue
+	// cancellations are the keys of cancelled jobs.
+	cancellations []wire.KeyValue
 	// revision is one from which a watch misses no job that the listings lack.
 	revision uint64
-	// askedAt is when the cancellations were asked for.
-	askedAt time.Time
+	// cancellationsReadAt is when the cancellations were asked for.
+	cancellationsReadAt time.Time
 }
 
-// load reads the partition. It runs after the claim, whose revision fences the last
-// owner: nothing of it can be committed any more, so what is read here is whole.
-func (o *ownedPartition) load() (uint64, error) {
-	if err := o.controller.refreshFeatureLevel(o.ctx); err != nil {
-		return 0, err
+// load restores the partition from its records, and returns the revision to watch jobs
+// from. It runs after the claim, whose revision fences the former owner: nothing of that
+// one can be committed any more, so that what is read here is complete.
+func (o *ownedPartition) load(ctx context.Context) (uint64, error) {
+	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
+		return 0, fmt.Errorf("read feature level: %w", err)
 	}
-	records, err := o.listRecords()
+	listed, err := o.listRecords(ctx)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("list records of partition %d: %w", o.index, err)
 	}
 	now := time.Now()
 	partition := scheduler.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
 	partition.SetMachineTypes(o.controller.catalog())
 	partition.SetLevel(o.controller.cluster.featureLevel())
-	if err := loadMachines(partition, records.machines, now); err != nil {
+	if err := loadMachines(partition, listed.machines, now); err != nil {
 		return 0, err
 	}
-	partition.Restore(decodeChunks(records.chunks), decodeJournal(records.journal))
-	partition.SetCancelledJobs(o.cancelledJobs(records.cancellations), now)
-	o.publish(partition, records.askedAt)
-	slog.Info("part read", "part", o.index, "jobs", partition.JobCount(), "machines", len(partition.MachineIDs()))
+	partition.Restore(decodeChunks(listed.chunks), decodeJournal(listed.journal))
+	partition.SetCancelledJobs(o.cancelledJobs(listed.cancellations), now)
+	o.publish(partition, listed.cancellationsReadAt)
+	slog.Info("partition loaded", "partition", o.index, "jobs", partition.JobCount(), "machines", len(partition.MachineIDs()))
 	o.wakeUp()
-	return records.revision, nil
+	return listed.revision, nil
 }
 
 // listRecords lists the partition's records in an order in which none is missed.
-func (o *ownedPartition) listRecords() (r partitionRecords, err error) {
-	list := func(prefix string, into *[]wire.KeyValue) (revision uint64) {
-		if err == nil {
-			*into, revision, err = o.controller.store.List(o.ctx, prefix)
-		}
-		return revision
+func (o *ownedPartition) listRecords(ctx context.Context) (*partitionRecords, error) {
+	store := o.controller.store
+	listed := &partitionRecords{}
+	var err error
+	if listed.machines, _, err = store.List(ctx, records.MachinePrefix); err != nil {
+		return nil, err
+	}
+	// The watch starts before the jobs are read, so that none falls in between.
+	if _, listed.revision, err = store.List(ctx, records.PartitionKey(o.index)); err != nil {
+		return nil, err
+	}
+	if listed.chunks, _, err = store.List(ctx, records.ChunkPrefix(o.index)); err != nil {
+		return nil, err
+	}
+	if listed.journal, _, err = store.List(ctx, records.JournalPrefix(o.index)); err != nil {
+		return nil, err
+	}
+	listed.cancellationsReadAt = time.Now()
+	if listed.cancellations, _, err = store.List(ctx, records.CancellationPrefix(o.index)); err != nil {
+		return nil, err
 	}
-	var key []wire.KeyValue
-	list(records.MachinePrefix, &r.machines)
-	// The watch starts before the jobs are read, so that none falls between.
-	r.revision = list(records.PartitionKey(o.index), &key)
-	list(records.ChunkPrefix(o.index), &r.chunks)
-	list(records.JournalPrefix(o.index), &r.journal)
-	r.askedAt = time.Now()
-	list(records.CancellationPrefix(o.index), &r.cancellations)
-	return r, err
+	return listed, nil
 }
 
-// loadMachines gives the partition its machines.
+// loadMachines adds the machines of all groups; the partition leaves out those of others.
 func loadMachines(partition *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
 	for _, item := range groups {
 		group, err := records.DecodeMachineGroup(item.Key[len(records.MachinePrefix):], item.Value, item.Revision)
 		if err != nil {
-			return err
+			return fmt.Errorf("decode %s: %w", item.Key, err)
 		}
 		for id, record := range group.Machines {
 			partition.SetMachine(id, record, item.Revision, now)
@@ -78,44 +91,47 @@
 	return nil
 }
 
-// decodeChunks decodes the chunks of jobs' tasks; what is not understood is left out.
+// decodeChunks decodes the chunks of jobs; records that cannot be decoded are left out.
 func decodeChunks(items []wire.KeyValue) []records.LoadedChunk {
-	var all []records.LoadedChunk
+	var chunks []records.LoadedChunk
 	for _, item := range items {
-		id, name, ok := records.ParseChunkKey(item.Key)
-		var r records.ChunkRecord
-		if err := wire.Unmarshal(item.Value, &r); err != nil || !ok {
+		jobID, name, ok := records.ParseChunkKey(item.Key)
+		var record records.ChunkRecord
+		if err := wire.Unmarshal(item.Value, &record); err != nil || !ok {
 			slog.Error("record not understood", "key", item.Key, "err", err)
 			continue
 		}
-		all = append(all, records.LoadedChunk{JobID: id, Name: name, Revision: item.Revision, Record: r})
+		chunks = append(chunks, records.LoadedChunk{JobID: jobID, Name: name, Revision: item.Revision, Record: record})
 	}
-	return all
+	return chunks
 }
 
-// decodeJournal decodes the journal; what is not understood is left out.
+// decodeJournal decodes the journal; records that cannot be decoded are left out.
 func decodeJournal(items []wire.KeyValue) []records.LoadedJournalRecord {
-	var all []records.LoadedJournalRecord
+	var journal []records.LoadedJournalRecord
 	for _, item := range items {
-		var r records.JournalRecord
-		if err := wire.Unmarshal(item.Value, &r); err != nil {
+		var record records.JournalRecord
+		if err := wire.Unmarshal(item.Value, &record); err != nil {
 			slog.Error("record not understood", "key", item.Key, "err", err)
 			continue
 		}
-		all = append(all, records.LoadedJournalRecord{Revision: item.Revision, Record: r})
+		journal = append(journal, records.LoadedJournalRecord{Revision: item.Revision, Record: record})
 	}
-	return all
+	return journal
 }
 
-// publish has the partition answer reports from now on, with the changes of machines that
-// came while it was read.
-func (o *ownedPartition) publish(partition *scheduler.Partition, knownUntil time.Time) {
+// publish makes the loaded partition the one that answers heartbeats, after the changes of
+// machines that came meanwhile.
+func (o *ownedPartition) publish(partition *scheduler.Partition, cancellationsReadAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.partition, o.cancellationsReadAt = partition, knownUntil
-	o.partition.SetLevel(o.controller.cluster.featureLevel()) // also if it was raised meanwhile
+	o.partition = partition
+	o.cancellationsReadAt = cancellationsReadAt
+	// It may have been raised since the partition was created, and is announced only
+	// to partitions that are published.
+	o.partition.SetLevel(o.controller.cluster.featureLevel())
 	for _, id := range slices.Sorted(maps.Keys(o.pendingChanges)) {
-		o.applyMachine(id, o.pendingChanges[id].entry, o.pendingChanges[id].gone)
+		o.applyMachine(id, o.pendingChanges[id])
 	}
 	o.pendingChanges = nil
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -303,7 +303,7 @@
 // alone, half a minute; nothing relies on it.
 func (c *Controller) announceCancellation(partition int, id string) {
 	if owned := c.ownedPartition(partition); owned != nil {
-		owned.cancelled(id)
+		owned.jobCancelled(id)
 		return
 	}
 	peer := c.peers[c.cluster.partitionOwner(partition).node]
@@ -326,6 +326,6 @@
 // JobCancelled takes in a peer's hint that a job's cancellation is committed.
 func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
 	if owned := c.ownedPartition(cancellation.Partition); owned != nil {
-		owned.cancelled(cancellation.JobID)
+		owned.jobCancelled(cancellation.JobID)
 	}
 }
