--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -1,135 +1,243 @@
 package scheduler
 
 import (
-	"slices"
+	"time"
 
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
-// FencingRequest is an empty order, which raises a machine's token, so that an earlier
-// owner's commands can no longer take effect.
-func (p *Partition) FencingRequest(id string) (wire.CommandRequest, bool) {
-	machine := p.machines[id]
-	if machine == nil || machine.Record.Released {
-		return wire.CommandRequest{}, false
+// heartbeatCommands returns the commands for the response to a heartbeat.
+func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, fresh bool) []wire.Command {
+	commands := []wire.Command{}
+	for i := range heartbeat.Tasks {
+		if len(commands) >= tuning.MaxCommands {
+			return commands
+		}
+		if command, due := p.endCommand(machine, &heartbeat.Tasks[i], now); due {
+			commands = append(commands, command)
+		}
 	}
-	return wire.CommandRequest{FencingToken: machine.token.current, Incarnation: machine.latest.incarnation, Commands: []wire.Command{}}, true
+	if !fresh || !machine.acceptsStarts() || machine.command.pending() {
+		return commands
+	}
+	return appendStartCommands(commands, machine, heartbeat.Sequence)
 }
 
-// MachinesNotFenced lists the machines with work of an earlier owner that have not shown the
-// present token yet.
-func (p *Partition) MachinesNotFenced() []string {
-	var out []string
-	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0 {
-			out = append(out, id)
-		}
+// endCommand returns the command that stops a task of the worker's list, or that has the
+// worker forget it; due is false if it needs neither.
+func (p *Partition) endCommand(machine *Machine, status *wire.TaskStatus, now time.Time) (command wire.Command, due bool) {
+	key := taskAttempt{status.Task, status.Attempt}
+	placement := machine.placements[key]
+	switch {
+	case status.State == wire.TaskExited:
+		return newCommand(wire.ForgetTask, key), machine.mayForget(key)
+	case placement == nil:
+		// Nothing is on record of the task: its job was cancelled or is over, or the
+		// attempt was given up.
+		return newCommand(wire.StopTask, key), true
+	case placement.stopRequest != nil:
+		command = newCommand(wire.StopTask, key)
+		command.GracePeriodS = p.remainingGraceS(placement.stopRequest, now)
+		placement.stopRequest.sent = true
+		return command, true
 	}
-	return out
+	return wire.Command{}, false
 }
 
-// MachinesAwaitingCommands lists machines that should hear orders before their next report. fresh: as with
-// Report; without, only stops of cancelled jobs are orders.
-func (p *Partition) MachinesAwaitingCommands(fresh bool) []string {
-	var out []string
-	for _, id := range p.machineIDs {
-		machine := p.machines[id]
-		if !machine.token.acknowledged || machine.lease.expired || machine.command.inFlight || machine.command.unconfirmed {
-			continue
-		}
-		for _, placement := range machine.placements {
-			if placement.stopUnsent(fresh) || (fresh && !placement.startSent && !machine.terminationNotice && p.startable(placement)) {
-				out = append(out, id)
-				break
-			}
+// mayForget reports whether the worker may forget an exited task. While a direct request
+// may still be executed it must not: a delayed copy could start the task once more.
+func (m *Machine) mayForget(key taskAttempt) bool {
+	if m.command.pending() {
+		return false
+	}
+	forget, known := m.pendingForgets[key]
+	// The end of an exited task of which nothing is known has been recorded before.
+	return !known || forget.ready()
+}
+
+// appendStartCommands appends the starts of the machine's tasks, up to MaxCommands in all.
+// sequence is that of the heartbeat which is answered.
+//
+// A start that no heartbeat has shown is repeated, as its response may have been lost. The
+// worker cannot execute it twice: it sends its next heartbeat only after it has executed
+// the commands of the last response.
+func appendStartCommands(commands []wire.Command, machine *Machine, sequence uint64) []wire.Command {
+	for _, key := range machine.startableTasks() {
+		if len(commands) >= tuning.MaxCommands {
+			break
 		}
+		placement := machine.placements[key]
+		placement.startSent = true
+		placement.startSequence = sequence
+		commands = append(commands, newCommand(wire.StartTask, key))
+	}
+	return commands
+}
+
+func newCommand(op wire.Op, key taskAttempt) wire.Command {
+	return wire.Command{Op: op, Task: key.task, Attempt: key.attempt}
+}
+
+// acceptsStarts reports whether tasks may be started on the machine. Before the worker has
+// shown the current token, a command of an earlier owner may still take effect.
+func (m *Machine) acceptsStarts() bool {
+	return m.token.acknowledged && !m.terminationNotice
+}
+
+// startPermitted reports whether the placement's start may be sent. It must be committed
+// first: the next owner would otherwise not know of the task.
+func (pl *Placement) startPermitted() bool {
+	if pl.observed || pl.stopRequest != nil || pl.gangDone || pl.job.Cancelled {
+		return false
 	}
-	return out
+	committed := pl.chunk().committedVersion >= pl.chunkVersion
+	return committed && pl.incarnation == pl.machine.latest.incarnation
+}
+
+// startableTasks returns the machine's placements whose starts may be sent, in order.
+func (m *Machine) startableTasks() []taskAttempt {
+	return m.selectPlacements((*Placement).startPermitted)
 }
 
-// stopUnsent tells whether the placement's stop is still to be ordered.
+// startUnsent reports whether the placement's start is permitted and was not sent yet. A
+// start that was sent is repeated only in the response to a heartbeat, which shows that the
+// earlier one has not been executed.
+func (pl *Placement) startUnsent() bool {
+	return !pl.startSent && pl.machine.acceptsStarts() && pl.startPermitted()
+}
+
+// stopUnsent reports whether the placement's stop is still to be sent. fresh is as with
+// HandleHeartbeat: without it only tasks of cancelled jobs are stopped, as a cancellation
+// is never withdrawn.
 func (pl *Placement) stopUnsent(fresh bool) bool {
 	return pl.stopRequest != nil && !pl.stopRequest.sent && (fresh || pl.job.Cancelled)
 }
 
-// startable tells whether a placement's start may leave: only after it is committed.
-func (p *Partition) startable(placement *Placement) bool {
-	return !placement.observed && placement.stopRequest == nil && !placement.gangDone && !placement.job.Cancelled &&
-		placement.incarnation == placement.machine.latest.incarnation && placement.chunk().committedVersion >= placement.chunkVersion
+// FencingRequest returns a command request without commands. It raises the token that the
+// worker has seen, so that an earlier owner's commands can no longer take effect.
+func (p *Partition) FencingRequest(id string) (wire.CommandRequest, bool) {
+	machine := p.machines[id]
+	if machine == nil || machine.Record.Released {
+		return wire.CommandRequest{}, false
+	}
+	request := machine.newCommandRequest()
+	request.Commands = []wire.Command{}
+	return request, true
+}
+
+func (m *Machine) newCommandRequest() wire.CommandRequest {
+	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
 }
 
-// startableTasks are the machine's placements whose starts may leave, in order.
-func (p *Partition) startableTasks(machine *Machine) []taskAttempt {
-	for _, placement := range machine.placements {
-		if p.startable(placement) {
-			return slices.DeleteFunc(sortedTaskAttempts(machine.placements), func(key taskAttempt) bool { return !p.startable(machine.placements[key]) })
+// MachinesNotFenced lists the machines with tasks of an earlier owner that have not shown
+// the current token yet.
+func (p *Partition) MachinesNotFenced() []string {
+	return p.selectMachines(func(machine *Machine) bool {
+		return !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0
+	})
+}
+
+// MachinesToRefence lists the machines whose records must be rewritten to raise their
+// tokens, because commands sent under the current one may still be executed.
+func (p *Partition) MachinesToRefence() []string {
+	return p.selectMachines(func(machine *Machine) bool {
+		return machine.command.needsHigherToken(machine.token.current)
+	})
+}
+
+// MachinesAwaitingCommands lists the machines to which commands should be sent before their
+// next heartbeat. fresh is as with HandleHeartbeat; without it only stops of cancelled jobs
+// are sent.
+func (p *Partition) MachinesAwaitingCommands(fresh bool) []string {
+	return p.selectMachines(func(machine *Machine) bool {
+		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(fresh)
+	})
+}
+
+// acceptsDirectCommands reports whether a command request may be sent straight to the
+// machine: to a worker that has shown the current token, one request at a time.
+func (m *Machine) acceptsDirectCommands() bool {
+	return m.token.acknowledged && !m.command.pending()
+}
+
+func (m *Machine) hasUnsentCommands(fresh bool) bool {
+	for _, placement := range m.placements {
+		if placement.stopUnsent(fresh) || (fresh && placement.startUnsent()) {
+			return true
 		}
 	}
-	return nil
+	return false
 }
 
-// DirectCommands gives the starts and stops to send straight to a machine. Until the
-// order is answered nothing else starts or is cleared there: a copy that is held
-// back on the way could start a task once more after it was cleared.
+// DirectCommands returns the starts and stops to send straight to a machine. Until the
+// request is answered, nothing else is started or forgotten there: a copy that the network
+// delays could start a task once more after the worker forgot it.
 func (p *Partition) DirectCommands(id string, fresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines[id]
-	if machine == nil || machine.command.inFlight || machine.command.unconfirmed || !machine.token.acknowledged {
+	if machine == nil || !machine.acceptsDirectCommands() {
 		return wire.CommandRequest{}, false
 	}
-	o := wire.CommandRequest{FencingToken: machine.token.current, Incarnation: machine.latest.incarnation}
+	request := machine.newCommandRequest()
 	for _, key := range sortedTaskAttempts(machine.placements) {
-		if len(o.Commands) >= tuning.MaxCommands {
+		if len(request.Commands) >= tuning.MaxCommands {
 			break
 		}
-		placement := machine.placements[key]
-		switch {
-		case placement.stopUnsent(fresh):
-			placement.stopRequest.sent = true
-			o.Commands = append(o.Commands, wire.Command{Op: wire.StopTask, Task: key.task, Attempt: key.attempt, GracePeriodS: placement.stopRequest.gracePeriodS})
-		case fresh && !placement.startSent && !machine.terminationNotice && p.startable(placement):
-			// A start sent in the answer to a report is repeated only there.
-			placement.startSent, placement.startSequence, placement.directToken = true, machine.latest.heartbeatSequence, machine.token.current
-			o.Commands = append(o.Commands, wire.Command{Op: wire.StartTask, Task: key.task, Attempt: key.attempt})
-			machine.command.inFlight = true
+		if command, due := machine.placements[key].directCommand(key, fresh); due {
+			request.Commands = append(request.Commands, command)
 		}
 	}
-	return o, len(o.Commands) > 0
+	return request, len(request.Commands) > 0
 }
 
-// CommandOutcome is what became of an order.
+// directCommand returns the placement's command for a direct request and records that it is
+// sent; due is false if there is none.
+func (pl *Placement) directCommand(key taskAttempt, fresh bool) (command wire.Command, due bool) {
+	switch {
+	case pl.stopUnsent(fresh):
+		pl.stopRequest.sent = true
+		command = newCommand(wire.StopTask, key)
+		command.GracePeriodS = pl.stopRequest.gracePeriodS
+		return command, true
+	case fresh && pl.startUnsent():
+		pl.startSent = true
+		pl.startSequence = pl.machine.latest.heartbeatSequence
+		pl.directToken = pl.machine.token.current
+		pl.machine.command.inFlight = true
+		return newCommand(wire.StartTask, key), true
+	}
+	return wire.Command{}, false
+}
+
+// CommandOutcome is what became of a command request.
 type CommandOutcome int
 
-// The outcomes of an order.
+// The outcomes of a command request.
 const (
-	CommandsExecuted    CommandOutcome = iota
-	CommandsNotExecuted                // refused by the worker, or never left
+	// CommandsExecuted: the worker confirmed the request.
+	CommandsExecuted CommandOutcome = iota
+	// CommandsNotExecuted: the worker refused the request, or it was never sent.
+	CommandsNotExecuted
+	// CommandsUnknown: no answer arrived, so the request may be executed at any time.
 	CommandsUnknown
 )
 
-// HandleCommandOutcome notes what became of an order. Without an answer its starts may
-// still be carried out as long as token and session match, so the token has to
-// be raised before anything is concluded from the tasks' absence.
-func (p *Partition) HandleCommandOutcome(o wire.CommandRequest, id string, outcome CommandOutcome) {
+// HandleCommandOutcome records what became of a command request.
+func (p *Partition) HandleCommandOutcome(request wire.CommandRequest, id string, outcome CommandOutcome) {
 	machine := p.machines[id]
 	if machine == nil {
 		return
 	}
-	for _, c := range o.Commands {
-		placement := machine.placements[taskAttempt{c.Task, c.Attempt}]
-		switch {
-		case placement == nil:
-		case c.Op == wire.StopTask && outcome == CommandsNotExecuted && placement.stopRequest != nil:
-			placement.stopRequest.sent = false
-		case c.Op != wire.StartTask || !machine.command.inFlight:
-		case outcome == CommandsExecuted:
-			placement.observed = true
-		case outcome == CommandsNotExecuted:
-			// One that is to be stopped by now is not sent again; the next report shows
-			// that it is not there. Taken as not sent, nothing would ever free it.
-			placement.startSent, placement.directToken = placement.stopRequest != nil, 0
-		default:
-			machine.command.unconfirmed, machine.command.unconfirmedToken = true, machine.token.current
+	for _, command := range request.Commands {
+		placement := machine.placements[taskAttempt{command.Task, command.Attempt}]
+		if placement == nil {
+			continue
+		}
+		if command.Op == wire.StopTask && outcome == CommandsNotExecuted {
+			placement.resendStop()
+		}
+		if command.Op == wire.StartTask && machine.command.inFlight {
+			placement.recordStartOutcome(outcome)
 		}
 	}
 	if machine.command.inFlight {
@@ -137,3 +245,29 @@
 		p.capacityVersion++
 	}
 }
+
+// resendStop has the placement's stop sent again.
+func (pl *Placement) resendStop() {
+	if pl.stopRequest != nil {
+		pl.stopRequest.sent = false
+	}
+}
+
+// recordStartOutcome records what became of a direct request with the placement's start.
+func (pl *Placement) recordStartOutcome(outcome CommandOutcome) {
+	switch outcome {
+	case CommandsExecuted:
+		pl.observed = true
+	case CommandsNotExecuted:
+		// A start that is to be stopped by now is not sent again, and the next heartbeat
+		// shows that the task is not there. It has to count as sent until then: nothing
+		// would ever free the placement otherwise.
+		pl.startSent = pl.stopRequest != nil
+		pl.directToken = 0
+	case CommandsUnknown:
+		// The start may be executed as long as token and incarnation match, so the
+		// token has to be raised before the task's absence shows anything.
+		machine := pl.machine
+		machine.command.markUnconfirmed(machine.token.current)
+	}
+}
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -6,48 +6,76 @@
 	"ambersill/internal/tuning"
 )
 
-// ExpireLeases handles what passes with time alone: silent machines, and starts whose
-// order is withdrawn.
+// ExpireLeases frees what time alone frees: the placements on machines whose leases have
+// expired, and starts that were withdrawn.
 func (p *Partition) ExpireLeases(now time.Time) {
-	lease := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
 	for _, id := range p.machineIDs {
-		machine := p.machines[id]
-		// Only an owner that has itself spoken with the worker under its token
-		// knows when the lease was last renewed; after a takeover the
-		// machine's return must be confirmed instead.
-		if !machine.token.everAcknowledged || machine.lease.expired || now.Sub(machine.lease.lastAnswered) <= lease {
-			continue
-		}
-		machine.lease.expired, machine.lease.expiredAt = true, now
-		p.capacityVersion++
-		for _, key := range sortedTaskAttempts(machine.placements) {
-			if placement := machine.placements[key]; placement != nil {
-				p.requeue(placement, now)
-			}
-		}
+		p.expireLease(p.machines[id], now)
 	}
-	// A start that was sent but never seen, and is to be stopped, is gone once
-	// a newer report does not show it. An answer to an order would not do: the
-	// start may be under way in the answer to a report.
 	for _, id := range p.machineIDs {
-		machine := p.machines[id]
-		if machine.command.inFlight || machine.command.unconfirmed || !machine.token.acknowledged {
-			continue
-		}
-		gone := func(placement *Placement) bool {
-			return placement != nil && placement.stopRequest != nil && !placement.observed && placement.startSent && placement.incarnation == machine.latest.incarnation && machine.latest.heartbeatSequence > placement.startSequence
-		}
-		some := false
-		for _, placement := range machine.placements {
-			some = some || gone(placement)
+		p.requeueWithdrawnStarts(p.machines[id], now)
+	}
+}
+
+// expireLease requeues the tasks of a machine whose lease must have expired by the worker's
+// own clock, upon which the worker has killed them.
+func (p *Partition) expireLease(machine *Machine, now time.Time) {
+	if !p.leaseHasExpired(machine, now) {
+		return
+	}
+	machine.lease.expired = true
+	machine.lease.expiredAt = now
+	p.capacityVersion++
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		if placement := machine.placements[key]; placement != nil {
+			p.requeue(placement, now)
 		}
-		if !some {
-			continue
+	}
+}
+
+// leaseHasExpired reports whether a machine's lease has expired since the last call. Only
+// an owner whose token the worker has acknowledged knows when the lease was last renewed:
+// after a failover the return of the machine must be confirmed instead.
+func (p *Partition) leaseHasExpired(machine *Machine, now time.Time) bool {
+	if !machine.token.everAcknowledged || machine.lease.expired {
+		return false
+	}
+	// The worker's clock may be slower by the tolerated drift.
+	duration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
+	return now.Sub(machine.lease.lastAnswered) > duration
+}
+
+// requeueWithdrawnStarts requeues the placements of a machine whose starts were lost and
+// are not wanted any more.
+func (p *Partition) requeueWithdrawnStarts(machine *Machine, now time.Time) {
+	if !machine.acceptsDirectCommands() || !machine.hasWithdrawnStart() {
+		return
+	}
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		// Requeueing one task of a gang changes the others, so each is looked at anew.
+		placement := machine.placements[key]
+		if placement != nil && placement.isWithdrawnStart() {
+			p.requeue(placement, now)
 		}
-		for _, key := range sortedTaskAttempts(machine.placements) {
-			if placement := machine.placements[key]; gone(placement) {
-				p.requeue(placement, now)
-			}
+	}
+}
+
+func (m *Machine) hasWithdrawnStart() bool {
+	for _, placement := range m.placements {
+		if placement.isWithdrawnStart() {
+			return true
 		}
 	}
+	return false
+}
+
+// isWithdrawnStart reports whether the placement's start was sent and lost, and is to be
+// stopped: a heartbeat sent later does not show the task. A response to commands would not
+// do, as the start may be on its way in the response to a heartbeat.
+func (pl *Placement) isWithdrawnStart() bool {
+	if pl.stopRequest == nil || pl.observed || !pl.startSent {
+		return false
+	}
+	latest := &pl.machine.latest
+	return pl.incarnation == latest.incarnation && latest.heartbeatSequence > pl.startSequence
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -38,14 +38,58 @@
 	reservedUntil time.Time
 }
 
+func newMachine(id string, now time.Time) *Machine {
+	return &Machine{
+		ID:             id,
+		assignedAt:     now,
+		placements:     map[taskAttempt]*Placement{},
+		pendingForgets: map[taskAttempt]pendingForget{},
+		cachedImages:   map[string]time.Time{},
+		failedJobs:     map[string]bool{},
+	}
+}
+
+// free returns the capacity that no placement uses.
 func (m *Machine) free() resource.Vector { return m.capacity.Sub(m.allocated) }
 
-// usable tells whether tasks may be placed here.
+// usable reports whether tasks may be placed on the machine.
 func (m *Machine) usable() bool {
-	return m.token.acknowledged && !m.command.unconfirmed && !m.terminationNotice && !m.lease.expired && !m.quarantined && m.Record.Desired == records.DesiredInService && !m.Record.Released
+	if !m.acceptsStarts() || m.command.unconfirmed || m.lease.expired || m.quarantined {
+		return false
+	}
+	return m.Record.Desired == records.DesiredInService && !m.Record.Released
 }
 
-// wantsImage tells whether some task placed here wants the image.
+// selectPlacements returns the placements that match, in order. It sorts only if there are
+// any.
+func (m *Machine) selectPlacements(match func(*Placement) bool) []taskAttempt {
+	matching := false
+	for _, placement := range m.placements {
+		if match(placement) {
+			matching = true
+			break
+		}
+	}
+	if !matching {
+		return nil
+	}
+	return slices.DeleteFunc(sortedTaskAttempts(m.placements), func(key taskAttempt) bool {
+		return !match(m.placements[key])
+	})
+}
+
+// selectMachines returns the IDs of the machines that match, in order.
+func (p *Partition) selectMachines(match func(*Machine) bool) []string {
+	var ids []string
+	for _, id := range p.machineIDs {
+		if match(p.machines[id]) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// wantsImage reports whether a task placed on the machine needs the image.
 func (m *Machine) wantsImage(image string) bool {
 	for _, placement := range m.placements {
 		if placement.job.Image == image {
@@ -65,8 +109,7 @@
 	}
 	machine := p.machines[id]
 	if machine == nil {
-		machine = &Machine{ID: id, placements: map[taskAttempt]*Placement{}, pendingForgets: map[taskAttempt]pendingForget{},
-			cachedImages: map[string]time.Time{}, failedJobs: map[string]bool{}, assignedAt: now}
+		machine = newMachine(id, now)
 		p.machines[id] = machine
 		p.machineIDs = slices.Sorted(maps.Keys(p.machines))
 	} else if revision < machine.revision {
@@ -75,10 +118,8 @@
 	machine.Record, machine.revision = record, revision
 	machine.machineType = p.machineTypes[record.MachineType]
 	machine.capacity = resource.OfMachineType(machine.machineType)
-	if tok := max(p.Revision, record.FencingToken); tok > machine.token.current {
-		machine.token.current = tok
-		machine.token.acknowledged = false
-	}
+	// An ownership has a higher revision than the ones before, so its token is higher too.
+	machine.token.raise(max(p.Revision, record.FencingToken))
 	p.capacityVersion++
 }
 
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -135,66 +135,6 @@
 	p.capacityVersion++
 }
 
-// gangTimedOut handles a task of a gang that has waited in vain for the others. Those
-// that still fetch their image go on until they have it, and the machines are kept
-// for the gang, so that its next attempt starts at once. Stopped, they would have
-// to fetch again while the first one waits in vain again, and so for ever.
-func (p *Partition) gangTimedOut(placement *Placement, now time.Time) {
-	job := placement.job
-	p.holdMachineForGang(placement, now)
-	p.detach(placement)
-	job.gangBroken = len(job.placements) > 0
-	for _, other := range sortedPlacements(job) {
-		if other.state != wire.TaskFetching || other.stopRequest != nil {
-			p.holdMachineForGang(other, now)
-			p.requestStop(other, 0, now)
-		}
-	}
-}
-
-// holdMachineForGang holds a machine for the next attempt of a gang that fetches.
-func (p *Partition) holdMachineForGang(placement *Placement, now time.Time) {
-	machine, job := placement.machine, placement.job
-	wait := 0.0
-	for _, other := range job.placements {
-		if other.machine.machineType.ImageFetchGBPerS > 0 && !other.imageFetched {
-			wait = max(wait, 2*job.ImageGB/other.machine.machineType.ImageFetchGBPerS)
-		}
-	}
-	machine.reservedFor, machine.reservedUntil = job.ID, now.Add(tuning.Seconds(wait+3*p.settings.Cluster.Workers.ReportS))
-}
-
-// requeue frees a placement that ended without a result, and breaks its gang up.
-func (p *Partition) requeue(placement *Placement, now time.Time) {
-	job := placement.job
-	p.detach(placement)
-	if !job.IsGang() || placement.gangDone {
-		return
-	}
-	if len(job.placements) == 0 {
-		job.gangBroken = false
-		return
-	}
-	job.gangBroken = true
-	for _, other := range job.placements {
-		p.requestStop(other, 0, now)
-	}
-}
-
-// requestStop orders a placement's end. One that was never sent ends at once.
-func (p *Partition) requestStop(placement *Placement, grace float64, now time.Time) {
-	if !placement.startSent {
-		p.detach(placement)
-		if job := placement.job; job.IsGang() && len(job.placements) == 0 {
-			job.gangBroken = false
-		}
-		return
-	}
-	if placement.stopRequest == nil || grace < placement.stopRequest.gracePeriodS {
-		placement.stopRequest = &stopRequest{gracePeriodS: grace, requestedAt: now}
-	}
-}
-
 // SetCancelledJobs takes in a listing of the jobs that are marked as cancelled, and tells whether
 // one of them was news. A job that is marked before its submission is known, as when
 // the watch is behind, is cancelled from the start.
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -115,6 +115,12 @@
 // pending reports whether commands may still be executed by the worker.
 func (c *commandState) pending() bool { return c.inFlight || c.unconfirmed }
 
+// isConfirmedBy reports whether a worker that has seen the token can no longer execute the
+// unconfirmed commands.
+func (c *commandState) isConfirmedBy(token uint64) bool {
+	return c.unconfirmed && token > c.unconfirmedToken
+}
+
 // needsHigherToken reports whether the machine's record must be rewritten to raise its
 // token, which is the only way to confirm what became of the commands.
 func (c *commandState) needsHigherToken(token uint64) bool {
