--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -10,7 +10,7 @@
 	"ambersill/internal/wire"
 )
 
-// levelRaised tells the owned partitions of a new feature level.
+// levelRaised passes a new feature level on to the owned partitions.
 func (c *Controller) levelRaised(level records.FeatureLevel) {
 	slog.Info("feature level", "level", level)
 	c.mu.Lock()
@@ -25,26 +25,24 @@
 	}
 }
 
-// raiseLevel raises the feature level once every configured node lives and knows the
-// higher one. The commit names what each node's record says, so that one that has come
-// back with an older program meanwhile makes it fail.
+// raiseLevel raises the feature level once every configured node is live and supports the
+// higher one. The commit compares the revision of each node's record, so that it fails if
+// one has come back with an older program meanwhile.
 func (l *leader) raiseLevel(ctx context.Context) {
-	conds, ready := l.controller.cluster.readyFor(records.CurrentFeatureLevel, l.controller.memberNames())
+	compares, ready := l.controller.cluster.readyFor(records.CurrentFeatureLevel, l.controller.memberNames())
 	if !ready {
 		return
 	}
-	conds = conds[:min(len(conds), l.maxConditions())]
-	put := wire.Write{Put: records.FeatureLevelKey, Value: records.LevelRecord{Level: records.CurrentFeatureLevel}}
-	revision, err := l.commit(ctx, conds, []wire.Write{put})
-	if err != nil {
+	compares = compares[:min(len(compares), l.maxCompares())]
+	level := records.LevelRecord{Level: records.CurrentFeatureLevel}
+	writes := []wire.Write{{Put: records.FeatureLevelKey, Value: level}}
+	if err := l.commit(ctx, compares, writes); err != nil {
 		slog.Debug("feature level not raised", "err", err)
-		return
 	}
-	l.controller.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(put.Value)), revision, false)
 }
 
-// refreshFeatureLevel reads the feature level: a copy that is behind must not keep a partition in
-// formats that are too large by now.
+// refreshFeatureLevel reads the feature level: a cache that is behind must not make a partition
+// write formats that are too large by now.
 func (c *Controller) refreshFeatureLevel(ctx context.Context) error {
 	item, err := c.store.Get(ctx, records.FeatureLevelKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -57,54 +55,56 @@
 	return nil
 }
 
-// maxConditions is how many conditions a transaction may have beside the leader's fence. A
-// cluster of more nodes goes by what the copy shows of the rest.
-func (l *leader) maxConditions() int { return conditionsPerChange*l.controller.limits.TxnOps - 1 }
+// comparesPerWrite is how many compares of a transaction the key-value store allows for each
+// write that it allows.
+const comparesPerWrite = 4
 
-// conditionsPerChange is how many conditions the state service allows for each change that
-// it allows.
-const conditionsPerChange = 4
+// maxCompares returns how many compares a transaction may have beside the leader's fence. In
+// a cluster of more nodes, the cache alone decides about the rest.
+func (l *leader) maxCompares() int { return comparesPerWrite*l.controller.limits.TxnOps - 1 }
 
-// memberNames names all configured nodes.
+// memberNames returns the names of all configured nodes.
 func (c *Controller) memberNames() []string {
 	names := []string{c.settings.Node}
-	for _, m := range c.settings.Members {
-		names = append(names, m.Node)
+	for _, member := range c.settings.Members {
+		names = append(names, member.Node)
 	}
 	return names
 }
 
-// readyFor tells whether the level is lower than the given one and all nodes named live
-// and know it, and returns the conditions under which that still holds.
+// readyFor reports whether the feature level is below the given one and all nodes named are
+// live and support it, and returns the compares under which that still holds.
 func (c *clusterCache) readyFor(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.level >= level {
 		return nil, false
 	}
-	var conds []wire.Compare
+	var compares []wire.Compare
 	for _, name := range names {
-		n, live := c.nodes[name]
-		if !live || n.featureLevel < level {
+		node, live := c.nodes[name]
+		if !live || node.featureLevel < level {
 			return nil, false
 		}
-		conds = append(conds, wire.Compare{Key: records.NodePrefix + name, Revision: n.revision})
+		compares = append(compares, wire.Compare{Key: records.NodePrefix + name, Revision: node.revision})
 	}
-	return conds, true
+	return compares, true
 }
 
-// divideGroups divides one group of machines that outgrows the limits to come, so that all
-// are small before one has to change.
+// divideGroups divides one group of machines that exceeds the size limit, so that all are
+// small before one has to change.
 func (l *leader) divideGroups(ctx context.Context) {
-	ids := l.controller.cluster.oversized(l.controller.groupLimit())
-	if len(ids) == 0 {
+	machines := l.controller.cluster.machinesOfOversizedGroups(l.controller.groupLimit())
+	if len(machines) == 0 {
 		return
 	}
-	entry, ok := l.controller.cluster.machine(ids[0])
+	id := machines[0]
+	entry, ok := l.controller.cluster.machine(id)
 	if !ok {
 		return
 	}
-	changes := map[string]*records.MachineRecord{ids[0]: &entry.record}
+	// Rewriting any of its machines, if unchanged, divides the group.
+	changes := map[string]*records.MachineRecord{id: &entry.record}
 	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
 		slog.Debug("group of machines not divided", "err", err)
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,40 +15,61 @@
 	"ambersill/internal/wire"
 )
 
-// runLeadership claims the lead when it is free, and leads while it is this node's.
+const (
+	// leadershipInterval is the time between two looks at whether leadership is free: a
+	// failover may take that much longer.
+	leadershipInterval = 300 * time.Millisecond
+	// leaderInterval is the time between two steps of the leader; rentals wait that much
+	// longer at most.
+	leaderInterval = 250 * time.Millisecond
+	// cacheInterval is the time between two looks at whether the cache has caught up.
+	cacheInterval = 50 * time.Millisecond
+)
+
+// runLeadership claims leadership when it is free, and leads while this node holds it.
 func (c *Controller) runLeadership(ctx context.Context) error {
 	for ctx.Err() == nil {
-		c.cluster.mu.Lock()
-		lead, loaded := c.cluster.leader, c.cluster.loaded
-		c.cluster.mu.Unlock()
-		leaseID := c.currentLease()
-		if loaded && leaseID != 0 && (lead.node == "" || lead.node == c.settings.Node) {
-			revision := uint64(0)
-			if lead.node != "" {
-				revision = lead.revision // an earlier process of this node, surely gone
-			}
-			if revision, err := c.claimKey(ctx, records.LeaderKey, revision, leaseID); err == nil {
-				c.cluster.apply(records.LeaderKey, must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node})), revision, false)
-				c.setLeading(true)
-				newLeader(c, revision, leaseID).run(ctx)
-				c.setLeading(false)
-			} else {
-				slog.Debug("lead not claimed", "err", err)
-			}
-		}
-		transport.Pause(ctx, 300*time.Millisecond)
+		c.leadIfFree(ctx)
+		transport.Pause(ctx, leadershipInterval)
 	}
 	return nil
 }
 
-func (c *Controller) setLeading(on bool) {
+// leadIfFree claims leadership unless another node has it, and returns when it is lost.
+func (c *Controller) leadIfFree(ctx context.Context) {
+	c.cluster.mu.Lock()
+	current, loaded := c.cluster.leader, c.cluster.loaded
+	c.cluster.mu.Unlock()
+	leaseID := c.currentLease()
+	free := current.node == "" || current.node == c.settings.Node
+	if !loaded || leaseID == 0 || !free {
+		return
+	}
+	expected := uint64(0)
+	if current.node != "" {
+		expected = current.revision // of an earlier process of this node, surely gone
+	}
+	revision, err := c.claimKey(ctx, records.LeaderKey, expected, leaseID)
+	if err != nil {
+		slog.Debug("leadership not claimed", "err", err)
+		return
+	}
+	owner := records.OwnerRecord{Node: c.settings.Node}
+	c.cluster.apply(records.LeaderKey, must(wire.Marshal(owner)), revision, false)
+	c.setLeading(true)
+	newLeader(c, revision, leaseID).run(ctx)
+	c.setLeading(false)
+}
+
+func (c *Controller) setLeading(leading bool) {
 	c.mu.Lock()
-	c.leading = on
+	c.leading = leading
 	c.mu.Unlock()
 	c.updateRateShare()
 }
 
-// claimKey writes this node's name under its lease if the key has the stamp.
+// claimKey writes this node's name under its lease if the key has the given revision, and
+// returns the key's new one.
 func (c *Controller) claimKey(ctx context.Context, key string, revision, leaseID uint64) (uint64, error) {
 	revision, err := c.store.Commit(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: revision}},
@@ -57,237 +78,142 @@
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return revision, err
 	}
-	// It may have been carried out: the key tells.
-	item, gerr := c.store.Get(ctx, key)
-	if gerr != nil || item.LeaseID != leaseID {
+	// It may have been carried out: the key shows whether it was.
+	item, getErr := c.store.Get(ctx, key)
+	if getErr != nil || item.LeaseID != leaseID {
 		return 0, err
 	}
 	return item.Revision, nil
 }
 
-// leader sizes the fleet while this node leads.
+// leader sizes the fleet during one term of leadership. Its fields belong to the goroutine
+// that runs it.
 type leader struct {
 	controller *Controller
-	revision   uint64
-	leaseID    uint64 // that the lead was claimed under
+	revision   uint64 // of the leader's key: the term, and the fence of all commits
+	leaseID    uint64 // that leadership was claimed under
 	autoscaler *autoscaler.Autoscaler
-	nextRental int // number of the next rental of this term
 
-	listed           map[string]wire.CloudMachine
-	missedListings   map[string]int       // lists in a row that lack a machine once listed
-	everListed       map[string]bool      // machines once listed
-	returnedAt       map[string]time.Time // machines returned, which the list may still show
-	refused          map[autoscaler.Offering]offeringBackoff
-	summaries        map[int]records.PartitionSummary
-	lastSizing       time.Time
-	lastAttempt      map[string]time.Time // last call for a recorded rental
-	recordedThisTerm map[string]bool      // rentals recorded in this term
-	resize           bool                 // size again at once
-}
+	summaries map[int]records.PartitionSummary // latest, by partition
+	listings  map[string]machineListing        // by machine
+	backoffs  map[autoscaler.Offering]offeringBackoff
+	rentals   map[string]rentalProgress // by the rental's name
 
-func newLeader(c *Controller, revision, leaseID uint64) *leader {
-	return &leader{controller: c, revision: revision, leaseID: leaseID, autoscaler: autoscaler.New(&c.tuning), listed: map[string]wire.CloudMachine{}, missedListings: map[string]int{},
-		everListed: map[string]bool{}, returnedAt: map[string]time.Time{}, refused: map[autoscaler.Offering]offeringBackoff{}, summaries: map[int]records.PartitionSummary{}, lastAttempt: map[string]time.Time{}, recordedThisTerm: map[string]bool{}}
+	nextRental    int // number of the next rental of this term
+	lastListing   time.Time
+	lastSummaries time.Time
+	lastSizing    time.Time
+	sizeAtOnce    bool // without waiting for the next regular sizing
 }
 
-// maxRentalCount is how many machines one rental may bring: their groups are recorded in one
-// transaction, which deletes the rental's record as well.
-func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
-	limits := l.controller.limits
-	groups := min(limits.TxnOps-1, max(1, tuning.TxnBytes/int(limits.ValueKB*1024)))
-	return min(tuning.MaxRent, groups*records.MachinesPerGroup(limits.ValueKB, offering.MachineType, offering.Zone))
+func newLeader(c *Controller, revision, leaseID uint64) *leader {
+	return &leader{
+		controller: c,
+		revision:   revision,
+		leaseID:    leaseID,
+		autoscaler: autoscaler.New(&c.tuning),
+		summaries:  map[int]records.PartitionSummary{},
+		listings:   map[string]machineListing{},
+		backoffs:   map[autoscaler.Offering]offeringBackoff{},
+		rentals:    map[string]rentalProgress{},
+	}
 }
 
-// isLeader tells whether the lead's key still shows this term.
+// isLeader reports whether the leader's key still shows this term.
 func (l *leader) isLeader() bool {
-	l.controller.cluster.mu.Lock()
-	defer l.controller.cluster.mu.Unlock()
-	return l.controller.cluster.leader.revision == l.revision && l.controller.currentLease() == l.leaseID
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.leader.revision == l.revision && l.controller.currentLease() == l.leaseID
 }
 
-// mayCallCloud tells whether nobody else can lead by now. Calls to the cloud have no fence: a
-// leader that was cut off, and whose copy has not caught up yet, would give back what
-// its successor has rented meanwhile.
+// mayCallCloud reports whether no other node can lead by now. Calls to the cloud have no
+// fence: a leader that was partitioned away, and whose cache has not caught up yet, would
+// return what its successor has rented meanwhile.
 func (l *leader) mayCallCloud() bool { return l.isLeader() && l.controller.leaseHeld(l.leaseID) }
 
-// cacheCaughtUp tells whether the copy holds all that was written before this term.
+// cacheCaughtUp reports whether the cache holds all that was written before this term.
 func (l *leader) cacheCaughtUp() bool {
-	l.controller.cluster.mu.Lock()
-	defer l.controller.cluster.mu.Unlock()
-	return l.controller.cluster.revision >= l.revision
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.revision >= l.revision
 }
 
+// run leads until leadership is lost or the context ends.
 func (l *leader) run(ctx context.Context) {
-	slog.Info("leading", "stamp", l.revision)
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	// What an earlier leader has written must be in the copy first, or its machines
-	// would be taken in once more.
-	for ctx.Err() == nil && l.isLeader() && !l.cacheCaughtUp() {
-		transport.Pause(ctx, 50*time.Millisecond)
-	}
-	var lastList, lastSum time.Time
+	slog.Info("leading", "revision", l.revision)
+	l.waitForCache(ctx)
 	for ctx.Err() == nil && l.isLeader() {
-		if l.controller.checkContact() != nil || !l.mayCallCloud() {
-			// Another may lead by now: calls to the cloud would take its share of them,
-			// and give machines back that it counts on.
-			transport.Pause(ctx, 250*time.Millisecond)
-			continue
-		}
-		now := time.Now()
-		if now.Sub(lastList) >= tuning.Seconds(l.controller.tuning.ListS) {
-			lastList = now
-			l.readListing(ctx)
-		}
-		l.finishRentals(ctx)
-		if now.Sub(lastSum) >= tuning.Seconds(l.controller.tuning.SummaryS) {
-			lastSum = now
-			l.readSummaries(ctx)
-			l.returnMachines(ctx) // it goes by summaries and list, and looks at every machine
-			l.raiseLevel(ctx)
-			l.divideGroups(ctx)
+		// A leader without contact may have a successor: its calls would use up the
+		// successor's rate limit at the cloud, and return machines that this counts on.
+		if l.controller.checkContact() == nil && l.mayCallCloud() {
+			l.step(ctx, time.Now())
 		}
-		if urgent := l.needsFirstMachine(); now.Sub(l.lastSizing) >= tuning.Seconds(l.controller.tuning.RoundS) || urgent || l.resize {
-			l.lastSizing, l.resize = now, false
-			l.runSizing(ctx)
-		}
-		transport.Pause(ctx, 250*time.Millisecond)
+		transport.Pause(ctx, leaderInterval)
 	}
-	slog.Info("no longer leading", "stamp", l.revision)
+	slog.Info("no longer leading", "revision", l.revision)
 }
 
-// needsFirstMachine: work waits and there is no machine at all, nor one to come.
-func (l *leader) needsFirstMachine() bool {
-	l.controller.cluster.mu.Lock()
-	n := len(l.controller.cluster.machines) + len(l.controller.cluster.rentals)
-	l.controller.cluster.mu.Unlock()
-	if n > 0 {
-		return false
+// waitForCache waits until the cache holds what earlier leaders have written. Otherwise their
+// machines would be adopted once more.
+func (l *leader) waitForCache(ctx context.Context) {
+	for ctx.Err() == nil && l.isLeader() && !l.cacheCaughtUp() {
+		transport.Pause(ctx, cacheInterval)
 	}
-	for _, summary := range l.summaries {
-		if len(summary.Waiting) > 0 {
-			return true
-		}
+}
+
+// step does what is due.
+func (l *leader) step(ctx context.Context, now time.Time) {
+	tunables := l.controller.tuning
+	if now.Sub(l.lastListing) >= tuning.Seconds(tunables.ListS) {
+		l.lastListing = now
+		l.readListing(ctx)
+	}
+	l.finishRentals(ctx)
+	if now.Sub(l.lastSummaries) >= tuning.Seconds(tunables.SummaryS) {
+		l.lastSummaries = now
+		l.readSummaries(ctx)
+		// Returns depend on summaries and listings only, and look at every machine.
+		l.returnMachines(ctx)
+		l.raiseLevel(ctx)
+		l.divideGroups(ctx)
+	}
+	sizingDue := now.Sub(l.lastSizing) >= tuning.Seconds(tunables.RoundS)
+	if sizingDue || l.sizeAtOnce || l.needsFirstMachine() {
+		l.lastSizing, l.sizeAtOnce = now, false
+		l.runSizing(ctx)
 	}
-	return false
 }
 
 func (l *leader) fence() wire.Compare {
 	return wire.Compare{Key: records.LeaderKey, Revision: l.revision}
 }
 
-// commit runs a transaction of the leader's, fenced by the lead's stamp.
-func (l *leader) commit(ctx context.Context, conds []wire.Compare, then []wire.Write) (uint64, error) {
-	return l.controller.store.Commit(ctx, wire.Txn{Compares: append([]wire.Compare{l.fence()}, conds...), Writes: then})
-}
-
-func (l *leader) machines() (ids []string, all map[string]machineEntry) {
-	l.controller.cluster.mu.Lock()
-	defer l.controller.cluster.mu.Unlock()
-	all = make(map[string]machineEntry, len(l.controller.cluster.machines))
-	for id, entry := range l.controller.cluster.machines {
-		all[id] = entry
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	return ids, all
-}
-
-func (l *leader) readSummaries(ctx context.Context) {
-	items, _, err := l.controller.store.List(ctx, records.SummaryPrefix)
+// commit commits a transaction fenced by the leader's key, and applies it to the cache, so
+// that the leader's next decision is based on it.
+func (l *leader) commit(ctx context.Context, compares []wire.Compare, writes []wire.Write) error {
+	revision, err := l.controller.store.Commit(ctx, wire.Txn{
+		Compares: append([]wire.Compare{l.fence()}, compares...),
+		Writes:   writes,
+	})
 	if err != nil {
-		slog.Debug("summaries not read", "err", err)
-		return
-	}
-	values := map[string]wire.Raw{}
-	for _, item := range items {
-		values[item.Key] = item.Value
-	}
-	for partition := range l.controller.partitions {
-		var summary records.PartitionSummary
-		v, ok := values[records.SummaryKey(partition)]
-		if !ok || wire.Unmarshal(v, &summary) != nil {
-			continue
-		}
-		summary.MachineDigests = map[string]records.MachineDigest{}
-		for i := range summary.DigestRecords {
-			// Into the same map: the records have no name in common.
-			if err := wire.Unmarshal(values[records.MachineDigestsKey(partition, i)], &summary.MachineDigests); err != nil {
-				slog.Debug("notes on machines not read", "part", partition, "err", err)
-			}
-		}
-		for i := range summary.OverflowRecords {
-			var more []records.Demand
-			if err := wire.Unmarshal(values[records.WaitingKey(partition, i)], &more); err != nil {
-				slog.Debug("demands not read", "part", partition, "err", err)
-			}
-			summary.Waiting = append(summary.Waiting, more...)
-		}
-		l.summaries[partition] = summary
-	}
-}
-
-// machineDigests joins what the parts' owners tell of their machines.
-func (l *leader) machineDigests() map[string]records.MachineDigest {
-	out := map[string]records.MachineDigest{}
-	for _, summary := range l.summaries {
-		for id, n := range summary.MachineDigests {
-			out[id] |= n
-		}
+		return err
 	}
-	return out
+	l.controller.cluster.applyWrites(writes, revision)
+	return nil
 }
 
-// runSizing is a sizing round.
-func (l *leader) runSizing(ctx context.Context) {
-	types := l.controller.catalog()
-	if len(types) == 0 {
-		return
-	}
-	now := time.Now()
-	notes := l.machineDigests()
-	ids, machines := l.machines()
-	in := autoscaler.Input{MachineTypes: types, Summaries: l.summaries, Unavailable: map[autoscaler.Offering]bool{}}
-	for _, id := range ids {
-		record := machines[id].record
-		// One that is up, but was never heard since its part's owner changed, is cut off or
-		// hangs: as a machine that is still to come it would keep others from being rented.
-		unheard := notes[id]&records.DigestNeverHeard != 0 && l.listed[id].State == wire.MachineRunning
-		in.Machines = append(in.Machines, autoscaler.Machine{ID: id, Offering: autoscaler.Offering{MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot},
-			Partition: record.Partition, Desired: record.Desired, Empty: notes[id]&records.DigestEmpty != 0, Running: notes[id]&records.DigestReporting != 0 || unheard})
-	}
-	l.controller.cluster.mu.Lock()
-	for _, h := range l.controller.cluster.rentals {
-		for range h.record.Count {
-			in.PendingRentals = append(in.PendingRentals, autoscaler.Machine{Offering: autoscaler.Offering{MachineType: h.record.MachineType, Zone: h.record.Zone, Spot: h.record.Spot}, Partition: h.record.Partition})
-		}
-	}
-	l.controller.cluster.mu.Unlock()
-	for offering, backoff := range l.refused {
-		if now.Before(backoff.until) {
-			in.Unavailable[offering] = true
-		}
-	}
-	plan := l.autoscaler.Plan(in, now)
-	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines, "rentals", plan.Rentals, "moves", plan.Reassignments, "returns", plan.Returns, "machines", len(ids))
-	for _, rental := range plan.Rentals {
-		most := l.maxRentalCount(rental.Offering)
-		for n := rental.Count; n > 0; n -= most {
-			l.recordRental(ctx, rental, min(n, most))
-		}
-	}
-	wishes := map[string]*records.MachineRecord{}
-	for _, m := range plan.Reassignments {
-		record := machines[m.MachineID].record
-		record.Desired, record.MoveTo = records.DesiredMoved, m.ToPartition
-		wishes[m.MachineID] = &record
-	}
-	for _, id := range plan.Returns {
-		record := machines[id].record
-		record.Desired = records.DesiredReturned
-		wishes[id] = &record
-	}
-	if err := l.controller.rewriteMachines(ctx, l.fence(), wishes); err != nil {
-		slog.Debug("wishes not written", "err", err)
+// machines returns the recorded machines, and their IDs in order.
+func (l *leader) machines() (ids []string, machines map[string]machineEntry) {
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	machines = make(map[string]machineEntry, len(cluster.machines))
+	for id, entry := range cluster.machines {
+		machines[id] = entry
+		ids = append(ids, id)
 	}
+	sort.Strings(ids)
+	return ids, machines
 }
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -3,16 +3,27 @@
 import (
 	"context"
 	"log/slog"
-	"maps"
 	"slices"
 	"time"
 
 	"ambersill/internal/autoscaler"
 	"ambersill/internal/records"
-	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
+// returnedStillListed is how long the cloud's list may go on to show a machine that was
+// returned; it must not be adopted then.
+const returnedStillListed = 2 * time.Minute
+
+// machineListing is what the leader knows of a machine by the cloud's lists.
+type machineListing struct {
+	listed     bool      // in the latest list
+	state      string    // there; empty if it is not listed
+	everListed bool      // in any list of this term
+	missed     int       // lists in a row that lack the machine, which was once listed
+	returnedAt time.Time // zero unless it was returned shortly before
+}
+
 // readListing compares the cloud's list with the records.
 func (l *leader) readListing(ctx context.Context) {
 	list, err := l.controller.cloud.List(ctx)
@@ -22,7 +33,7 @@
 	}
 	l.recordListing(list, time.Now())
 	if l.hasPendingRentals() {
-		// Machines that nobody expected may be theirs.
+		// Machines without a record may be theirs.
 		return
 	}
 	_, machines := l.machines()
@@ -30,171 +41,129 @@
 		return
 	}
 	for _, machine := range list {
-		if _, ok := machines[machine.ID]; !ok && machine.State == wire.MachineFailed {
-			l.returnToCloud(ctx, []string{machine.ID}, map[string][]string{"failed": {machine.ID}})
+		if _, known := machines[machine.ID]; !known && machine.State == wire.MachineFailed {
+			l.returnToCloud(ctx, []machineReturn{{id: machine.ID, reason: returnFailed}})
 		}
 	}
 }
 
-// recordListing notes which machines the cloud lists, and counts those that are missing.
+// recordListing records which machines the cloud lists, and counts how often in a row the
+// others are missing.
 func (l *leader) recordListing(list []wire.CloudMachine, now time.Time) {
-	l.listed = map[string]wire.CloudMachine{}
+	for id, listing := range l.listings {
+		listing.listed, listing.state = false, ""
+		if now.Sub(listing.returnedAt) > returnedStillListed {
+			listing.returnedAt = time.Time{}
+		}
+		l.listings[id] = listing
+	}
 	for _, machine := range list {
-		l.listed[machine.ID] = machine
-		l.everListed[machine.ID] = true
+		listing := l.listings[machine.ID]
+		listing.listed, listing.everListed = true, true
+		listing.state = machine.State
+		l.listings[machine.ID] = listing
 		l.controller.recordAddress(machine.ID, machine.Address)
 	}
 	ids, _ := l.machines()
 	for _, id := range ids {
-		if _, ok := l.listed[id]; ok || !l.everListed[id] {
-			l.missedListings[id] = 0
-			continue
-		}
-		l.missedListings[id]++
-	}
-	for id, at := range l.returnedAt {
-		if now.Sub(at) > returnedListed {
-			delete(l.returnedAt, id)
+		listing := l.listings[id]
+		if listing.listed || !listing.everListed {
+			listing.missed = 0
+		} else {
+			listing.missed++
 		}
+		l.listings[id] = listing
 	}
 }
 
-// returnedListed is how long the list may go on to show a machine that was returned.
-const returnedListed = 2 * time.Minute
-
-// hasPendingRentals tells whether there are rentals without an answer.
+// hasPendingRentals reports whether there are rentals without an answer.
 func (l *leader) hasPendingRentals() bool {
-	l.controller.cluster.mu.Lock()
-	defer l.controller.cluster.mu.Unlock()
-	return len(l.controller.cluster.rentals) > 0
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return len(cluster.rentals) > 0
 }
 
-// adoptMachines records machines that nobody expected: rented late, by a lost request, or there
-// from the start. Sizing gives them back if they are too many. They are added to recs; the
-// result is false if some could not be recorded.
+// adoptMachines records listed machines that have no record: rented by a request that was
+// lost or late, or there from the start. Sizing returns them if they are too many. They are
+// added to the given machines; the result is false if some could not be recorded.
 func (l *leader) adoptMachines(ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry) bool {
 	now := time.Now()
-	groups := map[autoscaler.Offering][]string{}
-	taken := map[string]records.MachineRecord{}
+	adopted := map[string]records.MachineRecord{}
+	byOffering := map[autoscaler.Offering][]string{}
 	for _, machine := range list {
-		_, known := machines[machine.ID]
-		_, returned := l.returnedAt[machine.ID]
-		if known || returned || machine.State == wire.MachineFailed {
+		if _, known := machines[machine.ID]; known || !l.adoptable(machine) {
 			continue
 		}
-		record := records.MachineRecord{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Partition: l.smallestPartition(machines),
-			CreatedAtMS: now.UnixMilli() - int64(machine.AgeS*1000)}
+		record := adoptedRecord(machine, smallestPartition(machines, l.controller.partitions), now)
 		machines[machine.ID] = machineEntry{record: record}
-		taken[machine.ID] = record
-		offering := autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
-		groups[offering] = append(groups[offering], machine.ID)
-	}
-	for offering, ids := range groups {
-		for part := range slices.Chunk(ids, records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)) {
-			cond, put := newGroup(groupOf(part, taken))
-			revision, err := l.commit(ctx, []wire.Compare{cond}, []wire.Write{put})
-			if err != nil {
-				slog.Debug("machines not taken in", "err", err)
+		adopted[machine.ID] = record
+		offering := offeringOfListed(machine)
+		byOffering[offering] = append(byOffering[offering], machine.ID)
+	}
+	for offering, ids := range byOffering {
+		for _, group := range l.divideIntoGroups(offering, ids, adopted) {
+			compare, write := newGroup(group)
+			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
+				slog.Debug("machines not adopted", "err", err)
 				return false
 			}
-			l.controller.cluster.apply(put.Put, must(wire.Marshal(put.Value)), revision, false)
-			slog.Info("machines taken in", "count", len(part))
+			slog.Info("machines adopted", "count", len(group.Machines))
 		}
 	}
 	return true
 }
 
-// groupOf joins the records of some machines.
-func groupOf(ids []string, recs map[string]records.MachineRecord) records.MachineGroupRecord {
-	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
-	for _, id := range ids {
-		group.Machines[id] = recs[id]
-	}
-	return group
+// adoptable reports whether a machine without a record is worth one.
+func (l *leader) adoptable(machine wire.CloudMachine) bool {
+	returned := !l.listings[machine.ID].returnedAt.IsZero()
+	return !returned && machine.State != wire.MachineFailed
 }
 
-// smallestPartition spreads machines taken in over the parts.
-func (l *leader) smallestPartition(machines map[string]machineEntry) int {
-	count := make([]int, l.controller.partitions)
-	for _, entry := range machines {
-		if entry.record.Partition < len(count) {
-			count[entry.record.Partition]++
-		}
-	}
-	best := 0
-	for i, n := range count {
-		if n < count[best] {
-			best = i
-		}
+// adoptedRecord returns the record of a machine that was found in the cloud's list.
+func adoptedRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
+	return records.MachineRecord{
+		MachineType: machine.MachineType,
+		Zone:        machine.Zone,
+		Spot:        machine.Spot,
+		Partition:   partition,
+		CreatedAtMS: now.UnixMilli() - int64(machine.AgeS*1000),
 	}
-	return best
 }
 
-// returnMachines returns machines that their owners have let go, that are lost, or
-// that never came up.
-func (l *leader) returnMachines(ctx context.Context) {
-	ids, machines := l.machines()
-	now := time.Now()
-	notes := l.machineDigests()
-	boot := map[string]float64{}
-	for _, machineType := range l.controller.catalog() {
-		boot[machineType.Name] = machineType.BootS
-	}
-	// A list may be older than the one before by as much as it lags, so a machine
-	// can be missing from some although it is there.
-	gone := 3 + int(l.controller.settings.Cluster.Cloud.ListLagS/l.controller.tuning.ListS)
-	var back []string
-	why := map[string][]string{}
-	for _, id := range ids {
-		entry := machines[id]
-		machine, listed := l.listed[id]
-		late := now.Sub(time.UnixMilli(entry.record.CreatedAtMS)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[entry.record.MachineType]+l.controller.settings.Cluster.Cloud.ListLagS)
-		reason := ""
-		switch {
-		case entry.record.Desired == records.DesiredReturned && entry.record.Released:
-			reason = "let go"
-		case listed && machine.State == wire.MachineFailed:
-			reason = "failed"
-		case l.missedListings[id] >= gone:
-			reason = "no longer listed"
-		case notes[id]&records.DigestUnhealthy != 0:
-			reason = "faulty or silent"
-		case late && notes[id]&records.DigestReporting == 0 && !(listed && machine.State == wire.MachineRunning):
-			reason = "did not come up"
-		}
-		if reason != "" && len(back) < tuning.MaxReturn {
-			back = append(back, id)
-			why[reason] = append(why[reason], id)
+// machinesPerGroup returns how many machines of an offering one group's record holds.
+func (l *leader) machinesPerGroup(offering autoscaler.Offering) int {
+	return records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)
+}
+
+// divideIntoGroups divides new machines of one offering into groups whose records fit a
+// value.
+func (l *leader) divideIntoGroups(offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord) []records.MachineGroupRecord {
+	var groups []records.MachineGroupRecord
+	for chunk := range slices.Chunk(ids, l.machinesPerGroup(offering)) {
+		group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
+		for _, id := range chunk {
+			group.Machines[id] = machines[id]
 		}
+		groups = append(groups, group)
 	}
-	if len(back) > 0 {
-		l.returnToCloud(ctx, back, why)
-	}
+	return groups
 }
 
-// returnToCloud returns machines; once that is answered, they and all on them are
-// gone, and only then do their records go.
-func (l *leader) returnToCloud(ctx context.Context, ids []string, why map[string][]string) {
-	if !l.mayCallCloud() {
-		return
-	}
-	if err := l.controller.cloud.Return(ctx, ids); err != nil {
-		slog.Debug("machines not returned", "ids", ids, "err", err)
-		return
-	}
-	for _, reason := range slices.Sorted(maps.Keys(why)) {
-		slog.Info("returned", "machines", why[reason], "why", reason)
-	}
-	changes := map[string]*records.MachineRecord{}
-	for _, id := range ids {
-		l.returnedAt[id] = time.Now()
-		if entry, ok := l.controller.cluster.machine(id); ok {
-			// There is room again for its like.
-			delete(l.refused, autoscaler.Offering{MachineType: entry.record.MachineType, Zone: entry.record.Zone, Spot: entry.record.Spot})
-			changes[id] = nil
+// smallestPartition returns the partition with the fewest machines, so that adopted ones are
+// spread.
+func smallestPartition(machines map[string]machineEntry, partitions int) int {
+	counts := make([]int, partitions)
+	for _, entry := range machines {
+		if entry.record.Partition < partitions {
+			counts[entry.record.Partition]++
 		}
 	}
-	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
-		slog.Debug("records of returned machines still stand", "err", err)
+	smallest := 0
+	for partition, count := range counts {
+		if count < counts[smallest] {
+			smallest = partition
+		}
 	}
+	return smallest
 }
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -10,96 +10,124 @@
 	"ambersill/internal/wire"
 )
 
+// groupEntry is the cached record of a group of machines.
 type groupEntry struct {
 	record   records.MachineGroupRecord
 	revision uint64
 }
 
-// applyGroup takes in a group of machines, and returns what is to be told of them.
-func (c *clusterCache) applyGroup(name string, value wire.Raw, revision uint64, gone bool) func() {
+// groupDifference is what a new state of a group means for its machines.
+type groupDifference struct {
+	changed map[string]machineEntry
+	removed []string
+}
+
+// applyGroup applies a change of a group of machines, and returns what notifies the
+// listener; nil if there is nothing to do.
+func (c *clusterCache) applyGroup(name string, value wire.Raw, revision uint64, deleted bool) (notify func()) {
 	old := c.groups[name]
 	if revision < old.revision {
 		return nil
 	}
 	var group records.MachineGroupRecord
-	if !gone {
+	if !deleted {
 		var err error
 		if group, err = records.DecodeMachineGroup(name, value, revision); err != nil {
 			slog.Error("record not understood", "key", records.MachinePrefix+name, "err", err)
 			return nil
 		}
 	}
-	changed, lost := map[string]machineEntry{}, []string{}
+	difference := c.replaceGroupMachines(name, old.record, group, revision)
+	if deleted {
+		delete(c.groups, name)
+	} else {
+		c.groups[name] = groupEntry{record: group, revision: revision}
+	}
+	if c.onMachine == nil {
+		return nil
+	}
+	return func() { difference.notify(c.onMachine) }
+}
+
+// replaceGroupMachines replaces the machines of a group. One that another group holds by now
+// is not removed: its own was divided.
+func (c *clusterCache) replaceGroupMachines(name string, old, group records.MachineGroupRecord, revision uint64) groupDifference {
+	difference := groupDifference{changed: map[string]machineEntry{}}
 	for id, record := range group.Machines {
 		entry := machineEntry{record: record, group: name, revision: revision}
 		if c.machines[id].record != record {
-			changed[id] = entry
+			difference.changed[id] = entry
 		}
 		c.machines[id] = entry
 	}
-	for id := range old.record.Machines {
+	for id := range old.Machines {
 		if _, ok := group.Machines[id]; !ok && c.machines[id].group == name {
 			delete(c.machines, id)
-			lost = append(lost, id)
+			difference.removed = append(difference.removed, id)
 		}
 	}
-	if gone {
-		delete(c.groups, name)
-	} else {
-		c.groups[name] = groupEntry{group, revision}
+	return difference
+}
+
+func (d groupDifference) notify(onMachine func(machine string, entry machineEntry, gone bool)) {
+	for id, entry := range d.changed {
+		onMachine(id, entry, false)
 	}
-	if c.onMachine == nil {
-		return nil
+	for _, id := range d.removed {
+		onMachine(id, machineEntry{}, true)
 	}
-	return func() {
-		for id, entry := range changed {
-			c.onMachine(id, entry, false)
-		}
-		for _, id := range lost {
-			c.onMachine(id, machineEntry{}, true)
+}
+
+// applyWrites applies the writes of a commit in their order.
+func (c *clusterCache) applyWrites(writes []wire.Write, revision uint64) {
+	for _, write := range writes {
+		if write.Put != "" {
+			c.apply(write.Put, must(wire.Marshal(write.Value)), revision, false)
+		} else {
+			c.apply(write.Delete, nil, revision, true)
 		}
 	}
 }
 
-// groupChange is a change of a group's record, to be committed as a whole: one that
-// outgrows a value is divided into several.
+// groupChange is a change of a group's record, to be committed as a whole: a group that
+// exceeds the size limit is divided into several.
 type groupChange struct {
 	compares []wire.Compare
 	writes   []wire.Write
 }
 
-// groupChanges builds the writes that change machines' records; nil removes one. Groups
-// that are not in the copy any more are left out. No group is larger than the limit.
-func (c *clusterCache) groupChanges(changes map[string]*records.MachineRecord, limit int) []groupChange {
+// groupChanges returns the writes that change machines' records; nil removes one. Groups
+// that are no longer in the cache are left out. No group is larger than the limit.
+func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, limit int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next := map[string]records.MachineGroupRecord{}
+	groups := map[string]records.MachineGroupRecord{}
 	var order []string
-	for _, id := range slices.Sorted(maps.Keys(changes)) {
+	for _, id := range slices.Sorted(maps.Keys(machines)) {
 		entry, ok := c.machines[id]
 		if !ok {
 			continue
 		}
-		group, ok := next[entry.group]
+		group, ok := groups[entry.group]
 		if !ok {
 			group.Machines = maps.Clone(c.groups[entry.group].record.Machines)
-			next[entry.group] = group
+			groups[entry.group] = group
 			order = append(order, entry.group)
 		}
-		if record := changes[id]; record != nil {
+		if record := machines[id]; record != nil {
 			group.Machines[id] = *record
 		} else {
 			delete(group.Machines, id)
 		}
 	}
-	var out []groupChange
+	changes := make([]groupChange, 0, len(order))
 	for _, name := range order {
-		out = append(out, changeGroup(name, c.groups[name].revision, next[name], limit))
+		changes = append(changes, changeGroup(name, c.groups[name].revision, groups[name], limit))
 	}
-	return out
+	return changes
 }
 
-// changeGroup builds the writes of one group.
+// changeGroup returns the writes that replace one group.
 func changeGroup(name string, revision uint64, group records.MachineGroupRecord, limit int) groupChange {
 	key := records.MachinePrefix + name
 	change := groupChange{compares: []wire.Compare{{Key: key, Revision: revision}}}
@@ -109,16 +137,17 @@
 	}
 	pieces := group.Split(limit)
 	for _, piece := range pieces[1:] {
-		cond, put := newGroup(piece)
-		change.compares, change.writes = append(change.compares, cond), append(change.writes, put)
+		compare, write := newGroup(piece)
+		change.compares = append(change.compares, compare)
+		change.writes = append(change.writes, write)
 	}
 	change.writes = append(change.writes, wire.Write{Put: key, Value: pieces[0]})
 	return change
 }
 
-// groupLimit is the size of the largest group that may be written, in bytes. Programs of
-// the first format could take a machine for gone for a moment when its group is divided,
-// so that none is as long as there may be any.
+// groupLimit returns the size of the largest group that may be written, in bytes. Programs of
+// the first feature level could take a machine for removed while its group is divided, so
+// that none is divided for being large as long as there may be such programs.
 func (c *Controller) groupLimit() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return int(c.settings.Cluster.State.ValueKB * 1024)
@@ -126,32 +155,38 @@
 	return int(c.limits.ValueKB * 1024)
 }
 
-// sortEvents sorts changes so that they can be taken in one after the other: by revision, and
-// the pieces of a divided group, whose names are higher, before the rest of it. Else the
-// machines of the pieces would be missing in between, and be taken for gone.
+// sortEvents sorts events so that they can be applied one after the other: by revision, and
+// the pieces of a divided group, whose names are higher, before the rest of it. Otherwise
+// the machines of the pieces would be missing in between, and be taken for removed.
 func sortEvents(events []wire.Event) []wire.Event {
-	out := slices.Clone(events)
-	slices.SortStableFunc(out, func(a, b wire.Event) int {
+	sorted := slices.Clone(events)
+	slices.SortStableFunc(sorted, func(a, b wire.Event) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(b.Put+b.Delete, a.Put+a.Delete))
 	})
-	return out
+	return sorted
 }
 
-// newGroup is the write of a new group, named after its first machine.
+// newGroup returns the write of a new group, which is named after its first machine, and the
+// compare that no group has that name.
 func newGroup(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
-	key := records.MachinePrefix + slices.Min(slices.Sorted(maps.Keys(group.Machines)))
+	key := records.MachinePrefix + firstMachine(group)
 	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: group}
 }
 
-// oversized names a machine of each group that outgrows the limit.
-func (c *clusterCache) oversized(limit int) []string {
+// firstMachine returns the lowest ID of a group's machines.
+func firstMachine(group records.MachineGroupRecord) string {
+	return slices.Min(slices.Collect(maps.Keys(group.Machines)))
+}
+
+// machinesOfOversizedGroups returns the first machine of each group that exceeds the limit.
+func (c *clusterCache) machinesOfOversizedGroups(limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []string
+	var machines []string
 	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
 		if group := c.groups[name].record; group.SizeBound() > limit {
-			out = append(out, slices.Min(slices.Sorted(maps.Keys(group.Machines))))
+			machines = append(machines, firstMachine(group))
 		}
 	}
-	return out
+	return machines
 }
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -8,36 +8,37 @@
 	"ambersill/internal/wire"
 )
 
-// groupEvents are the changes of one commit that divides a group of machines, in the order
-// of their keys.
+// groupEvents returns the events of one commit that divides a group of machines, in the
+// order of their keys.
 func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
-	var out []wire.Event
+	var events []wire.Event
 	for _, group := range pieces {
-		_, put := newGroup(group)
-		out = append(out, wire.Event{Put: put.Put, Value: must(wire.Marshal(put.Value)), Revision: revision})
+		_, write := newGroup(group)
+		events = append(events, wire.Event{Put: write.Put, Value: must(wire.Marshal(write.Value)), Revision: revision})
 	}
-	return out
+	return events
 }
 
-// A group that is divided loses none of its machines, not for a moment either: what is
-// gone counts as returned, and its tasks would start elsewhere while they run. Neither a
-// watch nor a listing need tell of the pieces first.
+// A group that is divided loses none of its machines, not for a moment either: a machine
+// without a record counts as returned, and its tasks would be started elsewhere while they
+// still run. Neither a watch nor a listing need deliver the pieces first.
 func TestDividedGroupLosesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
-	pieces := whole.Split(2 << 10)
+	const limit = 2 << 10 // bytes
+	pieces := whole.Split(limit)
 	if len(pieces) < 3 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
 	for i, piece := range pieces {
-		if piece.SizeBound() > 2<<10 {
+		if piece.SizeBound() > limit {
 			t.Errorf("piece %d has %d bytes", i, piece.SizeBound())
 		}
 	}
 	divided := groupEvents(pieces, 8)
-	for name, take := range map[string]func(c *clusterCache){
+	for name, applyPieces := range map[string]func(c *clusterCache){
 		"watched": func(c *clusterCache) {
 			for _, event := range sortEvents(divided) {
 				c.apply(event.Put, event.Value, event.Revision, false)
@@ -60,7 +61,7 @@
 				t.Errorf("%s: %s is gone", name, machine)
 			}
 		}
-		take(c)
+		applyPieces(c)
 		if len(c.machines) != len(whole.Machines) {
 			t.Errorf("%s: %d machines", name, len(c.machines))
 		}
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -17,33 +17,15 @@
 	"ambersill/internal/wire"
 )
 
-// offeringBackoff is until when a kind of machine is not asked for, and how long that was for.
-type offeringBackoff struct {
-	until time.Time
-	wait  float64
-}
+// rentalRetry is how long an unanswered rental waits before the cloud is asked again.
+const rentalRetry = 2 * time.Second
 
-// finishRentals calls the cloud for each recorded rental, and again under the same name
-// until there is an answer, also for those of earlier leaders.
-func (l *leader) finishRentals(ctx context.Context) {
-	for _, rental := range l.recordedRentals() {
-		if at, ok := l.lastAttempt[rental.name]; ok && time.Since(at) < rentalRetry {
-			continue
-		}
-		if l.abandoned(rental) {
-			l.dropRental(ctx, rental)
-			continue
-		}
-		if !l.mayCallCloud() {
-			return
-		}
-		l.finishRental(ctx, rental)
-	}
+// rentalProgress is what this term's leader knows of a recorded rental.
+type rentalProgress struct {
+	lastAttempt      time.Time // of calling the cloud; zero if this leader has not called
+	recordedThisTerm bool
 }
 
-// rentalRetry is how long an unanswered rental waits before it is asked for again.
-const rentalRetry = 2 * time.Second
-
 // recordedRental is a rental whose record still stands.
 type recordedRental struct {
 	name string
@@ -52,61 +34,141 @@
 
 func (r recordedRental) key() string { return records.RentalPrefix + r.name }
 
-func (r recordedRental) kind() autoscaler.Offering {
-	return autoscaler.Offering{MachineType: r.record.MachineType, Zone: r.record.Zone, Spot: r.record.Spot}
+func (r recordedRental) offering() autoscaler.Offering { return offeringOfRental(r.record) }
+
+// compare orders rentals by when they were recorded, which is the order of need. The names of
+// one term differ in a number, so that shorter ones come first.
+func (r recordedRental) compare(other recordedRental) int {
+	return cmp.Or(
+		cmp.Compare(r.record.RecordedAtMS, other.record.RecordedAtMS),
+		cmp.Compare(len(r.name), len(other.name)),
+		cmp.Compare(r.name, other.name),
+	)
 }
 
-// recordedRentals lists them in the order of their recording, which is that of need.
+// recordedRentals returns the rentals without an answer in the order of their recording.
 func (l *leader) recordedRentals() []recordedRental {
-	copied := l.controller.cluster
-	copied.mu.Lock()
-	defer copied.mu.Unlock()
-	all := make([]recordedRental, 0, len(copied.rentals))
-	for name, entry := range copied.rentals {
-		all = append(all, recordedRental{name, entry})
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	rentals := make([]recordedRental, 0, len(cluster.rentals))
+	for name, entry := range cluster.rentals {
+		rentals = append(rentals, recordedRental{name, entry})
+	}
+	slices.SortFunc(rentals, recordedRental.compare)
+	return rentals
+}
+
+// maxRentalCount returns how many machines one rental may bring: their groups are recorded
+// in one transaction, which deletes the rental's record as well.
+func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
+	limits := l.controller.limits
+	groups := min(limits.TxnOps-1, max(1, tuning.TxnBytes/int(limits.ValueKB*1024)))
+	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
+}
+
+// recordRentals records rentals, divided into as many as the cloud and the key-value store
+// allow for.
+func (l *leader) recordRentals(ctx context.Context, rentals []autoscaler.Rental) {
+	for _, rental := range rentals {
+		most := l.maxRentalCount(rental.Offering)
+		for remaining := rental.Count; remaining > 0; remaining -= most {
+			l.recordRental(ctx, rental, min(remaining, most))
+		}
 	}
-	slices.SortFunc(all, func(a, b recordedRental) int {
-		return cmp.Or(cmp.Compare(a.record.RecordedAtMS, b.record.RecordedAtMS), cmp.Compare(len(a.name), len(b.name)), cmp.Compare(a.name, b.name))
-	})
-	return all
 }
 
-// abandoned tells whether the cloud has refused a rental's kind since it was recorded,
-// and has certainly not heard of the rental: nobody but this leader could have called it.
-func (l *leader) abandoned(rental recordedRental) bool {
-	_, called := l.lastAttempt[rental.name]
-	return !called && l.recordedThisTerm[rental.name] && time.Now().Before(l.refused[rental.kind()].until)
+// recordRental records a rental before the cloud is called, so that a later leader can
+// repeat the call under the same name.
+func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, count int) {
+	// The term's revision makes the name unique, whoever leads and however late the
+	// commit is carried out.
+	name := fmt.Sprintf("r-%d-%d", l.revision, l.nextRental)
+	l.nextRental++
+	l.rentals[name] = rentalProgress{recordedThisTerm: true}
+	record := records.RentalRecord{
+		MachineType:  rental.Offering.MachineType,
+		Zone:         rental.Offering.Zone,
+		Spot:         rental.Offering.Spot,
+		Count:        count,
+		Partition:    rental.Partition,
+		RecordedAtMS: time.Now().UnixMilli(),
+	}
+	key := records.RentalPrefix + name
+	compares := []wire.Compare{{Key: key, Revision: 0}}
+	writes := []wire.Write{{Put: key, Value: record}}
+	if err := l.commit(ctx, compares, writes); err != nil {
+		slog.Debug("rental not recorded", "request", name, "err", err)
+	}
+}
+
+// finishRentals calls the cloud for each recorded rental, also for those of earlier leaders,
+// and again under the same name until there is an answer.
+func (l *leader) finishRentals(ctx context.Context) {
+	for _, rental := range l.recordedRentals() {
+		last := l.rentals[rental.name].lastAttempt
+		if !last.IsZero() && time.Since(last) < rentalRetry {
+			continue
+		}
+		if l.isObsolete(rental) {
+			l.dropRental(ctx, rental)
+			continue
+		}
+		if !l.mayCallCloud() {
+			return
+		}
+		l.finishRental(ctx, rental)
+	}
+}
+
+// isObsolete reports whether the cloud has refused a rental's offering since it was recorded,
+// and has certainly not received the rental: only this leader could have sent it.
+func (l *leader) isObsolete(rental recordedRental) bool {
+	progress := l.rentals[rental.name]
+	called := !progress.lastAttempt.IsZero()
+	return !called && progress.recordedThisTerm && l.backoffs[rental.offering()].active(time.Now())
 }
 
 // dropRental deletes the record of a rental that nobody has called the cloud for.
 func (l *leader) dropRental(ctx context.Context, rental recordedRental) {
-	revision, err := l.commit(ctx, []wire.Compare{{Key: rental.key(), Revision: rental.revision}}, []wire.Write{{Delete: rental.key()}})
-	if err != nil {
+	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
+	writes := []wire.Write{{Delete: rental.key()}}
+	if err := l.commit(ctx, compares, writes); err != nil {
+		slog.Debug("obsolete rental not deleted", "request", rental.name, "err", err)
 		return
 	}
-	l.controller.cluster.apply(rental.key(), nil, revision, true)
-	delete(l.recordedThisTerm, rental.name)
+	delete(l.rentals, rental.name)
 }
 
-// finishRental calls the cloud once, and records the machines in the rental's place.
+// finishRental calls the cloud once, and records the machines in place of the rental.
 func (l *leader) finishRental(ctx context.Context, rental recordedRental) {
-	kind := rental.kind()
-	l.lastAttempt[rental.name] = time.Now()
-	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{RequestID: rental.name, MachineType: kind.MachineType, Zone: kind.Zone, Spot: kind.Spot, Count: rental.record.Count})
+	progress := l.rentals[rental.name]
+	progress.lastAttempt = time.Now()
+	l.rentals[rental.name] = progress
+
+	offering := rental.offering()
+	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{
+		RequestID:   rental.name,
+		MachineType: offering.MachineType,
+		Zone:        offering.Zone,
+		Spot:        offering.Spot,
+		Count:       rental.record.Count,
+	})
 	switch {
-	case err == nil:
-		slog.Info("rented", "request", rental.name, "type", kind.MachineType, "zone", kind.Zone, "spot", kind.Spot, "asked", rental.record.Count, "got", len(ids))
-		if len(ids) < rental.record.Count {
-			l.backOffOffering(kind)
-		} else {
-			delete(l.refused, kind)
-		}
 	case errors.Is(err, cloud.ErrNoCapacity):
-		l.backOffOffering(kind)
-		slog.Info("rental refused", "type", kind.MachineType, "zone", kind.Zone, "spot", kind.Spot)
-	default:
+		l.backOffOffering(offering)
+		slog.Info("rental refused", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
+	case err != nil:
 		slog.Debug("rental unanswered", "request", rental.name, "err", err)
 		return
+	default:
+		slog.Info("rented", "request", rental.name, "type", offering.MachineType, "zone", offering.Zone,
+			"spot", offering.Spot, "asked", rental.record.Count, "got", len(ids))
+		if len(ids) < rental.record.Count {
+			l.backOffOffering(offering)
+		} else {
+			delete(l.backoffs, offering)
+		}
 	}
 	l.replaceRental(ctx, rental, ids)
 }
@@ -114,59 +176,34 @@
 // replaceRental deletes a rental's record, and writes those of its machines that are not
 // known yet.
 func (l *leader) replaceRental(ctx context.Context, rental recordedRental, ids []string) {
-	conds := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
-	then := []wire.Write{{Delete: rental.key()}}
-	recs := map[string]records.MachineRecord{}
+	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
+	writes := []wire.Write{{Delete: rental.key()}}
+	machines := map[string]records.MachineRecord{}
 	for _, id := range ids {
 		if _, known := l.controller.cluster.machine(id); !known {
-			recs[id] = records.MachineRecord{MachineType: rental.record.MachineType, Zone: rental.record.Zone, Spot: rental.record.Spot, Partition: rental.record.Partition, CreatedAtMS: time.Now().UnixMilli()}
+			machines[id] = newMachineRecord(rental.record)
 		}
 	}
-	per := records.MachinesPerGroup(l.controller.limits.ValueKB, rental.record.MachineType, rental.record.Zone)
-	for ids := range slices.Chunk(slices.Sorted(maps.Keys(recs)), per) {
-		cond, put := newGroup(groupOf(ids, recs))
-		conds, then = append(conds, cond), append(then, put)
+	ids = slices.Sorted(maps.Keys(machines))
+	for _, group := range l.divideIntoGroups(rental.offering(), ids, machines) {
+		compare, write := newGroup(group)
+		compares = append(compares, compare)
+		writes = append(writes, write)
 	}
-	revision, err := l.commit(ctx, conds, then)
-	if err != nil {
-		slog.Debug("rental not recorded", "request", rental.name, "err", err)
+	if err := l.commit(ctx, compares, writes); err != nil {
+		slog.Debug("rented machines not recorded", "request", rental.name, "err", err)
 		return
 	}
-	l.controller.cluster.apply(rental.key(), nil, revision, true)
-	delete(l.recordedThisTerm, rental.name)
-	delete(l.lastAttempt, rental.name)
-	for _, w := range then[1:] {
-		l.controller.cluster.apply(w.Put, must(wire.Marshal(w.Value)), revision, false)
-	}
+	delete(l.rentals, rental.name)
 }
 
-// backOffOffering notes that the cloud has no more of a kind, which is asked for again later.
-func (l *leader) backOffOffering(offering autoscaler.Offering) {
-	backoff := l.refused[offering]
-	if backoff.wait == 0 {
-		backoff.wait = l.controller.tuning.RefusalS
-	} else {
-		backoff.wait = min(2*backoff.wait, l.controller.tuning.RefusalMaxS)
-	}
-	backoff.until = time.Now().Add(tuning.Seconds(backoff.wait))
-	l.refused[offering] = backoff
-	// What was refused is asked of the next best kind at once.
-	l.resize = true
-}
-
-// recordRental writes a rental down; finishRentals calls the cloud for it.
-func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, n int) {
-	// The term's stamp makes the name unique, whoever leads and whatever is
-	// carried out late.
-	name := fmt.Sprintf("r-%d-%d", l.revision, l.nextRental)
-	l.nextRental++
-	l.recordedThisTerm[name] = true
-	record := records.RentalRecord{MachineType: rental.Offering.MachineType, Zone: rental.Offering.Zone, Spot: rental.Offering.Spot, Count: n, Partition: rental.Partition, RecordedAtMS: time.Now().UnixMilli()}
-	key := records.RentalPrefix + name
-	revision, err := l.commit(ctx, []wire.Compare{{Key: key, Revision: 0}}, []wire.Write{{Put: key, Value: record}})
-	if err != nil {
-		slog.Debug("rental not recorded", "err", err)
-		return
+// newMachineRecord returns the record of a machine that a rental has brought.
+func newMachineRecord(rental records.RentalRecord) records.MachineRecord {
+	return records.MachineRecord{
+		MachineType: rental.MachineType,
+		Zone:        rental.Zone,
+		Spot:        rental.Spot,
+		Partition:   rental.Partition,
+		CreatedAtMS: time.Now().UnixMilli(),
 	}
-	l.controller.cluster.apply(key, must(wire.Marshal(record)), revision, false)
 }
--- /dev/null
+++ b/internal/controller/sizing.go
@@ -0,0 +1,117 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"ambersill/internal/autoscaler"
+	"ambersill/internal/records"
+	"ambersill/internal/wire"
+)
+
+func offeringOfMachine(record records.MachineRecord) autoscaler.Offering {
+	return autoscaler.Offering{MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot}
+}
+
+func offeringOfRental(record records.RentalRecord) autoscaler.Offering {
+	return autoscaler.Offering{MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot}
+}
+
+func offeringOfListed(machine wire.CloudMachine) autoscaler.Offering {
+	return autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
+}
+
+// needsFirstMachine reports whether work waits while there is no machine, nor one to come:
+// it would wait for the next regular sizing for nothing.
+func (l *leader) needsFirstMachine() bool {
+	cluster := l.controller.cluster
+	cluster.mu.Lock()
+	machines := len(cluster.machines) + len(cluster.rentals)
+	cluster.mu.Unlock()
+	if machines > 0 {
+		return false
+	}
+	for _, summary := range l.summaries {
+		if len(summary.Waiting) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// runSizing sizes the fleet: it records rentals, which finishRentals carries out, and what
+// the partitions' owners are to do with machines.
+func (l *leader) runSizing(ctx context.Context) {
+	types := l.controller.catalog()
+	if len(types) == 0 {
+		return
+	}
+	now := time.Now()
+	ids, machines := l.machines()
+	plan := l.autoscaler.Plan(autoscaler.Input{
+		MachineTypes:   types,
+		Machines:       l.sizingMachines(ids, machines),
+		PendingRentals: l.pendingRentals(),
+		Summaries:      l.summaries,
+		Unavailable:    l.unavailableOfferings(now),
+	}, now)
+	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines,
+		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns, "machines", len(ids))
+	l.recordRentals(ctx, plan.Rentals)
+	changes := desiredChanges(plan, machines)
+	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
+		slog.Debug("desired states of machines not recorded", "err", err)
+	}
+}
+
+// sizingMachines returns the recorded machines for the autoscaler.
+func (l *leader) sizingMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
+	digests := l.machineDigests()
+	sizing := make([]autoscaler.Machine, 0, len(ids))
+	for _, id := range ids {
+		record, digest := machines[id].record, digests[id]
+		// A machine that is up, but has sent no heartbeat since its partition's owner
+		// changed, is partitioned away or hangs. It must not count as still to come, or
+		// no other would be rented instead.
+		silent := digest&records.DigestNeverHeard != 0 && l.listings[id].state == wire.MachineRunning
+		sizing = append(sizing, autoscaler.Machine{
+			ID:        id,
+			Offering:  offeringOfMachine(record),
+			Partition: record.Partition,
+			Desired:   record.Desired,
+			Empty:     digest&records.DigestEmpty != 0,
+			Running:   digest&records.DigestReporting != 0 || silent,
+		})
+	}
+	return sizing
+}
+
+// pendingRentals returns an entry for each machine of the recorded rentals.
+func (l *leader) pendingRentals() []autoscaler.Machine {
+	var pending []autoscaler.Machine
+	for _, rental := range l.recordedRentals() {
+		machine := autoscaler.Machine{Offering: rental.offering(), Partition: rental.record.Partition}
+		for range rental.record.Count {
+			pending = append(pending, machine)
+		}
+	}
+	return pending
+}
+
+// desiredChanges returns the records of the machines that a plan moves or returns.
+func desiredChanges(plan autoscaler.Plan, machines map[string]machineEntry) map[string]*records.MachineRecord {
+	changes := map[string]*records.MachineRecord{}
+	for _, move := range plan.Reassignments {
+		record := machines[move.MachineID].record
+		record.Desired = records.DesiredMoved
+		record.MoveTo = move.ToPartition
+		changes[move.MachineID] = &record
+	}
+	for _, id := range plan.Returns {
+		record := machines[id].record
+		record.Desired = records.DesiredReturned
+		changes[id] = &record
+	}
+	return changes
+}
