--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -41,6 +41,9 @@
 // within a fraction of a second, twice, in an outage's wake; copies of reports come late
 // by up to twice a lease; a job of 1,200 tasks is cancelled meanwhile.
 func TestManyMachinesFallTogether(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	fleet(t, 7, 60, func(d *day) {
 		d.loseSome()
 		for n := range 12 {
@@ -95,6 +98,9 @@
 // A zone's machines fall silent in the moment of a takeover: the others must hear of the
 // new owner, and go on, however many orders hang.
 func TestTakeoverBesideSilentMachines(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	fleet(t, 8, 30, func(d *day) {
 		d.submit(largeArray(1, 110, 8, 120), 0)
 		time.Sleep(50 * time.Second)
@@ -124,6 +130,9 @@
 
 // Finished jobs, which are kept for ever, cost a takeover nothing.
 func TestTakeoverReadsNoFinishedJobs(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	const finished = 10000
 	fleet(t, 11, 4, func(d *day) {
 		store := kvstore.New(kvstore.Options{Net: d.fabric.Host("history"), Addr: "10.2.0.1:1", Timeout: 2 * time.Second, ReadRate: 1e6, WriteRate: 1e6})
@@ -158,6 +167,9 @@
 // The model must see a version that frees what a silent machine runs before its lease
 // has run out, and one whose answers about a job stay away.
 func TestModelSeesBrokenRules(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	broken := func(rule string, d *day) {
 		t.Helper()
 		for _, b := range d.world.Violations() {
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -61,8 +61,14 @@
 }
 
 func meet(t *testing.T, all []meeting) {
+	t.Parallel()
 	for _, m := range all {
-		t.Run(m.name, m.play)
+		t.Run(m.name, func(t *testing.T) {
+			if runInChildProcess(t) {
+				return
+			}
+			m.play(t)
+		})
 	}
 }
 
--- a/internal/controller/quiet_test.go
+++ b/internal/controller/quiet_test.go
@@ -13,6 +13,9 @@
 )
 
 func TestQuietDay(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 1, 1, false, func(d *day) {
 		d.jobs(0, 20, 2*time.Minute)
 		d.finish(15 * time.Minute)
@@ -22,6 +25,9 @@
 // A controller that loses the workers, but not the others, must not cost the work
 // that runs: its workers' reports come by way of another node.
 func TestReportsAreRelayed(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 2, 1, false, func(d *day) {
 		job := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 6, CPUs: 4, MemoryGB: 4,
 			Image: "img", ImageGB: 1, EstimatedRunS: 120}
@@ -47,6 +53,9 @@
 // A gang whose image takes longer to fetch than a task waits for the others, with
 // the image on one of its machines already, must come to run.
 func TestGangWithLargeImageRuns(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 4, 1, false, func(d *day) {
 		job := func(id string, tasks int) *wire.Job {
 			return &wire.Job{ID: id, Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, MemoryGB: 64,
@@ -62,6 +71,9 @@
 // More is asked for than the cloud has: once it has refused a kind, the other
 // rentals recorded for that kind must not be called for one by one.
 func TestRefusedKindsAreNotCalledForAgain(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 3, 1, false, func(d *day) {
 		job := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 150, CPUs: 8, MemoryGB: 4,
 			Image: "img", ImageGB: 1, EstimatedRunS: 120, AllowSpot: true, MachineTypes: []string{"small"}}
@@ -79,6 +91,9 @@
 // A machine whose reports arrive, but which no answer and no order reaches: its work
 // goes on elsewhere once its session has risen, and the cloud gets it back.
 func TestDeafMachineIsReplaced(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 2, 1, false, func(d *day) {
 		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 3, CPUs: 8, MemoryGB: 4,
 			Image: "img", ImageGB: 1, EstimatedRunS: 90}, 0)
@@ -106,6 +121,9 @@
 // workers, keeps running work alive and starts none; its users are refused at once,
 // and it does not call itself healthy.
 func TestControllerWithWorkersOnly(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 5, 1, false, func(d *day) {
 		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 4, CPUs: 8, MemoryGB: 4,
 			Image: "img", ImageGB: 1, EstimatedRunS: 120}, 0)
@@ -153,12 +171,16 @@
 // Sustained small and urgent work must not keep the largest gang, or an array of the
 // lowest rank, from beginning within four minutes, over slow links neither.
 func TestNobodyIsStarved(t *testing.T) {
+	t.Parallel()
 	for _, delay := range []time.Duration{0, 150 * time.Millisecond} {
 		t.Run(fmt.Sprint("links slower by ", delay), func(t *testing.T) { nobodyIsStarved(t, delay) })
 	}
 }
 
 func nobodyIsStarved(t *testing.T, delay time.Duration) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 5, 1, false, func(d *day) {
 		d.world.SetLinkDelay(delay)
 		job := func(n int, shape wire.JobShape, rank wire.Priority, tasks int, cpus, seconds float64) *wire.Job {
@@ -194,6 +216,7 @@
 }
 
 func TestRoughDays(t *testing.T) {
+	t.Parallel()
 	seeds := 6
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
@@ -203,6 +226,9 @@
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			if runInChildProcess(t) {
+				return
+			}
 			play(t, uint64(100+seed), seed%4, true, func(d *day) { // 0 parts: one for each controller
 				go d.troubles(uint64(seed), 4*time.Minute)
 				d.jobs(0, 40, 4*time.Minute)
--- a/internal/controller/rough_test.go
+++ b/internal/controller/rough_test.go
@@ -57,12 +57,16 @@
 
 // Random days on which troubles from the whole vocabulary meet in pairs. SEEDS plays more.
 func TestRoughMeetings(t *testing.T) {
+	t.Parallel()
 	seeds := 5
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			if runInChildProcess(t) {
+				return
+			}
 			rnd := rand.New(rand.NewPCG(uint64(seed), 6))
 			script := pairs(rnd, 3*time.Minute)
 			m := meeting{seed: uint64(200 + seed), looks: seed%2 == 1, script: script, jobs: func(d *day) { d.jobs(0, 36, 170*second) },
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -89,6 +89,7 @@
 // The limits are lowered while nodes end, also in the middle of the conversion: nothing
 // is refused for its size, and large jobs of before the upgrade end as they should.
 func TestLimitsLoweredAfterTheUpgrade(t *testing.T) {
+	t.Parallel()
 	for _, row := range []struct {
 		name string
 		f    func(d *day)
@@ -119,6 +120,9 @@
 }
 
 func limitsLowered(t *testing.T, trouble func(d *day)) {
+	if runInChildProcess(t) {
+		return
+	}
 	upgradeDay(t, 8, 20, func(d *day) { // 80 machines of 8 CPUs
 		for i := range d.nodes {
 			d.start(i)
@@ -152,6 +156,9 @@
 
 // As long as one node is old or has not been heard of, the level stays.
 func TestLevelWaitsForAllNodes(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	upgradeDay(t, 3, 4, func(d *day) {
 		var refuse atomic.Int32 // how often what the last node says of itself is refused
 		d.state.Faults = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
@@ -193,6 +200,7 @@
 // A replica that ends, or whose machine is taken, hangs or fails all, runs again; the user
 // is never told that its service is done; cancelled, all of it goes.
 func TestReplicasArePutBack(t *testing.T) {
+	t.Parallel()
 	for _, row := range []struct {
 		name string
 		f    func(d *day)
@@ -236,6 +244,9 @@
 		}},
 	} {
 		t.Run(row.name, func(t *testing.T) {
+			if runInChildProcess(t) {
+				return
+			}
 			play(t, 4, 1, false, func(d *day) {
 				row.f(d)
 				d.submit(service(1, 4, 6), 4*time.Minute) // one on a machine
@@ -264,6 +275,9 @@
 
 // A replica that ends again and again soon after its start is not started at once for ever.
 func TestReplicaThatEndsAtOnceBacksOff(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 6, 1, false, func(d *day) {
 		d.world.SetReplicaExit(func(_ *wire.Job, task int) (time.Duration, bool) { return time.Second, task == 0 })
 		d.submit(service(1, 2, 2), 5*time.Minute)
@@ -277,6 +291,9 @@
 
 // A team's services are replaced within its limit, and one of more than that is refused.
 func TestServiceAtItsTeamsLimit(t *testing.T) {
+	if runInChildProcess(t) {
+		return
+	}
 	play(t, 4, 1, false, func(d *day) {
 		job := service(1, 5, 8) // all of the team's 40 CPUs
 		job.Team = "blue"
@@ -301,12 +318,16 @@
 // Random days with a rollout, services and lowered limits, on which troubles from the whole
 // vocabulary meet in pairs. SEEDS plays more.
 func TestRoughUpgrades(t *testing.T) {
+	t.Parallel()
 	seeds := 4
 	if n, err := strconv.Atoi(os.Getenv("SEEDS")); err == nil {
 		seeds = n
 	}
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			if runInChildProcess(t) {
+				return
+			}
 			rnd := rand.New(rand.NewPCG(uint64(seed), 9))
 			script := pairs(rnd, 3*time.Minute)
 			m := meeting{seed: uint64(300 + seed), looks: seed%2 == 1, script: script,
