--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,22 +1,50 @@
-// Package config reads the platform's settings file and the operators' policy.
+// Package config reads the platform's settings file and the operators' policy script.
 package config
 
 import (
 	"fmt"
-	"net"
 	"os"
 
 	"github.com/BurntSushi/toml"
 )
 
+// Settings are what the platform configures for one controller.
+type Settings struct {
+	Node       string   `toml:"node"`
+	Zone       string   `toml:"zone"`
+	PublicAddr string   `toml:"public_addr"` // where users and workers connect
+	MeshAddr   string   `toml:"mesh_addr"`   // where the other controllers connect
+	Members    []Member `toml:"members"`
+	Outside    Outside  `toml:"outside"`
+	Cluster    Cluster  `toml:"cluster"`
+}
+
 // Member is another controller.
 type Member struct {
 	Node string `toml:"node"`
 	Zone string `toml:"zone"`
-	Addr string `toml:"addr"`
+	Addr string `toml:"addr"` // its mesh address
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Outside has the addresses of the services that controllers depend on.
+type Outside struct {
+	Cloud string `toml:"cloud"`
+	State string `toml:"state"` // the key-value store
+}
+
+// Cluster is what all controllers have in common.
+type Cluster struct {
+	Count        int           `toml:"count"` // number of controllers
+	Zones        []string      `toml:"zones"`
+	ClockErrorMS float64       `toml:"clock_error_ms"`
+	Teams        []Team        `toml:"teams"`
+	Workers      Workers       `toml:"workers"`
+	State        State         `toml:"state"`
+	Cloud        Cloud         `toml:"cloud"`
+	Limits       MachineLimits `toml:"machine_limits"`
+}
+
+// Team has a guarantee and a limit of CPUs and of GPUs; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -25,7 +53,24 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// StateLimits are the limits of the state service.
+// Workers has the workers' timing, in seconds.
+type Workers struct {
+	ReportS   float64 `toml:"report_s"`    // between two heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // after the last answered heartbeat until a worker kills its tasks
+	GangWaitS float64 `toml:"gang_wait_s"` // that a gang's task waits for the rest of the gang
+	GangPeerS float64 `toml:"gang_peer_s"` // until a gang's task exits after another one was lost
+	CancelS   float64 `toml:"cancel_s"`    // within which a cancelled job's tasks have to stop
+}
+
+// State has the limits of the key-value store.
+type State struct {
+	StateLimits
+	// Next has the limits that will be in force at some later time; nil if none are
+	// announced. A limit of 0 does not change.
+	Next *StateLimits `toml:"next"`
+}
+
+// StateLimits are limits of the key-value store.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`       // requests per second
 	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
@@ -33,157 +78,48 @@
 	TxnOps   int     `toml:"txn_ops"`   // puts and deletes in a transaction
 }
 
-// Settings are what the platform hands over.
-type Settings struct {
-	Node       string   `toml:"node"`
-	Zone       string   `toml:"zone"`
-	PublicAddr string   `toml:"public_addr"`
-	MeshAddr   string   `toml:"mesh_addr"`
-	Members    []Member `toml:"members"`
-	Outside    struct {
-		Cloud string `toml:"cloud"`
-		State string `toml:"state"`
-	} `toml:"outside"`
-	Cluster struct {
-		Count        int      `toml:"count"`
-		Zones        []string `toml:"zones"`
-		ClockErrorMS float64  `toml:"clock_error_ms"`
-		Teams        []Team   `toml:"teams"`
-		Workers      struct {
-			ReportS   float64 `toml:"report_s"`
-			LeaseS    float64 `toml:"lease_s"`
-			GangWaitS float64 `toml:"gang_wait_s"`
-			GangPeerS float64 `toml:"gang_peer_s"`
-			CancelS   float64 `toml:"cancel_s"`
-		} `toml:"workers"`
-		State struct {
-			StateLimits
-			// Next holds the limits that will be in force at some later moment; nil
-			// if none are announced, and a limit of 0 stays as it is.
-			Next *StateLimits `toml:"next"`
-		} `toml:"state"`
-		Cloud struct {
-			RPS      float64 `toml:"rps"`
-			ListLagS float64 `toml:"list_lag_s"`
-		} `toml:"cloud"`
-		Limits struct {
-			CPU        float64 `toml:"cpu"`
-			RAMMB      float64 `toml:"ram_mb"`
-			MaxSockets int     `toml:"max_sockets"`
-		} `toml:"machine_limits"`
-	} `toml:"cluster"`
+// Cloud has the limits of the cloud.
+type Cloud struct {
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list may lag
 }
 
-// Load reads and checks a settings file. Unknown fields are ignored, since the
-// platform may add some.
-func Load(path string) (*Settings, error) {
-	b, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	var s Settings
-	if err := toml.Unmarshal(b, &s); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	if err := s.check(); err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
-	}
-	return &s, nil
+// MachineLimits are the limits of the machine that the controller runs on.
+type MachineLimits struct {
+	CPU        float64 `toml:"cpu"`         // cores
+	RAMMB      float64 `toml:"ram_mb"`      // MiB
+	MaxSockets int     `toml:"max_sockets"` // open at the same time
 }
 
-func (s *Settings) check() error {
-	if s.Node == "" {
-		return fmt.Errorf("node: missing")
-	}
-	if s.Zone == "" {
-		return fmt.Errorf("zone: missing")
-	}
-	for _, a := range []struct{ name, addr string }{
-		{"public_addr", s.PublicAddr}, {"mesh_addr", s.MeshAddr},
-		{"outside.cloud", s.Outside.Cloud}, {"outside.state", s.Outside.State},
-	} {
-		if a.addr == "" {
-			return fmt.Errorf("%s: missing", a.name)
-		}
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %q is no host:port", a.name, a.addr)
-		}
-	}
-	seen := map[string]bool{s.Node: true}
-	for i, m := range s.Members {
-		if m.Node == "" || seen[m.Node] {
-			return fmt.Errorf("members[%d].node: missing or named twice", i)
-		}
-		seen[m.Node] = true
-		if _, _, err := net.SplitHostPort(m.Addr); err != nil {
-			return fmt.Errorf("members[%d].addr: %q is no host:port", i, m.Addr)
-		}
-	}
-	c := &s.Cluster
-	if c.Count < 1 {
-		return fmt.Errorf("cluster.count: must be at least 1")
-	}
-	teams := map[string]bool{}
-	for i, t := range c.Teams {
-		if t.Name == "" || teams[t.Name] {
-			return fmt.Errorf("cluster.teams[%d].name: missing or named twice", i)
-		}
-		teams[t.Name] = true
-		if t.CPUs < 0 || t.CPUsMax < 0 || t.GPUs < 0 || t.GPUsMax < 0 {
-			return fmt.Errorf("cluster.teams[%d]: an amount is negative", i)
-		}
-	}
-	for _, v := range []struct {
-		name string
-		val  float64
-	}{
-		{"cluster.workers.report_s", c.Workers.ReportS}, {"cluster.workers.lease_s", c.Workers.LeaseS},
-		{"cluster.workers.gang_wait_s", c.Workers.GangWaitS}, {"cluster.workers.gang_peer_s", c.Workers.GangPeerS},
-		{"cluster.workers.cancel_s", c.Workers.CancelS}, {"cluster.state.rps", c.State.RPS},
-		{"cluster.state.write_rps", c.State.WriteRPS}, {"cluster.state.value_kb", c.State.ValueKB},
-		{"cluster.cloud.rps", c.Cloud.RPS}, {"cluster.machine_limits.ram_mb", c.Limits.RAMMB},
-	} {
-		if !(v.val > 0) {
-			return fmt.Errorf("%s: must be above 0", v.name)
-		}
-	}
-	if c.State.TxnOps < minTxnOps {
-		return fmt.Errorf("cluster.state.txn_ops: must be at least %d", minTxnOps)
-	}
-	if err := checkNext(c.State.Next); err != nil {
-		return err
-	}
-	if c.Limits.MaxSockets < 50 {
-		return fmt.Errorf("cluster.machine_limits.max_sockets: must be at least 50")
-	}
-	return nil
+// Error reports what is wrong with a key of a settings file or a policy script.
+type Error struct {
+	File    string
+	Key     string
+	Problem string
 }
 
-// minTxnOps is the fewest changes that a transaction must allow: the end of a job or a
-// rental takes two, and a third keeps it from being alone.
-const minTxnOps = 3
+func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s", e.File, e.Key, e.Problem) }
 
-// checkNext checks limits that are announced; 0 stands for one that does not change.
-func checkNext(next *StateLimits) error {
-	if next == nil {
-		return nil
+// Load reads and validates a settings file. Unknown keys are ignored, since the platform
+// may add some.
+func Load(path string) (*Settings, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
 	}
-	for _, v := range []struct {
-		name  string
-		value float64
-	}{{"rps", next.RPS}, {"write_rps", next.WriteRPS}, {"value_kb", next.ValueKB}} {
-		if !(v.value >= 0) {
-			return fmt.Errorf("cluster.state.next.%s: must not be below 0", v.name)
-		}
+	var settings Settings
+	if err := toml.Unmarshal(text, &settings); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if next.TxnOps != 0 && next.TxnOps < minTxnOps {
-		return fmt.Errorf("cluster.state.next.txn_ops: must be at least %d", minTxnOps)
+	if problem := settings.validate(); problem != nil {
+		problem.File = path
+		return nil, problem
 	}
-	return nil
+	return &settings, nil
 }
 
-// WriteLimits are the limits that whatever is written must keep to: the present ones, or
-// those announced where they are lower, since they may be in force at any moment.
+// WriteLimits returns the limits that whatever is written must keep to: the present ones, or
+// the announced ones where those are lower, since they may come into force at any time.
 func (s *Settings) WriteLimits() StateLimits {
 	limits := s.Cluster.State.StateLimits
 	next := s.Cluster.State.Next
@@ -205,11 +141,11 @@
 	return limits
 }
 
-// Team finds a team's settings.
-func (s *Settings) Team(name string) (Team, bool) {
-	for _, t := range s.Cluster.Teams {
-		if t.Name == name {
-			return t, true
+// Team returns the settings of a team; ok reports whether there is such a team.
+func (s *Settings) Team(name string) (team Team, ok bool) {
+	for _, team := range s.Cluster.Teams {
+		if team.Name == name {
+			return team, true
 		}
 	}
 	return Team{}, false
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -73,6 +74,24 @@
 	}
 }
 
+func TestErrorsNameFileAndKey(t *testing.T) {
+	settingsPath := write(t, "s.toml", strings.Replace(good, "rps = 5.0", "rps = nan", 1))
+	_, err := Load(settingsPath)
+	requireError(t, err, settingsPath, "cluster.cloud.rps")
+
+	policyPath := write(t, "p.star", "RoundS = 'x'")
+	tunables := tuning.Default()
+	requireError(t, LoadPolicy(policyPath, &tunables), policyPath, "RoundS")
+}
+
+func requireError(t *testing.T, err error, file, key string) {
+	t.Helper()
+	var settingsError *Error
+	if !errors.As(err, &settingsError) || settingsError.File != file || settingsError.Key != key || settingsError.Problem == "" {
+		t.Errorf("%v does not name %s and %s", err, file, key)
+	}
+}
+
 // What is written keeps to the lower of the present and the announced limits, each for
 // itself; one that is not announced stays.
 func TestWriteLimits(t *testing.T) {
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"reflect"
+	"strings"
 
 	"ambersill/internal/tuning"
 
@@ -10,47 +11,71 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds a policy script's work, so that a loop cannot hold the start up.
-const maxSteps = 1 << 20
+const (
+	// maxPolicySteps bounds a policy script's execution, so that a loop cannot block the
+	// start.
+	maxPolicySteps = 1 << 20
+	// maxTunable is the largest value that a policy may set; none has a use for more.
+	maxTunable = 1e6
+	// privatePrefix marks variables that are the script's own.
+	privatePrefix = "_"
+)
 
-// LoadPolicy runs a Starlark script whose global variables override the fields
-// of Tuning by name. Names with an underscore in front, and functions, are the
-// script's own.
-func LoadPolicy(path string, t *tuning.Tuning) error {
-	thread := &starlark.Thread{Name: "policy"}
-	thread.SetMaxExecutionSteps(maxSteps)
-	globals, err := starlark.ExecFileOptions(&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true}, thread, path, nil, nil)
+// LoadPolicy runs a Starlark script whose global variables override the fields of Tuning by
+// name. Functions, and names with a leading underscore, are the script's own.
+func LoadPolicy(path string, tunables *tuning.Tuning) error {
+	globals, err := runPolicy(path)
 	if err != nil {
-		return fmt.Errorf("policy: %w", err)
+		return err
 	}
-	v := reflect.ValueOf(t).Elem()
+	fields := reflect.ValueOf(tunables).Elem()
 	for _, name := range globals.Keys() {
-		if name[0] == '_' {
+		value := globals[name]
+		if _, isFunction := value.(starlark.Callable); isFunction || strings.HasPrefix(name, privatePrefix) {
 			continue
 		}
-		if _, ok := globals[name].(starlark.Callable); ok {
-			continue
-		}
-		f := v.FieldByName(name)
-		if !f.IsValid() {
-			return fmt.Errorf("policy %s: %s: no such tunable", path, name)
-		}
-		x, ok := starlark.AsFloat(globals[name])
-		if !ok || !(x >= 0 && x <= 1e6) {
-			return fmt.Errorf("policy %s: %s: must be a number from 0 to 1000000", path, name)
+		if problem := setTunable(fields.FieldByName(name), name, value); problem != nil {
+			problem.File = path
+			return problem
 		}
-		switch f.Kind() {
-		case reflect.Int:
-			if x != float64(int64(x)) {
-				return fmt.Errorf("policy %s: %s: must be a whole number", path, name)
-			}
-			f.SetInt(int64(x))
-		default:
-			if x == 0 {
-				return fmt.Errorf("policy %s: %s: must be above 0", path, name)
-			}
-			f.SetFloat(x)
+	}
+	return nil
+}
+
+func runPolicy(path string) (starlark.StringDict, error) {
+	thread := &starlark.Thread{Name: "policy"}
+	thread.SetMaxExecutionSteps(maxPolicySteps)
+	options := &syntax.FileOptions{
+		TopLevelControl: true,
+		GlobalReassign:  true,
+	}
+	globals, err := starlark.ExecFileOptions(options, thread, path, nil, nil)
+	if err != nil {
+		return nil, fmt.Errorf("policy %s: %w", path, err)
+	}
+	return globals, nil
+}
+
+// setTunable sets a field to a value of the script. The field is invalid if there is none of
+// the name. Integers may be 0, which stands for a default; other values may not.
+func setTunable(field reflect.Value, name string, value starlark.Value) *Error {
+	if !field.IsValid() {
+		return invalid(name, "no such tunable")
+	}
+	number, ok := starlark.AsFloat(value)
+	if !ok || !(number >= 0 && number <= maxTunable) {
+		return invalid(name, "must be a number from 0 to %d", int(maxTunable))
+	}
+	if field.Kind() == reflect.Int {
+		if number != float64(int64(number)) {
+			return invalid(name, "must be a whole number")
 		}
+		field.SetInt(int64(number))
+		return nil
+	}
+	if number == 0 {
+		return invalid(name, "must be above 0")
 	}
+	field.SetFloat(number)
 	return nil
 }
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,165 @@
+package config
+
+import (
+	"fmt"
+	"net"
+)
+
+const (
+	// minTxnOps is the fewest writes that a transaction must allow: the end of a job or of
+	// a rental takes two, and a third lets another change go with it.
+	minTxnOps = 3
+	// minSockets is the fewest sockets that a controller can do its work with.
+	minSockets = 50
+)
+
+// number is the value of a key.
+type number struct {
+	key   string
+	value float64
+}
+
+// invalid returns an error without a file, which Load adds.
+func invalid(key, format string, args ...any) *Error {
+	return &Error{Key: key, Problem: fmt.Sprintf(format, args...)}
+}
+
+// validate returns the first problem, in the order of the file's sections, or nil.
+func (s *Settings) validate() *Error {
+	for _, check := range []func() *Error{
+		s.validateNode,
+		s.validateAddresses,
+		s.validateMembers,
+		s.Cluster.validateCount,
+		s.Cluster.validateTeams,
+		s.Cluster.validateAmounts,
+		s.Cluster.State.validate,
+		s.Cluster.Limits.validate,
+	} {
+		if problem := check(); problem != nil {
+			return problem
+		}
+	}
+	return nil
+}
+
+func (s *Settings) validateNode() *Error {
+	if s.Node == "" {
+		return invalid("node", "missing")
+	}
+	if s.Zone == "" {
+		return invalid("zone", "missing")
+	}
+	return nil
+}
+
+func (s *Settings) validateAddresses() *Error {
+	for _, address := range []struct{ key, value string }{
+		{"public_addr", s.PublicAddr},
+		{"mesh_addr", s.MeshAddr},
+		{"outside.cloud", s.Outside.Cloud},
+		{"outside.state", s.Outside.State},
+	} {
+		if address.value == "" {
+			return invalid(address.key, "missing")
+		}
+		if problem := validateAddress(address.key, address.value); problem != nil {
+			return problem
+		}
+	}
+	return nil
+}
+
+func validateAddress(key, address string) *Error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return invalid(key, "%q is not of the form host:port", address)
+	}
+	return nil
+}
+
+func (s *Settings) validateMembers() *Error {
+	nodes := map[string]bool{s.Node: true}
+	for i, member := range s.Members {
+		if member.Node == "" || nodes[member.Node] {
+			return invalid(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
+		}
+		nodes[member.Node] = true
+		if problem := validateAddress(fmt.Sprintf("members[%d].addr", i), member.Addr); problem != nil {
+			return problem
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) validateCount() *Error {
+	if c.Count < 1 {
+		return invalid("cluster.count", "must be at least 1")
+	}
+	return nil
+}
+
+func (c *Cluster) validateTeams() *Error {
+	names := map[string]bool{}
+	for i, team := range c.Teams {
+		if team.Name == "" || names[team.Name] {
+			return invalid(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
+		}
+		names[team.Name] = true
+		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+			return invalid(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
+		}
+	}
+	return nil
+}
+
+func (c *Cluster) validateAmounts() *Error {
+	for _, amount := range []number{
+		{"cluster.workers.report_s", c.Workers.ReportS},
+		{"cluster.workers.lease_s", c.Workers.LeaseS},
+		{"cluster.workers.gang_wait_s", c.Workers.GangWaitS},
+		{"cluster.workers.gang_peer_s", c.Workers.GangPeerS},
+		{"cluster.workers.cancel_s", c.Workers.CancelS},
+		{"cluster.state.rps", c.State.RPS},
+		{"cluster.state.write_rps", c.State.WriteRPS},
+		{"cluster.state.value_kb", c.State.ValueKB},
+		{"cluster.cloud.rps", c.Cloud.RPS},
+		{"cluster.machine_limits.ram_mb", c.Limits.RAMMB},
+	} {
+		// Negated, so that NaN is refused too.
+		if !(amount.value > 0) {
+			return invalid(amount.key, "must be above 0")
+		}
+	}
+	return nil
+}
+
+// validate checks what validateAmounts does not. Of the announced limits, 0 stands for one
+// that does not change.
+func (s *State) validate() *Error {
+	if s.TxnOps < minTxnOps {
+		return invalid("cluster.state.txn_ops", "must be at least %d", minTxnOps)
+	}
+	if s.Next == nil {
+		return nil
+	}
+	for _, limit := range []number{
+		{"cluster.state.next.rps", s.Next.RPS},
+		{"cluster.state.next.write_rps", s.Next.WriteRPS},
+		{"cluster.state.next.value_kb", s.Next.ValueKB},
+	} {
+		if !(limit.value >= 0) {
+			return invalid(limit.key, "must not be below 0")
+		}
+	}
+	if s.Next.TxnOps != 0 && s.Next.TxnOps < minTxnOps {
+		return invalid("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
+	}
+	return nil
+}
+
+func (l *MachineLimits) validate() *Error {
+	if l.MaxSockets < minSockets {
+		return invalid("cluster.machine_limits.max_sockets", "must be at least %d", minSockets)
+	}
+	return nil
+}
