--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -1,123 +1,61 @@
 package controller
 
 import (
-	"crypto/sha256"
-	"encoding/binary"
 	"log/slog"
 	"time"
 
 	"ambersill/internal/peerrpc"
 	"ambersill/internal/scheduler"
-	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
-// Workers report to any node. A node that does not own the machine's partition forwards
-// the report to the owner, many at a time, and hands the owner's answer back: reading
-// requests takes most of what a report costs, and the owner alone was overloaded by it
-// on small processors. Machines are spread over the nodes by a hash of their names.
-
-const (
-	// redirectGrace is how long a worker that has come to a node reports there before it is
-	// sent to the node it is assigned to. It may have come because it cannot reach that
-	// one, and have lost most of its lease on the way.
-	redirectGrace = 30 * time.Second
-	// peerBackoff is how long nothing is forwarded to a node that did not answer.
-	peerBackoff = 2 * time.Second
-)
-
-// visit is the state of a worker that reports to a node it is not assigned to.
-type visit struct {
-	lastHeartbeat time.Time // its newest report here
-	redirectAt    time.Time // it may stay until then
-	redirected    bool      // it was sent to its assigned node then
-}
-
-// Heartbeat answers a worker, or names the node to which it should report.
-func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) (wire.HeartbeatResponse, string, bool) {
+// Heartbeat answers a worker's heartbeat. If it is not accepted, redirect names the node to
+// which the worker should send the next one, if any.
+//
+// Workers may report to any node. A node that does not own the machine's partition forwards
+// the heartbeat to the owner, many at a time, and returns the owner's response: reading
+// requests is most of what a heartbeat costs, and on small processors the owner alone was
+// overloaded by it.
+func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, redirect string, accepted bool) {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
-		// Not rented yet as far as is known here, or returned: a late copy of a report
-		// must not bring its address back.
+		// Either its record has not reached this node yet, or it was returned: a late
+		// copy of a heartbeat must not bring its address back.
 		return wire.HeartbeatResponse{}, "", false
 	}
-	owner := c.cluster.partitionOwner(entry.record.Partition).node
-	if node := c.assignedNode(heartbeat.Machine, owner); node != c.settings.Node && c.shouldRedirect(heartbeat.Machine, time.Now()) {
-		return wire.HeartbeatResponse{}, node, false
+	partition := entry.record.Partition
+	owner := c.cluster.partitionOwner(partition).node
+	assigned := c.assignedNode(heartbeat.Machine, owner)
+	if assigned != c.settings.Node && c.shouldRedirect(heartbeat.Machine, time.Now()) {
+		return wire.HeartbeatResponse{}, assigned, false
 	}
-	if c.ownedPartition(entry.record.Partition) != nil {
+	if c.ownedPartition(partition) != nil {
 		result := c.OwnedHeartbeat(heartbeat)
 		return result.Response, "", result.Accepted
 	}
+	return c.forwardHeartbeat(heartbeat, owner)
+}
+
+// forwardHeartbeat has the owner of the machine's partition answer a heartbeat. The results
+// are those of Heartbeat.
+func (c *Controller) forwardHeartbeat(heartbeat *wire.Heartbeat, owner string) (response wire.HeartbeatResponse, redirect string, accepted bool) {
 	forwarder := c.forwarders[owner]
 	if forwarder == nil {
 		return wire.HeartbeatResponse{}, "", false
 	}
-	answer, reached := forwarder.forward(heartbeat)
-	switch {
-	case !reached:
-		// The way to the owner may be open for the worker itself.
+	result, reached := forwarder.forward(heartbeat)
+	if !reached {
+		// The worker itself may still be able to reach the owner.
 		return wire.HeartbeatResponse{}, owner, false
-	case !answer.Accepted:
-		return wire.HeartbeatResponse{}, "", false
-	}
-	return answer.Response, "", true
-}
-
-// assignedNode is the node to which a machine's worker is to report: one of the live
-// nodes by rendezvous hashing, so that a node that ends moves its own machines only. The
-// owner has passes and commits to do besides, and takes part only where it must.
-func (c *Controller) assignedNode(machine, owner string) string {
-	c.cluster.mu.Lock()
-	defer c.cluster.mu.Unlock()
-	others := len(c.cluster.nodes)
-	if _, live := c.cluster.nodes[owner]; live {
-		others--
 	}
-	best, highest := "", uint64(0)
-	for node := range c.cluster.nodes {
-		if node == owner && others >= minForwarders {
-			continue
-		}
-		if rank := rendezvousRank(machine, node); best == "" || rank > highest || (rank == highest && node < best) {
-			best, highest = node, rank
-		}
-	}
-	if best == "" {
-		return owner
-	}
-	return best
-}
-
-// minForwarders is how many other nodes must live for the owner to be spared reports.
-const minForwarders = 2
-
-// rendezvousRank orders the nodes for a machine, the same on every node.
-func rendezvousRank(machine, node string) uint64 {
-	sum := sha256.Sum256([]byte(machine + "/" + node))
-	return binary.BigEndian.Uint64(sum[:])
-}
-
-// shouldRedirect tells whether a worker that reports here, but is assigned to another node, is
-// to go there now. One that is back within a lease cannot reach that node, and may stay
-// anew, as when a cut lies between the two but not between the nodes.
-func (c *Controller) shouldRedirect(machine string, now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	v := c.visits[machine]
-	ends := false
-	switch {
-	case now.Sub(v.lastHeartbeat) > tuning.Seconds(c.settings.Cluster.Workers.LeaseS), v.redirected:
-		v = visit{redirectAt: now.Add(redirectGrace)}
-	case !now.Before(v.redirectAt):
-		v.redirected, ends = true, true
+	if !result.Accepted {
+		return wire.HeartbeatResponse{}, "", false
 	}
-	v.lastHeartbeat = now
-	c.visits[machine] = v
-	return ends
+	return result.Response, "", true
 }
 
-// OwnedHeartbeat answers a report as the owner of its machine's partition.
+// OwnedHeartbeat answers a heartbeat as the owner of its machine's partition. It is not
+// accepted if this node does not own the partition.
 func (c *Controller) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
@@ -128,30 +66,36 @@
 		return peerrpc.HeartbeatResult{}
 	}
 	c.recordAddress(heartbeat.Machine, heartbeat.Address)
-	knowledge := c.cancellationKnowledgeAt(owned.cancellationAge())
+	return owned.handleHeartbeat(heartbeat)
+}
+
+// handleHeartbeat reconciles a heartbeat with the partition, and returns the response.
+func (o *ownedPartition) handleHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
+	knowledge := o.controller.cancellationKnowledgeAt(o.cancellationAge())
 	if !knowledge.answersHeartbeats {
-		// Cancellations may have been confirmed by other nodes; the leases must run out.
+		// Other nodes may have confirmed cancellations; the leases must expire.
 		return peerrpc.HeartbeatResult{}
 	}
-	owned.mu.Lock()
-	defer owned.mu.Unlock()
-	if owned.partition == nil {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.partition == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	v, reply := owned.partition.HandleHeartbeat(heartbeat, time.Now(), knowledge.startsTasks)
-	if v != scheduler.HeartbeatAccepted {
-		slog.Debug("report not taken", "machine", heartbeat.Machine, "verdict", v, "token", heartbeat.FencingToken)
-		if v == scheduler.HeartbeatSuperseded && !knowledge.startsTasks {
-			// Another owner has spoken to it, and nobody else can tell this node: it
-			// must not keep other machines from that owner.
-			go c.releasePartition(owned, "a worker has seen a higher token")
+	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), knowledge.startsTasks)
+	if verdict != scheduler.HeartbeatAccepted {
+		slog.Debug("heartbeat not accepted", "machine", heartbeat.Machine, "verdict", verdict, "token", heartbeat.FencingToken)
+		if verdict == scheduler.HeartbeatSuperseded && !knowledge.startsTasks {
+			// Another owner has reached the worker, and nobody else can let this node
+			// know: it must not keep other machines from that owner. Not under o.mu,
+			// since releasing takes the controller's lock.
+			go o.controller.releasePartition(o, "a worker has seen a higher fencing token")
 		}
-		return peerrpc.HeartbeatResult{Response: reply}
+		return peerrpc.HeartbeatResult{Response: response}
 	}
-	c.commandSlots.resetBackoff(heartbeat.Machine)
-	// Most reports change nothing, and on a small processor a pass for each is dear.
-	if owned.partition.NeedsScheduling() {
-		owned.wakeUp()
+	o.controller.commandSlots.resetBackoff(heartbeat.Machine)
+	// Most heartbeats change nothing, and a cycle for each costs too much on a small processor.
+	if o.partition.NeedsScheduling() {
+		o.wakeUp()
 	}
-	return peerrpc.HeartbeatResult{Accepted: true, Response: reply}
+	return peerrpc.HeartbeatResult{Accepted: true, Response: response}
 }
--- /dev/null
+++ b/internal/controller/heartbeat_routing.go
@@ -0,0 +1,86 @@
+package controller
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"time"
+
+	"ambersill/internal/tuning"
+)
+
+const (
+	// redirectGrace is how long a worker may report to a node that it is not assigned to
+	// before it is redirected. It may have come because it cannot reach its assigned node,
+	// and have lost most of its lease on the way.
+	redirectGrace = 30 * time.Second
+	// minForwarders is the number of other live nodes from which on the owner of a partition
+	// is assigned no machines of it. A single other node could be overloaded like the owner.
+	minForwarders = 2
+)
+
+// assignedNode returns the node to which a machine's worker should report: one of the live
+// nodes by rendezvous hashing, so that a node that ends moves its own machines only. The
+// owner has scheduling and commits to do as well, and is left out where others are enough.
+func (c *Controller) assignedNode(machine, owner string) string {
+	c.cluster.mu.Lock()
+	defer c.cluster.mu.Unlock()
+	otherNodes := len(c.cluster.nodes)
+	if _, live := c.cluster.nodes[owner]; live {
+		otherNodes--
+	}
+	leaveOutOwner := otherNodes >= minForwarders
+	best, highest := "", uint64(0)
+	for node := range c.cluster.nodes {
+		if node == owner && leaveOutOwner {
+			continue
+		}
+		rank := rendezvousRank(machine, node)
+		if best == "" || rank > highest || (rank == highest && node < best) {
+			best, highest = node, rank
+		}
+	}
+	if best == "" {
+		return owner
+	}
+	return best
+}
+
+// rendezvousRank returns the rank of a node for a machine, the same on every node.
+func rendezvousRank(machine, node string) uint64 {
+	sum := sha256.Sum256([]byte(machine + "/" + node))
+	return binary.BigEndian.Uint64(sum[:])
+}
+
+// visit is the state of a worker that reports to a node it is not assigned to.
+type visit struct {
+	lastHeartbeat time.Time
+	// redirectAt is when the grace ends.
+	redirectAt time.Time
+	// redirected: the worker was redirected when the grace ended.
+	redirected bool
+}
+
+// shouldRedirect records a heartbeat of a worker that is assigned to another node, and
+// reports whether the worker is to be redirected there now.
+func (c *Controller) shouldRedirect(machine string, now time.Time) bool {
+	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	current, redirect := c.visits[machine].next(now, lease)
+	c.visits[machine] = current
+	return redirect
+}
+
+// next returns the state after a heartbeat, and whether to redirect the worker. A worker that
+// is back within a lease of its redirection cannot reach the assigned node, as when a network
+// partition separates the two but not the nodes; it has a new grace.
+func (v visit) next(now time.Time, lease time.Duration) (next visit, redirect bool) {
+	switch {
+	case now.Sub(v.lastHeartbeat) > lease, v.redirected:
+		return visit{lastHeartbeat: now, redirectAt: now.Add(redirectGrace)}, false
+	case now.Before(v.redirectAt):
+		return visit{lastHeartbeat: now, redirectAt: v.redirectAt}, false
+	default:
+		return visit{lastHeartbeat: now, redirectAt: v.redirectAt, redirected: true}, true
+	}
+}
