--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -388,7 +388,7 @@
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	job := k.simulation.jobs[id]
+	job := k.simulation.description(id)
 	refuse := func(why wire.ExitCause) {
 		k.refused = append(k.refused, &task{name: c.Task, attempt: c.Attempt, cause: why})
 	}
