--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,188 +1,249 @@
-// Package tuning holds every constant of ambersill in one place, each with its
-// unit and the reason for its value. Operators override them by name in a
-// policy script.
+// Package tuning has ambersill's tunables and fixed limits, each with its unit and the reason
+// for its value. Operators override tunables by name in a policy script.
 package tuning
 
 import "time"
 
-// Tuning are the values that may be overridden. Durations are in seconds, so
-// that a script can write them plainly.
+// Tuning are the tunables. Durations are in seconds, so that a script can state them as plain
+// numbers.
 type Tuning struct {
-	// Parts is how many parts the jobs are divided into; 0 means one for each
+	// Parts is the number of partitions that jobs are divided into; 0 means one for each
 	// controller.
 	Parts int
-	// HoldS: seconds that a node's lease in the state service lasts. A dead
-	// controller's parts stand still for this long; much shorter, and one slow
-	// answer would cost a live controller its parts.
+	// HoldS is the time to live of a controller's lease in the key-value store. The
+	// partitions of a controller that fails are idle for this long; if it were much shorter,
+	// one slow response would cost a controller its partitions.
 	HoldS float64
-	// StateTimeoutS: seconds until a request to the state service counts as
-	// unanswered. Answers mostly take 10 ms and now and then some hundreds.
+	// StateTimeoutS is the timeout of a request to the key-value store. Most responses take
+	// 10 ms, a few take some hundred.
 	StateTimeoutS float64
-	// FreshS: age in seconds of an owner's news up to which it still starts tasks, and
-	// of the newest request that was served up to which a node takes users' requests.
+	// FreshS is the age of an owner's newest reading of the cancellations up to which it
+	// starts tasks, and of the newest served request up to which a controller accepts users'
+	// requests.
 	FreshS float64
-	// NewsS: seconds between two readings of the marks of cancelled jobs, whose age
-	// decides whether reports may still be answered; a third of FreshS, so that one
-	// slow answer does not stop the starts.
+	// NewsS is the time between two readings of the cancellations, whose age also decides
+	// whether heartbeats may be answered. It is a third of FreshS, so that one slow response
+	// does not keep tasks from starting.
 	NewsS float64
-	// MarginS: seconds kept in hand wherever a worker's lease is waited for.
+	// MarginS is added wherever a worker's lease is waited for.
 	MarginS float64
-	// Drift: share by which clocks of two machines may drift apart (0.05%
-	// each by the platform, doubled for two).
+	// Drift is the fraction by which the clocks of two machines may drift apart: the platform
+	// allows 0.05% for each.
 	Drift float64
-	// TickS: seconds between scheduling passes when nothing happens.
+
+	// TickS is the time between two scheduling cycles without events.
 	TickS float64
-	// PassGapS: least seconds between two passes of a busy part; changes of one
-	// chunk within it share one write.
+	// PassGapS is the least time between two scheduling cycles of a busy partition; changes of
+	// one chunk within it share a write.
 	PassGapS float64
-	// RoundS: seconds between two sizings of the fleet (the design's).
+	// RoundS is the time between two sizings of the fleet, as designed.
 	RoundS float64
-	// InFlightTarget: booked share of a machine that sizing aims at (the design's).
+	// InFlightTarget is the fraction of a machine's capacity in use that sizing aims at, as
+	// designed.
 	InFlightTarget float64
-	// QueueTarget: waiting machine units per extra machine (the design's).
+	// QueueTarget is the number of machines' worth of queued work per additional machine, as
+	// designed.
 	QueueTarget float64
-	// HorizonS: seconds within which short tasks of an array are counted as
-	// following one another in the same place: about a boot's time, since a
-	// machine that is up only after they are over is wasted.
+	// HorizonS is the time within which short tasks of a job array are expected to run one
+	// after another on the same capacity. It is about the time of a boot, since a machine that
+	// is ready only after they have finished is wasted.
 	HorizonS float64
-	// GiveBackS: seconds that a lower target must hold before empty machines
-	// go back (the design's).
+	// GiveBackS is how long a lower target must last before the fleet is scaled in, as
+	// designed.
 	GiveBackS float64
-	// ListS: seconds between two readings of the cloud's list of machines.
+	// ListS is the time between two listings of the cloud's machines.
 	ListS float64
-	// SummaryS: least seconds between two summaries of a part.
+	// SummaryS is the least time between two summaries of a partition.
 	SummaryS float64
-	// BootPatience: multiple of a type's boot time after which a machine
-	// that is still booting goes back; most are up within 1.5.
+	// BootPatience is the multiple of a machine type's boot time after which a machine that
+	// has not come up is returned; most come up within 1.5.
 	BootPatience float64
-	// RefusalS: seconds that a kind of machine which the cloud has refused is
-	// not asked for again; doubled at each refusal up to RefusalMaxS.
+	// RefusalS is how long an offering that the cloud has refused is not requested again. It
+	// doubles with each refusal, up to RefusalMaxS.
 	RefusalS    float64
 	RefusalMaxS float64
-	// ErrorBackoffS: seconds that a job waits after a task failed with an
-	// error; doubled each time up to ErrorBackoffMaxS.
+
+	// ErrorBackoffS is the back-off of a job after a task failed with an error. It doubles
+	// with each failure, up to ErrorBackoffMaxS.
 	ErrorBackoffS    float64
 	ErrorBackoffMaxS float64
-	// RestartBackoffS: seconds that a service's replica waits which ended within SettledS of
-	// its start; doubled each time up to ErrorBackoffMaxS. The first wait is short, for a
-	// single end is mostly no sign of more.
+	// RestartBackoffS is the back-off of a service's replica that exited within SettledS of
+	// its start. It doubles with each exit, up to ErrorBackoffMaxS. It is short at first,
+	// since a single exit is mostly no sign of more.
 	RestartBackoffS float64
-	// SickErrors: failures of different jobs' tasks, with none done
-	// in between, after which a machine counts as faulty.
+	// SickErrors is the number of consecutive failures of different jobs' tasks after which a
+	// machine is quarantined as faulty.
 	SickErrors int
-	// PreemptGapS: seconds before the same job may stop others again.
+
+	// PreemptGapS is the least time between two preemptions for the same job.
 	PreemptGapS float64
-	// SearchGapS: seconds between two searches for work that yields to a job; one looks
-	// at every task of every machine that it may use.
+	// SearchGapS is the least time between two searches for tasks to preempt for a job, since
+	// a search examines every task of every machine that the job may use.
 	SearchGapS float64
-	// WorkWeight: seconds that a job's turn comes later for each CPU-second of
-	// work that it has left.
+	// WorkWeight is by how many seconds a job moves back in the queue for each CPU-second of
+	// its remaining work.
 	WorkWeight float64
-	// LoadStep: how much of its guarantee, or of a usual machine without one, a
-	// team may use more than another and still be its equal.
+	// LoadStep is the difference in use, as a fraction of the guarantee, or of a usual machine
+	// for a team without one, up to which two teams rank alike in fair share.
 	LoadStep float64
-	// StarveS: seconds that size and shares may keep a job from its first start.
-	// Past it the job goes before others of its rank, and room is gathered for it.
-	// Earlier, the oldest of an overloaded class would go first, image at hand or not,
-	// and all of it be late.
+	// StarveS is how long a job's size and the fair shares may delay its first start.
+	// Afterwards it goes ahead of other jobs of its priority, and capacity is reserved for it.
+	// If it were shorter, the oldest jobs of an overloaded class would go first, whether or
+	// not their image is cached, and all of the class would be late.
 	StarveS float64
-	// OverdueS: seconds that rank and guarantees may, too. Past it a job's first task
-	// goes before all on machines that are in use, a gang on any.
+	// OverdueS is how long priorities and guarantees may delay a first start. Afterwards the
+	// job's first task goes ahead of all others on machines in use, and a gang on any machine.
 	OverdueS float64
-	// ForceS: seconds after which it takes any machine, from urgent work that needs it
-	// as a whole, and is not stopped for others; below the four minutes within which
-	// all that can run has to begin, by the time that a start takes.
+	// ForceS is the time after which a job takes any machine, even from urgent jobs that need
+	// the whole machine, and is not preempted. Every job that can run must start within four
+	// minutes; this is shorter by the time that a start takes.
 	ForceS float64
-	// ConsolidateS: seconds between two attempts to empty a machine.
+	// ConsolidateS is the time between two attempts to drain a machine.
 	ConsolidateS float64
-	// OrdinaryCostS: seconds of image fetch that it is worth to keep work that
-	// may use spot machines off ordinary ones, which then fall empty.
+	// OrdinaryCostS is how many seconds of fetching an image are worth keeping work that may
+	// use spot instances off other machines, which can then be scaled in.
 	OrdinaryCostS float64
-	// SettledS: seconds after which a start counts even if the task is stopped
-	// (the protocol's).
+	// SettledS is the time after which a start counts even if the task is stopped later, by
+	// the protocol.
 	SettledS float64
-	// GraceS: seconds of grace beyond what a task says that saving takes.
+	// GraceS is the grace period beyond the time that a task needs to save a checkpoint.
 	GraceS float64
-	// UserWaitS: seconds within which a user's request is answered, at the
-	// latest with a refusal; users wait 2 s for a query and 5 s otherwise.
+
+	// UserWaitS is the time within which a user's request is answered, or else refused. Users
+	// wait 2 s for a query and 5 s for other requests.
 	UserWaitS float64
-	// RetryAfterS: seconds that a user whose request was refused is asked to wait.
+	// RetryAfterS is after how many seconds a user whose request was refused should retry.
 	RetryAfterS int
-	// ShareReserve: share of the state service's limits left unused, since
-	// nodes count their requests apart.
+	// ShareReserve is the fraction of the key-value store's rate limits that is left unused,
+	// since controllers count their requests independently.
 	ShareReserve float64
-	// LeaderShare: share of the state service's limits that the leader may use on
-	// top of its own; the others seldom use all of theirs at the same moment, and
-	// what the service refuses is sent again.
+	// LeaderShare is the fraction of the key-value store's rate limits that the leader may use
+	// in addition to its own. Controllers seldom all use theirs at the same time, and requests
+	// that the store refuses are retried.
 	LeaderShare float64
-	// FinalCache: finished jobs whose answer a node remembers.
+	// FinalCache is the number of finished jobs whose status a controller caches.
 	FinalCache int
 }
 
-// Default returns the values that ambersill starts with.
+// Default returns the default values.
 func Default() Tuning {
 	return Tuning{
-		Parts: 1, HoldS: 4, StateTimeoutS: 2, FreshS: 3, NewsS: 1, MarginS: 1, Drift: 0.001,
-		TickS: 0.5, PassGapS: 0.1, RoundS: 5, InFlightTarget: 1.0, QueueTarget: 1, HorizonS: 60, GiveBackS: 30,
-		ListS: 3, SummaryS: 1, BootPatience: 3, RefusalS: 10, RefusalMaxS: 60,
-		ErrorBackoffS: 5, RestartBackoffS: 1, ErrorBackoffMaxS: 120, SickErrors: 3, PreemptGapS: 10, SearchGapS: 1, SettledS: 30, WorkWeight: 0.05, LoadStep: 0.5, StarveS: 180, OverdueS: 180, ForceS: 210, ConsolidateS: 10, OrdinaryCostS: 15, GraceS: 2,
-		UserWaitS: 1.5, RetryAfterS: 1, ShareReserve: 0.08, LeaderShare: 0.25, FinalCache: 4096,
+		Parts:         1,
+		HoldS:         4,
+		StateTimeoutS: 2,
+		FreshS:        3,
+		NewsS:         1,
+		MarginS:       1,
+		Drift:         0.001,
+
+		TickS:          0.5,
+		PassGapS:       0.1,
+		RoundS:         5,
+		InFlightTarget: 1,
+		QueueTarget:    1,
+		HorizonS:       60,
+		GiveBackS:      30,
+		ListS:          3,
+		SummaryS:       1,
+		BootPatience:   3,
+		RefusalS:       10,
+		RefusalMaxS:    60,
+
+		ErrorBackoffS:    5,
+		ErrorBackoffMaxS: 120,
+		RestartBackoffS:  1,
+		SickErrors:       3,
+
+		PreemptGapS:   10,
+		SearchGapS:    1,
+		WorkWeight:    0.05,
+		LoadStep:      0.5,
+		StarveS:       180,
+		OverdueS:      180,
+		ForceS:        210,
+		ConsolidateS:  10,
+		OrdinaryCostS: 15,
+		SettledS:      30,
+		GraceS:        2,
+
+		UserWaitS:    1.5,
+		RetryAfterS:  1,
+		ShareReserve: 0.08,
+		LeaderShare:  0.25,
+		FinalCache:   4096,
 	}
 }
 
-// Fixed limits, not for tuning.
+// Limits of the protocol's requests.
 const (
-	// MaxRent: machines in one rental, by the protocol; fewer if their group's record
-	// would not fit one value.
+	// MaxRent is the number of machines in one rental, by the protocol. It is lower if their
+	// group's record would not fit into one value.
 	MaxRent = 50
-	// MaxReturn: machines given back in one call, by the protocol.
+	// MaxReturn is the number of machines returned in one request, by the protocol.
 	MaxReturn = 100
-	// MaxCommands: commands in one answer to a worker; at about 80 bytes
-	// each this stays well under the protocol's 64 KiB.
+	// MaxCommands is the number of commands in one response to a worker. At about 80 bytes
+	// each, they stay well below the protocol's 64 KiB.
 	MaxCommands = 200
-	// TaskBytes: bytes of a record set aside for one task; a placement takes
+)
+
+// Sizes and rates of records in the key-value store.
+const (
+	// TaskBytes is the size reserved in a record for one task, in bytes; a placement takes
 	// about 40.
 	TaskBytes = 64
-	// JournalSlots: records of a part's journal before it begins anew. At ten a second
-	// a chunk is folded every 20 s, and a takeover reads a few hundred keys at most.
+	// TxnBytes is the size that one transaction may have, in bytes; the store allows 64 KiB.
+	TxnBytes = 48 << 10
+	// JournalSlots is the number of records in a partition's journal before its slots are
+	// reused. At ten records a second a chunk is compacted every 20 s, and a failover reads a
+	// few hundred keys at most.
 	JournalSlots = 256
-	// MinJournalBytes: a journal record is not begun in a transaction that has less
-	// room than this left.
+	// MinJournalBytes is the size that a transaction must have left, in bytes, for a journal
+	// record to be added to it.
 	MinJournalBytes = 1 << 10
-	// BaseShare: share of the state service's limits that all nodes have alike, for users'
-	// requests; the rest goes to the owners of partitions. Users' changes go ahead of the
-	// budget, so that it need not hold what their peaks take.
+	// BaseShare is the fraction of the store's rate limits that all controllers have alike,
+	// for users' requests; the rest is divided among the owners of partitions. Writes for
+	// users may exceed the limit for a short time, so it need not cover their peaks.
 	BaseShare = 0.2
-	// SummaryShare: share of the state service's rate of changes that summaries may take.
+	// SummaryShare is the fraction of the store's write rate that summaries may use.
 	SummaryShare = 0.15
-	// ConversionGap: least time between two records rewritten only for their format, four
-	// a second: a few hundred are converted in a minute or two, beside the usual changes.
+	// ConversionGap is the least time between two records that are rewritten only for their
+	// format. At four a second, a few hundred are converted within a minute or two beside the
+	// usual writes.
 	ConversionGap = 250 * time.Millisecond
-	// TxnBytes: bytes that one transaction may take; the service allows 64 KiB.
-	TxnBytes = 48 << 10
-	// GCPercent: growth of the heap, in per cent of what lives, between two collections.
-	// What lives takes a tenth to a third of the memory on every deployment served.
+)
+
+// Memory of a controller.
+const (
+	// GCPercent is the growth of the heap between two garbage collections, in percent of the
+	// live heap, which takes a tenth to a third of the memory on the deployments served.
 	GCPercent = 400
-	// HeapShare: share of the machine's memory from which on collections come sooner.
+	// HeapShare is the fraction of the machine's memory above which collections are more
+	// frequent.
 	HeapShare = 0.6
-	// OrderShare: share of the sockets for orders under way straight to workers. It is
-	// enough for a zone's machines to fall silent at once, each of which holds one
-	// until its order times out.
+)
+
+// Sockets of a controller, and timeouts that keep peers from occupying them.
+const (
+	// OrderShare is the fraction of the sockets for commands sent directly to workers. It is
+	// enough for all machines of a zone to fail at the same time, each of which occupies a
+	// socket until its request times out.
 	OrderShare = 0.1
-	// IdleOrders: connections to workers that are kept open between orders.
+	// IdleOrders is the number of idle connections to workers that are kept open.
 	IdleOrders = 64
-	// OwnSockets: sockets for the state service, the cloud and the other controllers,
-	// so that no crowd of users or workers keeps a controller from renewing its lease.
+	// OwnSockets is the number of sockets reserved for the key-value store, the cloud and the
+	// other controllers, so that connections of users and workers can't keep a controller from
+	// renewing its lease.
 	OwnSockets = 100
-	// TakeoverTimeout: for an order that only raises a token, and for connecting to a
-	// worker at all; one that is there answers in milliseconds.
+	// TakeoverTimeout is the timeout of a command that only raises the fencing token, and of
+	// connecting to a worker; one that is up answers within milliseconds.
 	TakeoverTimeout = time.Second
-	// ReadTimeout: for a request's body; slow senders must not hold sockets.
+	// ReadTimeout is the timeout of reading a request, so that slow senders do not occupy
+	// sockets.
 	ReadTimeout = 10 * time.Second
-	// IdleTimeout: for a connection without requests. Workers and users that are there
-	// send some every few seconds; those that hang must not hold sockets.
+	// IdleTimeout is the timeout of a connection without requests. Workers and users that are
+	// up send some every few seconds.
 	IdleTimeout = 45 * time.Second
 )
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
