--- /dev/null
+++ b/internal/scheduler/cancel.go
@@ -0,0 +1,32 @@
+package scheduler
+
+import "time"
+
+// SetCancelledJobs replaces the list of cancelled jobs by a new one, and reports whether a
+// job was cancelled by it. A job whose submission becomes known later than its
+// cancellation, as when a watch lags, is cancelled from the start.
+func (p *Partition) SetCancelledJobs(ids []string, now time.Time) bool {
+	changed := false
+	p.cancelledJobIDs = make(map[string]bool, len(ids))
+	for _, id := range ids {
+		p.cancelledJobIDs[id] = true
+		if p.Cancel(id, now) {
+			changed = true
+		}
+	}
+	return changed
+}
+
+// Cancel stops the tasks of a job whose cancellation is committed. It reports whether the
+// job is known and was not cancelled before.
+func (p *Partition) Cancel(id string, now time.Time) bool {
+	job := p.jobs[id]
+	if job == nil || job.Cancelled {
+		return false
+	}
+	job.Cancelled = true
+	for _, placement := range sortedPlacements(job) {
+		p.requestStop(placement, 0, now)
+	}
+	return true
+}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -68,8 +68,8 @@
 			break
 		}
 		placement := machine.placements[key]
-		placement.startSent = true
-		placement.startSequence = sequence
+		placement.start.sent = true
+		placement.start.heartbeatSequence = sequence
 		commands = append(commands, newCommand(wire.StartTask, key))
 	}
 	return commands
@@ -88,7 +88,7 @@
 // startPermitted reports whether the placement's start may be sent. It must be committed
 // first: the next owner would otherwise not know of the task.
 func (pl *Placement) startPermitted() bool {
-	if pl.observed || pl.stopRequest != nil || pl.gangDone || pl.job.Cancelled {
+	if pl.start.observed || pl.stopRequest != nil || pl.gangDone || pl.job.Cancelled {
 		return false
 	}
 	committed := pl.chunk().committedVersion >= pl.chunkVersion
@@ -104,7 +104,7 @@
 // start that was sent is repeated only in the response to a heartbeat, which shows that the
 // earlier one has not been executed.
 func (pl *Placement) startUnsent() bool {
-	return !pl.startSent && pl.machine.acceptsStarts() && pl.startPermitted()
+	return !pl.start.sent && pl.machine.acceptsStarts() && pl.startPermitted()
 }
 
 // stopUnsent reports whether the placement's stop is still to be sent. fresh is as with
@@ -200,9 +200,9 @@
 		command.GracePeriodS = pl.stopRequest.gracePeriodS
 		return command, true
 	case fresh && pl.startUnsent():
-		pl.startSent = true
-		pl.startSequence = pl.machine.latest.heartbeatSequence
-		pl.directToken = pl.machine.token.current
+		pl.start.sent = true
+		pl.start.heartbeatSequence = pl.machine.latest.heartbeatSequence
+		pl.start.directToken = pl.machine.token.current
 		pl.machine.command.inFlight = true
 		return newCommand(wire.StartTask, key), true
 	}
@@ -257,13 +257,13 @@
 func (pl *Placement) recordStartOutcome(outcome CommandOutcome) {
 	switch outcome {
 	case CommandsExecuted:
-		pl.observed = true
+		pl.start.observed = true
 	case CommandsNotExecuted:
 		// A start that is to be stopped by now is not sent again, and the next heartbeat
 		// shows that the task is not there. It has to count as sent until then: nothing
 		// would ever free the placement otherwise.
-		pl.startSent = pl.stopRequest != nil
-		pl.directToken = 0
+		pl.start.sent = pl.stopRequest != nil
+		pl.start.directToken = 0
 	case CommandsUnknown:
 		// The start may be executed as long as token and incarnation match, so the
 		// token has to be raised before the task's absence shows anything.
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -212,13 +212,13 @@
 				}
 				if k.highestAttempt < job.highestAttempt && len(job.placements) > 0 {
 					for _, placement := range job.placements {
-						if placement.startSent && placement.attempt > k.highestAttempt {
+						if placement.start.sent && placement.attempt > k.highestAttempt {
 							t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, placement.attempt, id, k.highestAttempt)
 						}
 					}
 				}
 				for i, placement := range job.placements {
-					if !placement.startSent {
+					if !placement.start.sent {
 						continue
 					}
 					if l := k.placements[i]; l == nil || l.attempt != placement.attempt || l.machine.ID != placement.machine.ID {
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -73,9 +73,9 @@
 // stopped: a heartbeat sent later does not show the task. A response to commands would not
 // do, as the start may be on its way in the response to a heartbeat.
 func (pl *Placement) isWithdrawnStart() bool {
-	if pl.stopRequest == nil || pl.observed || !pl.startSent {
+	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
 	}
 	latest := &pl.machine.latest
-	return pl.incarnation == latest.incarnation && latest.heartbeatSequence > pl.startSequence
+	return pl.incarnation == latest.incarnation && latest.heartbeatSequence > pl.start.heartbeatSequence
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -99,40 +99,42 @@
 	return false
 }
 
-// SetMachine takes in a machine's record, new or changed.
+// SetMachine applies a machine's record, new or changed.
 func (p *Partition) SetMachine(id string, record records.MachineRecord, revision uint64, now time.Time) {
 	if record.Partition != p.Index {
-		if p.machines[id] != nil {
-			p.dropMachine(id, now)
-		}
+		p.RemoveMachine(id, now)
 		return
 	}
 	machine := p.machines[id]
 	if machine == nil {
-		machine = newMachine(id, now)
-		p.machines[id] = machine
-		p.machineIDs = slices.Sorted(maps.Keys(p.machines))
+		machine = p.addMachine(id, now)
 	} else if revision < machine.revision {
-		return
+		return // a watch and a listing may overlap
 	}
-	machine.Record, machine.revision = record, revision
+	machine.Record = record
+	machine.revision = revision
 	machine.machineType = p.machineTypes[record.MachineType]
 	machine.capacity = resource.OfMachineType(machine.machineType)
-	// An ownership has a higher revision than the ones before, so its token is higher too.
+	// Each ownership has a higher revision than the ones before, so it fences them.
 	machine.token.raise(max(p.Revision, record.FencingToken))
 	p.capacityVersion++
 }
 
-// RemoveMachine is told when a machine's record is gone, which it is only after
-// the cloud has confirmed that the machine is: all on it is gone too.
-func (p *Partition) RemoveMachine(id string, now time.Time) {
-	if p.machines[id] != nil {
-		p.dropMachine(id, now)
-	}
+func (p *Partition) addMachine(id string, now time.Time) *Machine {
+	machine := newMachine(id, now)
+	p.machines[id] = machine
+	p.machineIDs = slices.Sorted(maps.Keys(p.machines))
+	return machine
 }
 
-func (p *Partition) dropMachine(id string, now time.Time) {
+// RemoveMachine drops a machine that was moved to another partition, or whose record was
+// deleted. That happens only after the cloud has confirmed that the machine is gone, so all
+// its tasks are gone too.
+func (p *Partition) RemoveMachine(id string, now time.Time) {
 	machine := p.machines[id]
+	if machine == nil {
+		return
+	}
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		if placement := machine.placements[key]; placement != nil {
 			p.requeue(placement, now)
@@ -146,21 +148,35 @@
 	p.capacityVersion++
 }
 
-// ReleasableMachines lists the machines on which nothing of this part can be live, so
-// that they may be let go as the leader wishes, with the records to write.
+// ReleasableMachines returns the machines that the leader wants moved or returned and on
+// which no task of this partition can be in effect, with the records to write for them.
 func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
-	out := map[string]records.MachineRecord{}
+	releasable := map[string]records.MachineRecord{}
 	for id, machine := range p.machines {
-		if machine.Record.Desired == records.DesiredInService || machine.Record.Released || len(machine.placements) > 0 || len(machine.pendingForgets) > 0 {
-			continue
+		if machine.mayBeReleased() {
+			releasable[id] = releasedRecord(machine.Record)
 		}
-		record := machine.Record
-		if record.Desired == records.DesiredMoved {
-			record.Partition, record.Desired, record.MoveTo = record.MoveTo, records.DesiredInService, 0
-		} else {
-			record.Released = true
-		}
-		out[id] = record
 	}
-	return out
+	return releasable
+}
+
+// mayBeReleased reports whether the machine is to be released and is drained.
+func (m *Machine) mayBeReleased() bool {
+	if m.Record.Desired == records.DesiredInService || m.Record.Released {
+		return false
+	}
+	return len(m.placements) == 0 && len(m.pendingForgets) == 0
+}
+
+// releasedRecord returns the record that gives a machine to its new partition, or that lets
+// the leader return it to the cloud.
+func releasedRecord(record records.MachineRecord) records.MachineRecord {
+	if record.Desired == records.DesiredMoved {
+		record.Partition = record.MoveTo
+		record.Desired = records.DesiredInService
+		record.MoveTo = 0
+	} else {
+		record.Released = true
+	}
+	return record
 }
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -1,40 +1,46 @@
 package scheduler
 
 import (
-	"sort"
 	"time"
 
 	"ambersill/internal/config"
 	"ambersill/internal/quota"
-	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
-// Partition holds the jobs and machines of one part. Its caller serialises calls.
+// Partition holds the jobs and machines of one partition of the cluster, and decides what
+// runs where. Its caller serialises calls.
 type Partition struct {
-	Index            int
-	Revision         uint64 // of the part's ownership: the fence of all its writes
-	settings         *config.Settings
-	tuning           *tuning.Tuning
-	machineTypes     map[string]wire.MachineType
-	jobs             map[string]*Job
-	machines         map[string]*Machine
-	teams            map[string]*quota.Team
-	capacityVersion  int // counts changes of free room
-	scheduledVersion int // room as the last pass left it
-	layout           chunkLayout
-	journal          journal
-	conversion       formatConversion
-	// finishedJobs are jobs that are over but whose records still stand.
-	finishedJobs      []*Job
-	machineIDs        []string        // machine names, sorted
-	candidates        []*Machine      // those that could take work when the pass began
-	cancelledJobIDs   map[string]bool // jobs marked as cancelled, by the last listing
-	tombstones        tombstones
-	cycleTime         time.Time // of the scheduling cycle under way
-	Counters          Counters
+	Index    int
+	Revision uint64 // of the ownership: it fences all writes of the partition
+	Counters Counters
+
+	settings     *config.Settings
+	tuning       *tuning.Tuning
+	machineTypes map[string]wire.MachineType
+
+	jobs  map[string]*Job
+	teams map[string]*quota.Team
+	// finishedJobs are over, but their records remain to be deleted.
+	finishedJobs    []*Job
+	cancelledJobIDs map[string]bool // by the last listing, jobs not known yet included
+	tombstones      tombstones
+
+	machines   map[string]*Machine
+	machineIDs []string // the keys of machines, sorted
+
+	// capacityVersion counts the changes of free capacity, scheduledVersion is its value
+	// at the end of the last scheduling cycle.
+	capacityVersion   int
+	scheduledVersion  int
+	candidates        []*Machine // machines with free capacity when the cycle began
+	cycleTime         time.Time  // when the current cycle began
 	lastConsolidation time.Time
+
+	layout     chunkLayout
+	journal    journal
+	conversion formatConversion
 }
 
 // Counters count what a partition has done under this owner.
@@ -50,24 +56,35 @@
 	GangTimeouts     int // gang tasks that waited in vain for the others
 }
 
-// NewPartition makes an empty part owned under the given stamp.
+// NewPartition returns an empty partition owned under the given revision.
 func NewPartition(index int, revision uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
-	p := &Partition{Index: index, Revision: revision, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
-		machines: map[string]*Machine{}, teams: map[string]*quota.Team{}, tombstones: newTombstones(),
-		layout: newChunkLayout(index, settings), journal: newJournal(index, tuning.JournalSlots)}
-	for _, c := range settings.Cluster.Teams {
-		p.teams[c.Name] = &quota.Team{Team: c}
+	p := &Partition{
+		Index:        index,
+		Revision:     revision,
+		settings:     settings,
+		tuning:       tunables,
+		machineTypes: map[string]wire.MachineType{},
+		jobs:         map[string]*Job{},
+		teams:        map[string]*quota.Team{},
+		tombstones:   newTombstones(),
+		machines:     map[string]*Machine{},
+		layout:       newChunkLayout(index, settings),
+		journal:      newJournal(index, tuning.JournalSlots),
+	}
+	for _, team := range settings.Cluster.Teams {
+		p.teams[team.Name] = &quota.Team{Team: team}
 	}
 	return p
 }
 
-// SetMachineTypes tells the machine types.
+// SetMachineTypes adds machine types, or replaces those of the same name.
 func (p *Partition) SetMachineTypes(types []wire.MachineType) {
 	for _, machineType := range types {
 		p.machineTypes[machineType.Name] = machineType
 	}
 }
 
+// team returns the team of a name.
 func (p *Partition) team(name string) *quota.Team {
 	team := p.teams[name]
 	if team == nil {
@@ -78,129 +95,36 @@
 	return team
 }
 
-// AddJob takes in a new job, or one read from its records, with the stamp at
-// which both its record and its first chunk were created. Known jobs are left alone.
-func (p *Partition) AddJob(description *wire.Job, at time.Time, revision uint64) *Job {
+// AddJob adds a new job, or one read from its records, with the revision at which both its
+// record and its first chunk were created. A known job is returned as it is. The result is
+// nil if the job ended before.
+func (p *Partition) AddJob(description *wire.Job, submittedAt time.Time, revision uint64) *Job {
 	if job := p.jobs[description.ID]; job != nil {
-		if revision > job.Revision {
-			job.Revision = revision
-		}
+		job.Revision = max(job.Revision, revision)
 		return job
 	}
 	if p.tombstones.contains(description.ID) {
 		return nil
 	}
-	job := &Job{Job: description, SubmittedAt: at, Revision: revision, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
-		placements: map[int]*Placement{}, noCapacityVersion: -1}
+	job := newJob(description, submittedAt, revision)
+	job.Cancelled = p.cancelledJobIDs[job.ID]
 	job.chunks = p.layout.newChunks(job, revision)
-	p.jobs[description.ID] = job
+	p.jobs[job.ID] = job
 	return job
 }
 
-func (p *Partition) attach(placement *Placement) {
-	job, machine := placement.job, placement.machine
-	job.taskStates[placement.task] = taskPlaced
-	job.waitingTasks--
-	job.placements[placement.task] = placement
-	machine.placements[taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt}] = placement
-	machine.allocated = machine.allocated.Add(resource.OfJob(job.Job))
-	p.team(job.Team).Allocated = p.team(job.Team).Allocated.Add(resource.OfJob(job.Job))
-	machine.cachedImages[job.Image] = time.Time{}
-}
-
-// detach frees a placement's room once it can no longer be in effect.
-func (p *Partition) detach(placement *Placement) {
-	job, machine := placement.job, placement.machine
-	if job.placements[placement.task] != placement {
-		return
-	}
-	delete(job.placements, placement.task)
-	delete(machine.placements, taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt})
-	machine.allocated = machine.allocated.Sub(resource.OfJob(job.Job))
-	if len(machine.placements) == 0 {
-		machine.allocated = resource.Vector{}
-	}
-	if !placement.imageFetched && !machine.wantsImage(job.Image) {
-		delete(machine.cachedImages, job.Image) // the fetch is given up when no task waits for it
-	}
-	team := p.team(job.Team)
-	team.Allocated = team.Allocated.Sub(resource.OfJob(job.Job))
-	if job.taskStates[placement.task] == taskPlaced {
-		job.taskStates[placement.task] = taskWaiting
-		job.waitingTasks++
-		p.Counters.Requeued++
-		job.noCapacityVersion = -1
-	}
-	p.journal.markDirty(placement.chunk(), placement.task)
-	p.capacityVersion++
-}
-
-// SetCancelledJobs takes in a listing of the jobs that are marked as cancelled, and tells whether
-// one of them was news. A job that is marked before its submission is known, as when
-// the watch is behind, is cancelled from the start.
-func (p *Partition) SetCancelledJobs(ids []string, now time.Time) bool {
-	some := false
-	p.cancelledJobIDs = make(map[string]bool, len(ids))
-	for _, id := range ids {
-		p.cancelledJobIDs[id] = true
-		some = some || (p.jobs[id] != nil && !p.jobs[id].Cancelled)
-		p.Cancel(id, now)
-	}
-	return some
-}
-
-// Cancel stops a job whose cancellation is committed.
-func (p *Partition) Cancel(id string, now time.Time) {
-	job := p.jobs[id]
-	if job == nil || job.Cancelled {
-		return
-	}
-	job.Cancelled = true
-	for _, placement := range sortedPlacements(job) {
-		p.requestStop(placement, 0, now)
-	}
-}
-
-// sortedPlacements lists a job's placements in the order of its tasks.
-func sortedPlacements(job *Job) []*Placement {
-	out := make([]*Placement, 0, len(job.placements))
-	for _, placement := range job.placements {
-		out = append(out, placement)
-	}
-	sort.Slice(out, func(a, b int) bool { return out[a].task < out[b].task })
-	return out
-}
-
-func sortedTaskAttempts(m map[taskAttempt]*Placement) []taskAttempt {
-	out := make([]taskAttempt, 0, len(m))
-	for key := range m {
-		out = append(out, key)
-	}
-	sort.Slice(out, func(a, b int) bool {
-		if out[a].task != out[b].task {
-			return out[a].task < out[b].task
-		}
-		return out[a].attempt < out[b].attempt
-	})
-	return out
-}
-
-// JobCounts counts a job's tasks for display.
-func (p *Partition) JobCounts(id string) (doneTasks, running int, ok bool) {
+// JobCounts returns how many of a job's tasks are done and how many run; known is false if
+// the partition does not have the job.
+func (p *Partition) JobCounts(id string) (done, running int, known bool) {
 	job := p.jobs[id]
 	if job == nil {
 		return 0, 0, false
 	}
-	for _, placement := range job.placements {
-		if placement.state == wire.TaskRunning || placement.state == wire.TaskSaving {
-			running++
-		}
-	}
-	return job.doneTasks, running, true
+	return job.doneTasks, job.runningTasks(), true
 }
 
-// JobCount is how many jobs are not over.
+// JobCount returns the number of jobs that are not over.
 func (p *Partition) JobCount() int { return len(p.jobs) }
 
-// MachineIDs lists the part's machines.
+// MachineIDs returns the IDs of the partition's machines, sorted.
 func (p *Partition) MachineIDs() []string { return p.machineIDs }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -27,7 +27,7 @@
 	if placement.incarnation > incarnation {
 		return // the status is from before the placement
 	}
-	placement.observed = true
+	placement.start.observed = true
 	if status.State != wire.TaskExited {
 		p.updateLiveTask(placement, status.State, now)
 		return
@@ -86,14 +86,14 @@
 		// still be on its way.
 		return false
 	}
-	if placement.directToken > 0 && placement.directToken < m.token.current {
+	if placement.start.directToken > 0 && placement.start.directToken < m.token.current {
 		// The request with its start was never answered, and the worker ignores
 		// requests under a lower token.
 		return true
 	}
 	// No earlier command can take effect under the current token, so a task that was
 	// seen and is not there any more has ended. One that was not seen may yet start.
-	return placement.observed
+	return placement.start.observed
 }
 
 // unlistedTasks returns the placements that the newest task list does not contain, in
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -196,8 +196,7 @@
 		incarnation: placed.Incarnation,
 		// An earlier owner's start counts as sent and observed: it is never repeated,
 		// since the worker may have cleared the task already.
-		startSent: true,
-		observed:  true,
+		start: startState{sent: true, observed: true},
 	})
 }
 
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -41,7 +41,7 @@
 // requestStop has a placement stopped with a grace period in seconds. One whose start was
 // never sent is detached at once.
 func (p *Partition) requestStop(placement *Placement, graceS float64, now time.Time) {
-	if !placement.startSent {
+	if !placement.start.sent {
 		p.detach(placement)
 		if job := placement.job; job.IsGang() && len(job.placements) == 0 {
 			job.gangBroken = false
@@ -105,7 +105,7 @@
 	job := placement.job
 	running := placement.state == wire.TaskRunning
 	switch {
-	case !placement.startSent:
+	case !placement.start.sent:
 		p.requeue(placement, now)
 	case job.IsService():
 		// A running replica serves until the machine goes, unless another machine has
