--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -27,9 +27,9 @@
 	ID        string
 	Offering  Offering
 	Partition int
-	Desired   string // one of the records.Desired constants
-	Empty     bool   // usable and without tasks, by the summary of its partition
-	Running   bool   // has sent heartbeats
+	Desired   records.DesiredState
+	Empty     bool // usable and without tasks, by the summary of its partition
+	Running   bool // has sent heartbeats
 }
 
 // Input is the state of the cluster that one sizing of the fleet is based on.
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -74,7 +74,7 @@
 		// A machine that is up, but has sent no heartbeat since its partition's owner
 		// changed, is partitioned away or hangs. It must not count as still to come, or
 		// no other would be rented instead.
-		silent := digest&records.DigestNeverHeard != 0 && l.listings[id].state == wire.MachineRunning
+		silent := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
 		sizing = append(sizing, autoscaler.Machine{
 			ID:        id,
 			Offering:  offeringOfMachine(record),
--- /dev/null
+++ b/internal/records/jobs.go
@@ -0,0 +1,11 @@
+package records
+
+import "ambersill/internal/wire"
+
+// JobRecord is a job as users see it. It is kept for ever.
+type JobRecord struct {
+	Job           *wire.Job     `cbor:"job"`
+	Phase         wire.JobPhase `cbor:"ph"`
+	Partition     int           `cbor:"p"`
+	SubmittedAtMS int64         `cbor:"at"` // Unix time in milliseconds
+}
--- a/internal/records/journal.go
+++ b/internal/records/journal.go
@@ -1,36 +1,38 @@
 package records
 
-// JournalRecord is one record of the journal. Its number orders it: what a higher
-// one says of a task overrides a lower one, and a chunk's record holds all up to
-// the number it names.
+// JournalRecord is one record of a partition's journal. Its sequence orders it: what a record
+// says of a task is overridden by one with a higher sequence, and a chunk's record contains
+// everything up to its own JournalSequence.
 type JournalRecord struct {
 	Sequence uint64         `cbor:"q"`
 	Entries  []JournalEntry `cbor:"e"`
 }
 
-// JournalEntry is the present state of some tasks of a chunk.
+// JournalEntry is the state of some tasks of a chunk. It is encoded as an array.
 type JournalEntry struct {
 	_              struct{} `cbor:",toarray"`
 	Job            string
-	Chunk          int
-	HighestAttempt uint64 // highest attempt given out
+	Chunk          int    // the chunk's number in the initial format
+	HighestAttempt uint64 // highest attempt given out to any task of the job
 	Placements     []PlacementRecord
-	DoneRanges     []int // ranges, as in a chunk's record
-	WaitingRanges  []int // ranges of tasks that wait again
+	DoneRanges     []int // flattened ranges of the tasks that are done
+	WaitingRanges  []int // flattened ranges of the tasks that wait again
 }
 
-// JournalEntryOverheadBytes is an entry's size without its job's name and tasks.
+// JournalEntryOverheadBytes bounds an entry's size without its job's name and tasks.
 const JournalEntryOverheadBytes = 40
 
+// SizeBound returns an upper bound of the entry's size in bytes, as the key-value store counts.
 func (e *JournalEntry) SizeBound() int {
-	n := JournalEntryOverheadBytes + len(e.Job) + RangeBytes/2*(len(e.DoneRanges)+len(e.WaitingRanges))
-	for _, placed := range e.Placements {
-		n += placed.SizeBound()
+	size := JournalEntryOverheadBytes + len(e.Job)
+	size += rangesBytes(e.DoneRanges) + rangesBytes(e.WaitingRanges)
+	for _, placement := range e.Placements {
+		size += placement.SizeBound()
 	}
-	return n
+	return size
 }
 
-// LoadedJournalRecord is a journal record as its key shows it.
+// LoadedJournalRecord is a journal record with the revision of its key.
 type LoadedJournalRecord struct {
 	Revision uint64
 	Record   JournalRecord
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -5,66 +5,95 @@
 	"strings"
 )
 
-// JobKey is the key of a job's record.
-func JobKey(id string) string { return "j/" + id }
+// Prefixes of the keys of partitions, jobs and their tasks.
+const (
+	jobPrefix          = "j/"
+	chunkPrefix        = "a/"
+	cancellationPrefix = "x/"
+	journalPrefix      = "g/"
+)
+
+// Keys of the cluster: leader, owners, live nodes, machines and rentals.
+const (
+	// ClusterPrefix is the prefix of all keys that every controller watches.
+	ClusterPrefix = "c/"
+	// LeaderKey is the key of the OwnerRecord of the leader.
+	LeaderKey = "c/lead"
+	// FeatureLevelKey is the key of the LevelRecord.
+	FeatureLevelKey = "c/level"
+	// NodePrefix, with a node's name, is the key of its NodeRecord.
+	NodePrefix = "c/n/"
+	// PartitionPrefix is the prefix of the partitions' OwnerRecords; see PartitionKey.
+	PartitionPrefix = "c/p/"
+	// MachinePrefix, with the name of a group, is the key of its MachineGroupRecord.
+	MachinePrefix = "c/m/"
+	// RentalPrefix, with the name of a rental, is the key of its RentalRecord.
+	RentalPrefix = "c/h/"
+	// SummaryPrefix is the prefix of all that partitions' owners report to the leader.
+	SummaryPrefix = "s/"
+)
 
-// ChunkPrefix is the prefix of all chunks of a part.
-func ChunkPrefix(partition int) string { return "a/" + strconv.Itoa(partition) + "/" }
+// PartitionKey returns the key of the OwnerRecord of a partition's owner.
+func PartitionKey(partition int) string { return PartitionPrefix + strconv.Itoa(partition) }
 
-// ChunkKey is the key of a chunk of a job.
+// JobKey returns the key of a job's JobRecord.
+func JobKey(id string) string { return jobPrefix + id }
+
+// ChunkPrefix returns the prefix of the keys of all chunks of a partition.
+func ChunkPrefix(partition int) string { return partitionedPrefix(chunkPrefix, partition) }
+
+// ChunkKey returns the key of the ChunkRecord of a job's chunk.
 func ChunkKey(partition int, id, name string) string { return ChunkPrefix(partition) + id + "/" + name }
 
-// ParseChunkKey takes a chunk's key apart.
+// chunkKeyComponents is the number of components of a chunk's key: prefix, partition, job, name.
+const chunkKeyComponents = 4
+
+// ParseChunkKey returns the job and the name that a chunk's key contains, and reports whether
+// the key has the form of one.
 func ParseChunkKey(key string) (id, name string, ok bool) {
-	f := strings.Split(key, "/")
-	if len(f) != 4 {
+	components := strings.Split(key, "/")
+	if len(components) != chunkKeyComponents {
 		return "", "", false
 	}
-	return f[2], f[3], true
+	return components[2], components[3], true
 }
 
-// CancellationPrefix is the prefix of the marks of cancelled jobs of a part.
-func CancellationPrefix(partition int) string { return "x/" + strconv.Itoa(partition) + "/" }
-
-// CancellationKey marks a job as cancelled for its part's owner.
-func CancellationKey(partition int, id string) string { return CancellationPrefix(partition) + id }
-
-// PartitionKey is the key that names a part's owner.
-func PartitionKey(partition int) string { return "c/p/" + strconv.Itoa(partition) }
-
-// JournalPrefix is the prefix of a part's journal.
-func JournalPrefix(partition int) string { return "g/" + strconv.Itoa(partition) + "/" }
-
-// firstChunkName is the name of the chunk that holds a job's description.
+// firstChunkName is the name of the chunk that contains a job's description.
 const firstChunkName = "0"
 
-// FirstChunkKey is the key of the chunk that holds a job's description.
+// FirstChunkKey returns the key of the chunk that contains a job's description.
 func FirstChunkKey(partition int, id string) string { return ChunkKey(partition, id, firstChunkName) }
 
-// IsFirstChunk tells whether a chunk's name is that of a job's first one.
+// IsFirstChunk reports whether a chunk's name is that of a job's first one.
 func IsFirstChunk(name string) bool { return name == firstChunkName }
 
-// ExplicitChunkName is the name of a chunk that begins at a task; it is no number, so that it is
-// never that of a chunk of the first format.
+// ExplicitChunkName returns the name of a chunk with an explicit range that begins at a task.
+// It is not a number, so that it never equals the name of a chunk of the initial format.
 func ExplicitChunkName(from int) string { return "t" + strconv.Itoa(from) }
 
-// Keys of the cluster: who leads, owns and lives, machines and rentals.
-const (
-	ClusterPrefix   = "c/"
-	LeaderKey       = "c/lead"
-	FeatureLevelKey = "c/level"
-	NodePrefix      = "c/n/"
-	PartitionPrefix = "c/p/"
-	MachinePrefix   = "c/m/"
-	RentalPrefix    = "c/h/"
-	SummaryPrefix   = "s/"
-)
+// CancellationPrefix returns the prefix of the keys of all cancellations in a partition.
+func CancellationPrefix(partition int) string {
+	return partitionedPrefix(cancellationPrefix, partition)
+}
+
+// CancellationKey returns the key that shows a cancelled job to its partition's owner. Its value
+// is true.
+func CancellationKey(partition int, id string) string { return CancellationPrefix(partition) + id }
 
+// JournalPrefix returns the prefix of the keys of a partition's journal; a slot's number follows.
+func JournalPrefix(partition int) string { return partitionedPrefix(journalPrefix, partition) }
+
+// SummaryKey returns the key of a partition's PartitionSummary.
 func SummaryKey(partition int) string { return SummaryPrefix + strconv.Itoa(partition) }
 
-// MachineDigestsKey is the key of one of the records of a part's notes on its machines.
+// MachineDigestsKey returns the key of the i-th record of a partition's machine digests.
 func MachineDigestsKey(partition, i int) string { return SummaryKey(partition) + "/" + strconv.Itoa(i) }
 
-// WaitingKey is the key of one of the records of a part's waiting work, beyond what its
-// summary holds.
+// WaitingKey returns the key of the i-th record of the demand that a partition's summary has no
+// capacity for.
 func WaitingKey(partition, i int) string { return SummaryKey(partition) + "/w" + strconv.Itoa(i) }
+
+// partitionedPrefix returns the prefix of one partition's keys of a kind.
+func partitionedPrefix(prefix string, partition int) string {
+	return prefix + strconv.Itoa(partition) + "/"
+}
--- a/internal/records/level.go
+++ b/internal/records/level.go
@@ -1,22 +1,23 @@
 package records
 
-// FeatureLevel is the cluster's version of records and calls. It is raised once every
-// configured controller runs a program that knows it, and never goes down; until then only
-// what the older program reads is written.
+// FeatureLevel is the cluster's version of records and calls. It is raised once every configured
+// controller runs a program that supports the higher one, and never goes down; until then only
+// what the older program can read is written.
 type FeatureLevel int
 
 // The feature levels.
 const (
-	// FeatureInitialFormat: chunks are laid out by a setting.
+	// FeatureInitialFormat is the level at which chunks are laid out by a setting.
 	FeatureInitialFormat FeatureLevel = iota
-	// FeatureExplicitChunks: chunks' records say which tasks they hold, and may be split.
+	// FeatureExplicitChunks is the level from which chunks' records contain their range of
+	// tasks, and may be split.
 	FeatureExplicitChunks
-	// CurrentFeatureLevel is the highest that this program knows.
+	// CurrentFeatureLevel is the highest level that this program supports.
 	CurrentFeatureLevel = FeatureExplicitChunks
 )
 
-// NodeRecord is what a live controller says of itself. Programs of the first format leave
-// the level out, and ignore it.
+// NodeRecord shows that a controller is live, and which level its program supports. Programs of
+// the initial format neither write nor read the level.
 type NodeRecord struct {
 	Node  string       `cbor:"node"`
 	Level FeatureLevel `cbor:"level,omitempty"`
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -1,97 +1,117 @@
 package records
 
 import (
-	"ambersill/internal/wire"
+	"fmt"
 	"maps"
 	"slices"
+
+	"ambersill/internal/wire"
 )
 
-// MachineRecord assigns a machine to a part.
+// MachineRecord assigns a machine to a partition.
 type MachineRecord struct {
 	MachineType string `cbor:"type"`
 	Zone        string `cbor:"zone"`
 	Spot        bool   `cbor:"spot"`
 	Partition   int    `cbor:"part"`
-	Desired     string `cbor:"wish,omitempty"`
-	MoveTo      int    `cbor:"to,omitempty"`
-	// Released: the owner has let go; nothing that its part placed can be live.
+	// Desired is what the leader wants of the machine.
+	Desired DesiredState `cbor:"wish,omitempty"`
+	// MoveTo is the partition that the machine moves to, for DesiredMoved.
+	MoveTo int `cbor:"to,omitempty"`
+	// Released is set by the owner of the partition once nothing that it placed on the
+	// machine can be in effect any more; the leader may then return or move the machine.
 	Released    bool  `cbor:"free,omitempty"`
-	CreatedAtMS int64 `cbor:"born"` // milliseconds of the time of day
-	// FencingToken that the machine's commands carry at least; raised above all that came
-	// before when the machine moves, or when an order's outcome is not known.
+	CreatedAtMS int64 `cbor:"born"` // Unix time in milliseconds
+	// FencingToken is the lowest that commands to the machine carry. It is raised above all
+	// earlier ones when the machine moves, or when the outcome of a command is unknown.
 	FencingToken uint64 `cbor:"tok,omitempty"`
 }
 
-// MachineGroupRecord holds machines that were rented or taken in together: a fleet that
-// starts or ends at once costs a change of the state service for dozens of them,
-// not for each.
+// DesiredState is what the leader wants of a machine.
+type DesiredState string
+
+// The states that the leader writes.
+const (
+	// DesiredInService leaves the machine in its partition.
+	DesiredInService DesiredState = ""
+	// DesiredReturned asks the owner to release the machine for its return to the cloud.
+	DesiredReturned DesiredState = "return"
+	// DesiredMoved asks the owner to release the machine for another partition.
+	DesiredMoved DesiredState = "move"
+)
+
+// MachineGroupRecord contains machines that were rented or adopted together, so that a fleet
+// that starts or ends at once costs one put for dozens of them, not one for each.
 type MachineGroupRecord struct {
 	Machines map[string]MachineRecord `cbor:"ms"`
 }
 
-// DecodeMachineGroup decodes a group. Versions before groups kept a record for each machine,
-// whose stamp was its token; such a record is read as a group of one.
+// DecodeMachineGroup decodes the record of a group. Versions before groups kept a record for
+// each machine, whose revision was its fencing token; it is read as a group of one.
 func DecodeMachineGroup(id string, value wire.Raw, revision uint64) (MachineGroupRecord, error) {
 	var group MachineGroupRecord
-	if err := wire.Unmarshal(value, &group); err != nil || group.Machines != nil {
-		return group, err
+	if err := wire.Unmarshal(value, &group); err != nil {
+		return group, fmt.Errorf("decode machine group %s: %w", id, err)
+	}
+	if group.Machines != nil {
+		return group, nil
 	}
-	var m MachineRecord
-	if err := wire.Unmarshal(value, &m); err != nil {
-		return group, err
+	var machine MachineRecord
+	if err := wire.Unmarshal(value, &machine); err != nil {
+		return group, fmt.Errorf("decode machine %s: %w", id, err)
 	}
-	m.FencingToken = revision
-	group.Machines = map[string]MachineRecord{id: m}
+	machine.FencingToken = revision
+	group.Machines = map[string]MachineRecord{id: machine}
 	return group, nil
 }
 
-// Sizes of a group's record in the protocol's measure, in bytes.
-const (
-	groupOverheadBytes = 64  // without its machines
-	machineRecordBytes = 150 // of a machine without its names, whatever is written of it later
-)
+// machineRecordBytes bounds a machine's size in its group without its names, with all fields
+// that may be written later.
+const machineRecordBytes = 150
 
-// MachinesPerGroup is how many machines of a type and zone a record of the given size holds.
-func MachinesPerGroup(valueKB float64, typ, zone string) int {
-	return max(1, int(valueKB*1024-groupOverheadBytes)/(machineRecordBytes+len(typ)+len(zone)))
+// MachinesPerGroup returns how many machines of a type and zone a record of the given size in
+// KiB can contain, one at least.
+func MachinesPerGroup(valueKB float64, machineType, zone string) int {
+	record := MachineRecord{MachineType: machineType, Zone: zone}
+	return max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/record.SizeBound())
 }
 
-// SizeBound bounds a machine's size in a group from above.
+// SizeBound returns an upper bound of the machine's size in its group, in bytes.
 func (r *MachineRecord) SizeBound() int { return machineRecordBytes + len(r.MachineType) + len(r.Zone) }
 
-// SizeBound bounds the size of a group's record from above.
+// SizeBound returns an upper bound of the record's size in bytes.
 func (g *MachineGroupRecord) SizeBound() int {
-	n := groupOverheadBytes
-	for _, record := range g.Machines {
-		n += record.SizeBound()
+	size := collectionOverheadBytes
+	for _, machine := range g.Machines {
+		size += machine.SizeBound()
 	}
-	return n
+	return size
 }
 
-// Split divides a group into pieces that are no larger than the limit, in the order of
-// the machines' names.
+// Split divides a group into pieces whose sizes are within a limit in bytes, in the order of
+// the machines' names. A piece contains one machine at least.
 func (g *MachineGroupRecord) Split(limit int) []MachineGroupRecord {
-	var out []MachineGroupRecord
-	size := limit
+	var pieces []MachineGroupRecord
+	size := limit // so that the first machine begins a piece
 	for _, id := range slices.Sorted(maps.Keys(g.Machines)) {
-		record := g.Machines[id]
-		if size+record.SizeBound() > limit {
-			out = append(out, MachineGroupRecord{Machines: map[string]MachineRecord{}})
-			size = groupOverheadBytes
+		machine := g.Machines[id]
+		if size+machine.SizeBound() > limit {
+			pieces = append(pieces, MachineGroupRecord{Machines: map[string]MachineRecord{}})
+			size = collectionOverheadBytes
 		}
-		out[len(out)-1].Machines[id] = record
-		size += record.SizeBound()
+		pieces[len(pieces)-1].Machines[id] = machine
+		size += machine.SizeBound()
 	}
-	return out
+	return pieces
 }
 
-// RentalRecord is written before the cloud is called, so that a rental whose
-// answer is lost can be repeated under the same name by any leader.
+// RentalRecord is written before the cloud is called, so that a rental whose answer is lost can
+// be repeated by any leader as an idempotent request, under the name in the record's key.
 type RentalRecord struct {
 	MachineType  string `cbor:"type"`
 	Zone         string `cbor:"zone"`
 	Spot         bool   `cbor:"spot"`
 	Count        int    `cbor:"n"`
 	Partition    int    `cbor:"part"`
-	RecordedAtMS int64  `cbor:"at"`
+	RecordedAtMS int64  `cbor:"at"` // Unix time in milliseconds
 }
--- a/internal/records/ranges.go
+++ b/internal/records/ranges.go
@@ -1,13 +1,17 @@
 package records
 
-// maxRangeLength bounds a range read from a record, so that a damaged one does no harm.
+// Sets of tasks are stored as flattened ranges: [from, to, from, to, ...] in ascending order,
+// each to exclusive.
+
+// maxRangeLength bounds a range that is read from a record, so that a damaged one does no harm.
 const maxRangeLength = 1 << 17
 
-// ForEachInRanges visits the tasks of flattened ranges.
-func ForEachInRanges(r []int, f func(int)) {
-	for i := 0; i+1 < len(r); i += 2 {
-		for t := r[i]; t < r[i+1] && t-r[i] < maxRangeLength; t++ {
-			f(t)
+// ForEachInRanges calls visit for each task of flattened ranges.
+func ForEachInRanges(ranges []int, visit func(task int)) {
+	for i := 0; i+1 < len(ranges); i += 2 {
+		from, to := ranges[i], ranges[i+1]
+		for task := from; task < to && task-from < maxRangeLength; task++ {
+			visit(task)
 		}
 	}
 }
@@ -23,7 +27,7 @@
 	return ranges
 }
 
-// AppendToRanges adds a task above all others to flattened ranges.
+// AppendToRanges adds a task to flattened ranges; it must be above all others.
 func AppendToRanges(ranges []int, task int) []int {
 	if n := len(ranges); n > 0 && ranges[n-1] == task {
 		ranges[n-1] = task + 1
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -1,54 +1,72 @@
 package records
 
 import (
+	"strconv"
+
 	"ambersill/internal/config"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
-	"strconv"
 )
 
-// SizeBound bounds a record's size in the protocol's measure from above.
+// bytesPerKiB converts limits, which settings give in KiB.
+const bytesPerKiB = 1024
+
+// Bounds of sizes in bytes, as the key-value store counts them: by the length as JSON.
+const (
+	// ChunkOverheadBytes bounds a chunk's record without its tasks and the job's description.
+	ChunkOverheadBytes = 128
+	// RangeBytes bounds a range of tasks: two numbers of up to six digits.
+	RangeBytes = 14
+	// jobDescriptionOverheadBytes bounds a job's description without its names.
+	jobDescriptionOverheadBytes = 560
+	// placementOverheadBytes is the punctuation of a placement.
+	placementOverheadBytes = 8
+	// listItemOverheadBytes is the punctuation of a name in a list.
+	listItemOverheadBytes = 3
+	// collectionOverheadBytes bounds a record of a map or a list without its entries.
+	collectionOverheadBytes = 64
+)
+
+// SizeBound returns an upper bound of the record's size in bytes.
 func (r *ChunkRecord) SizeBound() int {
-	n := ChunkOverheadBytes + RangeBytes/2*len(r.DoneRanges)
-	for _, placed := range r.Placements {
-		n += placed.SizeBound()
+	size := ChunkOverheadBytes + rangesBytes(r.DoneRanges)
+	for _, placement := range r.Placements {
+		size += placement.SizeBound()
 	}
 	if r.Job != nil {
-		n += JobDescriptionBytes(r.Job)
+		size += JobDescriptionBytes(r.Job)
 	}
-	return n
+	return size
 }
 
-// Sizes in the protocol's measure, in bytes.
-const (
-	ChunkOverheadBytes          = 128 // a chunk's record without its tasks and the job's description
-	RangeBytes                  = 14  // two task numbers of up to six digits
-	jobDescriptionOverheadBytes = 560 // a job's description without its names
-	placementOverheadBytes      = 8   // the punctuation of a live placement
-)
+// SizeBound returns the placement's size in bytes.
+func (r PlacementRecord) SizeBound() int {
+	return placementOverheadBytes + digits(uint64(r.Task)) + digits(r.Attempt) + len(r.Machine) + digits(r.Incarnation)
+}
 
-// JobDescriptionBytes bounds the size of a job's description from above.
+// JobDescriptionBytes returns an upper bound of the size of a job's description.
 func JobDescriptionBytes(job *wire.Job) int {
-	n := jobDescriptionOverheadBytes + len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
-	for _, t := range job.MachineTypes {
-		n += len(t) + 3
-	}
-	return n
+	names := len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
+	return jobDescriptionOverheadBytes + names + namesBytes(job.MachineTypes)
 }
 
-// JobFitsRecord tells whether a job's description leaves room in a record for a task.
+// JobFitsRecord reports whether a job's description leaves capacity for a task in a record.
 func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
-	return ChunkOverheadBytes+JobDescriptionBytes(job)+tuning.TaskBytes <= int(settings.WriteLimits().ValueKB*1024)
+	size := ChunkOverheadBytes + JobDescriptionBytes(job) + tuning.TaskBytes
+	return size <= int(settings.WriteLimits().ValueKB*bytesPerKiB)
 }
 
-// SizeBound is a placement's size.
-func (l PlacementRecord) SizeBound() int {
-	return placementOverheadBytes + digits(uint64(l.Task)) + digits(l.Attempt) + len(l.Machine) + digits(l.Incarnation)
+// rangesBytes bounds the size of flattened ranges.
+func rangesBytes(ranges []int) int { return RangeBytes / 2 * len(ranges) }
+
+// namesBytes returns the size of a list of names.
+func namesBytes(names []string) int {
+	size := 0
+	for _, name := range names {
+		size += len(name) + listItemOverheadBytes
+	}
+	return size
 }
 
+// digits returns the number of decimal digits of a number.
 func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
-
-// TasksPerChunk is how many tasks a chunk of the first format holds.
-func TasksPerChunk(settings *config.Settings) int {
-	return max(1, int(settings.Cluster.State.ValueKB*1024)/tuning.TaskBytes)
-}
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -1,123 +1,135 @@
 package records
 
 import (
-	"ambersill/internal/resource"
 	"maps"
 	"math"
 	"slices"
+
+	"ambersill/internal/resource"
 )
 
-// PartitionSummary is what a part tells the leader each round.
+// PartitionSummary is what a partition's owner reports to the leader for sizing the fleet.
 type PartitionSummary struct {
-	// BookedMachines room per type, in machines.
+	// BookedMachines is the booked capacity by machine type, in machines.
 	BookedMachines map[string]float64 `cbor:"booked"`
-	// BookedOnDemand is the booked room of jobs that may not use spot machines.
+	// BookedOnDemand is the part of it that jobs hold which may not use spot instances.
 	BookedOnDemand map[string]float64 `cbor:"firm"`
-	// Waiting tasks that fit no free room.
+	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
-	// MachineDigests that have something to tell of. In the state service they stand in
+	// MachineDigests are those of the machines with anything to report. They are stored in
 	// records of their own, since their number has no bound.
 	MachineDigests map[string]MachineDigest `cbor:"-"`
-	// DigestRecords is how many such records there are.
+	// DigestRecords is the number of these records.
 	DigestRecords int `cbor:"notes"`
-	// OverflowRecords is how many further records hold waiting tasks. Programs of the first format
-	// size for what this record holds.
+	// OverflowRecords is the number of further records of waiting demand. Programs of the
+	// initial format size the fleet for what the summary's own record contains.
 	OverflowRecords int `cbor:"more,omitempty"`
 }
 
-// MachineDigest is what a part's owner tells of a machine.
+// MachineDigest is what a partition's owner reports of a machine, a set of flags.
 type MachineDigest uint8
 
-// What there is to tell, in any combination.
+// The flags of a MachineDigest.
 const (
-	DigestReporting  MachineDigest = 1 << iota // has reported to this owner
-	DigestEmpty                                // may be moved or given back
-	DigestNeverHeard                           // has been there for long, and was never heard
-	DigestUnhealthy                            // is to go back: faulty, deaf, or silent beyond its lease
+	// DigestReporting is set if the machine has reported to this owner.
+	DigestReporting MachineDigest = 1 << iota
+	// DigestEmpty is set if the machine may be moved or returned.
+	DigestEmpty
+	// DigestNeverReported is set if the machine was assigned long ago and has never reported.
+	DigestNeverReported
+	// DigestUnhealthy is set if the machine is to be returned: it is faulty, unresponsive, or
+	// silent beyond its lease.
+	DigestUnhealthy
 )
 
-// Demand is a number of like tasks that wait unplaced.
+// Demand is a number of waiting tasks with the same requirements.
 type Demand struct {
 	MachineTypes  []string `cbor:"t,omitempty"`
 	Zone          string   `cbor:"z,omitempty"`
 	AllowSpot     bool     `cbor:"s"`
 	SingleZone    bool     `cbor:"o"`
-	MaxPerZone    int      `cbor:"zm,omitempty"` // most tasks in one zone; 0: any
+	MaxPerZone    int      `cbor:"zm,omitempty"` // limit of tasks in one zone; 0: none
 	Gang          bool     `cbor:"g"`
 	CPUs          float64  `cbor:"c"`
 	GPUs          float64  `cbor:"gp"`
 	MemoryGB      float64  `cbor:"r"`
 	Tasks         int      `cbor:"n"`
-	EstimatedRunS float64  `cbor:"e"` // estimated run time of one
+	EstimatedRunS float64  `cbor:"e"` // estimated run time of one task in seconds
 	Priority      int      `cbor:"l"`
 }
 
-// demandBytes is what a demand takes of a summary's record, names apart, in the
-// protocol's measure.
-const demandBytes = 130
+// Sizes in bytes, as the key-value store counts them.
+const (
+	// demandBytes bounds a demand without its names.
+	demandBytes = 130
+	// summaryOverheadBytes is set aside for what a summary's record contains beside the
+	// waiting demand.
+	summaryOverheadBytes = 1024
+	// digestBytes bounds a machine's digest without its name.
+	digestBytes = 6
+)
 
-// Merge adds the tasks of a demand that is alike.
+// runSecondsPrecision is the number of steps in a second to which merged run times are rounded,
+// so that their length in a record is bounded.
+const runSecondsPrecision = 10
+
+// Merge adds the tasks of another demand with the same requirements.
 func (d *Demand) Merge(other *Demand) {
 	tasks, more := float64(d.Tasks), float64(other.Tasks)
-	d.EstimatedRunS = math.Round((d.EstimatedRunS*tasks+other.EstimatedRunS*more)/(tasks+more)*10) / 10
+	mean := (d.EstimatedRunS*tasks + other.EstimatedRunS*more) / (tasks + more)
+	d.EstimatedRunS = math.Round(mean*runSecondsPrecision) / runSecondsPrecision
 	d.Tasks += other.Tasks
 }
 
-// summaryOverheadBytes is set aside for what a summary's record holds beside the waiting tasks.
-const summaryOverheadBytes = 1024
-
-// Request is what one task of the demand takes of its machine.
+// Request returns the resources that one task of the demand takes.
 func (d *Demand) Request() resource.Vector {
 	return resource.Vector{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
 }
 
-// SizeBound bounds a demand's size in the protocol's measure from above.
-func (d *Demand) SizeBound() int {
-	size := demandBytes + len(d.Zone)
-	for _, t := range d.MachineTypes {
-		size += len(t) + 3
-	}
-	return size
-}
+// SizeBound returns an upper bound of the demand's size in bytes.
+func (d *Demand) SizeBound() int { return demandBytes + len(d.Zone) + namesBytes(d.MachineTypes) }
 
-// SplitWaiting leaves those demands in the summary that fit its record, and returns the
-// rest, split into records.
+// SplitWaiting keeps those demands in the summary that fit its record, and returns the rest,
+// divided into further records. valueKB is the size of a value in KiB.
 func (s *PartitionSummary) SplitWaiting(valueKB float64) [][]Demand {
-	limit := int(valueKB * 1024)
+	limit := int(valueKB * bytesPerKiB)
 	all := s.Waiting
 	s.Waiting = nil
-	var more [][]Demand
-	left := limit - summaryOverheadBytes
+	var overflow [][]Demand
+	bytesLeft := limit - summaryOverheadBytes
 	for _, demand := range all {
 		size := demand.SizeBound()
-		if size > left {
-			more = append(more, nil)
-			left = limit - groupOverheadBytes
+		if size > bytesLeft {
+			overflow = append(overflow, nil)
+			bytesLeft = limit - collectionOverheadBytes
 		}
-		left -= size
-		if len(more) == 0 {
+		bytesLeft -= size
+		if len(overflow) == 0 {
 			s.Waiting = append(s.Waiting, demand)
-		} else {
-			more[len(more)-1] = append(more[len(more)-1], demand)
+			continue
 		}
+		last := len(overflow) - 1
+		overflow[last] = append(overflow[last], demand)
 	}
-	return more
+	return overflow
 }
 
-// SplitMachineDigests splits the notes into records that fit a value, in the order of names.
+// SplitMachineDigests divides the digests into records that fit a value, in the order of the
+// machines' names. valueKB is the size of a value in KiB.
 func (s *PartitionSummary) SplitMachineDigests(valueKB float64) []map[string]MachineDigest {
 	ids := slices.Sorted(maps.Keys(s.MachineDigests))
-	longest := 0
+	longestName := 0
 	for _, id := range ids {
-		longest = max(longest, len(id))
+		longestName = max(longestName, len(id))
 	}
+	perRecord := max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/(longestName+digestBytes))
 	var out []map[string]MachineDigest
-	for part := range slices.Chunk(ids, max(1, int(valueKB*1024-64)/(longest+6))) {
-		m := make(map[string]MachineDigest, len(part))
-		for _, id := range part {
-			m[id] = s.MachineDigests[id]
+	for names := range slices.Chunk(ids, perRecord) {
+		digests := make(map[string]MachineDigest, len(names))
+		for _, id := range names {
+			digests[id] = s.MachineDigests[id]
 		}
-		out = append(out, m)
+		out = append(out, digests)
 	}
 	return out
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -65,7 +65,7 @@
 		note |= records.DigestUnhealthy
 	case !machine.token.everAcknowledged && now.Sub(machine.assignedAt) > patience:
 		// Booting still, or cut off: the cloud's list tells.
-		note |= records.DigestNeverHeard
+		note |= records.DigestNeverReported
 	case !machine.token.unacknowledgedSince.IsZero() && now.Sub(machine.token.unacknowledgedSince) > patience:
 		// It reports, but neither answers nor orders arrive there.
 		note |= records.DigestUnhealthy
--- a/internal/scheduler/summary_test.go
+++ b/internal/scheduler/summary_test.go
@@ -12,11 +12,11 @@
 	harness := newPartitionHarness()
 	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, 100, harness.now)
 	harness.addMachine("m-2", "cpu", "a", false)
-	if n := harness.Summary(harness.now.Add(10 * time.Second)).MachineDigests["m-1"]; n&records.DigestNeverHeard != 0 {
+	if n := harness.Summary(harness.now.Add(10 * time.Second)).MachineDigests["m-1"]; n&records.DigestNeverReported != 0 {
 		t.Error("noted as unheard before it could be back")
 	}
 	summary := harness.Summary(harness.now.Add(time.Minute))
-	if summary.MachineDigests["m-1"]&records.DigestNeverHeard == 0 || summary.MachineDigests["m-2"]&records.DigestNeverHeard != 0 {
+	if summary.MachineDigests["m-1"]&records.DigestNeverReported == 0 || summary.MachineDigests["m-2"]&records.DigestNeverReported != 0 {
 		t.Errorf("notes %v", summary.MachineDigests)
 	}
 }
