--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -21,6 +21,12 @@
 	Spot        bool
 }
 
+// Values of Offering.Spot.
+const (
+	onDemandMachines = false
+	spotMachines     = true
+)
+
 // Machine is a rented machine as the leader knows it. One that is rented but whose ID
 // the cloud has not returned yet has neither an ID nor a state.
 type Machine struct {
@@ -105,7 +111,7 @@
 		}
 		round.plan.TargetMachines[machineType.Name] = target
 		if missing := target - fleet.machines - fleet.queued; missing > 0 {
-			// Work that may not run on spot machines must find room on the others.
+			// Work that may not run on spot machines needs capacity on the others.
 			spot := use.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
 			round.rentInEmptiestZone(machineType, spot, booked.busiestPartition, missing)
 		}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 
@@ -96,3 +97,49 @@
 		t.Fatal("not returned")
 	}
 }
+
+// planAfterSurplus returns the second of two plans between which a surplus has lasted.
+func planAfterSurplus(input Input) Plan {
+	tune := tuning.Default()
+	sizer := New(&tune)
+	start := time.Unix(0, 0)
+	sizer.Plan(input, start)
+	return sizer.Plan(input, start.Add(tuning.Seconds(tune.GiveBackS)))
+}
+
+// On-demand machines are dearer than spot machines and are returned first, except as many
+// as the jobs need that may not use spot machines.
+func TestScaleInReturnsOnDemandMachinesFirst(t *testing.T) {
+	onDemand := Offering{MachineType: "cpu", Zone: "a"}
+	spot := Offering{MachineType: "cpu", Zone: "a", Spot: true}
+	machines := []Machine{
+		{ID: "spot-1", Offering: spot, Empty: true, Running: true},
+		{ID: "demand-1", Offering: onDemand, Empty: true, Running: true},
+		{ID: "demand-2", Offering: onDemand, Empty: true, Running: true},
+	}
+	for _, test := range []struct {
+		name           string
+		booked         float64
+		bookedOnDemand float64
+		want           []string
+	}{
+		{name: "nothing booked", want: []string{"demand-1", "demand-2", "spot-1"}},
+		{name: "spot work booked", booked: 1, want: []string{"demand-1", "demand-2"}},
+		{name: "on-demand work booked", booked: 1, bookedOnDemand: 1, want: []string{"demand-1", "spot-1"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			summary := records.PartitionSummary{
+				BookedMachines: map[string]float64{"cpu": test.booked},
+				BookedOnDemand: map[string]float64{"cpu": test.bookedOnDemand},
+			}
+			plan := planAfterSurplus(Input{
+				MachineTypes: testTypes,
+				Machines:     machines,
+				Summaries:    map[int]records.PartitionSummary{0: summary},
+			})
+			if !slices.Equal(plan.Returns, test.want) {
+				t.Errorf("returns %q, want %q", plan.Returns, test.want)
+			}
+		})
+	}
+}
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -76,7 +76,7 @@
 		if p.allowedIn(zone) <= 0 {
 			continue
 		}
-		for _, spot := range []bool{true, false} {
+		for _, spot := range []bool{spotMachines, onDemandMachines} {
 			offering := Offering{MachineType: machineType.Name, Zone: zone, Spot: spot}
 			if offeringAllowed(p.demand.Demand, offering, p.zone) && !p.round.input.Unavailable[offering] {
 				open = append(open, offering)
@@ -102,7 +102,7 @@
 func (r *sizingRound) rentInEmptiestZone(machineType wire.MachineType, spot bool, partition, count int) {
 	offering, ok := r.offeringWithFewest(machineType, spot)
 	if !ok && spot {
-		offering, ok = r.offeringWithFewest(machineType, false)
+		offering, ok = r.offeringWithFewest(machineType, onDemandMachines)
 	}
 	if ok {
 		r.rent(offering, partition, count)
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -19,8 +19,8 @@
 	if !a.surplusHasLasted(machineType, surplus.total, now) {
 		return
 	}
-	returned := round.returnEmpty(machineType, false, min(surplus.total, surplus.onDemand))
-	round.returnEmpty(machineType, true, surplus.total-returned)
+	returned := round.returnEmpty(machineType, onDemandMachines, min(surplus.total, surplus.onDemand))
+	round.returnEmpty(machineType, spotMachines, surplus.total-returned)
 }
 
 // surplusHasLasted reports whether a machine type has had a surplus for GiveBackS. It
