--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -184,7 +184,7 @@
 					t.Fatal(err)
 				}
 				c.setLease(leaseID, time.Now())
-				c.claim(ctx, 0, 0, true)
+				c.claimUnownedPartition(ctx, 0)
 				time.Sleep(3 * time.Second)
 				owned := c.ownedPartition(0)
 				owned.mu.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,12 +1,12 @@
-// Package controller joins the parts of ambersill: it keeps this node's lease,
-// claims parts and the lead, and runs what it has claimed.
+// Package controller is one node of the control plane. It keeps this node's lease in the
+// key-value store, claims partitions and leadership under it, and runs what it has claimed:
+// the scheduling of its partitions' jobs, and the sizing of the fleet.
 package controller
 
 import (
 	"context"
 	"errors"
 	"log/slog"
-	"runtime"
 	"sync"
 	"time"
 
@@ -23,55 +23,76 @@
 
 // Controller is one node.
 type Controller struct {
-	settings     *config.Settings
-	net          transport.Net
-	tuning       tuning.Tuning
-	store        *kvstore.Client
-	cloud        *cloud.Client
-	workers      *agentclient.Client
-	commandSlots *commandSlots
-	cluster      *clusterCache
-	peers        map[string]*peerrpc.Peer
-	partitions   int
-	// limits are those of the state service that all that is written keeps to.
+	// Settings, which do not change after New.
+	settings   *config.Settings
+	tuning     tuning.Tuning
+	partitions int // number of partitions, the same on all nodes
+	// limits are the state service's limits that all writes keep to.
 	limits config.StateLimits
-	// supportedLevel is the feature level that this node says it knows.
+	// supportedLevel is the highest feature level that this node supports.
 	supportedLevel records.FeatureLevel
-	// forwarders pass workers' reports on, by the node that they go to.
+
+	// Clients of other services, each with locks of its own.
+	net     transport.Net
+	store   *kvstore.Client
+	cloud   *cloud.Client
+	workers *agentclient.Client
+
+	// Other nodes, by name; the maps do not change after New.
+	peers map[string]*peerrpc.Peer
+	// forwarders forward heartbeats, each to one other node.
 	forwarders map[string]*forwarder
-	// announcementSlots holds a place for each cancellation that an owner is told of.
+
+	// State with locks of its own.
+	cluster      *clusterCache
+	finalJobs    *finalJobCache
+	commandSlots *commandSlots
+	// announcementSlots is a semaphore for announcements of cancellations.
 	announcementSlots chan struct{}
 
+	// mu guards the fields below. It may be locked while cluster.mu is held, but not the
+	// other way round.
 	mu           sync.Mutex
-	machineTypes []wire.MachineType
+	machineTypes []wire.MachineType // the cloud's catalog; empty until it is read
 	owned        map[int]*ownedPartition
-	leaseID      uint64
-	leaseExpiry  time.Time // until then the lease lasts for sure, whatever becomes of contact
+	leaseID      uint64    // 0 without a lease
+	leaseExpiry  time.Time // until then the lease surely lasts, even without contact
 	leading      bool
-	finalJobs    *finalJobCache
-	addresses    map[string]string // where machines can be reached, by their reports or the list
-	visits       map[string]visit  // workers that report here but are assigned to other nodes, by machine
-	claimBackoff map[int]time.Time // parts not to be claimed again at once
+	addresses    map[string]string // of machines, from heartbeats or the cloud's listing
+	visits       map[string]visit  // machines that report here but are assigned to other nodes
 }
 
-// New makes a controller that has not started yet.
+// New returns a controller that has not started yet.
 func New(settings *config.Settings, tunables tuning.Tuning, network transport.Net) *Controller {
-	st := settings.WriteLimits()
+	limits := settings.WriteLimits()
 	c := &Controller{
-		settings: settings, limits: st, supportedLevel: records.CurrentFeatureLevel, tuning: tunables, net: network, cluster: newClusterCache(), peers: map[string]*peerrpc.Peer{}, partitions: tunables.Parts,
-		owned: map[int]*ownedPartition{}, finalJobs: newFinalJobCache(tunables.FinalCache), addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
-		store:        kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
-		cloud:        cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
-		workers:      agentclient.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
-		commandSlots: newCommandSlots(settings.Cluster.Limits.MaxSockets), announcementSlots: make(chan struct{}, maxAnnouncements),
+		settings:       settings,
+		tuning:         tunables,
+		partitions:     tunables.Parts,
+		limits:         limits,
+		supportedLevel: records.CurrentFeatureLevel,
+
+		net:     network,
+		store:   newStoreClient(settings, tunables, network, limits),
+		cloud:   cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
+		workers: agentclient.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
+
+		peers:      map[string]*peerrpc.Peer{},
+		forwarders: map[string]*forwarder{},
+
+		cluster:           newClusterCache(),
+		finalJobs:         newFinalJobCache(tunables.FinalCache),
+		commandSlots:      newCommandSlots(settings.Cluster.Limits.MaxSockets),
+		announcementSlots: make(chan struct{}, maxAnnouncements),
+
+		owned:     map[int]*ownedPartition{},
+		addresses: map[string]string{},
+		visits:    map[string]visit{},
 	}
 	if c.partitions == 0 {
 		c.partitions = settings.Cluster.Count
 	}
-	for _, m := range settings.Members {
-		c.peers[m.Node] = &peerrpc.Peer{Member: m, Net: network}
-		c.forwarders[m.Node] = newForwarder(&peerrpc.Peer{Member: m, Net: network})
-	}
+	c.connectPeers()
 	c.cluster.onMachine = c.machineChanged
 	c.cluster.onOwner = c.ownerChanged
 	c.cluster.onLevel = c.levelRaised
@@ -79,47 +100,87 @@
 	return c
 }
 
-// Run serves until the context ends.
+func newStoreClient(settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StateLimits) *kvstore.Client {
+	return kvstore.New(kvstore.Options{
+		Net:       network,
+		Addr:      settings.Outside.State,
+		Timeout:   tuning.Seconds(tunables.StateTimeoutS),
+		ReadRate:  limits.RPS,
+		WriteRate: limits.WriteRPS,
+	})
+}
+
+// connectPeers makes the clients of the other nodes. Forwarders have a connection of their
+// own each, which no other call can delay.
+func (c *Controller) connectPeers() {
+	for _, member := range c.settings.Members {
+		c.peers[member.Node] = &peerrpc.Peer{Member: member, Net: c.net}
+		c.forwarders[member.Node] = newForwarder(&peerrpc.Peer{Member: member, Net: c.net})
+	}
+}
+
+// backgroundTask is a goroutine that runs for as long as the controller. If it returns an
+// error before, the controller stops.
+type backgroundTask struct {
+	name string // as logged
+	run  func(context.Context) error
+}
+
+// Run serves until the context ends, or until a background task fails; it returns that
+// task's error.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var wg sync.WaitGroup
-	duty := func(name string, f func(context.Context) error) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if err := f(ctx); err != nil && ctx.Err() == nil {
-				slog.Error("duty failed", "duty", name, "err", err)
+	slog.Info("starting", "node", c.settings.Node, "partitions", c.partitions,
+		"public_sockets", c.publicSockets(), "command_slots", c.commandSlots.limit)
+	var running sync.WaitGroup
+	for _, task := range c.backgroundTasks(ctx) {
+		running.Go(func() {
+			if err := task.run(ctx); err != nil && ctx.Err() == nil {
+				slog.Error("background task failed", "task", task.name, "err", err)
 				cancel(err)
 			}
-		}()
-	}
-	slog.Info("starting", "node", c.settings.Node, "parts", c.partitions, "public_sockets", c.publicSockets(), "orders", c.commandSlots.limit)
-	for _, forwarder := range c.forwarders {
-		forwarder.done = ctx.Done()
-		duty("forwarding of reports", forwarder.run)
+		})
 	}
-	duty("users and workers", c.serve)
-	duty("peer calls", func(ctx context.Context) error { return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c) })
-	duty("cluster watch", func(ctx context.Context) error {
-		watchPrefix(ctx, c.store, records.ClusterPrefix, c.cluster.watchHandler())
-		return nil
-	})
-	duty("catalog", c.runCatalog)
-	duty("membership", c.runMembership)
-	duty("lead", c.runLeadership)
-	duty("log", c.runCounters)
 	<-ctx.Done()
-	c.releaseLease()
-	wg.Wait()
+	c.releaseAll()
+	running.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
 }
 
-// releaseLease gives up all that is held, so that others need not wait for the lease.
-func (c *Controller) releaseLease() {
+// backgroundTasks returns the tasks in the order in which they are started.
+func (c *Controller) backgroundTasks(ctx context.Context) []backgroundTask {
+	var tasks []backgroundTask
+	for _, forwarder := range c.forwarders {
+		forwarder.done = ctx.Done()
+		tasks = append(tasks, backgroundTask{"heartbeat forwarding", forwarder.run})
+	}
+	return append(tasks,
+		backgroundTask{"public server", c.serve},
+		backgroundTask{"peer server", c.servePeers},
+		backgroundTask{"cluster watch", c.watchCluster},
+		backgroundTask{"catalog", c.runCatalog},
+		backgroundTask{"membership", c.runMembership},
+		backgroundTask{"leadership", c.runLeadership},
+		backgroundTask{"counters", c.runCounters},
+	)
+}
+
+func (c *Controller) servePeers(ctx context.Context) error {
+	return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c)
+}
+
+func (c *Controller) watchCluster(ctx context.Context) error {
+	watchPrefix(ctx, c.store, records.ClusterPrefix, c.cluster.watchHandler())
+	return nil
+}
+
+// releaseAll stops the scheduling of all partitions and revokes the lease, so that other
+// nodes can take over without waiting for its expiry.
+func (c *Controller) releaseAll() {
 	c.mu.Lock()
 	leaseID := c.leaseID
 	for _, owned := range c.owned {
@@ -127,130 +188,45 @@
 	}
 	c.mu.Unlock()
 	if leaseID != 0 {
+		// The context of Run has ended by now.
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.Seconds(c.tuning.StateTimeoutS))
 		defer cancel()
+		// If it fails, the lease expires.
 		_ = c.store.RevokeLease(ctx, leaseID)
 	}
 	slog.Info("stopped", "node", c.settings.Node)
 }
 
-// runCatalog learns the machine types, and follows their prices.
-func (c *Controller) runCatalog(ctx context.Context) error {
-	for ctx.Err() == nil {
-		types, err := c.cloud.Catalog(ctx)
-		if err != nil || len(types) == 0 {
-			slog.Debug("catalog not read", "err", err)
-			transport.Pause(ctx, time.Second)
-			continue
-		}
-		c.mu.Lock()
-		c.machineTypes = types
-		owned := c.ownedPartitions()
-		c.mu.Unlock()
-		for _, o := range owned {
-			o.mu.Lock()
-			if o.partition != nil {
-				o.partition.SetMachineTypes(types)
-			}
-			o.mu.Unlock()
-		}
-		transport.Pause(ctx, 30*time.Second)
-	}
-	return nil
-}
-
-func (c *Controller) catalog() []wire.MachineType {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.machineTypes
-}
-
-// ownedPartitions lists the parts in order; c.mu must be held.
+// ownedPartitions lists the partitions that this node owns in order; c.mu must be held.
 func (c *Controller) ownedPartitions() []*ownedPartition {
-	out := make([]*ownedPartition, 0, len(c.owned))
-	for i := 0; i < c.partitions; i++ {
-		if owned := c.owned[i]; owned != nil {
-			out = append(out, owned)
+	all := make([]*ownedPartition, 0, len(c.owned))
+	for partition := range c.partitions {
+		if owned := c.owned[partition]; owned != nil {
+			all = append(all, owned)
 		}
 	}
-	return out
+	return all
 }
 
-// allOwnedPartitions lists the partitions in order.
+// allOwnedPartitions lists the partitions that this node owns in order.
 func (c *Controller) allOwnedPartitions() []*ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ownedPartitions()
 }
 
-func (c *Controller) ownedPartition(i int) *ownedPartition {
+// ownedPartition returns a partition that this node owns, nil if it does not own it.
+func (c *Controller) ownedPartition(partition int) *ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.owned[i]
+	return c.owned[partition]
 }
 
-func must[T any](v T, err error) T {
+// must returns a value whose error can only be a fault of the program, such as a record
+// that cannot be encoded.
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
 	}
-	return v
-}
-
-// recordAddress notes where a machine can be reached. Of machines without a record nothing is
-// kept: the cloud's list goes on to show those that were returned, and what it tells of
-// them would stay for ever.
-func (c *Controller) recordAddress(id, addr string) {
-	if _, known := c.cluster.machine(id); !known || addr == "" {
-		return
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.addresses[id] = addr
-}
-
-// address tells where a machine can be reached; "" if that is not known yet.
-func (c *Controller) address(id string) string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.addresses[id]
-}
-
-func (c *Controller) machineChanged(id string, entry machineEntry, gone bool) {
-	c.mu.Lock()
-	all := c.ownedPartitions()
-	if gone {
-		delete(c.addresses, id)
-		delete(c.visits, id)
-		c.commandSlots.forget(id)
-	}
-	c.mu.Unlock()
-	for _, owned := range all {
-		owned.machineChanged(id, entry, gone)
-		owned.wakeUp()
-	}
-}
-
-// runCounters writes a line of counters now and then.
-func (c *Controller) runCounters(ctx context.Context) error {
-	for ctx.Err() == nil {
-		transport.Pause(ctx, 30*time.Second)
-		var ms runtime.MemStats
-		runtime.ReadMemStats(&ms)
-		ok, refused, unknown := c.store.Counts()
-		c.mu.Lock()
-		all := c.ownedPartitions()
-		c.mu.Unlock()
-		args := []any{"heap_mb", ms.HeapAlloc >> 20, "sys_mb", ms.Sys >> 20, "goroutines", runtime.NumGoroutine(),
-			"state_ok", ok, "state_refused", refused, "state_unknown", unknown, "final_jobs_cached", c.finalJobs.size()}
-		for _, owned := range all {
-			owned.mu.Lock()
-			if owned.partition != nil {
-				args = append(args, "part", owned.index, "jobs", owned.partition.JobCount(), "machines", len(owned.partition.MachineIDs()), "started", owned.partition.Counters.Started,
-					"finished", owned.partition.Counters.Finished, "requeued", owned.partition.Counters.Requeued, "preempted", owned.partition.Counters.Preempted, "moved", owned.partition.Counters.Moved, "gathered", owned.partition.Counters.GangReservations, "incomplete", owned.partition.Counters.GangTimeouts, "journaled", owned.partition.Counters.JournalRecords, "folded", owned.partition.Counters.Compactions)
-			}
-			owned.mu.Unlock()
-		}
-		slog.Info("counters", args...)
-	}
-	return nil
+	return value
 }
--- /dev/null
+++ b/internal/controller/counters.go
@@ -0,0 +1,115 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"runtime"
+	"time"
+
+	"ambersill/internal/scheduler"
+	"ambersill/internal/transport"
+)
+
+// countersInterval is the time between two log lines of counters.
+const countersInterval = 30 * time.Second
+
+// runCounters logs counters at regular intervals.
+func (c *Controller) runCounters(ctx context.Context) error {
+	for ctx.Err() == nil {
+		transport.Pause(ctx, countersInterval)
+		slog.Info("counters", c.counters().logArgs()...)
+	}
+	return nil
+}
+
+// nodeCounters are the figures of a node that are logged.
+type nodeCounters struct {
+	heapMiB         uint64
+	systemMiB       uint64 // memory obtained from the operating system
+	goroutines      int
+	stateServed     int // requests to the state service, by outcome
+	stateRefused    int
+	stateUnknown    int
+	finalJobsCached int
+	partitions      []partitionCounters
+}
+
+// partitionCounters are the figures of an owned partition that are logged.
+type partitionCounters struct {
+	partition int
+	jobs      int
+	machines  int
+	done      scheduler.Counters
+}
+
+// counters collects the figures of the node and of all partitions whose records are read.
+func (c *Controller) counters() nodeCounters {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	served, refused, unknown := c.store.Counts()
+	counters := nodeCounters{
+		heapMiB:         memory.HeapAlloc >> 20,
+		systemMiB:       memory.Sys >> 20,
+		goroutines:      runtime.NumGoroutine(),
+		stateServed:     served,
+		stateRefused:    refused,
+		stateUnknown:    unknown,
+		finalJobsCached: c.finalJobs.size(),
+	}
+	for _, owned := range c.allOwnedPartitions() {
+		if partition, ok := owned.counters(); ok {
+			counters.partitions = append(counters.partitions, partition)
+		}
+	}
+	return counters
+}
+
+// counters returns false while the partition's records are being read.
+func (o *ownedPartition) counters() (partitionCounters, bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.partition == nil {
+		return partitionCounters{}, false
+	}
+	return partitionCounters{
+		partition: o.index,
+		jobs:      o.partition.JobCount(),
+		machines:  len(o.partition.MachineIDs()),
+		done:      o.partition.Counters,
+	}, true
+}
+
+// logArgs returns keys and values for slog. The keys of a partition follow its number, and
+// repeat for each partition.
+func (n nodeCounters) logArgs() []any {
+	args := []any{
+		"heap_mb", n.heapMiB,
+		"sys_mb", n.systemMiB,
+		"goroutines", n.goroutines,
+		"state_ok", n.stateServed,
+		"state_refused", n.stateRefused,
+		"state_unknown", n.stateUnknown,
+		"final_jobs_cached", n.finalJobsCached,
+	}
+	for _, partition := range n.partitions {
+		args = append(args, partition.logArgs()...)
+	}
+	return args
+}
+
+func (p partitionCounters) logArgs() []any {
+	return []any{
+		"partition", p.partition,
+		"jobs", p.jobs,
+		"machines", p.machines,
+		"started", p.done.Started,
+		"finished", p.done.Finished,
+		"requeued", p.done.Requeued,
+		"preempted", p.done.Preempted,
+		"moved", p.done.Moved,
+		"gang_reservations", p.done.GangReservations,
+		"gang_timeouts", p.done.GangTimeouts,
+		"journal_records", p.done.JournalRecords,
+		"compactions", p.done.Compactions,
+	}
+}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -390,7 +390,7 @@
 					t.Fatal(err)
 				}
 				c.setLease(leaseID, time.Now())
-				c.claim(ctx, 0, 0, true)
+				c.claimUnownedPartition(ctx, 0)
 				if meanwhile {
 					c.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(level.Value)), 50, false)
 				}
