--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -16,28 +16,47 @@
 	"ambersill/internal/wire"
 )
 
-// reporter is a controller that owns a machine with running tasks, and the machine's
-// next report, in which nothing has changed.
-func reporter(tb testing.TB, tasks int) (c *Controller, next func() []byte) {
+// fixtureMachine is the machine of newHeartbeatFixture.
+const fixtureMachine = "m-000001"
+
+// newHeartbeatFixture returns a controller that owns a machine with running tasks, and a
+// function that encodes the machine's next heartbeat, in which nothing has changed.
+func newHeartbeatFixture(tb testing.TB, tasks int) (c *Controller, nextHeartbeat func() []byte) {
+	tb.Helper()
+	const (
+		claimRevision = 10 // of the partition's key
+		groupRevision = 5  // of the machine's record
+		chunkRevision = 20
+	)
 	d := &day{nodes: []emulator.Node{{Name: "node-0", Addr: "10.0.0.1:8080"}}}
 	c = New(d.settings(0), tuning.Default(), nil)
-	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{"m-000001": {MachineType: "big", Zone: "a"}}}
-	c.cluster.apply(records.MachinePrefix+"m-000001", must(wire.Marshal(group)), 5, false)
-	owned := c.newOwnedPartition(0, 10, func() {})
-	partition := scheduler.NewPartition(0, 10, c.settings, &c.tuning)
-	partition.SetMachineTypes(dayTypes)
+	machine := records.MachineRecord{MachineType: "big", Zone: "a"}
+	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{fixtureMachine: machine}}
+	c.cluster.apply(records.MachinePrefix+fixtureMachine, must(wire.Marshal(group)), groupRevision, false)
+
 	job := work(1, tasks, 1, 1000)
-	rec := records.ChunkRecord{Job: job, HighestAttempt: 1}
-	for i := range tasks {
-		rec.Placements = append(rec.Placements, records.PlacementRecord{Task: i, Attempt: 1, Machine: "m-000001", Incarnation: 1})
-	}
-	partition.SetMachine("m-000001", group.Machines["m-000001"], 5, time.Now())
-	partition.Restore([]records.LoadedChunk{{JobID: job.ID, Name: "0", Revision: 20, Record: rec}}, nil)
-	owned.partition, owned.cancellationsReadAt = partition, time.Now().Add(time.Hour)
+	partition := scheduler.NewPartition(0, claimRevision, c.settings, &c.tuning)
+	partition.SetMachineTypes(dayTypes)
+	partition.SetMachine(fixtureMachine, machine, groupRevision, time.Now())
+	chunk := records.LoadedChunk{JobID: job.ID, Name: "0", Revision: chunkRevision, Record: runningChunk(job, tasks)}
+	partition.Restore([]records.LoadedChunk{chunk}, nil)
+
+	owned := c.newOwnedPartition(0, claimRevision, func() {})
+	owned.partition = partition
+	owned.cancellationsReadAt = time.Now().Add(time.Hour) // never too old
 	c.owned[0] = owned
-	heartbeat := wire.Heartbeat{Machine: "m-000001", Address: "10.1.0.1:9000", MachineType: "big", Zone: "a", Incarnation: 1, FencingToken: 10}
+
+	heartbeat := wire.Heartbeat{
+		Machine:      fixtureMachine,
+		Address:      "10.1.0.1:9000",
+		MachineType:  machine.MachineType,
+		Zone:         machine.Zone,
+		Incarnation:  1,
+		FencingToken: claimRevision,
+	}
 	for i := range tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: fmt.Sprintf("%s/%d", job.ID, i), Attempt: 1, State: wire.TaskRunning})
+		status := wire.TaskStatus{Task: fmt.Sprintf("%s/%d", job.ID, i), Attempt: 1, State: wire.TaskRunning}
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
 	return c, func() []byte {
 		heartbeat.Sequence++
@@ -45,25 +64,41 @@
 	}
 }
 
-func post(tb testing.TB, h http.Handler, body []byte) {
-	w := httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/agent/beat", bytes.NewReader(body)))
-	if w.Code != http.StatusOK {
-		tb.Fatalf("a report is answered %d", w.Code)
+// runningChunk returns the record of a job all of whose tasks run on the fixture's machine.
+func runningChunk(job *wire.Job, tasks int) records.ChunkRecord {
+	record := records.ChunkRecord{Job: job, HighestAttempt: 1}
+	for i := range tasks {
+		record.Placements = append(record.Placements, records.PlacementRecord{
+			Task:        i,
+			Attempt:     1,
+			Machine:     fixtureMachine,
+			Incarnation: 1,
+		})
+	}
+	return record
+}
+
+// postHeartbeat sends a heartbeat, and fails the test if it is not accepted.
+func postHeartbeat(tb testing.TB, handler http.Handler, body []byte) {
+	tb.Helper()
+	response := httptest.NewRecorder()
+	handler.ServeHTTP(response, httptest.NewRequest(http.MethodPost, "/agent/beat", bytes.NewReader(body)))
+	if response.Code != http.StatusOK {
+		tb.Fatalf("a heartbeat is answered %d", response.Code)
 	}
 }
 
-// What a report costs in which nothing has changed, the most frequent request by far.
-func BenchmarkUnchangedReport(b *testing.B) {
-	c, next := reporter(b, 8)
-	h := api.Handler(c, 1, time.Second)
-	body := next()
-	post(b, h, body)
+// BenchmarkUnchangedHeartbeat measures a heartbeat in which nothing has changed, the most
+// frequent request by far.
+func BenchmarkUnchangedHeartbeat(b *testing.B) {
+	c, nextHeartbeat := newHeartbeatFixture(b, 8)
+	handler := api.Handler(c, 1, time.Second)
+	postHeartbeat(b, handler, nextHeartbeat())
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
-		body := next()
+		body := nextHeartbeat()
 		b.StartTimer()
-		post(b, h, body)
+		postHeartbeat(b, handler, body)
 	}
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -8,61 +8,86 @@
 	"ambersill/internal/tuning"
 )
 
-// Machines that do not answer must cost the others nothing but half of the room, and
-// each is left alone for longer and longer; one that reports is tried at once.
-func TestSilentMachinesLeaveRoomForOrders(t *testing.T) {
-	q, now := newCommandSlots(200), time.Unix(1000, 0) // room for 20
-	limits := backoffLimits{shortest: 3 * time.Second, longest: 10 * time.Second}
-	begun := func(prefix string) (out []string) {
-		for i := range 150 {
-			if id := fmt.Sprint(prefix, i); q.acquire(id, now) {
-				out = append(out, id)
-			}
+const (
+	testSockets = 200 // of which commands may take a tenth
+	testSlots   = 20
+)
+
+// testBackoff are waits that double twice before they reach the longest.
+var testBackoff = backoffLimits{shortest: 3 * time.Second, longest: 10 * time.Second}
+
+// acquireAll tries to acquire a slot for each of n machines, and returns those that have one.
+func acquireAll(slots *commandSlots, prefix string, n int, now time.Time) []string {
+	var acquired []string
+	for i := range n {
+		if machine := fmt.Sprint(prefix, i); slots.acquire(machine, now) {
+			acquired = append(acquired, machine)
 		}
-		return out
 	}
-	end := func(ids []string, executed bool) {
-		for _, id := range ids {
-			q.release(id, executed, now, limits)
+	return acquired
+}
+
+// backOff has machine m not execute one request after the other, and checks that each wait is
+// as long as it should be. It returns the time at which the last wait ends.
+func backOff(t *testing.T, slots *commandSlots, now time.Time) time.Time {
+	t.Helper()
+	for _, wait := range []time.Duration{3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second} {
+		if !slots.acquire("m", now) {
+			t.Fatal("not tried again")
 		}
-	}
-	// The first time nobody knows that they are silent.
-	for tried := 0; tried < 150; {
-		ids := begun("silent-")
-		if tried += len(ids); len(ids) != min(20, 150-tried+len(ids)) {
-			t.Fatalf("%d orders under way", len(ids))
+		slots.release("m", false, now, testBackoff)
+		if slots.acquire("m", now.Add(wait-1)) {
+			t.Fatalf("tried again before %v", wait)
 		}
-		end(ids, false)
-	}
-	now = now.Add(limits.shortest)
-	if n := len(begun("silent-")); n != 10 {
-		t.Errorf("%d orders to silent machines", n)
-	}
-	if n := len(begun("there-")); n != 10 {
-		t.Errorf("%d orders to machines that answer", n)
+		now = now.Add(wait)
 	}
-	q = newCommandSlots(200)
-	waits := []time.Duration{3, 6, 10, 10}
-	for _, w := range waits {
-		if !q.acquire("m", now) {
-			t.Fatal("not tried again")
+	return now
+}
+
+// Machines that do not answer must cost the others nothing but half of the slots.
+func TestCommandsToSilentMachinesLeaveSlots(t *testing.T) {
+	const silent = 150
+	slots, now := newCommandSlots(testSockets), time.Unix(1000, 0)
+	// Nobody knows yet that they are silent, so that they take all slots until each has
+	// been tried once.
+	for left := silent; left > 0; {
+		machines := acquireAll(slots, "silent-", silent, now)
+		if want := min(testSlots, left); len(machines) != want {
+			t.Fatalf("%d requests under way, want %d", len(machines), want)
 		}
-		q.release("m", false, now, limits)
-		if now = now.Add(w*time.Second - 1); q.acquire("m", now) {
-			t.Fatalf("tried again before %d s", w)
+		for _, machine := range machines {
+			slots.release(machine, false, now, testBackoff)
 		}
-		now = now.Add(1)
+		left -= len(machines)
+	}
+	now = now.Add(testBackoff.shortest)
+	if n := len(acquireAll(slots, "silent-", silent, now)); n != testSlots/2 {
+		t.Errorf("%d requests to silent machines", n)
+	}
+	if n := len(acquireAll(slots, "answering-", silent, now)); n != testSlots/2 {
+		t.Errorf("%d requests to machines that answer", n)
 	}
-	q.acquire("m", now)
-	q.release("m", false, now, limits)
-	q.resetBackoff("m")
-	if !q.acquire("m", now) {
-		t.Error("a machine that reports was not tried")
+}
+
+func TestCommandsBackOffUpToALimit(t *testing.T) {
+	backOff(t, newCommandSlots(testSockets), time.Unix(1000, 0))
+}
+
+// A machine that sends a heartbeat is tried at once; nothing is kept of one that is removed,
+// even while a request to it is under way.
+func TestCommandsResumeAfterHeartbeatOrRemoval(t *testing.T) {
+	slots := newCommandSlots(testSockets)
+	now := backOff(t, slots, time.Unix(1000, 0))
+	slots.acquire("m", now)
+	slots.release("m", false, now, testBackoff)
+	slots.resetBackoff("m")
+	if !slots.acquire("m", now) {
+		t.Error("a machine that has sent a heartbeat was not tried")
 	}
-	q.forget("m")
-	q.release("m", false, now, limits)
-	if len(q.backoff)+len(q.inFlight)+q.inFlightBackedOff != 0 {
-		t.Errorf("%d, %d, %d left of a machine that is gone", len(q.backoff), len(q.inFlight), q.inFlightBackedOff)
+	slots.forget("m")
+	slots.release("m", false, now, testBackoff)
+	if len(slots.backoff)+len(slots.inFlight)+slots.inFlightBackedOff != 0 {
+		t.Errorf("%d, %d, %d left of a machine that is gone", len(slots.backoff), len(slots.inFlight), slots.inFlightBackedOff)
 	}
 }
 
@@ -70,10 +95,12 @@
 // anybody can be served.
 func TestSocketsAddUp(t *testing.T) {
 	c := aloneController(t)
-	for n := 250; n < 5000; n += 50 {
-		c.settings.Cluster.Limits.MaxSockets, c.commandSlots = n, newCommandSlots(n)
-		if sum := c.publicSockets() + tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit; sum > n {
-			t.Errorf("%d sockets of %d", sum, n)
+	for limit := 250; limit < 5000; limit += 50 {
+		c.settings.Cluster.Limits.MaxSockets = limit
+		c.commandSlots = newCommandSlots(limit)
+		sum := c.publicSockets() + tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
+		if sum > limit {
+			t.Errorf("%d sockets of %d", sum, limit)
 		}
 	}
 }
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -17,9 +17,9 @@
 	"ambersill/internal/wire"
 )
 
-// echoOwner answers each report with its own number as the token.
+// echoOwner is an owner that answers each heartbeat with its sequence number as the token.
 type echoOwner struct {
-	block chan struct{} // answers wait until it is closed
+	unblock chan struct{} // answers wait until it is closed
 }
 
 func (*echoOwner) PartitionClaimed(peerrpc.OwnershipClaim) {}
@@ -28,137 +28,152 @@
 func (*echoOwner) SinceContact() time.Duration             { return 0 }
 
 func (o *echoOwner) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
-	<-o.block
+	<-o.unblock
 	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.HeartbeatResponse{FencingToken: heartbeat.Sequence}}
 }
 
-// writesNet counts the writes to connections made through it.
-type writesNet struct {
+// writeCountingNet counts the writes to connections made through it.
+type writeCountingNet struct {
 	transport.Net
 	writes atomic.Int64
 }
 
-type writesConn struct {
+type writeCountingConn struct {
 	net.Conn
 	writes *atomic.Int64
 }
 
-func (n *writesNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	c, err := n.Net.Dial(ctx, addr)
-	return &writesConn{c, &n.writes}, err
+func (n *writeCountingNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	conn, err := n.Net.Dial(ctx, addr)
+	return &writeCountingConn{conn, &n.writes}, err
 }
 
-func (c *writesConn) Write(b []byte) (int, error) {
+func (c *writeCountingConn) Write(b []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(b)
 }
 
-// forwarding runs a forwarder to an owner on a network of their own.
-func forwarding(t *testing.T, f func(fw *forwarder, o *echoOwner, owner *emulator.Host)) {
+// forwardFixture is a forwarder to an owner, on a network of their own.
+type forwardFixture struct {
+	forwarder *forwarder
+	network   *writeCountingNet // the forwarder's
+	owner     *echoOwner
+	ownerHost *emulator.Host
+}
+
+// withForwarder runs a test on a forwarder whose owner does not answer yet.
+func withForwarder(t *testing.T, test func(t *testing.T, f *forwardFixture)) {
 	synctest.Test(t, func(t *testing.T) {
+		const ownerAddr = "10.0.0.1:8081"
 		ctx, cancel := context.WithCancel(t.Context())
 		fabric := emulator.NewNetwork()
-		o := &echoOwner{block: make(chan struct{})}
-		host := fabric.Host("owner")
+		f := &forwardFixture{
+			network:   &writeCountingNet{Net: fabric.Host("other")},
+			owner:     &echoOwner{unblock: make(chan struct{})},
+			ownerHost: fabric.Host("owner"),
+		}
 		served := make(chan error, 1)
-		go func() { served <- peerrpc.Serve(ctx, host, "10.0.0.1:8081", o) }()
-		fw := newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: "10.0.0.1:8081"}, Net: &writesNet{Net: fabric.Host("other")}})
-		fw.done = ctx.Done()
-		go func() { _ = fw.run(ctx) }()
-		time.Sleep(time.Millisecond) // it listens
-		f(fw, o, host)
+		go func() { served <- peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) }()
+		f.forwarder = newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: ownerAddr}, Net: f.network})
+		f.forwarder.done = ctx.Done()
+		go func() { _ = f.forwarder.run(ctx) }()
+		time.Sleep(time.Millisecond) // until the owner listens
+		test(t, f)
 		cancel()
 		<-served
-		host.Shutdown()
-		time.Sleep(time.Minute)
+		f.ownerHost.Shutdown()
+		time.Sleep(time.Minute) // until every goroutine has ended
 	})
 }
 
-// forwardAll forwards n reports at once, and counts those that are reached and answered
-// as their own.
-func forwardAll(t *testing.T, fw *forwarder, n int) (reached int) {
+// forwardAll forwards heartbeats at once, and counts those that are answered, each of which
+// must have its own answer.
+func (f *forwardFixture) forwardAll(t *testing.T, count int) (answered int) {
+	t.Helper()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	for i := range n {
+	for i := range count {
 		wg.Go(func() {
-			a, ok := fw.forward(&wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Sequence: uint64(i + 1)})
+			sequence := uint64(i + 1)
+			result, reached := f.forwarder.forward(&wire.Heartbeat{Machine: fmt.Sprintf("m-%d", i), Sequence: sequence})
+			if !reached {
+				return
+			}
 			mu.Lock()
 			defer mu.Unlock()
-			if ok {
-				reached++
-				if !a.Accepted || a.Response.FencingToken != uint64(i+1) {
-					t.Errorf("report %d got the answer %+v", i+1, a)
-				}
+			answered++
+			if !result.Accepted || result.Response.FencingToken != sequence {
+				t.Errorf("heartbeat %d got the answer %+v", sequence, result)
 			}
 		})
 	}
 	wg.Wait()
-	return reached
+	return answered
 }
 
-// A call for each report would cost the owner nearly what reading them itself does.
-func TestReportsAreForwardedTogether(t *testing.T) {
-	forwarding(t, func(fw *forwarder, o *echoOwner, _ *emulator.Host) {
-		close(o.block)
-		if n := forwardAll(t, fw, 100); n != 100 {
-			t.Errorf("%d of 100 reports were answered", n)
+// A call for each heartbeat would cost the owner nearly what reading them itself does.
+func TestHeartbeatsAreForwardedInBatches(t *testing.T) {
+	withForwarder(t, func(t *testing.T, f *forwardFixture) {
+		close(f.owner.unblock)
+		if n := f.forwardAll(t, 100); n != 100 {
+			t.Errorf("%d of 100 heartbeats were answered", n)
 		}
-		if n := fw.peer.Net.(*writesNet).writes.Load(); n == 0 || n > 4 {
-			t.Errorf("100 reports took %d writes", n)
+		if n := f.network.writes.Load(); n == 0 || n > 4 {
+			t.Errorf("100 heartbeats took %d writes", n)
 		}
 	})
 }
 
-// While the owner does not answer, workers are told within a fraction of the 4 s that
-// they wait, those that come later at once; what waits has a bound.
+// While the owner does not answer, workers have an answer within a fraction of the 4 s that
+// they wait, those that come later at once; the number of waiting heartbeats is bounded.
 func TestForwardingToASilentOwner(t *testing.T) {
-	forwarding(t, func(fw *forwarder, o *echoOwner, _ *emulator.Host) {
+	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		began := time.Now()
-		if n := forwardAll(t, fw, maxForwardBatch); n != 0 {
-			t.Errorf("%d reports were answered by nobody", n)
+		if n := f.forwardAll(t, maxForwardBatch); n != 0 {
+			t.Errorf("%d heartbeats were answered by nobody", n)
 		}
-		if d := time.Since(began); d > forwardTimeout+2*forwardBatchDelay {
-			t.Errorf("the answer took %v", d)
+		if took := time.Since(began); took > forwardTimeout+2*forwardBatchDelay {
+			t.Errorf("the answer took %v", took)
 		}
 		began = time.Now()
-		if n := forwardAll(t, fw, 10); n != 0 || time.Since(began) != 0 {
+		if n := f.forwardAll(t, 10); n != 0 || time.Since(began) != 0 {
 			t.Errorf("%d answered, %v later", n, time.Since(began))
 		}
-		close(o.block)
+		close(f.owner.unblock)
 		time.Sleep(peerBackoff)
-		if n := forwardAll(t, fw, 10); n != 10 {
+		if n := f.forwardAll(t, 10); n != 10 {
 			t.Errorf("%d of 10 were answered by the owner that is back", n)
 		}
 	})
 }
 
-// Reports beyond the bound of the queue are turned away at once.
+// Heartbeats beyond the bound of the queue are rejected at once.
 func TestForwardingIsBounded(t *testing.T) {
-	forwarding(t, func(fw *forwarder, o *echoOwner, _ *emulator.Host) {
+	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		const beyond = 50
-		var late sync.WaitGroup
-		late.Go(func() { forwardAll(t, fw, 1) })
-		time.Sleep(forwardBatchDelay + time.Millisecond) // under way, and not answered
+		var waiting sync.WaitGroup
+		waiting.Go(func() { f.forwardAll(t, 1) })
+		time.Sleep(forwardBatchDelay + time.Millisecond) // in flight, and not answered
 		for range maxForwardBatch {
-			late.Go(func() { fw.forward(&wire.Heartbeat{Machine: "m", Sequence: 1}) })
+			waiting.Go(func() { f.forwarder.forward(&wire.Heartbeat{Machine: "m", Sequence: 1}) })
 		}
 		synctest.Wait()
 		began := time.Now()
-		if n := forwardAll(t, fw, beyond); n != 0 || time.Since(began) != 0 {
+		if n := f.forwardAll(t, beyond); n != 0 || time.Since(began) != 0 {
 			t.Errorf("%d beyond the bound were answered, after %v", n, time.Since(began))
 		}
-		close(o.block)
-		late.Wait()
+		close(f.owner.unblock)
+		waiting.Wait()
 	})
 }
 
-// An owner that ends fails what is under way at once, not after the limit.
+// An owner that ends fails what is in flight at once, not after the timeout.
 func TestForwardingToAnOwnerThatEnds(t *testing.T) {
-	forwarding(t, func(fw *forwarder, o *echoOwner, owner *emulator.Host) {
-		defer close(o.block)
-		time.AfterFunc(2*forwardBatchDelay, owner.Shutdown)
+	withForwarder(t, func(t *testing.T, f *forwardFixture) {
+		defer close(f.owner.unblock)
+		time.AfterFunc(2*forwardBatchDelay, f.ownerHost.Shutdown)
 		began := time.Now()
-		if n := forwardAll(t, fw, 20); n != 0 || time.Since(began) > 3*forwardBatchDelay {
+		if n := f.forwardAll(t, 20); n != 0 || time.Since(began) > 3*forwardBatchDelay {
 			t.Errorf("%d answered, after %v", n, time.Since(began))
 		}
 	})
