--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -10,15 +10,35 @@
 	"ambersill/internal/wire"
 )
 
-// zoneCount counts the job's tasks that may be live, by zone.
-func zoneCount(job *Job) map[string]int {
-	out := map[string]int{}
-	for _, placement := range job.placements {
-		out[placement.machine.Record.Zone]++
+// Costs of a machine for a task, in seconds of image fetch that it is worth to avoid it.
+const (
+	// gpuMachineCostS keeps work without GPUs off machines with GPUs, which are scarce. It
+	// exceeds the fetch of all but the largest images.
+	gpuMachineCostS = 120
+	// emptyMachineCostS is for a machine with nothing on it, less for fuller ones, so that
+	// work gathers on some machines and others fall empty.
+	emptyMachineCostS = 10
+)
+
+// capacityFunc returns how much of a machine's capacity counts as available.
+type capacityFunc func(*Machine) resource.Vector
+
+// taskRequest returns what one task of the job requests.
+func (j *Job) taskRequest() resource.Vector { return resource.OfJob(j.Job) }
+
+// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one.
+func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
+
+// tasksByZone counts the job's tasks that may be running, by zone.
+func (j *Job) tasksByZone() map[string]int {
+	counts := map[string]int{}
+	for _, placement := range j.placements {
+		counts[placement.machine.Record.Zone]++
 	}
-	return out
+	return counts
 }
 
+// machineAllowed reports whether the job's description allows it to run on a machine.
 func machineAllowed(job *wire.Job, machine *Machine) bool {
 	if machine.Record.Spot && !job.AllowSpot {
 		return false
@@ -29,150 +49,184 @@
 	return resource.TypeAllowed(job.MachineTypes, machine.Record.MachineType)
 }
 
-// findMachines finds machines for up to n tasks of a job among those given, for a gang for all
-// n or none. free tells what room of a machine counts.
-func (p *Partition) findMachines(job *Job, n int, now time.Time, among []*Machine, free func(*Machine) resource.Vector) []*Machine {
-	request := resource.OfJob(job.Job)
-	zones := zoneCount(job)
-	var cands []*Machine
+// findMachines returns machines for up to count tasks of a job among those given, one entry
+// for each task; for a gang in a single zone count of them or none.
+func (p *Partition) findMachines(job *Job, count int, now time.Time, among []*Machine, available capacityFunc) []*Machine {
+	var eligible []*Machine
 	for _, machine := range among {
-		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
-			continue
+		if p.eligible(job, machine, now) && fitsTask(job, machine, available(machine)) {
+			eligible = append(eligible, machine)
 		}
-		if machine.reservedFor != "" && machine.reservedFor != job.ID && now.Before(machine.reservedUntil) {
-			continue
-		}
-		if job.startOverdue && !job.startForced && !job.IsGang() && len(machine.placements) == 0 {
-			continue // others that go after it may need the machine as a whole
-		}
-		if f := free(machine); !f.Contains(request) || !leavesGPUShare(job, machine, f) {
-			continue
-		}
-		cands = append(cands, machine)
 	}
-	if len(cands) == 0 {
+	if len(eligible) == 0 {
 		return nil
 	}
-	if !job.SingleZone {
-		return p.packCheapest(job, n, cands, zones, free)
+	if job.SingleZone {
+		return p.packSingleZone(job, count, eligible, available)
+	}
+	return p.packCheapest(job, count, eligible, available)
+}
+
+// eligible reports whether tasks of a job may be placed on a machine now, its capacity
+// aside.
+func (p *Partition) eligible(job *Job, machine *Machine, now time.Time) bool {
+	if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
+		return false
+	}
+	if machine.isReservedForOther(job, now) {
+		return false
+	}
+	// Jobs that the overdue one has overtaken may need an empty machine as a whole.
+	needsUsedMachine := job.startOverdue && !job.startForced && !job.IsGang()
+	return !needsUsedMachine || len(machine.placements) > 0
+}
+
+// fitsTask reports whether one task of a job may take of the machine's available capacity.
+func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
+	return available.Contains(job.taskRequest()) && leavesGPUShare(job, machine, available)
+}
+
+// leavesGPUShare reports whether a task without GPUs leaves the machine's free GPUs their
+// share of its CPUs and memory, where other types could do its work: GPUs are scarce, and
+// idle with no CPUs beside them. A job that has waited long may take any capacity.
+func leavesGPUShare(job *Job, machine *Machine, available resource.Vector) bool {
+	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cpuOnlyTypeFits || job.ignoresGPUShare {
+		return true
 	}
-	// All tasks in one zone, old attempts that may be live included.
-	names := map[string][]*Machine{}
-	for _, machine := range cands {
-		names[machine.Record.Zone] = append(names[machine.Record.Zone], machine)
+	remaining := available.Sub(job.taskRequest())
+	freeGPUShare := available.GPUs / machine.capacity.GPUs
+	return remaining.CPUs >= freeGPUShare*machine.capacity.CPUs-resource.Epsilon &&
+		remaining.MemoryGB >= freeGPUShare*machine.capacity.MemoryGB-resource.Epsilon
+}
+
+// packSingleZone returns machines of the one zone that takes the most tasks, the cheapest
+// among equals. Tasks of earlier attempts that may still run bind the job to their zone.
+func (p *Partition) packSingleZone(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
+	occupied := job.tasksByZone()
+	byZone := map[string][]*Machine{}
+	for _, machine := range eligible {
+		zone := machine.Record.Zone
+		if len(occupied) == 0 || occupied[zone] > 0 {
+			byZone[zone] = append(byZone[zone], machine)
+		}
 	}
 	var best []*Machine
 	bestCost := 0.0
-	for _, z := range slices.Sorted(maps.Keys(names)) {
-		if len(zones) > 0 && zones[z] == 0 {
-			continue
-		}
-		got := p.packCheapest(job, n, names[z], zones, free)
-		if job.IsGang() && len(got) < n {
+	for _, zone := range slices.Sorted(maps.Keys(byZone)) {
+		machines := p.packCheapest(job, count, byZone[zone], available)
+		if job.IsGang() && len(machines) < count {
 			continue
 		}
-		c := 0.0
-		for _, machine := range got {
-			c += p.placementCost(job, machine)
-		}
-		if len(got) > len(best) || (len(got) == len(best) && c < bestCost) {
-			best, bestCost = got, c
+		cost := p.totalCost(job, machines)
+		if len(machines) > len(best) || (len(machines) == len(best) && cost < bestCost) {
+			best, bestCost = machines, cost
 		}
 	}
 	return best
 }
 
-// leavesGPUShare tells whether a task that needs no GPU leaves a machine's free GPUs their
-// share of its other room, where other types could do its work: GPUs are the scarce
-// part, and idle with nothing beside. A job that has waited long takes any room.
-func leavesGPUShare(job *Job, machine *Machine, free resource.Vector) bool {
-	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cpuOnlyTypeFits || job.ignoresGPUShare {
-		return true
+// totalCost sums the placement costs of the machines.
+func (p *Partition) totalCost(job *Job, machines []*Machine) float64 {
+	total := 0.0
+	for _, machine := range machines {
+		total += p.placementCost(job, machine)
 	}
-	rest := free.Sub(resource.OfJob(job.Job))
-	k := free.GPUs / machine.capacity.GPUs
-	return rest.CPUs >= k*machine.capacity.CPUs-resource.Epsilon && rest.MemoryGB >= k*machine.capacity.MemoryGB-resource.Epsilon
+	return total
 }
 
-// packCheapest takes the cheapest machines one after the other.
-func (p *Partition) packCheapest(job *Job, n int, cands []*Machine, zones map[string]int, free func(*Machine) resource.Vector) []*Machine {
-	// What a machine costs does not change while tasks are put there, so the machines
-	// are taken in one order, each until it is full.
-	type choice struct {
-		m    *Machine
-		cost float64
-	}
-	choices := make([]choice, len(cands))
-	for i, machine := range cands {
-		choices[i] = choice{machine, p.placementCost(job, machine)}
-	}
-	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(a.cost, b.cost) })
-	request := resource.OfJob(job.Job)
-	perZone := map[string]int{}
-	for z, c := range zones {
-		perZone[z] = c
-	}
-	limit := (job.Tasks + 1) / 2
-	var out []*Machine
-	for _, c := range choices {
-		for left := free(c.m); len(out) < n && left.Contains(request) && leavesGPUShare(job, c.m, left); left = left.Sub(request) {
-			if job.SpreadZones && perZone[c.m.Record.Zone] >= limit {
+// packCheapest fills the cheapest machines one after the other. The cost of a machine counts
+// only what is allocated already, so the order stays the same while tasks are assigned.
+func (p *Partition) packCheapest(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
+	request := job.taskRequest()
+	byZone := job.tasksByZone()
+	var assigned []*Machine
+	for _, machine := range p.sortByCost(job, eligible) {
+		zone := machine.Record.Zone
+		remaining := available(machine)
+		for len(assigned) < count && fitsTask(job, machine, remaining) {
+			if job.SpreadZones && byZone[zone] >= job.maxTasksPerZone() {
 				break
 			}
-			perZone[c.m.Record.Zone]++
-			out = append(out, c.m)
+			byZone[zone]++
+			assigned = append(assigned, machine)
+			remaining = remaining.Sub(request)
 		}
-		if len(out) == n {
+		if len(assigned) == count {
 			break
 		}
 	}
-	return out
+	return assigned
 }
 
-// imageFetchSeconds is how many seconds a machine would take to fetch a job's image.
+// sortByCost returns the machines by their placement cost, in the given order among equals.
+func (p *Partition) sortByCost(job *Job, machines []*Machine) []*Machine {
+	type choice struct {
+		machine *Machine
+		cost    float64
+	}
+	choices := make([]choice, len(machines))
+	for i, machine := range machines {
+		choices[i] = choice{machine: machine, cost: p.placementCost(job, machine)}
+	}
+	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(a.cost, b.cost) })
+	sorted := make([]*Machine, len(choices))
+	for i, choice := range choices {
+		sorted[i] = choice.machine
+	}
+	return sorted
+}
+
+// imageFetchSeconds returns how long a machine would take to fetch the job's image.
 func (p *Partition) imageFetchSeconds(job *Job, machine *Machine) float64 {
-	if _, ok := machine.cachedImages[job.Image]; ok || machine.machineType.ImageFetchGBPerS <= 0 {
+	if _, cached := machine.cachedImages[job.Image]; cached {
+		return 0
+	}
+	if machine.machineType.ImageFetchGBPerS <= 0 {
 		return 0
 	}
 	return job.ImageGB / machine.machineType.ImageFetchGBPerS
 }
 
-// shortestImageFetch is the shortest fetch of a job's image among the machines that have
-// room for a task of it now. A job whose image is there goes before one that would
-// hold on to the machine while it fetches.
+// shortestImageFetch returns the shortest fetch of a job's image, in seconds, among the
+// candidates with capacity for a task of it now. A job whose image is cached goes before
+// one that would occupy the machine while it fetches.
 func (p *Partition) shortestImageFetch(job *Job) float64 {
-	least := -1.0
-	request := resource.OfJob(job.Job)
+	shortest, found := 0.0, false
+	request := job.taskRequest()
 	for _, machine := range p.candidates {
 		if !machine.free().Contains(request) || !machineAllowed(job.Job, machine) {
 			continue
 		}
-		if f := p.imageFetchSeconds(job, machine); least < 0 || f < least {
-			least = f
+		if fetch := p.imageFetchSeconds(job, machine); !found || fetch < shortest {
+			shortest, found = fetch, true
 		}
 	}
-	return max(0, least)
+	return shortest
 }
 
-// placementCost orders machines for a task, in seconds: the image's fetch, then the
+// placementCost orders machines for a task, in seconds: by the image's fetch, then the
 // scarcer machine, then the emptier one, so that whole machines fall empty.
 func (p *Partition) placementCost(job *Job, machine *Machine) float64 {
-	c := p.imageFetchSeconds(job, machine)
+	cost := p.imageFetchSeconds(job, machine)
 	if job.GPUs == 0 && machine.machineType.GPUs > 0 {
-		c += 120
+		cost += gpuMachineCostS
 	}
-	c += 10 * (1 - machine.capacity.DominantShare(machine.allocated))
+	cost += emptyMachineCostS * (1 - machine.allocatedShare())
 	if job.AllowSpot && !machine.Record.Spot {
-		c += p.tuning.OrdinaryCostS
+		cost += p.tuning.OrdinaryCostS
 	}
-	return c
+	return cost
 }
 
-// allMachines lists the part's machines in the order of their names.
+// allocatedShare returns the share of the machine's capacity that is allocated, in the
+// dimension that is the scarcest there.
+func (m *Machine) allocatedShare() float64 { return m.capacity.DominantShare(m.allocated) }
+
+// allMachines returns the partition's machines by ID.
 func (p *Partition) allMachines() []*Machine {
-	out := make([]*Machine, len(p.machineIDs))
+	machines := make([]*Machine, len(p.machineIDs))
 	for i, id := range p.machineIDs {
-		out[i] = p.machines[id]
+		machines[i] = p.machines[id]
 	}
-	return out
+	return machines
 }
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -1,17 +1,27 @@
 package scheduler
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 )
 
-// reservedForDrain is put as the holder of the room of a machine that is being emptied;
-// no job has such an id.
-const reservedForDrain = "draining"
+const (
+	// maxConsolidationShare is the allocated share of a machine up to which it is worth
+	// draining: what is fuller moves more work than it saves.
+	maxConsolidationShare = 0.5
+	// drainReservationCycles is how many intervals of ConsolidateS a machine that is drained
+	// takes no work: enough for its tasks to leave and the leader to return it.
+	drainReservationCycles = 3
+	// minRemainingFactor is the multiple of a move's time, image fetch and checkpoint, that a
+	// task must still have to run for the move to pay off.
+	minRemainingFactor = 2
+)
 
+// price returns what the machine costs per hour.
 func (m *Machine) price() float64 {
 	if m.Record.Spot {
 		return m.machineType.HourlySpotPrice
@@ -19,87 +29,134 @@
 	return m.machineType.HourlyPrice
 }
 
-// consolidate empties a machine whose work fits into the room of others that are
-// in use, so that it can go back: sizing counts booked room, but only an empty
-// machine can be returned. Only work that can save is moved.
+// consolidate drains one machine whose work fits into the free capacity of others that are
+// in use, so that it can be returned: sizing counts allocated capacity, but only an empty
+// machine can be returned. Only work that writes checkpoints is moved.
 func (p *Partition) consolidate(now time.Time) {
 	if now.Sub(p.lastConsolidation) < tuning.Seconds(p.tuning.ConsolidateS) {
 		return
 	}
 	p.lastConsolidation = now
-	wanted := map[string]bool{}
+	for _, machine := range p.consolidationCandidates() {
+		if p.canEvacuate(machine, now) {
+			p.drain(machine, now)
+			return
+		}
+	}
+}
+
+// consolidationCandidates returns the machines that are worth draining, the most expensive
+// first, the emptiest among equals.
+func (p *Partition) consolidationCandidates() []*Machine {
+	inDemand := p.typesInDemand()
+	var candidates []*Machine
+	for _, machine := range p.allMachines() {
+		if !machine.usable() || machine.reservedFor != "" || inDemand[machine.Record.MachineType] {
+			continue
+		}
+		if len(machine.placements) > 0 && machine.allocatedShare() <= maxConsolidationShare {
+			candidates = append(candidates, machine)
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b *Machine) int {
+		if order := cmp.Compare(b.price(), a.price()); order != 0 {
+			return order
+		}
+		return cmp.Compare(a.allocatedShare(), b.allocatedShare())
+	})
+	return candidates
+}
+
+// typesInDemand returns the machine types that jobs with waiting tasks may use.
+func (p *Partition) typesInDemand() map[string]bool {
+	inDemand := map[string]bool{}
 	for _, job := range p.jobs {
 		if job.Cancelled || job.waitingTasks == 0 {
 			continue
 		}
 		for name := range p.machineTypes {
 			if resource.TypeAllowed(job.MachineTypes, name) {
-				wanted[name] = true
+				inDemand[name] = true
 			}
 		}
 	}
-	var cands []*Machine
-	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; machine.usable() && !wanted[machine.Record.MachineType] && machine.reservedFor == "" && len(machine.placements) > 0 && machine.capacity.DominantShare(machine.allocated) <= 0.5 {
-			cands = append(cands, machine)
-		}
-	}
-	sort.SliceStable(cands, func(a, b int) bool {
-		if x, y := cands[a].price(), cands[b].price(); x != y {
-			return x > y
-		}
-		return cands[a].capacity.DominantShare(cands[a].allocated) < cands[b].capacity.DominantShare(cands[b].allocated)
-	})
-	for _, machine := range cands {
-		if p.canEvacuate(machine, now) {
-			for _, key := range sortedTaskAttempts(machine.placements) {
-				if placement := machine.placements[key]; placement != nil {
-					p.Counters.Moved++
-					p.stopGracefully(placement, now)
-				}
-			}
-			machine.reservedFor, machine.reservedUntil = reservedForDrain, now.Add(tuning.Seconds(3*p.tuning.ConsolidateS))
-			return
+	return inDemand
+}
+
+// drain stops all work on a machine, which is then placed elsewhere, and keeps new work off.
+func (p *Partition) drain(machine *Machine, now time.Time) {
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		if placement := machine.placements[key]; placement != nil {
+			p.Counters.Moved++
+			p.stopGracefully(placement, now)
 		}
 	}
+	machine.reserve(reservedForDrain, now.Add(tuning.Seconds(drainReservationCycles*p.tuning.ConsolidateS)))
 }
 
-// canEvacuate tells whether all work of a machine can be moved, and is worth moving.
+// canEvacuate reports whether all work of a machine can be moved, and is worth moving.
 func (p *Partition) canEvacuate(machine *Machine, now time.Time) bool {
-	left := map[string]resource.Vector{}
+	remaining := map[*Machine]resource.Vector{} // free capacity of the targets chosen so far
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
-		job := placement.job
-		if placement.stopRequest != nil || placement.gangDone || job.CheckpointIntervalS == 0 || (job.IsGang() && job.Tasks > 1) || !p.settled(placement, now) || job.SingleZone || job.SpreadZones {
+		if !p.movable(placement, now) {
 			return false
 		}
-		rest := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
-		found := false
-		for _, id := range p.machineIDs {
-			other := p.machines[id]
-			if other == machine || !other.usable() || len(other.placements) == 0 || other.reservedFor != "" || other.Record.MachineType != machine.Record.MachineType || !machineAllowed(job.Job, other) || other.price() > machine.price() {
-				continue
-			}
-			if other.price() == machine.price() && other.capacity.DominantShare(other.allocated) < machine.capacity.DominantShare(machine.allocated) {
-				continue
-			}
-			if rest < 2*(p.imageFetchSeconds(job, other)+job.CheckpointSaveS) {
-				continue
-			}
-			request, ok := left[id]
-			if !ok {
-				request = other.free()
-			}
-			if !request.Contains(resource.OfJob(job.Job)) {
-				continue
-			}
-			left[id] = request.Sub(resource.OfJob(job.Job))
-			found = true
-			break
-		}
-		if !found {
+		target := p.evacuationTarget(placement, remaining, now)
+		if target == nil {
 			return false
 		}
+		remaining[target] = freeExcept(target, remaining).Sub(placement.job.taskRequest())
 	}
 	return true
 }
+
+// freeExcept returns a machine's free capacity without what is planned for it.
+func freeExcept(machine *Machine, remaining map[*Machine]resource.Vector) resource.Vector {
+	if capacity, planned := remaining[machine]; planned {
+		return capacity
+	}
+	return machine.free()
+}
+
+// movable reports whether a placement can be stopped and placed elsewhere at little loss.
+func (p *Partition) movable(placement *Placement, now time.Time) bool {
+	job := placement.job
+	if placement.stopRequest != nil || placement.gangDone || !p.settled(placement, now) {
+		return false
+	}
+	isRealGang := job.IsGang() && job.Tasks > 1
+	return !isRealGang && !job.SingleZone && !job.SpreadZones
+}
+
+// evacuationTarget returns the first machine, by ID, that a placement can be moved to; nil if
+// there is none.
+func (p *Partition) evacuationTarget(placement *Placement, remaining map[*Machine]resource.Vector, now time.Time) *Machine {
+	job := placement.job
+	remainingRunS := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
+	for _, target := range p.allMachines() {
+		if !isEvacuationTarget(placement.machine, target) || !machineAllowed(job.Job, target) {
+			continue
+		}
+		moveS := p.imageFetchSeconds(job, target) + job.CheckpointSaveS
+		if remainingRunS < minRemainingFactor*moveS {
+			continue
+		}
+		if freeExcept(target, remaining).Contains(job.taskRequest()) {
+			return target
+		}
+	}
+	return nil
+}
+
+// isEvacuationTarget reports whether work of one machine may be moved to another: one of
+// the same type in use that costs less, or as much if it is not emptier.
+func isEvacuationTarget(source, target *Machine) bool {
+	if target == source || !target.usable() || target.reservedFor != "" || len(target.placements) == 0 {
+		return false
+	}
+	if target.Record.MachineType != source.Record.MachineType || target.price() > source.price() {
+		return false
+	}
+	return target.price() < source.price() || target.allocatedShare() >= source.allocatedShare()
+}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,111 +1,165 @@
 package scheduler
 
 import (
+	"cmp"
 	"maps"
 	"slices"
-	"sort"
 	"time"
 
 	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 )
 
-// futureSlot is a place for one task of a job that a machine will have.
+// minRemainingS is how long a task that has outrun its estimate is still expected to run.
+const minRemainingS = 1
+
+// futureSlot is capacity for one task of a job that a machine will have.
 type futureSlot struct {
 	machine      *Machine
 	availableInS float64 // seconds until then, by the estimates of what runs there
 }
 
-// reserveForGang keeps machines free for a gang that has waited long, as the tasks on them
-// end: where all the room it needs comes together the soonest. Nothing is stopped
-// for it. Without this, small work takes each place as it falls free, and a gang of
-// many machines never finds them empty together.
-func (p *Partition) reserveForGang(job *Job, n int, now time.Time) {
+// futureZone is what a zone will have for a gang.
+type futureZone struct {
+	slots []futureSlot
+	// reserved: a machine of the zone is reserved for another job. Only one gang at a time
+	// gets reservations in a zone, since two could wait for each other.
+	reserved bool
+}
+
+// reserveForGang reserves machines for a gang that has waited long, where all the capacity
+// that it needs becomes free the soonest as the tasks there end. Nothing is stopped for it.
+// Otherwise small work would take each slot as it becomes free, and a gang of many machines
+// would never find them free together.
+func (p *Partition) reserveForGang(job *Job, count int, now time.Time) {
 	if !job.IsGang() || !job.starved || now.Before(job.reservedUntil) {
 		return
 	}
-	zones := map[string][]futureSlot{}
-	for _, id := range p.machineIDs {
-		machine := p.machines[id]
-		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[id] {
+	slots := earliestSlots(job, count, p.futureZones(job, now))
+	if slots == nil {
+		return
+	}
+	waitS := min(slots[count-1].availableInS, p.tuning.StarveS) + p.heartbeatToleranceS()
+	job.reservedUntil = now.Add(tuning.Seconds(waitS))
+	for _, slot := range slots {
+		slot.machine.reserve(job.ID, job.reservedUntil)
+	}
+	p.Counters.GangReservations++
+}
+
+// futureZones returns what machines will have for a job, by zone; for a job that may be in
+// several zones, all slots under the empty name.
+func (p *Partition) futureZones(job *Job, now time.Time) map[string]*futureZone {
+	zones := map[string]*futureZone{}
+	zone := func(name string) *futureZone {
+		if zones[name] == nil {
+			zones[name] = &futureZone{}
+		}
+		return zones[name]
+	}
+	for _, machine := range p.allMachines() {
+		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
 			continue
 		}
-		if machine.reservedFor != "" && machine.reservedFor != job.ID && now.Before(machine.reservedUntil) {
+		if machine.isReservedForOther(job, now) {
 			if machine.reservedFor != reservedForDrain {
-				zones[machine.Record.Zone] = append(zones[machine.Record.Zone], futureSlot{availableInS: -1})
+				zone(machine.Record.Zone).reserved = true
 			}
 			continue
 		}
-		z := machine.Record.Zone
-		if !job.SingleZone {
-			z = ""
+		name := ""
+		if job.SingleZone {
+			name = machine.Record.Zone
 		}
-		zones[z] = append(zones[z], p.futureSlots(job, machine, now)...)
+		target := zone(name)
+		target.slots = append(target.slots, p.futureSlots(job, machine, now)...)
 	}
+	return zones
+}
+
+// earliestSlots returns the slots, by when they are available, of the zone that has count
+// of them the soonest; nil if none ever has.
+func earliestSlots(job *Job, count int, zones map[string]*futureZone) []futureSlot {
 	var best []futureSlot
-	limit := (job.Tasks + 1) / 2
-	for _, z := range slices.Sorted(maps.Keys(zones)) {
-		vs := zones[z]
-		sort.SliceStable(vs, func(a, b int) bool { return vs[a].availableInS < vs[b].availableInS })
-		if len(vs) > 0 && vs[0].availableInS < 0 {
-			continue // room is kept for another there, and one at a time gets it
+	for _, name := range slices.Sorted(maps.Keys(zones)) {
+		if zones[name].reserved {
+			continue
 		}
-		var got []futureSlot
-		perZone := map[string]int{}
-		for _, v := range vs {
-			if len(got) == n {
-				break
-			}
-			if job.SpreadZones && perZone[v.machine.Record.Zone] >= limit {
-				continue
-			}
-			perZone[v.machine.Record.Zone]++
-			got = append(got, v)
+		slots := firstSlots(job, count, zones[name].slots)
+		if len(slots) < count {
+			continue
 		}
-		if len(got) == n && (best == nil || got[n-1].availableInS < best[n-1].availableInS) {
-			best = got
+		if best == nil || slots[count-1].availableInS < best[count-1].availableInS {
+			best = slots
 		}
 	}
-	if best == nil {
-		return
-	}
-	wait := min(max(best[n-1].availableInS, 0), p.tuning.StarveS) + 3*p.settings.Cluster.Workers.ReportS
-	job.reservedUntil = now.Add(tuning.Seconds(wait))
-	for _, v := range best {
-		v.machine.reservedFor, v.machine.reservedUntil = job.ID, job.reservedUntil
+	return best
+}
+
+// firstSlots returns the first slots to be available, up to count of them.
+func firstSlots(job *Job, count int, slots []futureSlot) []futureSlot {
+	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.availableInS, b.availableInS) })
+	var first []futureSlot
+	byZone := map[string]int{}
+	for _, slot := range slots {
+		if len(first) == count {
+			break
+		}
+		zone := slot.machine.Record.Zone
+		if job.SpreadZones && byZone[zone] >= job.maxTasksPerZone() {
+			continue
+		}
+		byZone[zone]++
+		first = append(first, slot)
 	}
-	p.Counters.GangReservations++
+	return first
 }
 
-// futureSlots lists when a machine will have room for one task of a job, for a second
+// taskEnd is capacity that a task will release.
+type taskEnd struct {
+	inS     float64 // seconds until then
+	request resource.Vector
+}
+
+// futureSlots returns when a machine will have capacity for one task of a job, for a second
 // one, and so on, if nothing else is placed there.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
-	type end struct {
-		in   float64
-		room resource.Vector
+	request := job.taskRequest()
+	free := machine.free()
+	var slots []futureSlot
+	addSlots := func(availableInS float64) {
+		for free.Contains(request) && len(slots) < job.Tasks {
+			free = free.Sub(request)
+			slots = append(slots, futureSlot{machine: machine, availableInS: availableInS})
+		}
 	}
-	var ends []end
+	addSlots(0)
+	for _, end := range p.taskEnds(machine, now) {
+		if len(slots) == job.Tasks {
+			break
+		}
+		free = free.Add(end.request)
+		addSlots(end.inS)
+	}
+	return slots
+}
+
+// taskEnds returns when the machine's tasks are expected to end, the first one first.
+func (p *Partition) taskEnds(machine *Machine, now time.Time) []taskEnd {
+	var ends []taskEnd
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
-		other := placement.job
-		left := runSeconds(other.Job) + p.imageFetchSeconds(other, machine)
-		if !placement.runningSince.IsZero() {
-			left = max(runSeconds(other.Job)-now.Sub(placement.runningSince).Seconds(), 1)
-		}
-		ends = append(ends, end{left, resource.OfJob(other.Job)})
+		ends = append(ends, taskEnd{inS: p.remainingSeconds(placement, now), request: placement.job.taskRequest()})
 	}
-	sort.SliceStable(ends, func(a, b int) bool { return ends[a].in < ends[b].in })
-	request := resource.OfJob(job.Job)
-	free, in := machine.free(), 0.0
-	var out []futureSlot
-	for i := 0; ; i++ {
-		for free.Contains(request) && len(out) < job.Tasks {
-			free = free.Sub(request)
-			out = append(out, futureSlot{machine, in})
-		}
-		if i == len(ends) || len(out) == job.Tasks {
-			return out
-		}
-		free, in = free.Add(ends[i].room), ends[i].in
+	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.inS, b.inS) })
+	return ends
+}
+
+// remainingSeconds returns how long a placement is expected to stay.
+func (p *Partition) remainingSeconds(placement *Placement, now time.Time) float64 {
+	expected := runSeconds(placement.job.Job)
+	if placement.runningSince.IsZero() {
+		return expected + p.imageFetchSeconds(placement.job, placement.machine)
 	}
+	return max(expected-now.Sub(placement.runningSince).Seconds(), minRemainingS)
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -1,116 +1,153 @@
 package scheduler
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"ambersill/internal/resource"
 	"ambersill/internal/tuning"
 )
 
-// preempt stops work of lower rank, or what another team runs beyond its
-// guarantee, for a job that finds no room.
-func (p *Partition) preempt(job *Job, n int, now time.Time) {
-	if now.Sub(job.lastPreemption) < tuning.Seconds(p.tuning.PreemptGapS) {
-		return
-	}
-	if !p.mayPreempt(job) || now.Sub(job.lastPreemptionSearch) < tuning.Seconds(p.tuning.SearchGapS) {
+// preempt stops work of lower priority, or what another team runs beyond its guarantee, for
+// up to count tasks of a job that finds no capacity.
+func (p *Partition) preempt(job *Job, count int, now time.Time) {
+	if !p.maySearchPreemption(job, now) {
 		return
 	}
 	job.lastPreemptionSearch = now
-	where := p.findMachines(job, n, now, p.allMachines(), func(machine *Machine) resource.Vector { return p.resourcesAfterPreemption(job, machine) })
-	if len(where) == 0 || (job.IsGang() && len(where) < n) {
+	afterPreemption := func(machine *Machine) resource.Vector { return p.capacityAfterPreemption(job, machine) }
+	machines := p.findMachines(job, count, now, p.allMachines(), afterPreemption)
+	if !job.canStartOn(machines, count) {
 		return
 	}
-	want := map[*Machine]int{}
-	for _, machine := range where {
-		want[machine]++
-	}
-	job.lastPreemption, job.awaitingPreemption = now, true
-	for _, machine := range where {
-		if tasks, ok := want[machine]; ok {
-			delete(want, machine)
-			p.preemptOnMachine(job, machine, tasks, now)
+	job.lastPreemption = now
+	job.awaitingPreemption = true
+	tasks := countByMachine(machines)
+	for _, machine := range machines {
+		if tasks[machine] > 0 {
+			p.preemptOnMachine(job, machine, tasks[machine], now)
+			delete(tasks, machine)
 		}
 	}
 }
 
-// resourcesAfterPreemption is a machine's room for a job with all that yields to it gone.
-func (p *Partition) resourcesAfterPreemption(job *Job, machine *Machine) resource.Vector {
-	room := machine.free()
+// maySearchPreemption reports whether a job may look now for work to preempt.
+func (p *Partition) maySearchPreemption(job *Job, now time.Time) bool {
+	if !job.mayPreempt() {
+		return false
+	}
+	if now.Sub(job.lastPreemption) < tuning.Seconds(p.tuning.PreemptGapS) {
+		return false
+	}
+	return now.Sub(job.lastPreemptionSearch) >= tuning.Seconds(p.tuning.SearchGapS)
+}
+
+// countByMachine counts how often each machine is listed.
+func countByMachine(machines []*Machine) map[*Machine]int {
+	counts := map[*Machine]int{}
+	for _, machine := range machines {
+		counts[machine]++
+	}
+	return counts
+}
+
+// capacityAfterPreemption returns a machine's free capacity for a job once everything that
+// the job may preempt is gone.
+func (p *Partition) capacityAfterPreemption(job *Job, machine *Machine) resource.Vector {
+	capacity := machine.free()
 	for _, placement := range machine.placements {
 		if p.preemptible(placement, job) {
-			room = room.Add(resource.OfJob(placement.job.Job))
+			capacity = capacity.Add(placement.job.taskRequest())
 		}
 	}
-	return room
+	return capacity
 }
 
-// preemptOnMachine stops as much on a machine as some tasks of a job take, and keeps the room.
+// preemptOnMachine stops as much on a machine as the given number of tasks of a job needs,
+// and reserves the machine for the job until the stopped work has left.
 func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
-	goal := resource.OfJob(job.Job).Scale(tasks)
-	room := machine.free()
-	for _, placement := range machine.placements {
-		if placement.stopRequest != nil {
-			room = room.Add(resource.OfJob(placement.job.Job))
-		}
-	}
-	grace := 0.0
+	needed := job.taskRequest().Scale(tasks)
+	available := machine.freeAfterStops()
+	graceS := 0.0
 	for _, placement := range p.victims(job, machine, now) {
-		if room.Contains(goal) {
+		if available.Contains(needed) {
 			break
 		}
 		if placement.stopRequest != nil {
 			continue
 		}
-		room = room.Add(resource.OfJob(placement.job.Job))
+		available = available.Add(placement.job.taskRequest())
 		if placement.job.placements[placement.task] != placement {
-			continue // its gang was stopped with a mate before it, and it had not left yet
+			continue // stopped with another member of its gang, before its start was sent
 		}
-		grace = max(grace, placement.job.CheckpointSaveS)
+		graceS = max(graceS, placement.job.CheckpointSaveS)
 		p.Counters.Preempted++
 		p.stopGracefully(placement, now)
 	}
-	machine.reservedFor = job.ID
-	machine.reservedUntil = now.Add(tuning.Seconds(grace + p.tuning.GraceS + 3*p.settings.Cluster.Workers.ReportS))
+	machine.reserve(job.ID, now.Add(tuning.Seconds(graceS+p.tuning.GraceS+p.heartbeatToleranceS())))
+}
+
+// freeAfterStops returns the machine's free capacity once the placements that are being
+// stopped are gone.
+func (m *Machine) freeAfterStops() resource.Vector {
+	capacity := m.free()
+	for _, placement := range m.placements {
+		if placement.stopRequest != nil {
+			capacity = capacity.Add(placement.job.taskRequest())
+		}
+	}
+	return capacity
 }
 
-// victims lists what yields to a job on a machine, in the order in which it is stopped. A
-// start that is stopped at once does not count, so settled tasks that can save go first; of
-// the others those that have run the least lose the least.
+// victims returns what a job may preempt on a machine, in the order in which it is stopped.
+// A start that is stopped at once does not count, so settled tasks with checkpoints go
+// first; of the others, those that have run the least lose the least.
 func (p *Partition) victims(job *Job, machine *Machine, now time.Time) []*Placement {
-	var out []*Placement
+	var victims []*Placement
 	for _, key := range sortedTaskAttempts(machine.placements) {
-		if placement := machine.placements[key]; p.preemptible(placement, job) {
-			out = append(out, placement)
+		placement := machine.placements[key]
+		if p.preemptible(placement, job) {
+			victims = append(victims, placement)
 		}
 	}
-	sort.SliceStable(out, func(a, b int) bool {
-		x, y := p.settled(out[a], now), p.settled(out[b], now)
-		if x != y {
-			return x
+	slices.SortStableFunc(victims, func(a, b *Placement) int {
+		if order := compareTrueFirst(p.settled(a, now), p.settled(b, now)); order != 0 {
+			return order
 		}
-		return out[a].runningSince.After(out[b].runningSince)
+		return b.runningSince.Compare(a.runningSince)
 	})
-	return out
+	return victims
 }
 
-// settled tells whether a task has run long enough for its start to count, and
-// loses little when it is stopped.
+// settled reports whether a task has run long enough for its start to count, and loses
+// little when it is stopped, since it writes checkpoints.
 func (p *Partition) settled(placement *Placement, now time.Time) bool {
-	return placement.job.CheckpointIntervalS > 0 && !placement.runningSince.IsZero() && now.Sub(placement.runningSince) > tuning.Seconds(p.tuning.SettledS)
+	if placement.job.CheckpointIntervalS <= 0 || placement.runningSince.IsZero() {
+		return false
+	}
+	return now.Sub(placement.runningSince) > tuning.Seconds(p.tuning.SettledS)
 }
 
-func (p *Partition) mayPreempt(job *Job) bool { return job.withinGuarantee || job.Priority.Value() > 0 }
+// mayPreempt reports whether the job may preempt at all: idle work beyond its team's
+// guarantee may not.
+func (j *Job) mayPreempt() bool { return j.withinGuarantee || j.Priority.Value() > 0 }
 
-// preemptible tells whether a placement may be stopped for a job.
+// preemptible reports whether a placement may be stopped for a job: work of lower priority
+// unless only that is guaranteed, and another team's work beyond its guarantee for
+// guaranteed work.
 func (p *Partition) preemptible(placement *Placement, job *Job) bool {
 	other := placement.job
-	if other == job || placement.gangDone || placement.preemptionProtected && (placement.runningSince.IsZero() || p.cycleTime.Sub(placement.runningSince) < tuning.Seconds(p.tuning.SettledS)) {
+	if other == job || placement.gangDone || p.isProtected(placement) {
 		return false
 	}
 	if other.Priority.Value() < job.Priority.Value() {
-		return !(other.withinGuarantee && !job.withinGuarantee)
+		return job.withinGuarantee || !other.withinGuarantee
 	}
 	return job.withinGuarantee && !other.withinGuarantee && other.Team != job.Team
 }
+
+// isProtected reports whether a placement that was forced is still to have its start
+// counted.
+func (p *Partition) isProtected(placement *Placement) bool {
+	return placement.preemptionProtected && !p.countsAsStarted(placement, p.cycleTime)
+}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"cmp"
 	"maps"
 	"math"
 	"slices"
-	"sort"
+	"strings"
 	"time"
 
 	"ambersill/internal/quota"
@@ -12,68 +13,117 @@
 	"ambersill/internal/tuning"
 )
 
-type queue struct {
+// The size of a usual machine stands in for a guarantee that a team does not have: a team
+// that uses one such machine counts as having used its fair share once.
+const (
+	usualMachineGPUs = 8
+	usualMachineCPUs = 64
+)
+
+// gpuShareStarveFactor is the multiple of StarveS after which a job without GPUs may take
+// CPUs and memory that belong to the free GPUs of a machine.
+const gpuShareStarveFactor = 2
+
+// teamQueue holds a team's jobs with tasks to place, the first in turn first.
+type teamQueue struct {
 	team *quota.Team
 	jobs []*Job
 }
 
-// fairShareRatio is how much a team uses, by its guarantee where it has one.
-func (q *queue) fairShareRatio() float64 {
+// fairShareRatio returns how much the team uses relative to its guarantee, or to a usual
+// machine in a dimension without one. The CPUs of a team that is guaranteed only GPUs do
+// not count, since the machines of its GPUs bring them along.
+func (q *teamQueue) fairShareRatio() float64 {
 	team := q.team
-	l := 0.0
-	if team.GPUs > 0 {
-		l = max(l, team.Allocated.GPUs/team.GPUs)
-	} else {
-		l = max(l, team.Allocated.GPUs/8)
-	}
-	if team.CPUs > 0 {
-		l = max(l, team.Allocated.CPUs/team.CPUs)
-	} else if team.GPUs == 0 {
-		l = max(l, team.Allocated.CPUs/64)
-	}
-	return l
-}
-
-func (p *Partition) servedBefore(queue, other *queue) bool {
-	a, b := queue.jobs[0], other.jobs[0]
-	if d := urgency(a, b); d != 0 {
-		return d > 0
-	}
-	// Shares are compared in steps, since even shares to the last bit would have
-	// all teams' jobs end late together.
-	if x, y := math.Floor(queue.fairShareRatio()/p.tuning.LoadStep), math.Floor(other.fairShareRatio()/p.tuning.LoadStep); x != y && !a.starved {
-		return x < y
-	}
-	return p.earlier(a, b)
-}
-
-// urgency compares two jobs by what comes before size and shares; above 0: a first.
-// Work that has to begin now goes before all; then guaranteed work, then by rank,
-// and among equals what has waited long for its first start.
-func urgency(a, b *Job) int {
-	first := func(x, y bool) int {
-		switch {
-		case x == y:
-			return 0
-		case x:
-			return 1
+	guaranteedGPUs := team.GPUs
+	if guaranteedGPUs <= 0 {
+		guaranteedGPUs = usualMachineGPUs
+	}
+	ratio := max(0, team.Allocated.GPUs/guaranteedGPUs)
+	switch {
+	case team.CPUs > 0:
+		ratio = max(ratio, team.Allocated.CPUs/team.CPUs)
+	case team.GPUs == 0:
+		ratio = max(ratio, team.Allocated.CPUs/usualMachineCPUs)
+	}
+	return ratio
+}
+
+// servedBefore reports whether the first job of queue is placed before that of other: by
+// urgency, then by fair share, then by turn.
+func (p *Partition) servedBefore(queue, other *teamQueue) bool {
+	job, otherJob := queue.jobs[0], other.jobs[0]
+	if order := compareUrgency(job, otherJob); order != 0 {
+		return order < 0
+	}
+	if !job.starved {
+		if order := cmp.Compare(p.fairShareStep(queue), p.fairShareStep(other)); order != 0 {
+			return order < 0
 		}
-		return -1
 	}
-	if d := first(a.startOverdue, b.startOverdue); d != 0 {
-		return d
+	return p.compareTurn(job, otherJob) < 0
+}
+
+// fairShareStep returns the queue's fair share ratio in steps of LoadStep. If ratios were
+// equal to the last bit, all teams' jobs would end late together.
+func (p *Partition) fairShareStep(queue *teamQueue) float64 {
+	return math.Floor(queue.fairShareRatio() / p.tuning.LoadStep)
+}
+
+// compareInQueue orders the jobs of one team; negative: a goes first.
+func (p *Partition) compareInQueue(a, b *Job) int {
+	if order := compareUrgency(a, b); order != 0 {
+		return order
+	}
+	return p.compareTurn(a, b)
+}
+
+// compareUrgency orders jobs by what takes precedence over size and fair share; negative: a
+// goes first. Jobs whose first start is overdue go first, whatever their guarantee and
+// priority; then guaranteed work, then by priority, and among equals starved jobs.
+func compareUrgency(a, b *Job) int {
+	if order := compareTrueFirst(a.startOverdue, b.startOverdue); order != 0 {
+		return order
 	}
-	if d := first(a.withinGuarantee, b.withinGuarantee); d != 0 && !a.startOverdue {
-		return d
+	if !a.startOverdue {
+		if order := compareTrueFirst(a.withinGuarantee, b.withinGuarantee); order != 0 {
+			return order
+		}
+		if order := cmp.Compare(b.Priority.Value(), a.Priority.Value()); order != 0 {
+			return order
+		}
 	}
-	if d := a.Priority.Value() - b.Priority.Value(); d != 0 && !a.startOverdue {
-		return d
+	return compareTrueFirst(a.starved, b.starved)
+}
+
+// compareTrueFirst orders true before false.
+func compareTrueFirst(a, b bool) int {
+	switch {
+	case a == b:
+		return 0
+	case a:
+		return -1
 	}
-	return first(a.starved, b.starved)
+	return 1
 }
 
-// turnAt is when a job's turn is. Without a deadline, little work comes before much:
-// that gets the most jobs over in good time, and age still wins in the end.
+// compareTurn orders jobs of the same urgency; negative: a goes first. Starved jobs go by
+// age, others by when their turn is.
+func (p *Partition) compareTurn(a, b *Job) int {
+	if a.starved && b.starved {
+		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
+			return order
+		}
+	}
+	if order := p.turnAt(a).Compare(p.turnAt(b)); order != 0 {
+		return order
+	}
+	return strings.Compare(a.ID, b.ID)
+}
+
+// turnAt returns when a job's turn is. Without a deadline, jobs with little work left come
+// before those with much: that completes the most jobs in good time, and age still
+// prevails in the end.
 func (p *Partition) turnAt(job *Job) time.Time {
 	switch {
 	case job.IsService():
@@ -81,66 +131,93 @@
 	case job.DeadlineS > 0:
 		return job.SubmittedAt.Add(tuning.Seconds(job.DeadlineS - job.EstimatedRunS))
 	}
-	work := (float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.imageFetchS) * max(job.CPUs, 1)
+	remainingS := float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.imageFetchS
+	work := remainingS * max(job.CPUs, 1)
 	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
 
-func (p *Partition) earlier(a, b *Job) bool {
-	if a.starved && b.starved && !a.SubmittedAt.Equal(b.SubmittedAt) {
-		return a.SubmittedAt.Before(b.SubmittedAt)
-	}
-	if x, y := p.turnAt(a), p.turnAt(b); !x.Equal(y) {
-		return x.Before(y)
+// buildQueues returns the queues of the teams that have tasks to place, by team name.
+func (p *Partition) buildQueues(now time.Time) []*teamQueue {
+	unfinished := p.unfinishedJobsByTeam()
+	var queues []*teamQueue
+	for _, name := range slices.Sorted(maps.Keys(unfinished)) {
+		team, jobs := p.team(name), unfinished[name]
+		slices.SortFunc(jobs, compareSubmission)
+		p.updateGuarantees(team, jobs)
+		for _, job := range jobs {
+			p.updateWaiting(job, now)
+		}
+		queue := &teamQueue{team: team, jobs: p.placeableJobs(jobs, now)}
+		if len(queue.jobs) > 0 {
+			queues = append(queues, queue)
+		}
 	}
-	return a.ID < b.ID
+	return queues
 }
 
-// buildQueues sorts the jobs with waiting tasks by team.
-func (p *Partition) buildQueues(now time.Time) []*queue {
-	all := map[string][]*Job{}
+// unfinishedJobsByTeam returns the jobs with tasks that are not done.
+func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
+	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
 		if !job.Cancelled && job.doneTasks < job.Tasks {
-			all[job.Team] = append(all[job.Team], job)
+			byTeam[job.Team] = append(byTeam[job.Team], job)
 		}
 	}
-	var out []*queue
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		jobs := all[name]
-		team := p.team(name)
-		sort.Slice(jobs, func(a, b int) bool {
-			if !jobs[a].SubmittedAt.Equal(jobs[b].SubmittedAt) {
-				return jobs[a].SubmittedAt.Before(jobs[b].SubmittedAt)
-			}
-			return jobs[a].ID < jobs[b].ID
-		})
-		var sum resource.Vector
-		for _, job := range jobs {
-			sum = sum.Add(resource.OfJob(job.Job).Scale(job.Tasks - job.doneTasks))
-			job.withinGuarantee = team.WithinGuarantee(sum)
-			begun := job.seenRunning || job.doneTasks > 0 || (!job.IsGang() && len(job.placements) > 0)
-			job.starved = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.StarveS)
-			job.startOverdue = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.OverdueS)
-			job.startForced = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.ForceS)
-			job.ignoresGPUShare = now.Sub(job.SubmittedAt) > tuning.Seconds(2*p.tuning.StarveS)
-			job.cpuOnlyTypeFits = job.GPUs == 0 && resource.CPUOnlyTypeFits(resource.OfJob(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
-		}
-		q := &queue{team: team}
-		for _, job := range jobs {
-			if job.waitingTasks > 0 && !job.gangBroken && !now.Before(job.retryAt) {
-				job.imageFetchS = p.shortestImageFetch(job)
-				q.jobs = append(q.jobs, job)
-			}
-		}
-		sort.SliceStable(q.jobs, func(a, b int) bool {
-			x, y := q.jobs[a], q.jobs[b]
-			if d := urgency(x, y); d != 0 {
-				return d > 0
-			}
-			return p.earlier(x, y)
-		})
-		if len(q.jobs) > 0 {
-			out = append(out, q)
+	return byTeam
+}
+
+// compareSubmission orders jobs by age; negative: a is older.
+func compareSubmission(a, b *Job) int {
+	if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
+		return order
+	}
+	return strings.Compare(a.ID, b.ID)
+}
+
+// updateGuarantees notes which of a team's jobs, the oldest first, its guarantee covers
+// together with all older ones.
+func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
+	var total resource.Vector
+	for _, job := range jobs {
+		unfinished := job.taskRequest().Scale(job.Tasks - job.doneTasks)
+		total = total.Add(unfinished)
+		job.withinGuarantee = team.WithinGuarantee(total)
+	}
+}
+
+// updateWaiting notes what a job may claim by how long it has waited, and whether machines
+// without GPUs could do its work.
+func (p *Partition) updateWaiting(job *Job, now time.Time) {
+	age := now.Sub(job.SubmittedAt)
+	waitsForFirstStart := !job.begun()
+	job.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
+	job.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
+	job.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
+	job.ignoresGPUShare = age > tuning.Seconds(gpuShareStarveFactor*p.tuning.StarveS)
+	job.cpuOnlyTypeFits = job.GPUs == 0 &&
+		resource.CPUOnlyTypeFits(job.taskRequest(), job.MachineTypes, maps.Values(p.machineTypes))
+}
+
+// begun reports whether the job has had its first start. Placements of a gang do not count
+// before one has been seen running, since all of them may still be given up.
+func (j *Job) begun() bool {
+	if j.seenRunning || j.doneTasks > 0 {
+		return true
+	}
+	return !j.IsGang() && len(j.placements) > 0
+}
+
+// placeableJobs returns the jobs with tasks that may be placed by now, the first in turn
+// first.
+func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
+	var placeable []*Job
+	for _, job := range jobs {
+		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.retryAt) {
+			continue
 		}
+		job.imageFetchS = p.shortestImageFetch(job)
+		placeable = append(placeable, job)
 	}
-	return out
+	slices.SortStableFunc(placeable, p.compareInQueue)
+	return placeable
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -1,133 +1,201 @@
 package scheduler
 
 import (
-	"ambersill/internal/quota"
-	"ambersill/internal/resource"
 	"maps"
 	"slices"
 	"time"
-)
 
-// placementSlice is how many tasks of an array a team places before it is another
-// team's turn.
-const placementSlice = 8
+	"ambersill/internal/quota"
+	"ambersill/internal/resource"
+)
 
-// overdueSlice is how many tasks of an array go first because it has waited too long
-// for its first start; with that it has begun.
-const overdueSlice = 1
+const (
+	// placementSlice is how many tasks of an array are placed before it is another team's
+	// turn: few enough that teams share a small capacity, many enough that a large array
+	// does not take a search for each task.
+	placementSlice = 8
+	// overdueSlice is how many tasks of an array take precedence because its first start is
+	// overdue; with the first of them it has begun.
+	overdueSlice = 1
+	// preemptionSlice is how many tasks of a job are preempted for at once. Preempted work
+	// leaves only after its grace period, so that it is asked for ahead of the next turns.
+	preemptionSlice = 2 * placementSlice
+	// cachedImagesPerMachine is how many images a machine is assumed to cache, which is about
+	// what the cloud's machines hold.
+	cachedImagesPerMachine = 12
+)
 
-// Schedule places waiting tasks: a queue per team, the teams served in turn by
-// shares, guaranteed work first, then by rank.
+// Schedule runs a scheduling cycle. It places waiting tasks from a queue per team; the
+// queues take turns by urgency and fair share.
 func (p *Partition) Schedule(now time.Time) {
 	p.cycleTime = now
 	p.ExpireLeases(now)
+	p.collectCandidates()
+	p.placeQueues(p.buildQueues(now), now)
+	p.consolidate(now)
+	p.scheduledVersion = p.capacityVersion
+}
+
+// NeedsScheduling reports whether anything has changed since the last scheduling cycle that
+// another one would act on before time alone makes it do so.
+func (p *Partition) NeedsScheduling() bool {
+	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
+}
+
+// collectCandidates notes the machines that could take work in this cycle.
+func (p *Partition) collectCandidates() {
 	p.candidates = p.candidates[:0]
 	for _, id := range p.machineIDs {
-		if machine := p.machines[id]; machine.usable() && machine.free().CPUs > resource.Epsilon {
+		machine := p.machines[id]
+		if machine.usable() && machine.free().CPUs > resource.Epsilon {
 			p.candidates = append(p.candidates, machine)
 		}
 	}
-	queues := p.buildQueues(now)
+}
+
+// placeQueues places the queues' jobs until nothing more can be placed.
+func (p *Partition) placeQueues(queues []*teamQueue, now time.Time) {
 	for len(queues) > 0 {
-		best := 0
-		for i := 1; i < len(queues); i++ {
-			if p.servedBefore(queues[i], queues[best]) {
-				best = i
-			}
+		next := p.nextQueue(queues)
+		queue := queues[next]
+		if p.placeTasks(queue.jobs[0], queue.team, now) {
+			continue
 		}
-		queue := queues[best]
-		job := queue.jobs[0]
-		if !p.placeTasks(job, queue.team, now) {
-			queue.jobs = queue.jobs[1:]
-			if len(queue.jobs) == 0 {
-				queues = append(queues[:best], queues[best+1:]...)
-			}
+		queue.jobs = queue.jobs[1:]
+		if len(queue.jobs) == 0 {
+			queues = slices.Delete(queues, next, next+1)
 		}
 	}
-	p.consolidate(now)
-	p.scheduledVersion = p.capacityVersion
 }
 
-// NeedsScheduling tells whether anything has changed since the last pass that one would act on
-// before time alone makes it do so.
-func (p *Partition) NeedsScheduling() bool {
-	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
+// nextQueue returns the index of the queue whose turn it is.
+func (p *Partition) nextQueue(queues []*teamQueue) int {
+	next := 0
+	for i := 1; i < len(queues); i++ {
+		if p.servedBefore(queues[i], queues[next]) {
+			next = i
+		}
+	}
+	return next
 }
 
-// placeTasks starts what it can of a job in this turn; false: nothing more now.
+// placeTasks places what it can of a job in this turn, and reports whether the job has
+// more to place in this cycle.
 func (p *Partition) placeTasks(job *Job, team *quota.Team, now time.Time) bool {
 	if job.noCapacityVersion == p.capacityVersion {
 		return false
 	}
-	n := min(job.startableCount(now), placementSlice)
-	if n == 0 {
+	count := tasksInTurn(job, team, now)
+	if count == 0 {
 		return false
 	}
-	if job.startOverdue {
-		n = min(n, overdueSlice)
+	machines := p.findMachines(job, count, now, p.candidates, (*Machine).free)
+	if !job.canStartOn(machines, count) {
+		p.requestCapacity(job, count, now)
+		return false
 	}
+	p.startTasks(job, machines, now)
+	return job.startableCount(now) > 0 && !job.IsGang()
+}
+
+// tasksInTurn returns how many tasks of a job may be placed in this turn. A gang's are all
+// or none.
+func tasksInTurn(job *Job, team *quota.Team, now time.Time) int {
+	count := min(job.startableCount(now), placementSlice)
+	if count == 0 {
+		return 0
+	}
+	remaining := team.RemainingTasks(job.taskRequest())
 	if job.IsGang() {
-		n = job.Tasks
-		if job.waitingTasks < n {
-			return false
+		if job.waitingTasks < job.Tasks || remaining < job.Tasks {
+			return 0
 		}
+		return job.Tasks
 	}
-	left := team.RemainingTasks(resource.OfJob(job.Job))
-	if left < n {
-		if job.IsGang() || left == 0 {
-			return false
-		}
-		n = left
-	}
-	where := p.findMachines(job, n, now, p.candidates, (*Machine).free)
-	if len(where) == 0 || (job.IsGang() && len(where) < n) {
-		job.noCapacityVersion = p.capacityVersion
-		p.preempt(job, min(n, 2*placementSlice), now)
-		if !job.awaitingPreemption {
-			p.reserveForGang(job, n, now)
-		}
+	if job.startOverdue {
+		count = min(count, overdueSlice)
+	}
+	return min(count, remaining)
+}
+
+// canStartOn reports whether the machines found for count tasks allow a start: some for any
+// job, all for a gang.
+func (j *Job) canStartOn(machines []*Machine, count int) bool {
+	if j.IsGang() && len(machines) < count {
 		return false
 	}
+	return len(machines) > 0
+}
+
+// requestCapacity preempts other work for a job that finds no capacity, or reserves machines
+// for it if it is a gang.
+func (p *Partition) requestCapacity(job *Job, count int, now time.Time) {
+	job.noCapacityVersion = p.capacityVersion
+	p.preempt(job, min(count, preemptionSlice), now)
+	if !job.awaitingPreemption {
+		p.reserveForGang(job, count, now)
+	}
+}
+
+// startTasks places the job's first startable tasks under a new attempt, one for each of
+// the machines.
+func (p *Partition) startTasks(job *Job, machines []*Machine, now time.Time) {
 	job.highestAttempt++
 	job.awaitingPreemption = false
 	if job.GPUs > 0 {
-		p.capacityVersion++ // what is left of its machines' other room is free for others now
+		// With fewer GPUs free, more of these machines' CPUs and memory is free for others.
+		p.capacityVersion++
 	}
-	k := 0
-	for i := range job.taskStates {
-		if k == len(where) {
-			break
+	for task := range job.taskStates {
+		if len(machines) == 0 {
+			return
 		}
-		if !job.startable(i, now) {
+		if !job.startable(task, now) {
 			continue
 		}
-		machine := where[k]
-		placement := &Placement{job: job, task: i, attempt: job.highestAttempt, machine: machine, incarnation: machine.latest.incarnation, preemptionProtected: job.startForced}
-		p.attach(placement)
-		chunk := placement.chunk()
-		p.journal.markDirty(chunk, i)
-		placement.chunkVersion = chunk.changeVersion
-		machine.cachedImages[job.Image] = now
-		p.trimImages(machine)
-		if machine.reservedFor == job.ID {
-			machine.reservedFor = ""
-		}
-		p.Counters.Started++
-		k++
+		p.startTask(job, task, machines[0], now)
+		machines = machines[1:]
+	}
+}
+
+// startTask places a task on a machine.
+func (p *Partition) startTask(job *Job, task int, machine *Machine, now time.Time) {
+	placement := &Placement{
+		job:                 job,
+		task:                task,
+		attempt:             job.highestAttempt,
+		machine:             machine,
+		incarnation:         machine.latest.incarnation,
+		preemptionProtected: job.startForced,
+	}
+	p.attach(placement)
+	chunk := placement.chunk()
+	p.journal.markDirty(chunk, task)
+	placement.chunkVersion = chunk.changeVersion
+	machine.cachedImages[job.Image] = now
+	machine.trimCachedImages()
+	if machine.reservedFor == job.ID {
+		machine.reservedFor = ""
+	}
+	p.Counters.Started++
+}
+
+// trimCachedImages drops the least recently used images beyond what the machine is assumed
+// to cache.
+func (m *Machine) trimCachedImages() {
+	for len(m.cachedImages) > cachedImagesPerMachine {
+		delete(m.cachedImages, m.leastRecentImage())
 	}
-	return job.startableCount(now) > 0 && !job.IsGang()
 }
 
-// trimImages keeps the guess of a machine's cache to the most recently used.
-func (p *Partition) trimImages(machine *Machine) {
-	const most = 12 // images; the cloud's caches hold about as many
-	for len(machine.cachedImages) > most {
-		oldest := ""
-		for _, k := range slices.Sorted(maps.Keys(machine.cachedImages)) {
-			if oldest == "" || machine.cachedImages[k].Before(machine.cachedImages[oldest]) {
-				oldest = k
-			}
+// leastRecentImage returns the cached image whose use is the longest ago, the first by name
+// among equals.
+func (m *Machine) leastRecentImage() string {
+	oldest := ""
+	for _, image := range slices.Sorted(maps.Keys(m.cachedImages)) {
+		if oldest == "" || m.cachedImages[image].Before(m.cachedImages[oldest]) {
+			oldest = image
 		}
-		delete(machine.cachedImages, oldest)
 	}
+	return oldest
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -10,54 +10,62 @@
 // A service's tasks, its replicas, run until the job is cancelled. One that ends, however
 // it does, runs again under the next attempt.
 
-// endless stands for the run time of a replica where work is weighed, in seconds; a year
-// is more than any other work takes, and still a number that sums stay exact with.
-const endless = 365 * 24 * 3600.0
+// replicaRunS is the run time, in seconds, that a replica counts with where work is compared:
+// a year is more than any other work takes, and a number with which sums stay exact.
+const replicaRunS = 365 * 24 * 3600.0
 
-// runSeconds is how long a task is expected to run.
+// runSeconds returns how long a task is expected to run.
 func runSeconds(job *wire.Job) float64 {
 	if job.IsService() {
-		return endless
+		return replicaRunS
 	}
 	return job.EstimatedRunS
 }
 
-// replicaRestart is when a replica that ended soon after its start may start again.
+// replicaRestart delays the restart of a replica that ended soon after its start.
 type replicaRestart struct {
-	at      time.Time
-	backoff float64 // seconds
+	notBefore time.Time
+	backoffS  float64
 }
 
-// replicaEnded takes in the end of a replica that was not stopped. One that ended soon
-// after its start waits before the next, longer each time.
+// replicaEnded records the end of a replica that was not stopped. One that ended soon after
+// its start waits before it is restarted, longer each time.
 func (p *Partition) replicaEnded(placement *Placement, now time.Time) {
 	job := placement.job
-	if !placement.runningSince.IsZero() && now.Sub(placement.runningSince) >= tuning.Seconds(p.tuning.SettledS) {
+	if p.countsAsStarted(placement, now) {
 		delete(job.replicaRestarts, placement.task)
 		clear(job.failedMachines)
 		return
 	}
 	restart := job.replicaRestarts[placement.task]
-	restart.backoff = min(max(2*restart.backoff, p.tuning.RestartBackoffS), p.tuning.ErrorBackoffMaxS)
-	restart.at = now.Add(tuning.Seconds(restart.backoff))
+	restart.backoffS = min(max(2*restart.backoffS, p.tuning.RestartBackoffS), p.tuning.ErrorBackoffMaxS)
+	restart.notBefore = now.Add(tuning.Seconds(restart.backoffS))
 	if job.replicaRestarts == nil {
 		job.replicaRestarts = map[int]replicaRestart{}
 	}
 	job.replicaRestarts[placement.task] = restart
 }
 
-// startable tells whether a waiting task may be placed by now.
+// countsAsStarted reports whether a placement has run for so long that its start counts.
+func (p *Partition) countsAsStarted(placement *Placement, now time.Time) bool {
+	if placement.runningSince.IsZero() {
+		return false
+	}
+	return now.Sub(placement.runningSince) >= tuning.Seconds(p.tuning.SettledS)
+}
+
+// startable reports whether a task waits and may be placed by now.
 func (j *Job) startable(task int, now time.Time) bool {
-	return j.taskStates[task] == taskWaiting && !now.Before(j.replicaRestarts[task].at)
+	return j.taskStates[task] == taskWaiting && !now.Before(j.replicaRestarts[task].notBefore)
 }
 
-// startableCount is how many tasks may be placed by now.
+// startableCount returns how many tasks may be placed by now.
 func (j *Job) startableCount(now time.Time) int {
-	n := j.waitingTasks
+	count := j.waitingTasks
 	for task, restart := range j.replicaRestarts {
-		if j.taskStates[task] == taskWaiting && now.Before(restart.at) {
-			n--
+		if j.taskStates[task] == taskWaiting && now.Before(restart.notBefore) {
+			count--
 		}
 	}
-	return n
+	return count
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -11,132 +11,202 @@
 	"ambersill/internal/tuning"
 )
 
-// Summary sums up the part for the leader.
+const (
+	// bookedPrecision: booked machines are told to the leader in thousandths, which keeps
+	// the record small and equal sums equal.
+	bookedPrecision = 1000
+	// maxWaitingBytes bounds the waiting tasks in a summary, those first in turn: the leader
+	// has to read it every second.
+	maxWaitingBytes = 12 << 10
+)
+
+// Summary returns the state of the partition from which the leader sizes the fleet.
 func (p *Partition) Summary(now time.Time) records.PartitionSummary {
-	summary := records.PartitionSummary{BookedMachines: map[string]float64{}, BookedOnDemand: map[string]float64{}, MachineDigests: map[string]records.MachineDigest{}}
-	for _, id := range p.machineIDs {
-		p.addToSummary(&summary, p.machines[id], now)
+	summary := records.PartitionSummary{
+		BookedMachines: map[string]float64{},
+		BookedOnDemand: map[string]float64{},
+		MachineDigests: map[string]records.MachineDigest{},
 	}
-	for _, b := range []map[string]float64{summary.BookedMachines, summary.BookedOnDemand} {
-		for k, v := range b {
-			b[k] = math.Round(v*1000) / 1000
-		}
+	for _, machine := range p.allMachines() {
+		p.addToSummary(&summary, machine, now)
 	}
+	roundBooked(summary.BookedMachines)
+	roundBooked(summary.BookedOnDemand)
 	summary.Waiting = p.unplacedDemand(now)
 	return summary
 }
 
-// addToSummary adds a machine's booked room and the note on it.
-func (p *Partition) addToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
-	var firm resource.Vector
-	for _, placement := range machine.placements {
-		if !placement.job.AllowSpot {
-			firm = firm.Add(resource.OfJob(placement.job.Job))
-		}
+// roundBooked rounds booked machines to the precision of summaries.
+func roundBooked(booked map[string]float64) {
+	for name, machines := range booked {
+		booked[name] = math.Round(machines*bookedPrecision) / bookedPrecision
 	}
-	summary.BookedOnDemand[machine.Record.MachineType] += machine.capacity.DominantShare(firm)
+}
+
+// addToSummary adds a machine's allocated capacity and its digest.
+func (p *Partition) addToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
+	machineType := machine.Record.MachineType
+	summary.BookedOnDemand[machineType] += machine.capacity.DominantShare(machine.allocatedOnDemand())
 	if len(machine.placements) > 0 {
-		summary.BookedMachines[machine.Record.MachineType] += machine.capacity.DominantShare(machine.allocated)
+		summary.BookedMachines[machineType] += machine.allocatedShare()
+	}
+	if digest := p.digest(machine, now); digest != 0 {
+		summary.MachineDigests[machine.ID] = digest
 	}
-	if note := p.digest(machine, now); note != 0 {
-		summary.MachineDigests[machine.ID] = note
+}
+
+// allocatedOnDemand returns what is allocated to jobs that may not use spot instances.
+func (m *Machine) allocatedOnDemand() resource.Vector {
+	var allocated resource.Vector
+	for _, placement := range m.placements {
+		if !placement.job.AllowSpot {
+			allocated = allocated.Add(placement.job.taskRequest())
+		}
 	}
+	return allocated
 }
 
-// digest is what there is to tell of a machine.
+// digest returns what the leader has to know of a machine.
 func (p *Partition) digest(machine *Machine, now time.Time) records.MachineDigest {
-	var note records.MachineDigest
+	digest := p.contactDigest(machine, now)
 	if machine.token.acknowledged {
-		note |= records.DigestReporting
+		digest |= records.DigestReporting
 	}
-	if len(machine.placements) == 0 && machine.usable() && !(machine.reservedFor != "" && now.Before(machine.reservedUntil)) {
-		note |= records.DigestEmpty
+	if len(machine.placements) == 0 && machine.usable() && !machine.isReserved(now) {
+		digest |= records.DigestEmpty
 	}
-	// A silent machine may hang or be cut off, and be back with its images sooner than
-	// another could boot in its place; if it is gone, the cloud's list tells.
-	if machine.quarantined || (machine.lease.expired && now.Sub(machine.lease.expiredAt) > tuning.Seconds(machine.machineType.BootS)) {
-		note |= records.DigestUnhealthy
+	if machine.quarantined || machine.silentBeyondBoot(now) {
+		digest |= records.DigestUnhealthy
 	}
-	w := p.settings.Cluster.Workers
-	patience := tuning.Seconds(w.LeaseS + 3*w.ReportS)
+	return digest
+}
+
+// silentBeyondBoot reports whether the machine has been silent for so long that another
+// could have booted in its place. Until then it may hang or be cut off, and be back sooner,
+// with its images; if it is gone, the cloud's list shows it.
+func (m *Machine) silentBeyondBoot(now time.Time) bool {
+	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
+}
+
+// contactDigest returns what is wrong with the contact to a machine, 0 if nothing is.
+func (p *Partition) contactDigest(machine *Machine, now time.Time) records.MachineDigest {
+	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
+	assignedLongAgo := now.Sub(machine.assignedAt) > patience
+	token := &machine.token
 	switch {
-	case !machine.token.acknowledged && len(machine.placements) > 0 && now.Sub(machine.assignedAt) > patience:
-		// Never heard since the takeover: only its return frees its tasks.
-		note |= records.DigestUnhealthy
-	case !machine.token.everAcknowledged && now.Sub(machine.assignedAt) > patience:
-		// Booting still, or cut off: the cloud's list tells.
-		note |= records.DigestNeverReported
-	case !machine.token.unacknowledgedSince.IsZero() && now.Sub(machine.token.unacknowledgedSince) > patience:
-		// It reports, but neither answers nor orders arrive there.
-		note |= records.DigestUnhealthy
-	}
-	return note
+	case !token.acknowledged && len(machine.placements) > 0 && assignedLongAgo:
+		// No heartbeat since the takeover: only its return to the cloud frees its tasks.
+		return records.DigestUnhealthy
+	case !token.everAcknowledged && assignedLongAgo:
+		// Still booting, or cut off: the cloud's list shows which.
+		return records.DigestNeverReported
+	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > patience:
+		// It sends heartbeats, but neither responses nor commands arrive there.
+		return records.DigestUnhealthy
+	}
+	return 0
 }
 
-// unplacedDemand lists the tasks that wait unplaced, the first in turn as far as they fit.
+// demandKey identifies demands that are merged: arrays that request the same, and services.
+type demandKey struct {
+	service       bool
+	machineTypes  string
+	zone          string
+	allowSpot     bool
+	taskResources resource.Vector
+	priority      int
+}
+
+// newDemandKey returns the key of a job's demand; false if it is never merged, since all its
+// tasks have to be placed together.
+func newDemandKey(job *Job, demand *records.Demand) (demandKey, bool) {
+	if demand.Gang || demand.MaxPerZone != 0 || demand.SingleZone {
+		return demandKey{}, false
+	}
+	key := demandKey{
+		service:       job.IsService(),
+		machineTypes:  fmt.Sprint(demand.MachineTypes),
+		zone:          demand.Zone,
+		allowSpot:     demand.AllowSpot,
+		taskResources: job.taskRequest(),
+		priority:      demand.Priority,
+	}
+	return key, true
+}
+
+// demandList collects demands up to maxWaitingBytes, and merges those with the same key.
+type demandList struct {
+	demands        []records.Demand
+	remainingBytes int
+	indexByKey     map[demandKey]int
+}
+
+// add merges a job's demand into an earlier one with the same key, or appends it if there
+// is space left.
+func (l *demandList) add(job *Job, demand records.Demand) {
+	key, mergeable := newDemandKey(job, &demand)
+	if i, found := l.indexByKey[key]; mergeable && found {
+		l.demands[i].Merge(&demand)
+		return
+	}
+	size := demand.SizeBound()
+	if size > l.remainingBytes {
+		return
+	}
+	l.remainingBytes -= size
+	if mergeable {
+		l.indexByKey[key] = len(l.demands)
+	}
+	l.demands = append(l.demands, demand)
+}
+
+// unplacedDemand returns the tasks that wait unplaced, the first in turn as far as they fit.
 func (p *Partition) unplacedDemand(now time.Time) []records.Demand {
-	var out []records.Demand
-	left := maxWaitingBytes
-	like := map[string]int{} // demands of arrays and services, by what they ask for
+	list := demandList{remainingBytes: maxWaitingBytes, indexByKey: map[demandKey]int{}}
 	for _, queue := range p.buildQueues(now) {
 		for _, job := range queue.jobs {
-			n := p.unplacedTasks(job, queue.team, now)
-			if n == 0 {
-				continue
-			}
-			demand := newDemand(job, n)
-			key := demandKey(job, &demand)
-			if i, ok := like[key]; ok && key != "" {
-				out[i].Merge(&demand)
-				continue
-			}
-			size := demand.SizeBound()
-			if size > left {
-				continue
+			if count := p.unplacedTasks(job, queue.team, now); count > 0 {
+				list.add(job, newDemand(job, count))
 			}
-			left -= size
-			like[key] = len(out)
-			out = append(out, demand)
 		}
 	}
-	return out
+	return list.demands
 }
 
-// unplacedTasks is how many of a job's waiting tasks are a demand for machines.
+// unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
 func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
 	if job.awaitingPreemption && now.Sub(job.lastPreemption).Seconds() < p.tuning.PreemptGapS {
-		return 0 // room is being made for it
+		return 0 // the preempted work will leave it the capacity
 	}
-	n := min(job.startableCount(now), team.RemainingTasks(resource.OfJob(job.Job)))
-	if job.IsGang() && n < job.Tasks {
+	count := min(job.startableCount(now), team.RemainingTasks(job.taskRequest()))
+	if job.IsGang() && count < job.Tasks {
 		return 0
 	}
-	return n
+	return count
 }
 
-// demandKey tells alike demands: arrays that ask for the same are one, and so are services.
-// "" is like no other.
-func demandKey(job *Job, demand *records.Demand) string {
-	if demand.Gang || demand.MaxPerZone != 0 || demand.SingleZone {
-		return ""
+// newDemand returns the demand of count tasks of a job.
+func newDemand(job *Job, count int) records.Demand {
+	demand := records.Demand{
+		MachineTypes:  job.MachineTypes,
+		Zone:          job.Zone,
+		AllowSpot:     job.AllowSpot,
+		SingleZone:    job.SingleZone,
+		Gang:          job.IsGang(),
+		CPUs:          job.CPUs,
+		GPUs:          job.GPUs,
+		MemoryGB:      job.MemoryGB,
+		Tasks:         count,
+		EstimatedRunS: runSeconds(job.Job),
+		Priority:      job.Priority.Value(),
 	}
-	return fmt.Sprint(job.IsService(), demand.MachineTypes, demand.Zone, demand.AllowSpot, demand.CPUs, demand.GPUs, demand.MemoryGB, demand.Priority)
-}
-
-// maxWaitingBytes bounds what a summary tells of waiting tasks, those first in turn: the
-// leader has to read it every second.
-const maxWaitingBytes = 12 << 10
-
-func newDemand(job *Job, n int) records.Demand {
-	demand := records.Demand{MachineTypes: job.MachineTypes, Zone: job.Zone, AllowSpot: job.AllowSpot, SingleZone: job.SingleZone, Gang: job.IsGang(),
-		CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB, Tasks: n, EstimatedRunS: runSeconds(job.Job), Priority: job.Priority.Value()}
 	if job.SpreadZones {
-		demand.MaxPerZone = (job.Tasks + 1) / 2
+		demand.MaxPerZone = job.maxTasksPerZone()
 	}
 	if job.SingleZone {
-		// Where its other tasks are, the rest has to go.
-		for z := range zoneCount(job) {
-			demand.Zone = z
+		// The rest of its tasks has to go where the others are.
+		for zone := range job.tasksByZone() {
+			demand.Zone = zone
 		}
 	}
 	return demand
