--- a/internal/scheduler/partition_test.go
+++ b/internal/scheduler/commands_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A start must not leave before the placement is committed, nor a clear before
-// the end is: whoever takes over would not know of the task.
-func TestRecordThenStartThenClear(t *testing.T) {
+// A start must not be sent before the placement is committed, nor a forget before the end
+// is: the next owner would not know of the task.
+func TestStartAndForgetAreSentAfterTheirCommits(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
@@ -33,23 +33,23 @@
 	}
 }
 
-// A start whose answer was lost is repeated; one that a report has shown and
-// another does not is over, and comes back as a new attempt.
-func TestLostStartAndLostTask(t *testing.T) {
+// A start whose response was lost is repeated. A task that one heartbeat lists and the next
+// does not is lost, and is placed again as a new attempt.
+func TestLostStartIsRepeatedAndLostTaskIsRequeued(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.Schedule(harness.now)
 	harness.commitBatches()
 	harness.sendHeartbeat("m-1")
-	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{} // the answer did not arrive
+	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{} // the response did not arrive
 	if diff := cmp.Diff([]string{"start req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
 	harness.sendHeartbeat("m-1")
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("a task that was seen is started again under its attempt: %v", got)
+		t.Fatalf("a task that was observed is started again under its attempt: %v", got)
 	}
 	harness.Schedule(harness.now)
 	harness.commitBatches()
@@ -58,42 +58,42 @@
 	}
 }
 
-// An order that was not answered may be carried out later: until the worker has
-// seen a higher token nothing is concluded from the task's absence.
-func TestUnansweredOrderHoldsItsPlace(t *testing.T) {
+// A command request that was not answered may be executed later: until the worker has seen
+// a higher token, the task's absence shows nothing.
+func TestUnansweredRequestKeepsItsPlacement(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.Schedule(harness.now)
 	harness.commitBatches()
 	if got := harness.MachinesAwaitingCommands(true); len(got) != 1 {
-		t.Fatalf("urgent: %v", got)
+		t.Fatalf("machines awaiting commands: %v", got)
 	}
-	o, ok := harness.DirectCommands("m-1", true)
-	if !ok || len(o.Commands) != 1 {
-		t.Fatalf("orders: %v", o)
+	request, ok := harness.DirectCommands("m-1", true)
+	if !ok || len(request.Commands) != 1 {
+		t.Fatalf("direct commands: %v", request)
 	}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("commands while an order is under way: %v", got)
+		t.Fatalf("commands while a request is in flight: %v", got)
 	}
-	harness.HandleCommandOutcome(o, "m-1", CommandsUnknown)
+	harness.HandleCommandOutcome(request, "m-1", CommandsUnknown)
 	harness.sendHeartbeat("m-1")
 	if len(harness.machines["m-1"].placements) != 1 || len(harness.MachinesToRefence()) != 1 {
-		t.Fatal("the placement was given up although its start may still come")
+		t.Fatal("the placement was detached although its start may still be executed")
 	}
 	harness.revision++
 	record := harness.machines["m-1"].Record
 	record.FencingToken = harness.revision
-	harness.SetMachine("m-1", record, harness.revision, harness.now) // the rewritten record
+	harness.SetMachine("m-1", record, harness.revision, harness.now) // the record is rewritten
 	harness.sendHeartbeat("m-1")                                     // carries the higher token
 	if len(harness.machines["m-1"].placements) != 0 || harness.machines["m-1"].command.unconfirmed {
-		t.Fatal("the placement stands although its order can no longer be carried out")
+		t.Fatal("the placement is kept although its start can no longer be executed")
 	}
 }
 
-// An order that never left is sent again, stops included, and raises no token: each
-// would be a change of the state service, for every machine of a zone that is cut off.
-func TestOrderThatNeverLeftIsSentAgain(t *testing.T) {
+// A command request that was never sent is sent again, stops included, and raises no token:
+// that takes a write to the key-value store for every machine of a zone that is cut off.
+func TestUnsentRequestIsSentAgain(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
@@ -107,11 +107,11 @@
 	harness.Cancel("req-1", harness.now)
 	first, _ := harness.DirectCommands("m-1", true)
 	if len(first.Commands) != 2 || len(harness.MachinesAwaitingCommands(true)) != 0 {
-		t.Fatalf("orders %v, urgent %v", first.Commands, harness.MachinesAwaitingCommands(true))
+		t.Fatalf("direct commands %v, machines awaiting commands %v", first.Commands, harness.MachinesAwaitingCommands(true))
 	}
 	harness.HandleCommandOutcome(first, "m-1", CommandsNotExecuted)
 	if len(harness.MachinesToRefence()) != 0 || len(harness.MachinesAwaitingCommands(true)) != 1 {
-		t.Fatalf("doubtful %v, urgent %v", harness.MachinesToRefence(), harness.MachinesAwaitingCommands(true))
+		t.Fatalf("machines to refence %v, machines awaiting commands %v", harness.MachinesToRefence(), harness.MachinesAwaitingCommands(true))
 	}
 	again, _ := harness.DirectCommands("m-1", true)
 	if diff := cmp.Diff(commandTexts(first.Commands), commandTexts(again.Commands)); diff != "" {
@@ -119,8 +119,8 @@
 	}
 }
 
-// A cancelled job's tasks are stopped, and its records go last.
-func TestCancelledJobIsStoppedAndForgotten(t *testing.T) {
+// A cancelled job's tasks are stopped, and its records are deleted last.
+func TestCancelledJobIsStoppedThenDeleted(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 2, 1))
@@ -131,7 +131,7 @@
 	harness.Cancel("req-1", harness.now)
 	harness.commitBatches()
 	if len(harness.jobs) != 1 {
-		t.Fatal("forgotten while tasks are on a machine")
+		t.Fatal("the job is dropped while its tasks are on a machine")
 	}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 2 {
 		t.Fatalf("commands: %v", got)
@@ -139,25 +139,25 @@
 	harness.sendHeartbeat("m-1")
 	batch := harness.PrepareBatch()
 	var deleted []string
-	for _, w := range batch.Txn.Writes {
-		deleted = append(deleted, w.Delete)
+	for _, write := range batch.Txn.Writes {
+		deleted = append(deleted, write.Delete)
 	}
 	if diff := cmp.Diff([]string{"a/0/req-1/0", "x/0/req-1"}, deleted); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A task is cancelled while the order with its start is under way, which never leaves.
-// Its place stayed booked for good, and with it the team's share.
-func TestStopMeetsAnOrderThatNeverLeft(t *testing.T) {
+// A task is cancelled while the request with its start is in flight, which turns out never
+// to have been sent. The placement must not use its capacity and its team's quota forever.
+func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.Schedule(harness.now)
 	harness.commitBatches()
-	o, _ := harness.DirectCommands("m-1", true)
+	request, _ := harness.DirectCommands("m-1", true)
 	harness.Cancel("req-1", harness.now)
-	harness.HandleCommandOutcome(o, "m-1", CommandsNotExecuted)
+	harness.HandleCommandOutcome(request, "m-1", CommandsNotExecuted)
 	for range 3 {
 		harness.sendHeartbeat("m-1")
 		harness.now = harness.now.Add(2 * time.Second)
@@ -165,24 +165,24 @@
 		harness.commitBatches()
 	}
 	if len(harness.machines["m-1"].placements) != 0 || harness.jobs["req-1"] != nil {
-		t.Errorf("%d placements stand, job known: %v", len(harness.machines["m-1"].placements), harness.jobs["req-1"] != nil)
+		t.Errorf("%d placements left, job known: %v", len(harness.machines["m-1"].placements), harness.jobs["req-1"] != nil)
 	}
 }
 
-// A job that is marked as cancelled may be known later than its mark, when the watch is
-// behind: nothing of it may start, and its records go.
-func TestMarkedBeforeItIsKnown(t *testing.T) {
+// A job's cancellation may become known before its submission, when the watch lags: none of
+// its tasks may start, and its records are deleted.
+func TestJobCancelledBeforeItIsKnownNeverStarts(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.SetCancelledJobs([]string{"req-1"}, harness.now)
 	harness.addJob(newArrayJob("req-1", 2, 1))
 	harness.addJob(newArrayJob("req-2", 1, 1))
 	harness.Schedule(harness.now)
-	if n := len(harness.machines["m-1"].placements); n != 1 {
-		t.Errorf("%d placements beside a cancelled job", n)
+	if placements := len(harness.machines["m-1"].placements); placements != 1 {
+		t.Errorf("%d placements beside a cancelled job", placements)
 	}
 	harness.commitBatches()
 	if harness.jobs["req-1"] != nil {
-		t.Error("the cancelled job's records stand")
+		t.Error("the cancelled job's records are not deleted")
 	}
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -10,102 +10,133 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A machine that falls silent is left alone for as long as another would take to boot:
-// it may hang or be cut off and be back before. One that fails all its tasks is not.
-func TestSilentMachineIsGivenTimeToComeBack(t *testing.T) {
+// newHeartbeat returns a heartbeat of machine m-1 that lists no tasks.
+func newHeartbeat(incarnation, sequence, token uint64) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "m-1", Incarnation: incarnation, Sequence: sequence, FencingToken: token}
+}
+
+// handle returns the verdict on a heartbeat that arrives now.
+func (h *partitionHarness) handle(heartbeat *wire.Heartbeat) HeartbeatVerdict {
+	verdict, _ := h.HandleHeartbeat(heartbeat, h.now, true)
+	return verdict
+}
+
+// restoreTask has the partition take over machine m-1 from an earlier owner, with a task
+// that was placed there in the given incarnation of its worker.
+func (h *partitionHarness) restoreTask(incarnation uint64) *Machine {
+	h.revision++
+	h.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, h.revision, h.now)
+	job := newArrayJob("req-1", 1, 1)
+	record := records.ChunkRecord{
+		Job:            &job,
+		HighestAttempt: 3,
+		Placements:     []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: incarnation}},
+	}
+	h.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: h.revision, Record: record}}, nil)
+	return h.machines["m-1"]
+}
+
+// isUnhealthy reports whether the leader is told to replace the machine.
+func (h *partitionHarness) isUnhealthy(id string) bool {
+	return h.Summary(h.now).MachineDigests[id]&records.DigestUnhealthy != 0
+}
+
+func (h *partitionHarness) unhealthyMachines() []string {
+	var ids []string
+	for _, id := range h.machineIDs {
+		if h.isUnhealthy(id) {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// A machine whose lease expired is kept for as long as another would take to boot: it may
+// hang or be cut off, and be back before. A quarantined one is replaced at once.
+func TestExpiredMachineIsUnhealthyOnlyAfterBootTime(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addMachine("m-2", "cpu", "a", false)
 	harness.machines["m-2"].quarantined = true
-	bad := func() (out []string) {
-		for _, id := range harness.machineIDs {
-			if harness.Summary(harness.now).MachineDigests[id]&records.DigestUnhealthy != 0 {
-				out = append(out, id)
-			}
-		}
-		return out
-	}
-	harness.now = harness.now.Add(16 * time.Second) // beyond its lease
+	harness.now = harness.now.Add(16 * time.Second) // beyond the lease
 	harness.Schedule(harness.now)
-	if diff := cmp.Diff([]string{"m-2"}, bad()); diff != "" || !harness.machines["m-1"].lease.expired {
-		t.Fatal("the silent machine goes back at once: ", diff)
+	if !harness.machines["m-1"].lease.expired {
+		t.Fatal("the lease has not expired")
+	}
+	if diff := cmp.Diff([]string{"m-2"}, harness.unhealthyMachines()); diff != "" {
+		t.Fatal("unhealthy machines after the lease (-want +got):\n", diff)
 	}
 	harness.now = harness.now.Add(31 * time.Second) // and a boot of 30 s
-	if diff := cmp.Diff([]string{"m-1", "m-2"}, bad()); diff != "" {
-		t.Fatal(diff)
+	if diff := cmp.Diff([]string{"m-1", "m-2"}, harness.unhealthyMachines()); diff != "" {
+		t.Fatal("unhealthy machines after a boot (-want +got):\n", diff)
 	}
 }
 
-// After a takeover time alone frees nothing; after a word under the new token
-// the lease does.
-func TestTakeoverFreesNothingByTime(t *testing.T) {
+// After a failover time alone frees nothing; once the worker has acknowledged the new
+// token, the expiry of its lease does.
+func TestFailoverFreesNothingByTimeAlone(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.revision++
-	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, harness.revision, harness.now)
-	job := newArrayJob("req-1", 1, 1)
-	harness.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: harness.revision, Record: records.ChunkRecord{Job: &job, HighestAttempt: 3, Placements: []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: 1}}}}}, nil)
+	machine := harness.restoreTask(1)
 	harness.Schedule(harness.now.Add(time.Hour))
-	if len(harness.machines["m-1"].placements) != 1 {
+	if len(machine.placements) != 1 {
 		t.Fatal("a placement of an earlier owner was freed by time alone")
 	}
 	harness.sequences["m-1"] = 5
-	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{{"req-1/0", 3}: {Task: "req-1/0", Attempt: 3, State: wire.TaskRunning}}
+	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{
+		{"req-1/0", 3}: {Task: "req-1/0", Attempt: 3, State: wire.TaskRunning},
+	}
 	harness.sendHeartbeat("m-1")
 	harness.Schedule(harness.now.Add(14 * time.Second))
-	if len(harness.machines["m-1"].placements) != 1 {
-		t.Fatal("freed before the lease has surely run out")
+	if len(machine.placements) != 1 {
+		t.Fatal("freed before the lease must have expired")
 	}
 	harness.Schedule(harness.now.Add(20 * time.Second))
-	if len(harness.machines["m-1"].placements) != 0 {
+	if len(machine.placements) != 0 {
 		t.Fatal("not freed after the lease")
 	}
 }
 
-// A report under an older token shows nothing of what an earlier owner's last
-// answer may still start; only one under the present token does.
-func TestAbsenceCountsOnlyUnderThePresentToken(t *testing.T) {
+// A heartbeat under an older token shows nothing of what an earlier owner's last response
+// may still start; only one under the current token does.
+func TestMissingTaskCountsOnlyUnderCurrentToken(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.revision++
-	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, harness.revision, harness.now)
-	job := newArrayJob("req-1", 1, 1)
-	harness.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: harness.revision, Record: records.ChunkRecord{Job: &job, HighestAttempt: 3, Placements: []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: 1}}}}}, nil)
-	machine := harness.machines["m-1"]
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, FencingToken: machine.token.current - 1}, harness.now, true)
+	machine := harness.restoreTask(1)
+	harness.handle(newHeartbeat(1, 1, machine.token.current-1))
 	if len(machine.placements) != 1 {
-		t.Fatal("freed by a report under an older token")
+		t.Fatal("freed by a heartbeat under an older token")
 	}
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 2, FencingToken: machine.token.current}, harness.now, true)
+	harness.handle(newHeartbeat(1, 2, machine.token.current))
 	if len(machine.placements) != 0 {
-		t.Fatal("not freed by a report under the present token")
+		t.Fatal("not freed by a heartbeat under the current token")
 	}
 }
 
-// Reports that a cut held back are older than what is known, and must neither
-// count nor be answered; a higher token means another owner.
-func TestOldReportsAndHigherTokens(t *testing.T) {
+// Heartbeats that a network partition held back are older than what is known, and must
+// neither count nor be answered; a higher token means another owner.
+func TestHeartbeatVerdicts(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
-	tok := harness.machines["m-1"].token.current
-	for _, c := range []struct {
-		r    wire.Heartbeat
-		want HeartbeatVerdict
+	token := harness.machines["m-1"].token.current
+	// The cases build on each other.
+	for _, test := range []struct {
+		name      string
+		heartbeat *wire.Heartbeat
+		want      HeartbeatVerdict
 	}{
-		{wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 1, FencingToken: tok}, HeartbeatStale},
-		{wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 99, FencingToken: tok + 1}, HeartbeatSuperseded},
-		{wire.Heartbeat{Machine: "m-9", Incarnation: 1, Sequence: 1}, HeartbeatNotOwned},
-		{wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 1, FencingToken: tok}, HeartbeatAccepted},
-		{wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 999, FencingToken: tok}, HeartbeatStale},
+		{"old sequence", newHeartbeat(1, 1, token), HeartbeatStale},
+		{"higher token", newHeartbeat(1, 99, token+1), HeartbeatSuperseded},
+		{"unknown machine", &wire.Heartbeat{Machine: "m-9", Incarnation: 1, Sequence: 1}, HeartbeatNotOwned},
+		{"next incarnation", newHeartbeat(2, 1, token), HeartbeatAccepted},
+		{"old incarnation", newHeartbeat(1, 999, token), HeartbeatStale},
 	} {
-		if v, _ := harness.HandleHeartbeat(&c.r, harness.now, true); v != c.want {
-			t.Errorf("%+v: verdict %v, want %v", c.r, v, c.want)
+		if got := harness.handle(test.heartbeat); got != test.want {
+			t.Errorf("%s: verdict %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// Late copies of reports: to an owner that has found the lease surely run out, one of
-// the old session makes no dead machine look alive; to one that was overtaken by an
-// order's answer it clears no notice; to a new owner it frees nothing.
-func TestLateCopiesOfReports(t *testing.T) {
+// newExpiredHarness returns a partition with a task on a spot instance whose lease expired.
+func newExpiredHarness() (*partitionHarness, *Machine) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", true)
 	job := newArrayJob("req-1", 1, 1)
@@ -114,107 +145,140 @@
 	harness.Schedule(harness.now)
 	harness.commitBatches()
 	harness.sendHeartbeat("m-1")
-	machine := harness.machines["m-1"]
-	tok := machine.token.current
 	harness.now = harness.now.Add(20 * time.Second)
-	harness.Schedule(harness.now) // silent now
-	late := &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: 90, FencingToken: tok}
-	if v, _ := harness.HandleHeartbeat(late, harness.now, true); v != HeartbeatStale || !machine.lease.expired || machine.usable() {
-		t.Fatalf("verdict %v: a late copy makes a dead machine look alive", v)
-	}
-	if v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 91, FencingToken: tok}, harness.now, true); v != HeartbeatAccepted || machine.lease.expired {
-		t.Fatalf("verdict %v on a report of the next session", v)
-	}
-	left := 9.0
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 92, FencingToken: tok, TerminationNoticeS: &left}, harness.now, true)
-	harness.HandleCommandResponse(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 95, FencingToken: tok, TerminationNoticeS: &left}, harness.now)
-	for _, seq := range []uint64{91, 94} {
-		harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: seq, FencingToken: tok}, harness.now, true)
+	harness.Schedule(harness.now)
+	return harness, harness.machines["m-1"]
+}
+
+// Once the lease has expired, a delayed heartbeat of the old incarnation does not make a
+// dead machine look alive; one of the next incarnation shows that it is back.
+func TestDelayedHeartbeatDoesNotReviveExpiredMachine(t *testing.T) {
+	harness, machine := newExpiredHarness()
+	token := machine.token.current
+	if verdict := harness.handle(newHeartbeat(1, 90, token)); verdict != HeartbeatStale {
+		t.Fatalf("verdict %v on a heartbeat of the old incarnation", verdict)
+	}
+	if !machine.lease.expired || machine.usable() {
+		t.Fatal("a delayed heartbeat makes a dead machine look alive")
+	}
+	if verdict := harness.handle(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted || machine.lease.expired {
+		t.Fatalf("verdict %v, lease expired %v after a heartbeat of the next incarnation", verdict, machine.lease.expired)
+	}
+}
+
+// A heartbeat that was overtaken by a response to commands is older than that response, so
+// it does not clear a termination notice.
+func TestOvertakenHeartbeatDoesNotClearTerminationNotice(t *testing.T) {
+	harness, machine := newExpiredHarness()
+	token := machine.token.current
+	if verdict := harness.handle(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted {
+		t.Fatalf("verdict %v on a heartbeat of the next incarnation", verdict)
+	}
+	noticeS := 9.0
+	noticed := newHeartbeat(2, 92, token)
+	noticed.TerminationNoticeS = &noticeS
+	harness.handle(noticed)
+	response := newHeartbeat(2, 95, token)
+	response.TerminationNoticeS = &noticeS
+	harness.HandleCommandResponse(response, harness.now)
+	for _, sequence := range []uint64{91, 94} {
+		harness.handle(newHeartbeat(2, sequence, token))
 		if !machine.terminationNotice {
-			t.Fatalf("report %d clears the notice", seq)
+			t.Fatalf("heartbeat %d clears the notice", sequence)
 		}
 	}
-	o := newPartitionHarness()
-	o.Revision = 500
-	o.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, 100, o.now)
-	d := newArrayJob("req-1", 1, 1)
-	o.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: 100, Record: records.ChunkRecord{Job: &d, HighestAttempt: 3, Placements: []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: 2}}}}}, nil)
-	for _, r := range []wire.Heartbeat{{Incarnation: 1, Sequence: 50, FencingToken: tok}, {Incarnation: 2, Sequence: 92, FencingToken: tok}} {
-		r.Machine = "m-1"
-		o.HandleHeartbeat(&r, o.now, true)
-		if len(o.machines["m-1"].placements) != 1 || o.machines["m-1"].usable() {
-			t.Fatalf("a late copy frees a placement, or makes its machine usable: %+v", r)
+}
+
+// For a new owner a delayed heartbeat under an earlier owner's token frees nothing.
+func TestDelayedHeartbeatFreesNothingForNewOwner(t *testing.T) {
+	earlierOwner := newPartitionHarness()
+	earlierOwner.addMachine("m-1", "cpu", "a", true)
+	earlierToken := earlierOwner.machines["m-1"].token.current
+	harness := newPartitionHarness()
+	harness.Revision = 500
+	machine := harness.restoreTask(2)
+	for _, delayed := range []*wire.Heartbeat{
+		newHeartbeat(1, 50, earlierToken),
+		newHeartbeat(2, 92, earlierToken),
+	} {
+		harness.handle(delayed)
+		if len(machine.placements) != 1 || machine.usable() {
+			t.Fatalf("a delayed heartbeat frees a placement, or makes its machine usable: %+v", delayed)
 		}
 	}
 }
 
-// A machine that is heard but does not hear: its lease runs out although every report
-// was answered. It takes no tasks until it shows a raised token, and then goes back.
-func TestMachineThatDoesNotHear(t *testing.T) {
+// A worker that receives no responses is in a new incarnation, since its lease expired,
+// although all its heartbeats were answered. It gets no tasks until it shows a raised token,
+// and counts as unhealthy if it does not.
+func TestUnreachableWorkerGetsNoTasks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	machine := harness.machines["m-1"]
-	seq := harness.sequences["m-1"]
-	speak := func(session uint64, d time.Duration) {
-		for end := harness.now.Add(d); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
-			seq++
-			harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: session, Sequence: seq, FencingToken: machine.token.current}, harness.now, true)
+	sequence := harness.sequences["m-1"]
+	sendHeartbeats := func(incarnation uint64, duration time.Duration) {
+		for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
+			sequence++
+			harness.handle(newHeartbeat(incarnation, sequence, machine.token.current))
 		}
 	}
-	speak(1, 16*time.Second)
+	sendHeartbeats(1, 16*time.Second)
 	if !machine.usable() {
-		t.Fatal("not usable while nothing tells")
+		t.Fatal("not usable although its lease has not expired")
 	}
-	speak(2, 2*time.Second)
+	sendHeartbeats(2, 2*time.Second)
 	if machine.usable() || len(harness.MachinesToRefence()) != 1 {
-		t.Fatal("usable although its lease ran out under answered reports")
+		t.Fatal("usable although its lease expired while its heartbeats were answered")
 	}
 	record := machine.Record
 	record.FencingToken = harness.revision + 1
 	harness.SetMachine("m-1", record, harness.revision+1, harness.now)
 	for range 12 {
-		seq++
+		sequence++
 		harness.now = harness.now.Add(2 * time.Second)
-		harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 3, Sequence: seq, FencingToken: record.FencingToken - 1}, harness.now, true)
+		harness.handle(newHeartbeat(3, sequence, record.FencingToken-1))
 	}
-	if machine.usable() || harness.Summary(harness.now).MachineDigests["m-1"]&records.DigestUnhealthy == 0 {
-		t.Fatal("it is not given back")
+	if machine.usable() || !harness.isUnhealthy("m-1") {
+		t.Fatal("not unhealthy although it does not show the raised token")
 	}
-	harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 3, Sequence: seq + 1, FencingToken: record.FencingToken}, harness.now, true)
-	if !machine.usable() || harness.Summary(harness.now).MachineDigests["m-1"]&records.DigestUnhealthy != 0 {
-		t.Fatal("still shunned although it has shown the raised token")
+	harness.handle(newHeartbeat(3, sequence+1, record.FencingToken))
+	if !machine.usable() || harness.isUnhealthy("m-1") {
+		t.Fatal("not usable although it has shown the raised token")
 	}
 }
 
-// A machine that reaches no controller, while orders reach it, is in a new session when an
-// order is refused there. Nothing may be placed in that before a report shows it: freed
-// with the old session's work, it ran elsewhere while it still ran here.
-func TestNewSessionNeedsAReport(t *testing.T) {
+// A worker whose heartbeats reach no controller, while commands reach it, is in a new
+// incarnation when it refuses them. Nothing may be placed in that one before a heartbeat
+// shows it: it would be freed together with the old one's tasks, and run elsewhere while it
+// still runs here.
+func TestNewIncarnationNeedsHeartbeat(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	machine := harness.machines["m-1"]
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.now = harness.now.Add(14500 * time.Millisecond)
-	harness.HandleCommandResponse(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 50, FencingToken: machine.token.current}, harness.now) // the refusal's body
+	refusal := newHeartbeat(2, 50, machine.token.current)
+	harness.HandleCommandResponse(refusal, harness.now)
 	harness.Schedule(harness.now)
 	harness.commitBatches()
-	if o, ok := harness.DirectCommands("m-1", true); ok && o.Incarnation != 1 {
-		t.Errorf("an order in session %d, of which no report has come", o.Incarnation)
+	if request, ok := harness.DirectCommands("m-1", true); ok && request.Incarnation != 1 {
+		t.Errorf("commands in incarnation %d, of which no heartbeat has arrived", request.Incarnation)
 	}
 	harness.now = harness.now.Add(2 * time.Second)
 	harness.Schedule(harness.now)
 	if !machine.lease.expired {
-		t.Error("not silent although its lease has run out")
+		t.Error("the lease has not expired")
 	}
-	v, _ := harness.HandleHeartbeat(&wire.Heartbeat{Machine: "m-1", Incarnation: 2, Sequence: 51, FencingToken: machine.token.current}, harness.now, true)
-	if v != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
-		t.Errorf("verdict %v, silent %v, session %d after the first report of session 2", v, machine.lease.expired, machine.latest.incarnation)
+	verdict := harness.handle(newHeartbeat(2, 51, machine.token.current))
+	if verdict != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
+		t.Errorf("verdict %v, lease expired %v, incarnation %d after the first heartbeat of incarnation 2",
+			verdict, machine.lease.expired, machine.latest.incarnation)
 	}
 }
 
-// A report in which nothing has changed, the most frequent request, asks for no pass and
-// costs few allocations however many tasks the machine has.
-func TestUnchangedReportCostsLittle(t *testing.T) {
+// A heartbeat in which nothing has changed, the most frequent request, asks for no
+// scheduling cycle and costs few allocations however many tasks the machine has.
+func TestUnchangedHeartbeatIsCheap(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 8, 1))
@@ -225,30 +289,33 @@
 	harness.Schedule(harness.now)
 	harness.commitBatches()
 	if harness.NeedsScheduling() {
-		t.Error("a pass is asked for after one that left nothing to do")
+		t.Error("scheduling is needed after a cycle that left nothing to do")
 	}
-	heartbeat := &wire.Heartbeat{Machine: "m-1", Incarnation: 1, Sequence: harness.sequences["m-1"], FencingToken: harness.machines["m-1"].token.current}
-	for _, x := range harness.workerTasks["m-1"] {
-		heartbeat.Tasks = append(heartbeat.Tasks, x)
+	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines["m-1"].token.current)
+	for _, status := range harness.workerTasks["m-1"] {
+		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
 	if len(heartbeat.Tasks) != 8 {
 		t.Fatalf("%d tasks run", len(heartbeat.Tasks))
 	}
-	allocs := testing.AllocsPerRun(100, func() {
+	allocations := testing.AllocsPerRun(100, func() {
 		heartbeat.Sequence++
-		if v, reply := harness.HandleHeartbeat(heartbeat, harness.now, true); v != HeartbeatAccepted || len(reply.Commands) != 0 {
-			t.Fatalf("verdict %v, commands %v", v, reply.Commands)
+		verdict, response := harness.HandleHeartbeat(heartbeat, harness.now, true)
+		if verdict != HeartbeatAccepted || len(response.Commands) != 0 {
+			t.Fatalf("verdict %v, commands %v", verdict, response.Commands)
 		}
 	})
-	if allocs > 1 {
-		t.Errorf("%v allocations", allocs)
+	if allocations > 1 {
+		t.Errorf("%v allocations", allocations)
 	}
 	if harness.NeedsScheduling() {
-		t.Error("unchanged reports ask for a pass")
+		t.Error("unchanged heartbeats ask for a scheduling cycle")
 	}
-	heartbeat.Tasks[0].State, heartbeat.Tasks[0].ExitCause = wire.TaskExited, wire.ExitDone
+	heartbeat.Tasks[0].State = wire.TaskExited
+	heartbeat.Tasks[0].ExitCause = wire.ExitDone
 	heartbeat.Sequence++
-	if harness.HandleHeartbeat(heartbeat, harness.now, true); !harness.NeedsScheduling() {
-		t.Error("the end of a task asks for no pass")
+	harness.handle(heartbeat)
+	if !harness.NeedsScheduling() {
+		t.Error("the end of a task asks for no scheduling cycle")
 	}
 }
