--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -13,249 +13,239 @@
 	"pgregory.net/rapid"
 )
 
-// fakeStore is an in-memory key-value store: keys with revisions, and transactions
-// that are lost or applied late.
-type fakeStore struct {
-	revision  uint64
-	values    map[string]wire.Raw
-	revisions map[string]uint64
-	late      []wire.Txn
-	big       int // bytes of the largest value since the limits were lowered, as JSON
-	ops       int // changes of the largest transaction since
+// testJournalSlots is small, so that the ring wraps around many times.
+const testJournalSlots = 8
+
+// loweredTxnOps is the limit of changes in a transaction after the limits are lowered.
+const loweredTxnOps = 3
+
+// takeoverTest plays an owner of a partition, whose records a successor reads at any moment.
+type takeoverTest struct {
+	t        *rapid.T
+	machines []string
+	owner    *partitionHarness
+	store    *fakeStore
+	ended    map[string]bool // tasks whose end a worker has reported
+	// In raisedRound the feature level is raised; in loweredRound, a later one, the limits of
+	// the store are lowered to loweredKB: what is stored by then is larger than what may be
+	// written.
+	raisedRound  int
+	loweredRound int
+	loweredKB    float64
 }
 
-func (s *fakeStore) apply(t wire.Txn) bool {
-	for _, c := range t.Compares {
-		if s.revisions[c.Key] != c.Revision {
-			return false
-		}
+// What a new owner reads, at any moment and whatever became of single commits, must contain
+// every start that may have been sent and every end that was cleared, and no end that was never
+// reported. Records must stay within the store's limits.
+func TestJournalSurvivesATakeover(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		test := newTakeoverTest(t)
+		for round := range rapid.IntRange(1, 60).Draw(t, "rounds") {
+			if round%3 == 0 {
+				test.submit(round)
+			}
+			test.changeLimits(round)
+			test.schedule()
+			test.commitSomehow()
+			test.reportHeartbeats()
+			test.checkFormat()
+			test.checkSuccessor(round)
+			test.checkLimits(round)
+		}
+		test.checkAllCommitted()
+	})
+}
+
+func newTakeoverTest(t *rapid.T) *takeoverTest {
+	owner := newPartitionHarness()
+	owner.journal.slotRevisions = make([]uint64, testJournalSlots)
+	owner.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+	raised := rapid.IntRange(0, 60).Draw(t, "raised")
+	test := &takeoverTest{
+		t:            t,
+		machines:     []string{"m-1", "m-2", "m-3"},
+		owner:        owner,
+		store:        newFakeStore(owner),
+		ended:        map[string]bool{},
+		raisedRound:  raised,
+		loweredRound: raised + rapid.IntRange(1, 20).Draw(t, "lowered after"),
+		loweredKB:    rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB"),
 	}
-	s.revision++
-	s.ops = max(s.ops, len(t.Writes))
-	for _, w := range t.Writes {
-		if w.Put == "" {
-			delete(s.values, w.Delete)
-			delete(s.revisions, w.Delete)
-			continue
-		}
-		v, err := wire.Marshal(w.Value)
-		if err != nil {
-			panic(err)
-		}
-		s.values[w.Put], s.revisions[w.Put] = v, s.revision
-		s.big = max(s.big, encodedBytesOrZero(w.Value))
+	for _, id := range test.machines {
+		owner.addMachine(id, "cpu", "a", false)
 	}
-	return true
+	return test
 }
 
-// commit has a batch meet some fate, and the owner find out as it does.
-func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, fate string) {
-	switch fate {
-	case "refused":
-		return
-	case "late":
-		s.late = append(s.late, batch.Txn)
-	default:
-		if s.apply(batch.Txn) && fate == "done" {
-			harness.ConfirmBatch(batch, s.revision)
+// submit adds a job array of any length.
+func (test *takeoverTest) submit(n int) {
+	tasks := rapid.IntRange(1, 300).Draw(test.t, "tasks")
+	job := newArrayJob(fmt.Sprintf("req-%d", n), tasks, 0.25)
+	test.store.submit(test.owner, &job, test.owner.Level())
+}
+
+// changeLimits raises the feature level or lowers the limits in the round for it.
+func (test *takeoverTest) changeLimits(round int) {
+	if round == test.raisedRound {
+		test.owner.SetLevel(records.FeatureExplicitChunks)
+	}
+	if round == test.loweredRound {
+		test.owner.layout.limits.ValueKB = test.loweredKB
+		test.owner.layout.limits.TxnOps = loweredTxnOps
+		test.store.resetMaxima()
+	}
+}
+
+func (test *takeoverTest) schedule() {
+	test.owner.now = test.owner.now.Add(time.Second)
+	test.owner.Schedule(test.owner.now)
+}
+
+// commitSomehow commits a few batches, of which some are lost, late or refused.
+func (test *takeoverTest) commitSomehow() {
+	fates := rapid.SampledFrom([]commitFate{
+		commitConfirmed, commitConfirmed, commitConfirmed, commitUnknown, commitLate, commitRefused,
+	})
+	for range 4 {
+		batch := test.owner.PrepareBatch()
+		if batch.Empty() {
 			return
 		}
-	}
-	for _, c := range batch.Txn.Compares {
-		var record *records.JobRecord
-		if v, ok := s.values[c.Key]; ok && strings.HasPrefix(c.Key, "j/") {
-			record = &records.JobRecord{}
-			if wire.Unmarshal(v, record) != nil {
-				record = nil
-			}
+		test.store.commit(test.owner, batch, fates.Draw(test.t, "fate"))
+		if len(test.store.late) > 0 && rapid.Bool().Draw(test.t, "arrives") {
+			test.store.applyOldestLate()
 		}
-		harness.RefreshKey(batch, c.Key, s.revisions[c.Key], record, harness.now)
 	}
 }
 
-// successor is a new owner that knows only what the state service holds.
-func (s *fakeStore) successor(t *rapid.T, machines []string, harness *partitionHarness) *partitionHarness {
-	successor := newPartitionHarness()
-	successor.layout.limits = harness.layout.limits
-	successor.SetLevel(harness.Level())
-	successor.journal.slotRevisions = make([]uint64, testRing)
-	for _, id := range machines {
-		successor.addMachine(id, "cpu", "a", false)
-	}
-	var chunks []records.LoadedChunk
-	var slots []records.LoadedJournalRecord
-	for k, v := range s.values {
-		if id, name, ok := records.ParseChunkKey(k); ok && strings.HasPrefix(k, "a/") {
-			c := records.LoadedChunk{JobID: id, Name: name, Revision: s.revisions[k]}
-			if err := wire.Unmarshal(v, &c.Record); err != nil {
-				t.Fatal(err)
-			}
-			chunks = append(chunks, c)
-		}
-		if strings.HasPrefix(k, records.JournalPrefix(0)) {
-			l := records.LoadedJournalRecord{Revision: s.revisions[k]}
-			if err := wire.Unmarshal(v, &l.Record); err != nil {
-				t.Fatal(err)
+// reportHeartbeats has the workers start what they are sent, and end some of their tasks.
+func (test *takeoverTest) reportHeartbeats() {
+	causes := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped})
+	for _, id := range test.machines {
+		test.owner.sendHeartbeat(id)
+		for _, key := range sortedTaskAttempts(test.owner.machines[id].placements) {
+			if _, running := test.owner.workerTasks[id][key]; !running || rapid.IntRange(0, 2).Draw(test.t, "ends") != 0 {
+				continue
 			}
-			slots = append(slots, l)
+			cause := causes.Draw(test.t, "cause")
+			test.owner.endTask(id, key.task, key.attempt, cause)
+			test.ended[key.task] = test.ended[key.task] || cause == wire.ExitDone
 		}
+		test.owner.sendHeartbeat(id)
 	}
-	successor.Restore(chunks, slots)
-	return successor
 }
 
-// keepsFirstFormat checks that chunks' records are such as programs of before the feature
-// levels read: numbered, and without the tasks that they hold.
-func (s *fakeStore) keepsFirstFormat(t *rapid.T) {
-	for key, v := range s.values {
+// checkFormat checks that below their feature level chunks' records are as programs without
+// feature levels read them: numbered, and without a range of tasks.
+func (test *takeoverTest) checkFormat() {
+	if test.owner.Level() != records.FeatureInitialFormat {
+		return
+	}
+	for key, value := range test.store.values {
 		_, name, ok := records.ParseChunkKey(key)
 		if !ok || !strings.HasPrefix(key, records.ChunkPrefix(0)) {
 			continue
 		}
 		var record records.ChunkRecord
-		if err := wire.Unmarshal(v, &record); err != nil {
-			t.Fatal(err)
-		}
+		decodeStored(test.t, key, value, &record)
 		if _, err := strconv.Atoi(name); err != nil || record.From > 0 || record.To > 0 {
-			t.Fatalf("%s is in the new format below its level", key)
+			test.t.Fatalf("%s is in the new format below its level", key)
 		}
 	}
 }
 
-// shows tells whether some worker still knows of a task.
-func (h *partitionHarness) shows(task string) bool {
-	for _, on := range h.workerTasks {
-		for key := range on {
-			if key.task == task {
-				return true
+// successor returns a new owner that knows only what the store contains.
+func (test *takeoverTest) successor() *partitionHarness {
+	successor := newPartitionHarness()
+	successor.layout.limits = test.owner.layout.limits
+	successor.SetLevel(test.owner.Level())
+	successor.journal.slotRevisions = make([]uint64, testJournalSlots)
+	for _, id := range test.machines {
+		successor.addMachine(id, "cpu", "a", false)
+	}
+	restore(test.t, successor, test.store.values, test.store.revisions)
+	return successor
+}
+
+// checkSuccessor checks what a new owner would read of each job.
+func (test *takeoverTest) checkSuccessor(round int) {
+	successor := test.successor()
+	for id, job := range test.owner.jobs {
+		restored := successor.jobs[id]
+		if restored == nil {
+			if job.doneTasks < job.Tasks {
+				test.t.Fatalf("round %d: %s is not known to a new owner", round, id)
 			}
+			continue
 		}
+		test.checkStarts(round, job, restored)
+		test.checkEnds(round, job, restored)
 	}
-	return false
 }
 
-// testRing is small, so that the journal comes round many times.
-const testRing = 8
-
-// What a new owner reads, at any moment and whatever became of single commits,
-// must hold every start that may have left and every end that was cleared, and no
-// end that never came. Records must stay within the service's limits.
-//
-// At some moment the feature level is raised, and later the limits are lowered: what is
-// stored by then is larger than what may be written.
-func TestJournalSurvivesATakeover(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		harness := newPartitionHarness()
-		harness.journal.slotRevisions = make([]uint64, testRing)
-		harness.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
-		raised := rapid.IntRange(0, 60).Draw(t, "raised")
-		lowered := raised + rapid.IntRange(1, 20).Draw(t, "lowered after")
-		limitKB := rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB")
-		store := &fakeStore{revision: 1000, values: map[string]wire.Raw{}, revisions: map[string]uint64{records.PartitionKey(0): harness.Revision}}
-		machines := []string{"m-1", "m-2", "m-3"}
-		for _, id := range machines {
-			harness.addMachine(id, "cpu", "a", false)
+// checkStarts checks that the new owner knows of every start that was sent.
+func (test *takeoverTest) checkStarts(round int, job, restored *Job) {
+	for task, placement := range job.placements {
+		if !placement.start.sent {
+			continue
 		}
-		submit := func(n int) {
-			job := newArrayJob(fmt.Sprintf("req-%d", n), rapid.IntRange(1, 300).Draw(t, "tasks"), 0.25)
-			record := &records.JobRecord{Job: &job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
-			store.apply(wire.Txn{Writes: []wire.Write{{Put: records.JobKey(job.ID), Value: record}, {Put: records.FirstChunkKey(0, job.ID), Value: records.NewFirstChunk(record, harness.Level(), harness.settings)}}})
-			harness.AddJob(&job, harness.now, store.revision)
+		if placement.attempt > restored.highestAttempt {
+			test.t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, placement.attempt, job.ID, restored.highestAttempt)
 		}
-		ended := map[string]bool{} // tasks whose end a worker has reported
-		for round := range rapid.IntRange(1, 60).Draw(t, "rounds") {
-			if round%3 == 0 {
-				submit(round)
-			}
-			if round == raised {
-				harness.SetLevel(records.FeatureExplicitChunks)
-			}
-			if round == lowered {
-				harness.layout.limits.ValueKB, harness.layout.limits.TxnOps = limitKB, 3
-				store.big, store.ops = 0, 0
-			}
-			harness.now = harness.now.Add(time.Second)
-			harness.Schedule(harness.now)
-			for range 4 {
-				batch := harness.PrepareBatch()
-				if batch.Empty() {
-					break
-				}
-				store.commit(harness, batch, rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "refused"}).Draw(t, "fate"))
-				if n := len(store.late); n > 0 && rapid.Bool().Draw(t, "arrives") {
-					store.apply(store.late[0])
-					store.late = store.late[1:]
-				}
-			}
-			for _, id := range machines {
-				harness.sendHeartbeat(id)
-				for _, key := range sortedTaskAttempts(harness.machines[id].placements) {
-					if _, on := harness.workerTasks[id][key]; on && rapid.IntRange(0, 2).Draw(t, "ends") == 0 {
-						why := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped}).Draw(t, "cause")
-						harness.endTask(id, key.task, key.attempt, why)
-						ended[key.task] = ended[key.task] || why == wire.ExitDone
-					}
-				}
-				harness.sendHeartbeat(id)
-			}
-			if harness.Level() == records.FeatureInitialFormat {
-				store.keepsFirstFormat(t)
-			}
-			successor := store.successor(t, machines, harness)
-			for id, job := range harness.jobs {
-				k := successor.jobs[id]
-				if k == nil {
-					if job.doneTasks < job.Tasks {
-						t.Fatalf("round %d: %s is not known to a new owner", round, id)
-					}
-					continue
-				}
-				if k.highestAttempt < job.highestAttempt && len(job.placements) > 0 {
-					for _, placement := range job.placements {
-						if placement.start.sent && placement.attempt > k.highestAttempt {
-							t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, placement.attempt, id, k.highestAttempt)
-						}
-					}
-				}
-				for i, placement := range job.placements {
-					if !placement.start.sent {
-						continue
-					}
-					if l := k.placements[i]; l == nil || l.attempt != placement.attempt || l.machine.ID != placement.machine.ID {
-						t.Fatalf("round %d: %s/%d attempt %d on %s was started, a new owner has %+v", round, id, i, placement.attempt, placement.machine.ID, l)
-					}
-				}
-				for i, st := range job.taskStates {
-					if task := wire.TaskName(id, i); st == taskDone && k.taskStates[i] != taskDone && !harness.shows(task) {
-						t.Fatalf("round %d: %s was cleared, but its end is not on record", round, task)
-					}
-				}
-				for i, st := range k.taskStates {
-					if st == taskDone && !ended[wire.TaskName(id, i)] {
-						t.Fatalf("round %d: %s/%d is done on record, but never ended", round, id, i)
-					}
-				}
-			}
-			if store.big > int(harness.layout.limits.ValueKB*1024) || store.ops > harness.layout.limits.TxnOps {
-				t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, store.big, store.ops)
-			}
+		got := restored.placements[task]
+		if got == nil || got.attempt != placement.attempt || got.machine.ID != placement.machine.ID {
+			test.t.Fatalf("round %d: %s/%d attempt %d on %s was started, a new owner has %+v", round, job.ID, task, placement.attempt, placement.machine.ID, got)
 		}
-		// With every commit served, what a new owner reads is all there is.
-		for range 2000 {
-			batch := harness.PrepareBatch()
-			if batch.Empty() {
-				break
-			}
-			store.commit(harness, batch, "done")
+	}
+}
+
+// checkEnds checks that the new owner knows of every end that no worker reports any more, and of
+// none that was never reported.
+func (test *takeoverTest) checkEnds(round int, job, restored *Job) {
+	for i, state := range job.taskStates {
+		task := wire.TaskName(job.ID, i)
+		if state == taskDone && restored.taskStates[i] != taskDone && !test.owner.workerReports(task) {
+			test.t.Fatalf("round %d: %s was cleared, but its end is not on record", round, task)
 		}
-		if len(harness.journal.dirtyChunks) > 0 {
-			t.Fatalf("%d chunks are not recorded in the end", len(harness.journal.dirtyChunks))
+	}
+	for i, state := range restored.taskStates {
+		if state == taskDone && !test.ended[wire.TaskName(job.ID, i)] {
+			test.t.Fatalf("round %d: %s/%d is done on record, but never ended", round, job.ID, i)
 		}
-		successor := store.successor(t, machines, harness)
-		for id, job := range harness.jobs {
-			if k := successor.jobs[id]; k.doneTasks != job.doneTasks || k.waitingTasks != job.waitingTasks || k.highestAttempt < job.highestAttempt {
-				t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, k.doneTasks, k.waitingTasks, k.highestAttempt)
+	}
+}
+
+// workerReports reports whether some worker still has a task in its heartbeats.
+func (h *partitionHarness) workerReports(task string) bool {
+	for _, tasks := range h.workerTasks {
+		for key := range tasks {
+			if key.task == task {
+				return true
 			}
 		}
-	})
+	}
+	return false
+}
+
+func (test *takeoverTest) checkLimits(round int) {
+	limits := test.owner.layout.limits
+	if test.store.largestValue > int(limits.ValueKB*1024) || test.store.mostWrites > limits.TxnOps {
+		test.t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, test.store.largestValue, test.store.mostWrites)
+	}
+}
+
+// checkAllCommitted checks that with every commit confirmed a new owner reads all there is.
+func (test *takeoverTest) checkAllCommitted() {
+	const mostBatches = 2000
+	test.store.commitAll(test.owner, mostBatches)
+	if dirty := len(test.owner.journal.dirtyChunks); dirty > 0 {
+		test.t.Fatalf("%d chunks are not recorded in the end", dirty)
+	}
+	successor := test.successor()
+	for id, job := range test.owner.jobs {
+		restored := successor.jobs[id]
+		if restored.doneTasks != job.doneTasks || restored.waitingTasks != job.waitingTasks || restored.highestAttempt < job.highestAttempt {
+			test.t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, restored.doneTasks, restored.waitingTasks, restored.highestAttempt)
+		}
+	}
 }
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -66,7 +66,7 @@
 // memory and no larger records than at first.
 func TestLongLivedServiceStaysSmall(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.journal.slotRevisions = make([]uint64, testRing)
+	harness.journal.slotRevisions = make([]uint64, testJournalSlots)
 	harness.SetLevel(records.FeatureExplicitChunks)
 	harness.addMachine("m-1", "cpu", "a", false)
 	job := harness.addJob(newServiceJob("req-1", 4, 1))
--- /dev/null
+++ b/internal/scheduler/store_test.go
@@ -0,0 +1,167 @@
+package scheduler
+
+import (
+	"strings"
+
+	"ambersill/internal/records"
+	"ambersill/internal/wire"
+)
+
+// fakeStore is an in-memory key-value store: keys with revisions, and transactions that are
+// lost or applied late.
+type fakeStore struct {
+	revision  uint64
+	values    map[string]wire.Raw
+	revisions map[string]uint64
+	late      []wire.Txn // not applied yet
+	// largestValue is the size in bytes, as JSON, of the largest value since resetMaxima, and
+	// mostWrites the number of changes of the largest transaction.
+	largestValue int
+	mostWrites   int
+}
+
+// newFakeStore returns a store that contains the ownership of the harness's partition.
+func newFakeStore(harness *partitionHarness) *fakeStore {
+	return &fakeStore{
+		revision:  1000,
+		values:    map[string]wire.Raw{},
+		revisions: map[string]uint64{records.PartitionKey(0): harness.Revision},
+	}
+}
+
+// apply carries out a transaction, and reports whether its conditions were met.
+func (s *fakeStore) apply(txn wire.Txn) bool {
+	for _, compare := range txn.Compares {
+		if s.revisions[compare.Key] != compare.Revision {
+			return false
+		}
+	}
+	s.revision++
+	s.mostWrites = max(s.mostWrites, len(txn.Writes))
+	for _, write := range txn.Writes {
+		s.applyWrite(write)
+	}
+	return true
+}
+
+func (s *fakeStore) applyWrite(write wire.Write) {
+	if write.Put == "" {
+		delete(s.values, write.Delete)
+		delete(s.revisions, write.Delete)
+		return
+	}
+	value, err := wire.Marshal(write.Value)
+	if err != nil {
+		panic(err)
+	}
+	s.values[write.Put] = value
+	s.revisions[write.Put] = s.revision
+	s.largestValue = max(s.largestValue, encodedBytesOrZero(write.Value))
+}
+
+// applyOldestLate applies the oldest late transaction.
+func (s *fakeStore) applyOldestLate() {
+	s.apply(s.late[0])
+	s.late = s.late[1:]
+}
+
+// resetMaxima forgets the sizes that were written before.
+func (s *fakeStore) resetMaxima() { s.largestValue, s.mostWrites = 0, 0 }
+
+// commitFate is what becomes of a transaction.
+type commitFate string
+
+const (
+	commitConfirmed commitFate = "done"    // applied and answered
+	commitUnknown   commitFate = "lost"    // applied, the answer is lost
+	commitLate      commitFate = "late"    // not answered, and applied later
+	commitRefused   commitFate = "refused" // answered, and never applied
+)
+
+// commit has a batch meet its fate, and the owner learn of the outcome as it would.
+func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, fate commitFate) {
+	switch fate {
+	case commitRefused:
+		return
+	case commitLate:
+		s.late = append(s.late, batch.Txn)
+	default:
+		if s.apply(batch.Txn) && fate == commitConfirmed {
+			harness.ConfirmBatch(batch, s.revision)
+			return
+		}
+	}
+	for _, compare := range batch.Txn.Compares {
+		harness.RefreshKey(batch, compare.Key, s.revisions[compare.Key], s.jobRecord(compare.Key), harness.now)
+	}
+}
+
+// commitAll commits batches until there is nothing left to commit, at most so many.
+func (s *fakeStore) commitAll(harness *partitionHarness, mostBatches int) {
+	for range mostBatches {
+		batch := harness.PrepareBatch()
+		if batch.Empty() {
+			return
+		}
+		s.commit(harness, batch, commitConfirmed)
+	}
+}
+
+// jobRecord returns the job's record of a key, or nil.
+func (s *fakeStore) jobRecord(key string) *records.JobRecord {
+	value, ok := s.values[key]
+	if !ok || !strings.HasPrefix(key, "j/") {
+		return nil
+	}
+	record := &records.JobRecord{}
+	if wire.Unmarshal(value, record) != nil {
+		return nil
+	}
+	return record
+}
+
+// submit adds a job as a controller does, with the given record of its first chunk.
+func (s *fakeStore) submit(harness *partitionHarness, job *wire.Job, level records.FeatureLevel) {
+	record := &records.JobRecord{Job: job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
+	firstChunk := records.NewFirstChunk(record, level, harness.settings)
+	s.apply(wire.Txn{Writes: []wire.Write{
+		{Put: records.JobKey(job.ID), Value: record},
+		{Put: records.FirstChunkKey(0, job.ID), Value: firstChunk},
+	}})
+	harness.AddJob(job, harness.now, s.revision)
+}
+
+// testingT is what both testing.T and rapid.T offer.
+type testingT interface {
+	Helper()
+	Fatal(...any)
+	Fatalf(string, ...any)
+}
+
+// restore has a partition without jobs read the stored records, as after a takeover.
+func restore(t testingT, harness *partitionHarness, values map[string]wire.Raw, revisions map[string]uint64) {
+	t.Helper()
+	var chunks []records.LoadedChunk
+	var journal []records.LoadedJournalRecord
+	for key, value := range values {
+		if id, name, ok := records.ParseChunkKey(key); ok && strings.HasPrefix(key, records.ChunkPrefix(0)) {
+			loaded := records.LoadedChunk{JobID: id, Name: name, Revision: revisions[key]}
+			decodeStored(t, key, value, &loaded.Record)
+			chunks = append(chunks, loaded)
+		}
+		if strings.HasPrefix(key, records.JournalPrefix(0)) {
+			loaded := records.LoadedJournalRecord{Revision: revisions[key]}
+			decodeStored(t, key, value, &loaded.Record)
+			journal = append(journal, loaded)
+		}
+	}
+	harness.Restore(chunks, journal)
+}
+
+// decodeStored decodes a value that the test has stored.
+func decodeStored(t testingT, key string, value wire.Raw, into any) {
+	t.Helper()
+	if err := wire.Unmarshal(value, into); err != nil {
+		t.Fatalf("%s: %v", key, err)
+	}
+}
