--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -190,18 +190,9 @@
 	return wire.Compare{Key: records.LeaderKey, Revision: l.revision}
 }
 
-// commit commits a transaction fenced by the leader's key, and applies it to the cache, so
-// that the leader's next decision is based on it.
+// commit commits a transaction fenced by the leader's key.
 func (l *leader) commit(ctx context.Context, compares []wire.Compare, writes []wire.Write) error {
-	revision, err := l.controller.store.Commit(ctx, wire.Txn{
-		Compares: append([]wire.Compare{l.fence()}, compares...),
-		Writes:   writes,
-	})
-	if err != nil {
-		return err
-	}
-	l.controller.cluster.applyWrites(writes, revision)
-	return nil
+	return l.controller.commitFenced(ctx, l.fence(), compares, writes)
 }
 
 // machines returns the recorded machines, and their IDs in order.
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -78,17 +78,6 @@
 	}
 }
 
-// applyWrites applies the writes of a commit in their order.
-func (c *clusterCache) applyWrites(writes []wire.Write, revision uint64) {
-	for _, write := range writes {
-		if write.Put != "" {
-			c.apply(write.Put, must(wire.Marshal(write.Value)), revision, false)
-		} else {
-			c.apply(write.Delete, nil, revision, true)
-		}
-	}
-}
-
 // groupChange is a change of a group's record, to be committed as a whole: a group that
 // exceeds the size limit is divided into several.
 type groupChange struct {
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -71,26 +71,10 @@
 	return c.commitGroups(ctx, fence, next)
 }
 
-// commitGroups commits a change of groups of machines, and applies it to the cluster cache in
-// the order of its writes.
+// commitGroups commits a change of groups of machines, if there is any.
 func (c *Controller) commitGroups(ctx context.Context, fence wire.Compare, change groupChange) error {
 	if len(change.writes) == 0 {
 		return nil
 	}
-	txn := wire.Txn{
-		Compares: append([]wire.Compare{fence}, change.compares...),
-		Writes:   change.writes,
-	}
-	revision, err := c.store.Commit(ctx, txn)
-	if err != nil {
-		return err
-	}
-	for _, write := range change.writes {
-		if write.Put != "" {
-			c.cluster.apply(write.Put, must(wire.Marshal(write.Value)), revision, false)
-		} else {
-			c.cluster.apply(write.Delete, nil, revision, true)
-		}
-	}
-	return nil
+	return c.commitFenced(ctx, fence, change.compares, change.writes)
 }
