--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -139,7 +139,7 @@
 		t.Run(fmt.Sprintf("gone %v", gone), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				d := newDay(t, ctx, 1)
+				d := newDay(ctx, t, 1)
 				key := records.MachinePrefix + "m-1"
 				group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{"m-1": {MachineType: "small", Zone: "a"}}}
 				other := New(d.settings(1), d.tune, d.fabric.Host("node-1"))
--- a/internal/controller/day_test.go
+++ b/internal/controller/day_test.go
@@ -55,9 +55,11 @@
 	{Name: "big", CPUs: 16, GPUs: 4, MemoryGB: 128, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 30, Zones: []string{"a", "b"}},
 }
 
-func newDay(t *testing.T, ctx context.Context, seed uint64) *day {
-	d := &day{open: seed%3 == 2, t: t, rnd: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, fabric: emulator.NewNetwork(), state: emulator.NewKeyValueStore(),
-		up: map[int]func(){}, ended: map[string]wire.JobPhase{}, cancel: map[string]func(){}, tune: tuning.Default()}
+func newDay(ctx context.Context, t *testing.T, seed uint64) *day {
+	d := &day{
+		open: seed%3 == 2, t: t, rnd: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, fabric: emulator.NewNetwork(), state: emulator.NewKeyValueStore(),
+		up: map[int]func(){}, ended: map[string]wire.JobPhase{}, cancel: map[string]func(){}, tune: tuning.Default(),
+	}
 	for i := range 3 {
 		d.nodes = append(d.nodes, emulator.Node{Name: fmt.Sprintf("node-%d", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i+1)})
 	}
@@ -65,14 +67,18 @@
 	for _, x := range dayTypes {
 		types[x.Name] = x
 	}
-	d.world = &emulator.Simulation{Ctx: ctx, ZoneNets: map[string]transport.Net{}, Nodes: d.nodes, MachineTypes: types, Teams: d.settings(0).Cluster.Teams,
-		HeartbeatInterval: 2 * time.Second, LeaseDuration: 14 * time.Second, GangWaitTimeout: 35 * time.Second, GangPeerTimeout: 5 * time.Second, CancelDeadline: 44 * time.Second}
+	d.world = &emulator.Simulation{
+		Ctx: ctx, ZoneNets: map[string]transport.Net{}, Nodes: d.nodes, MachineTypes: types, Teams: d.settings(0).Cluster.Teams,
+		HeartbeatInterval: 2 * time.Second, LeaseDuration: 14 * time.Second, GangWaitTimeout: 35 * time.Second, GangPeerTimeout: 5 * time.Second, CancelDeadline: 44 * time.Second,
+	}
 	for _, z := range d.settings(0).Cluster.Zones {
 		d.world.ZoneNets[z] = d.fabric.Host("workers-" + z)
 	}
 	d.world.Init()
-	d.cloud = &emulator.Cloud{MachineTypes: dayTypes, Lag: 4 * time.Second, Boot: d.world.StartWorker, Rand: d.rnd,
-		BootTime: func(x wire.MachineType) time.Duration { return time.Duration(x.BootS) * time.Second }}
+	d.cloud = &emulator.Cloud{
+		MachineTypes: dayTypes, Lag: 4 * time.Second, Boot: d.world.StartWorker, Rand: d.rnd,
+		BootTime: func(x wire.MachineType) time.Duration { return time.Duration(x.BootS) * time.Second },
+	}
 	for _, x := range dayTypes {
 		for _, z := range x.Zones {
 			for _, spot := range []bool{true, false} {
@@ -83,8 +89,10 @@
 	d.state.Changed = d.keepsEnds
 	d.serve("state", "10.2.0.1:1", d.state.Handler())
 	d.serve("cloud", "10.2.0.2:1", d.cloud.Handler())
-	d.stage = &emulator.FaultInjector{Network: d.fabric, Store: d.state, Cloud: d.cloud, Simulation: d.world, Nodes: d.nodes, Rand: rand.New(rand.NewPCG(seed, 5)),
-		Start: d.start, Crash: d.crash, Owner: d.owner, Cancel: d.cancelRunning}
+	d.stage = &emulator.FaultInjector{
+		Network: d.fabric, Store: d.state, Cloud: d.cloud, Simulation: d.world, Nodes: d.nodes, Rand: rand.New(rand.NewPCG(seed, 5)),
+		Start: d.start, Crash: d.crash, Owner: d.owner, Cancel: d.cancelRunning,
+	}
 	d.stage.Attach()
 	return d
 }
@@ -110,7 +118,7 @@
 		d.t.Fatal(err)
 	}
 	srv := &http.Server{Handler: h}
-	context.AfterFunc(d.ctx, func() { srv.Close(); host.Shutdown() })
+	context.AfterFunc(d.ctx, func() { _ = srv.Close(); host.Shutdown() })
 	go func() { _ = srv.Serve(l) }()
 }
 
@@ -239,8 +247,10 @@
 	d.mu.Lock()
 	d.cancel[job.ID] = sync.OnceFunc(func() { close(cancel) })
 	d.mu.Unlock()
-	u := &emulator.User{Simulation: d.world, Net: d.fabric.Host("user-" + job.ID), CancelAfter: cancelAfter, Cancel: cancel, PollsAllNodes: d.looks, CancelDone: d.looks,
-		Pick: func() emulator.Node { return d.nodes[rnd.IntN(len(d.nodes))] }}
+	u := &emulator.User{
+		Simulation: d.world, Net: d.fabric.Host("user-" + job.ID), CancelAfter: cancelAfter, Cancel: cancel, PollsAllNodes: d.looks, CancelDone: d.looks,
+		Pick: func() emulator.Node { return d.nodes[rnd.IntN(len(d.nodes))] },
+	}
 	d.wg.Go(func() {
 		p := u.Run(d.ctx, job)
 		d.mu.Lock()
@@ -250,11 +260,13 @@
 }
 
 // jobs submits n random jobs over a while.
-func (d *day) jobs(first, n int, over time.Duration) {
+func (d *day) jobs(n int, over time.Duration) {
 	for i := range n {
-		job := &wire.Job{ID: fmt.Sprintf("req-%06d", first+i), Class: "c", Team: []string{"red", "blue", "free"}[d.rnd.IntN(3)], Shape: wire.ArrayJob,
+		job := &wire.Job{
+			ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: []string{"red", "blue", "free"}[d.rnd.IntN(3)], Shape: wire.ArrayJob,
 			Priority: []wire.Priority{"idle", "standard", "urgent"}[d.rnd.IntN(3)], Tasks: 1 + d.rnd.IntN(12), CPUs: 1 + float64(d.rnd.IntN(4)), MemoryGB: 4,
-			Image: fmt.Sprintf("img-%d", d.rnd.IntN(4)), ImageGB: 1, EstimatedRunS: 5 + 30*d.rnd.Float64(), AllowSpot: d.rnd.IntN(2) == 0}
+			Image: fmt.Sprintf("img-%d", d.rnd.IntN(4)), ImageGB: 1, EstimatedRunS: 5 + 30*d.rnd.Float64(), AllowSpot: d.rnd.IntN(2) == 0,
+		}
 		if d.rnd.IntN(2) == 0 {
 			job.CheckpointIntervalS, job.CheckpointSaveS = 20, 2
 		}
@@ -312,7 +324,7 @@
 func play(t *testing.T, seed uint64, parts int, lossy bool, f func(d *day)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := newDay(t, ctx, seed)
+		d := newDay(ctx, t, seed)
 		d.tune.Parts = parts
 		if lossy {
 			d.loseSome()
--- a/internal/controller/large_test.go
+++ b/internal/controller/large_test.go
@@ -17,7 +17,7 @@
 func fleet(t *testing.T, seed uint64, perKind int, f func(d *day)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := newDay(t, ctx, seed)
+		d := newDay(ctx, t, seed)
 		for i := range d.cloud.Capacity {
 			d.cloud.Capacity[i].Count = perKind
 		}
@@ -32,8 +32,10 @@
 }
 
 func largeArray(n, tasks int, cpus, seconds float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "idle", Tasks: tasks, CPUs: cpus, MemoryGB: 1,
-		Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"}}
+	return &wire.Job{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "idle", Tasks: tasks, CPUs: cpus, MemoryGB: 1,
+		Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"},
+	}
 }
 
 // Some hundred machines, and what strikes many of them together with the controllers:
@@ -51,8 +53,10 @@
 		}
 		d.submit(largeArray(50, 1200, 1, 40), 80*time.Second)
 		for n := range 6 {
-			g := &wire.Job{ID: fmt.Sprintf("req-%06d", 100+n), Class: "c", Team: "free", Shape: wire.GangJob, Priority: "urgent", Tasks: 8, CPUs: 16, GPUs: 4, MemoryGB: 64,
-				Image: "big", ImageGB: 2, EstimatedRunS: 40, SingleZone: true, AllowSpot: true, CheckpointIntervalS: 15, CheckpointSaveS: 3}
+			g := &wire.Job{
+				ID: fmt.Sprintf("req-%06d", 100+n), Class: "c", Team: "free", Shape: wire.GangJob, Priority: "urgent", Tasks: 8, CPUs: 16, GPUs: 4, MemoryGB: 64,
+				Image: "big", ImageGB: 2, EstimatedRunS: 40, SingleZone: true, AllowSpot: true, CheckpointIntervalS: 15, CheckpointSaveS: 3,
+			}
 			d.submit(g, 0)
 		}
 		time.Sleep(70 * time.Second)
--- a/internal/controller/meetings_test.go
+++ b/internal/controller/meetings_test.go
@@ -30,7 +30,7 @@
 func (m *meeting) play(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := newDay(t, ctx, m.seed)
+		d := newDay(ctx, t, m.seed)
 		d.looks = m.looks
 		d.tune.Parts = 1
 		if m.setup != nil {
@@ -76,8 +76,10 @@
 
 // work is a job of the free team on small machines.
 func work(n, tasks int, cpus, seconds float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 4,
-		Image: "img", ImageGB: 1, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"}}
+	return &wire.Job{
+		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 4,
+		Image: "img", ImageGB: 1, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"},
+	}
 }
 
 // longWork submits jobs that run for as long as anything is checked here.
@@ -119,24 +121,34 @@
 		{name: "ends in the outage", script: with()},
 		{name: "outlasts the outage", script: []emulator.Fault{long, cancels, out}},
 		{name: "a second outage", script: with(emulator.Fault{At: 103500 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage})},
-		{name: "a moment of contact", script: []emulator.Fault{refused, cancels, {At: 42500 * time.Millisecond, For: 20 * second, Kind: emulator.StoreOutage},
-			{At: 62600 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage}}},
+		{name: "a moment of contact", script: []emulator.Fault{
+			refused, cancels,
+			{At: 42500 * time.Millisecond, For: 20 * second, Kind: emulator.StoreOutage},
+			{At: 62600 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage},
+		}},
 		{name: "the owner restarts", script: with(emulator.Fault{At: 55 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 200 * time.Millisecond})},
 		{name: "machines hang", script: with(emulator.Fault{At: 41500 * time.Millisecond, For: 12 * second, Kind: emulator.MachineHang, Count: 3})},
 		{name: "machines are deaf", script: with(emulator.Fault{At: 41500 * time.Millisecond, For: 90 * second, Kind: emulator.MachineInboundCut, Count: 3})},
 		{name: "reports come through a third node", script: with(emulator.Fault{At: 39 * second, For: 80 * second, Kind: emulator.WorkersCut, Nodes: []int{emulator.Owner}})},
-		{name: "all at the same moment", script: []emulator.Fault{refused, {At: 40 * second, Kind: emulator.CancelRunningJobs, Count: 5},
-			{At: 41500 * time.Millisecond, For: 60 * second, Kind: emulator.StoreOutage}}},
+		{name: "all at the same moment", script: []emulator.Fault{
+			refused,
+			{At: 40 * second, Kind: emulator.CancelRunningJobs, Count: 5},
+			{At: 41500 * time.Millisecond, For: 60 * second, Kind: emulator.StoreOutage},
+		}},
 		{name: "answers are slow", script: with(emulator.Fault{At: 30 * second, For: 90 * second, Kind: emulator.StoreSlow, Wait: 800 * time.Millisecond})},
 	}
 	for i := range all {
 		all[i].met = met
 	}
-	all = append(all, meeting{name: "watches are stuck", script: []emulator.Fault{stuck, cancels},
-		met: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.CancelRunningJobs: 5}})
+	all = append(all, meeting{
+		name: "watches are stuck", script: []emulator.Fault{stuck, cancels},
+		met: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.CancelRunningJobs: 5},
+	})
 	// The owner has contact all the time, and no news.
-	all = append(all, meeting{name: "the marks cannot be read", script: []emulator.Fault{stuck, cancels, {At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused}},
-		met: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.ListsRefused: 1, emulator.CancelRunningJobs: 5}})
+	all = append(all, meeting{
+		name: "the marks cannot be read", script: []emulator.Fault{stuck, cancels, {At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused}},
+		met: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.ListsRefused: 1, emulator.CancelRunningJobs: 5},
+	})
 	for i := range all {
 		all[i].seed, all[i].jobs = uint64(20+i), longWork(8)
 		all[i].setup = func(d *day) { d.state.WatchesEnd = true }
@@ -183,14 +195,14 @@
 }
 
 // stream submits a one-task job each gap, and cancels every fourth after a while.
-func stream(first, n, tasks int, cpus float64, gap time.Duration, seconds float64) func(d *day) {
+func stream(n, tasks int, cpus float64, gap time.Duration, seconds float64) func(d *day) {
 	return func(d *day) {
 		for i := range n {
 			cancel := time.Duration(0)
 			if i%4 == 3 {
 				cancel = time.Duration(i%5) * second
 			}
-			d.submit(work(first+i, tasks, cpus, seconds), cancel)
+			d.submit(work(i, tasks, cpus, seconds), cancel)
 			time.Sleep(gap)
 		}
 	}
@@ -221,13 +233,20 @@
 		tenTimes = append(tenTimes, emulator.Fault{At: time.Duration(50+12*i) * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: time.Duration(200+700*i) * time.Millisecond})
 	}
 	meet(t, []meeting{
-		{name: "machines with long tasks hang as the owner ends", seed: 40, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.MachineHang: 4, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.MachineHang, Count: 4}, crash}},
-		{name: "machines do not hear the next owner", seed: 41, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.MachineInboundCut: 4, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 40 * second, Kind: emulator.MachineInboundCut, Count: 4}, crash}},
-		{name: "machines cannot be reached by the next owner", seed: 42, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.ZoneCut, Zone: "a"}, crash}},
-		{name: "all end for longer than a lease", seed: 43, jobs: longAndFree(10, 6, 30), met: map[emulator.FaultKind]int{emulator.ControllerCrash: 3, emulator.MachineInboundCut: 3}, check: starts(46),
+		{
+			name: "machines with long tasks hang as the owner ends", seed: 40, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.MachineHang: 4, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.MachineHang, Count: 4}, crash},
+		},
+		{
+			name: "machines do not hear the next owner", seed: 41, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.MachineInboundCut: 4, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{{At: 59 * second, For: 40 * second, Kind: emulator.MachineInboundCut, Count: 4}, crash},
+		},
+		{
+			name: "machines cannot be reached by the next owner", seed: 42, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.ZoneCut, Zone: "a"}, crash},
+		},
+		{
+			name: "all end for longer than a lease", seed: 43, jobs: longAndFree(10, 6, 30), met: map[emulator.FaultKind]int{emulator.ControllerCrash: 3, emulator.MachineInboundCut: 3}, check: starts(46),
 			// Some machines do not hear those that are back: their work is known to be over
 			// by their sessions alone, and goes on elsewhere.
 			script: []emulator.Fault{{At: 59 * second, For: 90 * second, Kind: emulator.MachineInboundCut, Count: 3}, {At: 60 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 20 * second}},
@@ -236,27 +255,41 @@
 				if n := d.world.Running(); n != 20 {
 					d.t.Errorf("%d of 20 tasks run again", n)
 				}
-			}},
-		{name: "handed over and back, all end, and one is back at once", seed: 44, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ControllerCrash: 5},
-			script: []emulator.Fault{crash, {At: 66 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 300 * time.Millisecond},
-				{At: 72 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 200 * time.Millisecond}}, check: starts(20)},
+			},
+		},
+		{
+			name: "handed over and back, all end, and one is back at once", seed: 44, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ControllerCrash: 5},
+			script: []emulator.Fault{
+				crash,
+				{At: 66 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 300 * time.Millisecond},
+				{At: 72 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 200 * time.Millisecond},
+			}, check: starts(20),
+		},
 		{name: "ten owners in two minutes, and an outage", seed: 45, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ControllerCrash: 8, emulator.StoreOutage: 1}, script: tenTimes},
-		{name: "a zone is cut off with the owner inside", seed: 46, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
-			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "a", Nodes: owner}}},
-		{name: "a zone is cut off with another inside", seed: 47, jobs: longAndFree(10, 6, 30), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
-			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "b", Nodes: []int{emulator.Others}}}},
+		{
+			name: "a zone is cut off with the owner inside", seed: 46, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
+			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "a", Nodes: owner}},
+		},
+		{
+			name: "a zone is cut off with another inside", seed: 47, jobs: longAndFree(10, 6, 30), met: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
+			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "b", Nodes: []int{emulator.Others}}},
+		},
 	})
 }
 
 // The owner has its workers and users only, and jobs are cancelled through the next one,
 // which does not reach the workers: they must not live on the old one's answers.
 func TestOldOwnerKeepsTheWorkers(t *testing.T) {
-	meet(t, []meeting{{name: "cancelled through the next owner", seed: 50, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.NodeIsolated: 1, emulator.CancelRunningJobs: 5},
-		script: []emulator.Fault{{At: 60 * second, For: 80 * second, Kind: emulator.NodeIsolated, Nodes: []int{emulator.Owner}},
+	meet(t, []meeting{{
+		name: "cancelled through the next owner", seed: 50, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.NodeIsolated: 1, emulator.CancelRunningJobs: 5},
+		script: []emulator.Fault{
+			{At: 60 * second, For: 80 * second, Kind: emulator.NodeIsolated, Nodes: []int{emulator.Owner}},
 			{At: 60 * second, For: 80 * second, Kind: emulator.WorkersCut, Nodes: []int{emulator.Others}},
 			// Else the next owner returns the machines that it does not hear, with all on them.
 			{At: 60 * second, For: 80 * second, Kind: emulator.CloudCut, Nodes: []int{emulator.Others}},
-			{At: 68 * second, Kind: emulator.CancelRunningJobs, Count: 5}}}})
+			{At: 68 * second, Kind: emulator.CancelRunningJobs, Count: 5},
+		},
+	}})
 }
 
 // Teams are at their limits while the owner changes, machines can't be asked, and jobs
@@ -319,31 +352,55 @@
 	meet(t, []meeting{
 		// The first reports of all, without a task. The machines with work hang then, so
 		// that neither an answer to an order nor a newer report of theirs comes first.
-		{name: "old reports as the next owner begins", seed: 70, jobs: longAndFree(5, 5, 10), met: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.MachineHang: 4, emulator.ControllerCrash: 1}, check: starts(15),
-			script: []emulator.Fault{{At: 2 * second, For: 36 * second, Kind: emulator.HeartbeatsForNextOwner}, {At: 39 * second, For: 11 * second, Kind: emulator.MachineHang},
-				{At: 40 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 3 * second}}},
+		{
+			name: "old reports as the next owner begins", seed: 70, jobs: longAndFree(5, 5, 10), met: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.MachineHang: 4, emulator.ControllerCrash: 1}, check: starts(15),
+			script: []emulator.Fault{
+				{At: 2 * second, For: 36 * second, Kind: emulator.HeartbeatsForNextOwner},
+				{At: 39 * second, For: 11 * second, Kind: emulator.MachineHang},
+				{At: 40 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 3 * second},
+			},
+		},
 		// Those kept for the next owner, and some that have its token already.
-		{name: "old reports once the next owner has acted", seed: 71, jobs: stream(0, 60, 2, 4, second, 15), met: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.LateHeartbeats: 20, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 22 * second, For: 20 * second, Kind: emulator.HeartbeatsForNextOwner, Wait: 6 * second}, {At: 50 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 3 * second},
-				{At: 54 * second, For: 30 * second, Kind: emulator.LateHeartbeats, Share: 0.5, Wait: 10 * second}}},
-		{name: "copies from earlier sessions and attempts", seed: 72, jobs: stream(0, 60, 2, 4, second, 15), met: map[emulator.FaultKind]int{emulator.LateHeartbeats: 50, emulator.MachineHang: 4},
-			script: []emulator.Fault{{At: 20 * second, For: 80 * second, Kind: emulator.LateHeartbeats, Share: 0.3, Wait: 30 * second}, {At: 45 * second, For: 16 * second, Kind: emulator.MachineHang, Count: 4}}},
-		{name: "orders are held up", seed: 73, jobs: yielding, met: map[emulator.FaultKind]int{emulator.DelayedCommands: 5}, check: once,
-			script: []emulator.Fault{{At: 42 * second, For: 50 * second, Kind: emulator.DelayedCommands, Wait: 9 * second}}},
-		{name: "machines go on with an order in flight", seed: 74, jobs: stream(0, 60, 2, 4, second, 20), met: map[emulator.FaultKind]int{emulator.MachineHang: 4},
-			script: []emulator.Fault{{At: 30 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 42 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 55 * second, For: 13 * second, Kind: emulator.MachineHang}}},
-		{name: "machines reach no controller, orders reach them", seed: 75, jobs: stream(0, 90, 2, 4, second, 14), met: map[emulator.FaultKind]int{emulator.MachineOutboundCut: 4, emulator.CloudCut: 1, emulator.CancelRunningJobs: 5},
+		{
+			name: "old reports once the next owner has acted", seed: 71, jobs: stream(60, 2, 4, second, 15), met: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.LateHeartbeats: 20, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				{At: 22 * second, For: 20 * second, Kind: emulator.HeartbeatsForNextOwner, Wait: 6 * second},
+				{At: 50 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 3 * second},
+				{At: 54 * second, For: 30 * second, Kind: emulator.LateHeartbeats, Share: 0.5, Wait: 10 * second},
+			},
+		},
+		{
+			name: "copies from earlier sessions and attempts", seed: 72, jobs: stream(60, 2, 4, second, 15), met: map[emulator.FaultKind]int{emulator.LateHeartbeats: 50, emulator.MachineHang: 4},
+			script: []emulator.Fault{{At: 20 * second, For: 80 * second, Kind: emulator.LateHeartbeats, Share: 0.3, Wait: 30 * second}, {At: 45 * second, For: 16 * second, Kind: emulator.MachineHang, Count: 4}},
+		},
+		{
+			name: "orders are held up", seed: 73, jobs: yielding, met: map[emulator.FaultKind]int{emulator.DelayedCommands: 5}, check: once,
+			script: []emulator.Fault{{At: 42 * second, For: 50 * second, Kind: emulator.DelayedCommands, Wait: 9 * second}},
+		},
+		{
+			name: "machines go on with an order in flight", seed: 74, jobs: stream(60, 2, 4, second, 20), met: map[emulator.FaultKind]int{emulator.MachineHang: 4},
+			script: []emulator.Fault{{At: 30 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 42 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 55 * second, For: 13 * second, Kind: emulator.MachineHang}},
+		},
+		{
+			name: "machines reach no controller, orders reach them", seed: 75, jobs: stream(90, 2, 4, second, 14), met: map[emulator.FaultKind]int{emulator.MachineOutboundCut: 4, emulator.CloudCut: 1, emulator.CancelRunningJobs: 5},
 			// Their leases run out, and then orders to stop work reach them, which are refused
 			// by the next session. Nothing is returned once the next owner has learned the machines' addresses.
-			script: []emulator.Fault{{At: 61 * second, Kind: emulator.CancelRunningJobs}, {At: 54 * second, For: 40 * second, Kind: emulator.CloudCut, Nodes: []int{0, 1, 2}}, {At: 45 * second, For: 45 * second, Kind: emulator.MachineOutboundCut, Count: 5}, {At: 48 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second}}},
-		{name: "writes are late", seed: 76, jobs: stream(0, 150, 2, 2, 500*time.Millisecond, 10), met: map[emulator.FaultKind]int{emulator.LateCommits: 6, emulator.ControllerCrash: 3},
-			script: lateThenCrash(40*second, 55*second, 70*second)},
-		{name: "answers to writes are lost", seed: 77, looks: true, jobs: stream(0, 40, 2, 2, second, 10), met: map[emulator.FaultKind]int{emulator.LostResponses: 20},
-			script: []emulator.Fault{{At: 10 * second, For: 50 * second, Kind: emulator.LostResponses, Share: 0.4}}},
-		{name: "machines boot within two seconds, writes lag, and the owner ends", seed: 78, setup: boots, jobs: stream(0, 40, 2, 2, second, 30), met: map[emulator.FaultKind]int{emulator.StoreSlow: 1, emulator.ControllerCrash: 2, emulator.MachineLost: 5},
+			script: []emulator.Fault{{At: 61 * second, Kind: emulator.CancelRunningJobs}, {At: 54 * second, For: 40 * second, Kind: emulator.CloudCut, Nodes: []int{0, 1, 2}}, {At: 45 * second, For: 45 * second, Kind: emulator.MachineOutboundCut, Count: 5}, {At: 48 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second}},
+		},
+		{
+			name: "writes are late", seed: 76, jobs: stream(150, 2, 2, 500*time.Millisecond, 10), met: map[emulator.FaultKind]int{emulator.LateCommits: 6, emulator.ControllerCrash: 3},
+			script: lateThenCrash(40*second, 55*second, 70*second),
+		},
+		{
+			name: "answers to writes are lost", seed: 77, looks: true, jobs: stream(40, 2, 2, second, 10), met: map[emulator.FaultKind]int{emulator.LostResponses: 20},
+			script: []emulator.Fault{{At: 10 * second, For: 50 * second, Kind: emulator.LostResponses, Share: 0.4}},
+		},
+		{
+			name: "machines boot within two seconds, writes lag, and the owner ends", seed: 78, setup: boots, jobs: stream(40, 2, 2, second, 30), met: map[emulator.FaultKind]int{emulator.StoreSlow: 1, emulator.ControllerCrash: 2, emulator.MachineLost: 5},
 			// Machines are taken, and their records go while the next owner reads its own.
 			script: append(takenEach(500*time.Millisecond, 28*second, 16), emulator.Fault{At: 3 * second, For: 60 * second, Kind: emulator.StoreSlow, Wait: 600 * time.Millisecond},
-				emulator.Fault{At: 15 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}, emulator.Fault{At: 42 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second})},
+				emulator.Fault{At: 15 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}, emulator.Fault{At: 42 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}),
+		},
 	})
 }
 
@@ -365,20 +422,30 @@
 		}
 	}
 	meet(t, []meeting{
-		{name: "cancelled and asked about at the last task's end", seed: 80, looks: true, setup: cancelAtEnd, jobs: stream(0, 80, 1, 2, 250*time.Millisecond, 5),
+		{
+			name: "cancelled and asked about at the last task's end", seed: 80, looks: true, setup: cancelAtEnd, jobs: stream(80, 1, 2, 250*time.Millisecond, 5),
 			// So that what a cancellation reads and what it writes lie apart.
 			script: []emulator.Fault{{At: 15 * second, For: 60 * second, Kind: emulator.StoreSlow, Wait: 150 * time.Millisecond}},
 			check: func(t *testing.T, d *day) {
 				if done, cancelled := d.count(wire.JobDone), d.count(wire.JobCancelled); done < 5 || cancelled < 5 {
 					t.Errorf("%d done, %d cancelled", done, cancelled)
 				}
-			}},
-		{name: "asked at all nodes within milliseconds", seed: 81, looks: true, jobs: stream(0, 40, 2, 2, 500*time.Millisecond, 6), met: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 3},
-			script: []emulator.Fault{{At: 30 * second, Kind: emulator.CancelRunningJobs, Count: 10}, {At: 34 * second, Kind: emulator.CancelRunningJobs, Count: 10}}},
-		{name: "cancelled while the work changes hands", seed: 82, looks: true, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 9, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 60 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 20 * second}, {At: 60300 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3},
-				{At: 62 * second, Kind: emulator.CancelRunningJobs, Count: 3}, {At: 64500 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3}}},
-		{name: "one-task jobs four a second, a quarter cancelled", seed: 83, jobs: stream(0, 480, 1, 2, 250*time.Millisecond, 5), check: records},
+			},
+		},
+		{
+			name: "asked at all nodes within milliseconds", seed: 81, looks: true, jobs: stream(40, 2, 2, 500*time.Millisecond, 6), met: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 3},
+			script: []emulator.Fault{{At: 30 * second, Kind: emulator.CancelRunningJobs, Count: 10}, {At: 34 * second, Kind: emulator.CancelRunningJobs, Count: 10}},
+		},
+		{
+			name: "cancelled while the work changes hands", seed: 82, looks: true, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 9, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				{At: 60 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 20 * second},
+				{At: 60300 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3},
+				{At: 62 * second, Kind: emulator.CancelRunningJobs, Count: 3},
+				{At: 64500 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3},
+			},
+		},
+		{name: "one-task jobs four a second, a quarter cancelled", seed: 83, jobs: stream(480, 1, 2, 250*time.Millisecond, 5), check: records},
 		{name: "odd requests", seed: 84, jobs: func(d *day) {
 			longWork(2)(d)
 			u := &emulator.User{Simulation: d.world, Net: d.fabric.Host("odd"), Pick: func() emulator.Node { return d.nodes[d.rnd.IntN(3)] }}
@@ -393,7 +460,8 @@
 // Jobs of two or three tasks end far apart, in an outage and across changes of the owner:
 // what has ended is not run again.
 func TestEndsFarApart(t *testing.T) {
-	meet(t, []meeting{{name: "across owners and an outage", seed: 90, met: map[emulator.FaultKind]int{emulator.ControllerCrash: 2, emulator.StoreOutage: 1}, check: starts(30),
+	meet(t, []meeting{{
+		name: "across owners and an outage", seed: 90, met: map[emulator.FaultKind]int{emulator.ControllerCrash: 2, emulator.StoreOutage: 1}, check: starts(30),
 		setup: func(d *day) {
 			d.world.RunTime = func(_ *wire.Job, task int) time.Duration { return time.Duration(15+25*task) * second }
 		},
@@ -403,13 +471,18 @@
 				time.Sleep(2 * second)
 			}
 		},
-		script: []emulator.Fault{{At: 50 * second, For: 8 * second, Kind: emulator.StoreOutage}, {At: 56 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 2 * second},
-			{At: 75 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 2 * second}}}})
+		script: []emulator.Fault{
+			{At: 50 * second, For: 8 * second, Kind: emulator.StoreOutage},
+			{At: 56 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 2 * second},
+			{At: 75 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 2 * second},
+		},
+	}})
 }
 
 // Jobs bound to one zone, arrays too, lose machines, and a zone is cut off.
 func TestOneZoneLosesMachines(t *testing.T) {
-	meet(t, []meeting{{name: "taken, and cut off", seed: 91, met: map[emulator.FaultKind]int{emulator.MachineLost: 6, emulator.ZoneCut: 1},
+	meet(t, []meeting{{
+		name: "taken, and cut off", seed: 91, met: map[emulator.FaultKind]int{emulator.MachineLost: 6, emulator.ZoneCut: 1},
 		jobs: func(d *day) {
 			for n := range 12 {
 				job := work(n, 3, 4, 60)
@@ -424,6 +497,10 @@
 				time.Sleep(3 * second)
 			}
 		},
-		script: []emulator.Fault{{At: 45 * second, Kind: emulator.MachineLost, Count: 3, Zone: "a"}, {At: 55 * second, Kind: emulator.MachineLost, Count: 3, Zone: "b"},
-			{At: 70 * second, For: 20 * second, Kind: emulator.ZoneCut, Zone: "a"}}}})
+		script: []emulator.Fault{
+			{At: 45 * second, Kind: emulator.MachineLost, Count: 3, Zone: "a"},
+			{At: 55 * second, Kind: emulator.MachineLost, Count: 3, Zone: "b"},
+			{At: 70 * second, For: 20 * second, Kind: emulator.ZoneCut, Zone: "a"},
+		},
+	}})
 }
--- a/internal/controller/quiet_test.go
+++ b/internal/controller/quiet_test.go
@@ -17,7 +17,7 @@
 		return
 	}
 	play(t, 1, 1, false, func(d *day) {
-		d.jobs(0, 20, 2*time.Minute)
+		d.jobs(20, 2*time.Minute)
 		d.finish(15 * time.Minute)
 	})
 }
@@ -29,8 +29,10 @@
 		return
 	}
 	play(t, 2, 1, false, func(d *day) {
-		job := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 6, CPUs: 4, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120}
+		job := &wire.Job{
+			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 6, CPUs: 4, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120,
+		}
 		d.submit(job, 0)
 		time.Sleep(time.Minute)
 		if d.world.Starts() != 6 {
@@ -58,8 +60,10 @@
 	}
 	play(t, 4, 1, false, func(d *day) {
 		job := func(id string, tasks int) *wire.Job {
-			return &wire.Job{ID: id, Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, MemoryGB: 64,
-				Image: "img", ImageGB: 90, EstimatedRunS: 20}
+			return &wire.Job{
+				ID: id, Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, MemoryGB: 64,
+				Image: "img", ImageGB: 90, EstimatedRunS: 20,
+			}
 		}
 		d.submit(job("req-000001", 1), 0)
 		time.Sleep(150 * time.Second) // its image is there, the task under way or just over
@@ -75,8 +79,10 @@
 		return
 	}
 	play(t, 3, 1, false, func(d *day) {
-		job := &wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 150, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120, AllowSpot: true, MachineTypes: []string{"small"}}
+		job := &wire.Job{
+			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 150, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120, AllowSpot: true, MachineTypes: []string{"small"},
+		}
 		d.submit(job, 0)
 		time.Sleep(25 * time.Second) // before kinds are asked for again
 		if n := len(d.cloud.Workers()); n == 0 {
@@ -95,8 +101,10 @@
 		return
 	}
 	play(t, 2, 1, false, func(d *day) {
-		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 3, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 90}, 0)
+		d.submit(&wire.Job{
+			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 3, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 90,
+		}, 0)
 		time.Sleep(40 * time.Second)
 		ws := d.cloud.Workers()
 		if len(ws) != 3 || d.world.Starts() != 3 {
@@ -125,8 +133,10 @@
 		return
 	}
 	play(t, 5, 1, false, func(d *day) {
-		d.submit(&wire.Job{ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 4, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120}, 0)
+		d.submit(&wire.Job{
+			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 4, CPUs: 8, MemoryGB: 4,
+			Image: "img", ImageGB: 1, EstimatedRunS: 120,
+		}, 0)
 		time.Sleep(50 * time.Second)
 		if d.world.Starts() != 4 {
 			d.t.Fatalf("%d starts", d.world.Starts())
@@ -184,8 +194,10 @@
 	play(t, 5, 1, false, func(d *day) {
 		d.world.SetLinkDelay(delay)
 		job := func(n int, shape wire.JobShape, rank wire.Priority, tasks int, cpus, seconds float64) *wire.Job {
-			return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue", "free"}[n%3], Shape: shape, Priority: rank,
-				Tasks: tasks, CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, MachineTypes: []string{"small"}, AllowSpot: true}
+			return &wire.Job{
+				ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue", "free"}[n%3], Shape: shape, Priority: rank,
+				Tasks: tasks, CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, MachineTypes: []string{"small"}, AllowSpot: true,
+			}
 		}
 		big := map[string]time.Time{}
 		many := 240
@@ -231,7 +243,7 @@
 			}
 			play(t, uint64(100+seed), seed%4, true, func(d *day) { // 0 parts: one for each controller
 				go d.troubles(uint64(seed), 4*time.Minute)
-				d.jobs(0, 40, 4*time.Minute)
+				d.jobs(40, 4*time.Minute)
 				time.Sleep(time.Minute)
 				d.calm.Store(true)
 				d.world.FaultsOver()
--- a/internal/controller/rough_test.go
+++ b/internal/controller/rough_test.go
@@ -22,9 +22,11 @@
 	}
 	fault := emulator.Fault{For: secs(3, 30), Count: 1 + rnd.IntN(5), Zone: []string{"a", "b"}[rnd.IntN(2)], Wait: secs(1, 12), Share: 0.1 + 0.4*rnd.Float64()}
 	fault.Nodes = [][]int{{emulator.Owner}, {emulator.Owner}, {emulator.Others}, {rnd.IntN(3)}, {0, 1, 2}}[rnd.IntN(5)]
-	kinds := []emulator.FaultKind{emulator.ControllerCrash, emulator.StoreRefusesNode, emulator.StoreOutage, emulator.StoreSlow, emulator.WatchesStalled, emulator.ListsRefused, emulator.LateCommits, emulator.LostResponses,
+	kinds := []emulator.FaultKind{
+		emulator.ControllerCrash, emulator.StoreRefusesNode, emulator.StoreOutage, emulator.StoreSlow, emulator.WatchesStalled, emulator.ListsRefused, emulator.LateCommits, emulator.LostResponses,
 		emulator.LateHeartbeats, emulator.HeartbeatsForNextOwner, emulator.SlowLinks, emulator.MachineHang, emulator.MachineInboundCut, emulator.MachineOutboundCut, emulator.DelayedCommands, emulator.MachineLost, emulator.NodeIsolated,
-		emulator.PeersCut, emulator.WorkersCut, emulator.ZoneCut, emulator.CancelRunningJobs, emulator.SlowProcessor, emulator.NodeFrozen}
+		emulator.PeersCut, emulator.WorkersCut, emulator.ZoneCut, emulator.CancelRunningJobs, emulator.SlowProcessor, emulator.NodeFrozen,
+	}
 	switch fault.Kind = kinds[rnd.IntN(len(kinds))]; fault.Kind {
 	case emulator.ControllerCrash: // back within a fraction of a second, too
 		fault.Wait = []time.Duration{time.Duration(20+rnd.IntN(300)) * time.Millisecond, secs(1, 5), secs(5, 20)}[rnd.IntN(3)]
@@ -38,6 +40,7 @@
 		if rnd.IntN(2) == 0 {
 			fault.Zone = ""
 		}
+	default: // the others take what is drawn above
 	}
 	return fault
 }
@@ -69,8 +72,10 @@
 			}
 			rnd := rand.New(rand.NewPCG(uint64(seed), 6))
 			script := pairs(rnd, 3*time.Minute)
-			m := meeting{seed: uint64(200 + seed), looks: seed%2 == 1, script: script, jobs: func(d *day) { d.jobs(0, 36, 170*second) },
-				setup: func(d *day) { d.state.WatchesEnd = seed%3 == 0 }}
+			m := meeting{
+				seed: uint64(200 + seed), looks: seed%2 == 1, script: script, jobs: func(d *day) { d.jobs(36, 170*second) },
+				setup: func(d *day) { d.state.WatchesEnd = seed%3 == 0 },
+			}
 			m.play(t)
 			if t.Failed() {
 				for _, x := range script {
@@ -169,7 +174,7 @@
 func fleetWithout(t *testing.T, f func(d *day)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f(newDay(t, ctx, 1))
+		f(newDay(ctx, t, 1))
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/internal/controller/starved_test.go
+++ b/internal/controller/starved_test.go
@@ -34,18 +34,28 @@
 	}
 	crash := emulator.Fault{At: 66 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second}
 	meet(t, []meeting{
-		{name: "the owner beyond its lease, jobs are cancelled", seed: 100, jobs: longWork(10), check: starts(20), during: partitionChangesHands(71 * second),
+		{
+			name: "the owner beyond its lease, jobs are cancelled", seed: 100, jobs: longWork(10), check: starts(20), during: partitionChangesHands(71 * second),
 			met:    map[emulator.FaultKind]int{emulator.NodeFrozen: 1, emulator.CancelRunningJobs: 4},
-			script: []emulator.Fault{still(60*second, 12*second, owner), {At: 67 * second, Kind: emulator.CancelRunningJobs, Count: 4}}},
-		{name: "the owner, and the next one ends", seed: 101, jobs: longAndFree(10, 6, 30), during: partitionChangesHands(80 * second),
+			script: []emulator.Fault{still(60*second, 12*second, owner), {At: 67 * second, Kind: emulator.CancelRunningJobs, Count: 4}},
+		},
+		{
+			name: "the owner, and the next one ends", seed: 101, jobs: longAndFree(10, 6, 30), during: partitionChangesHands(80 * second),
 			met:    map[emulator.FaultKind]int{emulator.NodeFrozen: 1, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{still(58*second, 25*second, owner), crash}},
-		{name: "the owner of short tasks, again and again", seed: 102, jobs: stream(0, 120, 2, 4, second, 8), during: partitionChangesHands(120 * second), check: once,
-			met: map[emulator.FaultKind]int{emulator.NodeFrozen: 8}, script: manyStalls()},
-		{name: "the nodes that forward reports", seed: 103, jobs: longWork(10), check: starts(20), met: map[emulator.FaultKind]int{emulator.NodeFrozen: 2},
-			script: []emulator.Fault{still(60*second, 9*second, others)}},
-		{name: "all, longer than the workers' leases", seed: 104, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.NodeFrozen: 3},
-			script: []emulator.Fault{still(60*second, 20*second, []int{0, 1, 2})}},
+			script: []emulator.Fault{still(58*second, 25*second, owner), crash},
+		},
+		{
+			name: "the owner of short tasks, again and again", seed: 102, jobs: stream(120, 2, 4, second, 8), during: partitionChangesHands(120 * second), check: once,
+			met: map[emulator.FaultKind]int{emulator.NodeFrozen: 8}, script: manyStalls(),
+		},
+		{
+			name: "the nodes that forward reports", seed: 103, jobs: longWork(10), check: starts(20), met: map[emulator.FaultKind]int{emulator.NodeFrozen: 2},
+			script: []emulator.Fault{still(60*second, 9*second, others)},
+		},
+		{
+			name: "all, longer than the workers' leases", seed: 104, jobs: longWork(10), met: map[emulator.FaultKind]int{emulator.NodeFrozen: 3},
+			script: []emulator.Fault{still(60*second, 20*second, []int{0, 1, 2})},
+		},
 	})
 }
 
@@ -60,11 +70,17 @@
 	all.Nodes = []int{0, 1, 2}
 	cancels := emulator.Fault{At: 61 * second, Kind: emulator.CancelRunningJobs, Count: 10}
 	meet(t, []meeting{
-		{name: "the owner, which ends", seed: 110, jobs: stream(0, 90, 2, 4, second, 15), during: partitionChangesHands(80 * second),
-			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 1, emulator.ControllerCrash: 1}, script: []emulator.Fault{slow(20*time.Millisecond, emulator.Owner), crash, cancels}},
-		{name: "all, and the owner ends", seed: 111, jobs: stream(0, 90, 2, 4, second, 15), during: partitionChangesHands(80 * second),
-			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 1}, script: []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), crash, cancels}},
-		{name: "all, and all end", seed: 112, jobs: longAndFree(10, 6, 30), during: partitionChangesHands(80 * second),
-			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 3}, script: []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), all, cancels}},
+		{
+			name: "the owner, which ends", seed: 110, jobs: stream(90, 2, 4, second, 15), during: partitionChangesHands(80 * second),
+			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 1, emulator.ControllerCrash: 1}, script: []emulator.Fault{slow(20*time.Millisecond, emulator.Owner), crash, cancels},
+		},
+		{
+			name: "all, and the owner ends", seed: 111, jobs: stream(90, 2, 4, second, 15), during: partitionChangesHands(80 * second),
+			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 1}, script: []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), crash, cancels},
+		},
+		{
+			name: "all, and all end", seed: 112, jobs: longAndFree(10, 6, 30), during: partitionChangesHands(80 * second),
+			met: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 3}, script: []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), all, cancels},
+		},
 	})
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -68,7 +68,7 @@
 func upgradeDay(t *testing.T, seed uint64, perKind int, f func(d *day)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		d := newDay(t, ctx, seed)
+		d := newDay(ctx, t, seed)
 		d.asOld()
 		for i := range d.cloud.Capacity {
 			d.cloud.Capacity[i].Count = perKind
@@ -82,8 +82,10 @@
 
 // service is a service that its user cancels after a while.
 func service(n, replicas int, cpus float64) *wire.Job {
-	return &wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "s", Team: "free", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas,
-		CPUs: cpus, MemoryGB: 4, Image: "srv", ImageGB: 1}
+	return &wire.Job{
+		ID: fmt.Sprintf("req-%06d", n), Class: "s", Team: "free", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas,
+		CPUs: cpus, MemoryGB: 4, Image: "srv", ImageGB: 1,
+	}
 }
 
 // The limits are lowered while nodes end, also in the middle of the conversion: nothing
@@ -330,7 +332,8 @@
 			}
 			rnd := rand.New(rand.NewPCG(uint64(seed), 9))
 			script := pairs(rnd, 3*time.Minute)
-			m := meeting{seed: uint64(300 + seed), looks: seed%2 == 1, script: script,
+			m := meeting{
+				seed: uint64(300 + seed), looks: seed%2 == 1, script: script,
 				setup: func(d *day) {
 					d.asOld()
 					ends := rand.New(rand.NewPCG(uint64(seed), 10)) // used under the world's lock
@@ -355,7 +358,7 @@
 						job.SpreadZones = rnd.IntN(2) == 0
 						d.submit(job, time.Duration(60+rnd.IntN(200))*second)
 					}
-					d.jobs(0, 30, 170*second)
+					d.jobs(30, 170*second)
 				},
 			}
 			m.play(t)
@@ -376,7 +379,7 @@
 		t.Run(fmt.Sprintf("raised meanwhile %v", meanwhile), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				d := newDay(t, ctx, 1)
+				d := newDay(ctx, t, 1)
 				c := New(d.settings(0), d.tune, d.fabric.Host("node-0")) // without its watch
 				c.machineTypes = dayTypes
 				level := wire.Write{Put: records.FeatureLevelKey, Value: records.LevelRecord{Level: records.CurrentFeatureLevel}}
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -158,7 +158,10 @@
 	return c.Conn.Write(b)
 }
 
-// connect returns the open connection, or makes one.
+// connect returns the open connection, or makes one. A new one gets no caller's context,
+// since all later calls share it.
+//
+//nolint:contextcheck // see above
 func (p *Peer) connect(timeout time.Duration) (*rpc.Client, error) {
 	p.mu.Lock()
 	client := p.client
@@ -175,7 +178,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.client != nil {
-		conn.Close() // another call was faster
+		_ = conn.Close() // another call was faster
 		return p.client, nil
 	}
 	p.client, p.answered = rpc.NewClient(boundedConn{conn}), time.Now()
@@ -188,5 +191,5 @@
 		p.client = nil
 	}
 	p.mu.Unlock()
-	client.Close()
+	_ = client.Close() // it may have ended by itself
 }
--- a/internal/peerrpc/exchange_test.go
+++ b/internal/peerrpc/exchange_test.go
@@ -21,8 +21,8 @@
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
-		for i := range v.NumField() {
-			fill(t, v.Field(i), next)
+		for _, field := range v.Fields() {
+			fill(t, field, next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -49,12 +49,14 @@
 }
 
 func connect(t *testing.T, h Handler) (*Peer, *countingNet) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := transport.TCP{}.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := l.Addr().String()
-	l.Close()
+	if err := l.Close(); err != nil {
+		t.Fatal(err)
+	}
 	ctx, cancel := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
@@ -90,8 +92,10 @@
 	sent := []wire.Heartbeat{
 		{Machine: "m-1", Incarnation: 1, Sequence: 3, FencingToken: 9, TerminationNoticeS: &zero},
 		{Machine: "refused", Incarnation: 2, Sequence: 1, TerminationNoticeS: &some},
-		{Machine: "m-2", Address: "10.1.0.1:9000", MachineType: "big", Zone: "a", Spot: true, Incarnation: 1, Sequence: 8, FencingToken: 9,
-			Tasks: []wire.TaskStatus{{Task: "req-000001/0", Attempt: 4, State: wire.TaskExited, ExitCause: wire.ExitStopped, CheckpointSaved: true}}},
+		{
+			Machine: "m-2", Address: "10.1.0.1:9000", MachineType: "big", Zone: "a", Spot: true, Incarnation: 1, Sequence: 8, FencingToken: 9,
+			Tasks: []wire.TaskStatus{{Task: "req-000001/0", Attempt: 4, State: wire.TaskExited, ExitCause: wire.ExitStopped, CheckpointSaved: true}},
+		},
 	}
 	var heartbeats []*wire.Heartbeat
 	for i := range sent {
@@ -167,7 +171,7 @@
 			t.Error("still writing beyond the limit")
 		}
 		if p.client != nil {
-			p.client.Close()
+			_ = p.client.Close() // it may have ended by itself
 		}
 	})
 }
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	listener = netutil.LimitListener(listener, maxInboundPeers)
-	stop := context.AfterFunc(ctx, func() { listener.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
 		conn, err := listener.Accept()
@@ -131,7 +131,7 @@
 
 // serveConn answers the calls of one connection until it or the context ends.
 func serveConn(ctx context.Context, server *rpc.Server, conn net.Conn) {
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	server.ServeConn(boundedConn{conn})
 }
