--- a/cmd/ambersill/main.go
+++ b/cmd/ambersill/main.go
@@ -1,19 +1,12 @@
-// Command ambersill is a cluster scheduler's controller.
+// Command ambersill runs a controller of the cluster scheduler.
 package main
 
 import (
-	"context"
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"os/signal"
-	"runtime/debug"
-	"syscall"
 
 	"ambersill/internal/config"
-	"ambersill/internal/controller"
-	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 
 	"github.com/spf13/cobra"
@@ -22,86 +15,102 @@
 // version is the program's version.
 const version = "0.1.0"
 
-// errSettings marks errors of the settings; they exit with code 2.
+// Exit codes of the program.
+const (
+	exitFailure  = 1
+	exitSettings = 2 // settings, policy or flags are invalid, so that a restart is useless
+)
+
+// errSettings reports invalid settings, an invalid policy or invalid flags.
 var errSettings = errors.New("settings")
 
 func main() {
-	if err := root().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "ambersill:", err)
-		if errors.Is(err, errSettings) {
-			os.Exit(2)
-		}
-		os.Exit(1)
+	err := rootCommand().Execute()
+	if err == nil {
+		return
+	}
+	fmt.Fprintln(os.Stderr, "ambersill:", err)
+	if errors.Is(err, errSettings) {
+		os.Exit(exitSettings)
 	}
+	os.Exit(exitFailure)
+}
+
+// configFlags are the flags that name the configuration.
+type configFlags struct {
+	settings string
+	policy   string
 }
 
-func root() *cobra.Command {
-	var settings, policy string
-	load := func() (*config.Settings, tuning.Tuning, error) {
-		t := tuning.Default()
-		if settings == "" {
-			return nil, t, fmt.Errorf("%w: --config names no file", errSettings)
-		}
-		s, err := config.Load(settings)
-		if err == nil && policy != "" {
-			err = config.LoadPolicy(policy, &t)
-		}
-		if err != nil {
-			return nil, t, fmt.Errorf("%w: %w", errSettings, err)
-		}
-		return s, t, nil
+// load reads the settings, and the tunables with the policy applied.
+func (f *configFlags) load() (*config.Settings, tuning.Tuning, error) {
+	tunables := tuning.Default()
+	if f.settings == "" {
+		return nil, tunables, fmt.Errorf("%w: --config is required", errSettings)
 	}
+	settings, err := config.Load(f.settings)
+	if err != nil {
+		return nil, tunables, fmt.Errorf("%w: %w", errSettings, err)
+	}
+	if f.policy == "" {
+		return settings, tunables, nil
+	}
+	if err := config.LoadPolicy(f.policy, &tunables); err != nil {
+		return nil, tunables, fmt.Errorf("%w: %w", errSettings, err)
+	}
+	return settings, tunables, nil
+}
+
+func rootCommand() *cobra.Command {
+	flags := &configFlags{}
 	cmd := &cobra.Command{
-		Use:           "ambersill --config FILE",
-		Short:         "Cluster scheduler: runs one controller until it is stopped",
+		Use:   "ambersill --config FILE",
+		Short: "Run a controller of the cluster scheduler",
+		Long: "Runs a controller of the cluster scheduler until it is interrupted or terminated.\n" +
+			"It logs to standard error, at the level in LOG_LEVEL: error, info or debug.",
+		Example:       "  ambersill --config settings.toml --policy policy.star",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, t, err := load()
+			settings, tunables, err := flags.load()
 			if err != nil {
 				return err
 			}
-			return run(cmd.Context(), s, t)
+			return runController(cmd.Context(), settings, tunables)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&settings, "config", "", "settings file of the platform (TOML)")
-	cmd.PersistentFlags().StringVar(&policy, "policy", "", "operators' Starlark script that overrides tunables")
-	cmd.AddCommand(&cobra.Command{
-		Use:   "check --config FILE",
-		Short: "Check the settings and the policy, and exit",
-		Args:  cobra.NoArgs,
+	cmd.PersistentFlags().StringVar(&flags.settings, "config", "", "settings `file` of the platform (TOML)")
+	cmd.PersistentFlags().StringVar(&flags.policy, "policy", "", "policy script `file` that overrides tunables (Starlark)")
+	cmd.AddCommand(checkCommand(flags), versionCommand(), standinCommand())
+	return cmd
+}
+
+func checkCommand(flags *configFlags) *cobra.Command {
+	return &cobra.Command{
+		Use:     "check --config FILE",
+		Short:   "Check the settings and the policy",
+		Long:    "Checks the settings and the policy. It exits with code 2 if they are invalid.",
+		Example: "  ambersill check --config settings.toml --policy policy.star",
+		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s, _, err := load()
+			settings, _, err := flags.load()
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are good\n", s.Node)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are good\n", settings.Node)
 			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			fmt.Fprintln(cmd.OutOrStdout(), "ambersill", version)
 		},
-	}, standinCommand())
-	return cmd
-}
-
-func run(ctx context.Context, s *config.Settings, t tuning.Tuning) error {
-	var level slog.Level
-	if err := level.UnmarshalText([]byte(os.Getenv("LOG_LEVEL"))); err != nil {
-		level = slog.LevelInfo
 	}
-	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})))
-	// The collector is idle for longer than by default, since processor time is scarcer
-	// than memory, and works harder before the machine's memory is reached; the rest is
-	// for what Go does not count.
-	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(s.Cluster.Limits.RAMMB * tuning.HeapShare * (1 << 20)))
-	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	return controller.New(s, t, transport.TCP{}).Run(ctx)
 }
--- /dev/null
+++ b/cmd/ambersill/samples.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"ambersill/internal/config"
+	"ambersill/internal/wire"
+)
+
+// Ports of the emulators and controllers on loopback; workers use those from 20000 on.
+const (
+	portState  = 19001
+	portCloud  = 19002
+	portPublic = 19100 // of the first controller; the others use the next ones
+	portMesh   = 19200 // of the first controller; the others use the next ones
+)
+
+const (
+	sampleZone = "a"
+	sampleTeam = "red"
+	// sampleCapacity is the number of machines that can be rented as spot instances, and of
+	// those on demand.
+	sampleCapacity = 4
+	// sampleListLagS is by how many seconds the cloud's list lags.
+	sampleListLagS = 1
+	// sampleServiceTime is the time after which users cancel sample services.
+	sampleServiceTime = 15 * time.Second
+)
+
+var sampleMachineType = wire.MachineType{
+	Name:             "small",
+	CPUs:             8,
+	MemoryGB:         32,
+	ImageCacheGB:     50,
+	ImageFetchGBPerS: 1,
+	HourlyPrice:      1,
+	HourlySpotPrice:  0.4,
+	BootS:            3,
+	Zones:            []string{sampleZone},
+}
+
+func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
+
+func nodeName(index int) string { return fmt.Sprintf("node-%d", index) }
+
+// sampleSettings returns the settings of one of several controllers, as the platform would
+// configure it.
+func sampleSettings(index, nodes int) config.Settings {
+	settings := config.Settings{
+		Node:       nodeName(index),
+		Zone:       sampleZone,
+		PublicAddr: loopback(portPublic + index),
+		MeshAddr:   loopback(portMesh + index),
+		Outside: config.Outside{
+			Cloud: loopback(portCloud),
+			State: loopback(portState),
+		},
+		Cluster: sampleCluster(nodes),
+	}
+	for other := range nodes {
+		if other == index {
+			continue
+		}
+		settings.Members = append(settings.Members, config.Member{
+			Node: nodeName(other),
+			Zone: sampleZone,
+			Addr: loopback(portMesh + other),
+		})
+	}
+	return settings
+}
+
+func sampleCluster(nodes int) config.Cluster {
+	return config.Cluster{
+		Count: nodes,
+		Zones: []string{sampleZone},
+		Teams: []config.Team{{Name: sampleTeam, CPUs: 8, CPUsMax: 32}},
+		Workers: config.Workers{
+			ReportS:   2,
+			LeaseS:    14,
+			GangWaitS: 35,
+			GangPeerS: 5,
+			CancelS:   44,
+		},
+		State: config.State{
+			StateLimits: config.StateLimits{
+				RPS:      150,
+				WriteRPS: 50,
+				ValueKB:  8,
+				TxnOps:   12,
+			},
+		},
+		Cloud: config.Cloud{
+			RPS:      5,
+			ListLagS: sampleListLagS,
+		},
+		Limits: config.MachineLimits{
+			CPU:        0.1,
+			RAMMB:      100,
+			MaxSockets: 700,
+		},
+	}
+}
+
+// sampleJob returns a job, and the time after which its user cancels it; 0 means never. Of
+// five jobs in a row, three are arrays, one is a gang and one is a service.
+func sampleJob(index int) (*wire.Job, time.Duration) {
+	job := &wire.Job{
+		ID:            fmt.Sprintf("req-%06d", index+1),
+		Class:         "sample",
+		Team:          sampleTeam,
+		Shape:         wire.ArrayJob,
+		Priority:      wire.PriorityStandard,
+		Tasks:         1 + index%4,
+		CPUs:          2,
+		MemoryGB:      4,
+		Image:         "img",
+		ImageGB:       1,
+		EstimatedRunS: 5,
+		AllowSpot:     true,
+	}
+	switch index % 5 {
+	case 2:
+		job.Shape = wire.GangJob
+		job.Tasks = 2
+	case 4:
+		job.Shape = wire.ServiceJob
+		job.Tasks = 2
+		job.EstimatedRunS = 0
+		return job, sampleServiceTime
+	}
+	return job, 0
+}
--- /dev/null
+++ b/cmd/ambersill/standin_test.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"errors"
+	"io"
+	"path/filepath"
+	"testing"
+
+	"ambersill/internal/config"
+)
+
+func TestWrittenSettingsCanBeLoaded(t *testing.T) {
+	directory := t.TempDir()
+	settings := []config.Settings{sampleSettings(0, 2), sampleSettings(1, 2)}
+	if err := writeSettings(io.Discard, directory, settings); err != nil {
+		t.Fatal(err)
+	}
+	for _, node := range settings {
+		loaded, err := config.Load(filepath.Join(directory, node.Node+".toml"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.State.StateLimits != node.Cluster.State.StateLimits {
+			t.Errorf("%+v is read as %+v", node, loaded)
+		}
+	}
+}
+
+func TestInvalidFlagsAreSettingsErrors(t *testing.T) {
+	for _, arguments := range [][]string{
+		{},
+		{"check"},
+		{"check", "--config", filepath.Join(t.TempDir(), "missing.toml")},
+		{"standin"},
+		{"standin", "--dir", t.TempDir(), "--nodes", "0"},
+		{"standin", "--dir", t.TempDir(), "--nodes", "10"},
+		{"standin", "--dir", t.TempDir(), "--jobs", "-1"},
+		{"standin", "--dir", t.TempDir(), "--jobs", "1001"},
+	} {
+		cmd := rootCommand()
+		cmd.SetArgs(arguments)
+		if err := cmd.Execute(); !errors.Is(err, errSettings) {
+			t.Errorf("%q: %v", arguments, err)
+		}
+	}
+}
