--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -26,11 +26,7 @@
 	machine.lease.expired = true
 	machine.lease.expiredAt = now
 	p.capacityVersion++
-	for _, key := range sortedTaskAttempts(machine.placements) {
-		if placement := machine.placements[key]; placement != nil {
-			p.requeue(placement, now)
-		}
-	}
+	p.requeueAll(machine, now)
 }
 
 // leaseHasExpired reports whether a machine's lease has expired since the last call. Only
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -30,11 +30,11 @@
 
 	placements     map[taskAttempt]*Placement
 	pendingForgets map[taskAttempt]pendingForget
-	statusLists    uint64 // counts the task lists that were reconciled
-	cachedImages   map[string]time.Time
-	failedJobs     map[string]bool // jobs that failed here since the last success
+	statusLists    uint64               // counts the task lists that were reconciled
+	cachedImages   map[string]time.Time // presumed contents of the worker's cache, with the last use
+	failedJobs     map[string]bool      // jobs that failed here since the last success
 
-	reservedFor   string // job that capacity is reserved for
+	reservedFor   string // ID of the job that capacity is reserved for, or reservedForDrain
 	reservedUntil time.Time
 }
 
@@ -135,11 +135,7 @@
 	if machine == nil {
 		return
 	}
-	for _, key := range sortedTaskAttempts(machine.placements) {
-		if placement := machine.placements[key]; placement != nil {
-			p.requeue(placement, now)
-		}
-	}
+	p.requeueAll(machine, now)
 	for _, job := range p.jobs {
 		delete(job.failedMachines, id)
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -111,7 +111,7 @@
 // attach has a placement use its machine's capacity and its team's quota.
 func (p *Partition) attach(placement *Placement) {
 	job, machine := placement.job, placement.machine
-	request := resource.OfJob(job.Job)
+	request := job.taskRequest()
 	team := p.team(job.Team)
 	job.taskStates[placement.task] = taskPlaced
 	job.waitingTasks--
@@ -133,7 +133,7 @@
 	delete(job.placements, placement.task)
 	placement.machine.remove(placement)
 	team := p.team(job.Team)
-	team.Allocated = team.Allocated.Sub(resource.OfJob(job.Job))
+	team.Allocated = team.Allocated.Sub(job.taskRequest())
 	if job.taskStates[placement.task] == taskPlaced {
 		job.taskStates[placement.task] = taskWaiting
 		job.waitingTasks++
@@ -148,7 +148,7 @@
 func (m *Machine) remove(placement *Placement) {
 	job := placement.job
 	delete(m.placements, placement.taskAttempt())
-	m.allocated = m.allocated.Sub(resource.OfJob(job.Job))
+	m.allocated = m.allocated.Sub(job.taskRequest())
 	if len(m.placements) == 0 {
 		m.allocated = resource.Vector{} // without rounding errors
 	}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -55,7 +55,7 @@
 	}
 	if state == wire.TaskWaitingForGang && job.gangBroken && placement.stopRequest == nil {
 		// The task was left alone only to finish fetching its image.
-		p.holdMachineForGang(placement, now)
+		p.reserveMachineForGang(placement, now)
 		p.requestStop(placement, 0, now)
 	}
 }
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -12,10 +12,6 @@
 	// task may take to show up as stopped: one until the command leaves, and one until
 	// the worker reports the exit.
 	stopDeliveryHeartbeats = 2
-	// gangReservationHeartbeats is how many heartbeat intervals a machine stays reserved
-	// for a gang beyond the fetch of its image: for the worker to report the image, for
-	// the stop and for the next start.
-	gangReservationHeartbeats = 3
 	// imageFetchAllowance is how many times the duration of a fetch at the machine type's
 	// rate a gang's image may take.
 	imageFetchAllowance = 2
@@ -38,6 +34,17 @@
 	}
 }
 
+// requeueAll requeues all placements of a machine.
+func (p *Partition) requeueAll(machine *Machine, now time.Time) {
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		placement := machine.placements[key]
+		if placement == nil {
+			continue // detached with another task of its gang
+		}
+		p.requeue(placement, now)
+	}
+}
+
 // requestStop has a placement stopped with a grace period in seconds. One whose start was
 // never sent is detached at once.
 func (p *Partition) requestStop(placement *Placement, graceS float64, now time.Time) {
@@ -124,20 +131,20 @@
 // to fetch again while the first task waits in vain again, and so forever.
 func (p *Partition) gangTimedOut(placement *Placement, now time.Time) {
 	job := placement.job
-	p.holdMachineForGang(placement, now)
+	p.reserveMachineForGang(placement, now)
 	p.detach(placement)
 	job.gangBroken = len(job.placements) > 0
 	for _, other := range sortedPlacements(job) {
 		if other.state != wire.TaskFetching || other.stopRequest != nil {
-			p.holdMachineForGang(other, now)
+			p.reserveMachineForGang(other, now)
 			p.requestStop(other, 0, now)
 		}
 	}
 }
 
-// holdMachineForGang reserves a placement's machine for the next attempt of its gang, until
+// reserveMachineForGang reserves a placement's machine for the next attempt of its gang, until
 // the slowest of the gang's machines must have fetched the image.
-func (p *Partition) holdMachineForGang(placement *Placement, now time.Time) {
+func (p *Partition) reserveMachineForGang(placement *Placement, now time.Time) {
 	job := placement.job
 	fetchS := 0.0
 	for _, other := range job.placements {
@@ -146,7 +153,5 @@
 			fetchS = max(fetchS, imageFetchAllowance*job.ImageGB/rate)
 		}
 	}
-	durationS := fetchS + gangReservationHeartbeats*p.settings.Cluster.Workers.ReportS
-	placement.machine.reservedFor = job.ID
-	placement.machine.reservedUntil = now.Add(tuning.Seconds(durationS))
+	placement.machine.reserve(job.ID, now.Add(tuning.Seconds(fetchS+p.heartbeatToleranceS())))
 }
