--- a/internal/productiontest/productiontest.go
+++ b/internal/productiontest/productiontest.go
@@ -1,5 +1,5 @@
-// Package productiontest takes the version in production out of the repository's history,
-// so that tests can run it beside the present one.
+// Package productiontest extracts the version in production from the repository's history, so
+// that tests can check that it and the present version understand each other.
 package productiontest
 
 import (
@@ -10,7 +10,13 @@
 	"testing"
 )
 
-// commitLine is the line of deploy/service.toml that names the version in production.
+// serviceFile describes the deployment, relative to the repository's root.
+const serviceFile = "deploy/service.toml"
+
+// newFileMode is the mode of files added to the extracted sources.
+const newFileMode = 0o644
+
+// commitLine matches the line of the service file that names the version in production.
 var commitLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
 // Version is a copy of the sources of the version in production.
@@ -21,43 +27,45 @@
 func Extract(t *testing.T, root string) *Version {
 	t.Helper()
 	commit := productionCommit(t, root)
-	v := &Version{root: t.TempDir()}
-	extract := exec.CommandContext(t.Context(), "sh", "-c", `git -C "$0" archive "$1" | tar -x -C "$2"`, root, commit, v.root)
+	version := &Version{root: t.TempDir()}
+	const script = `git -C "$0" archive "$1" | tar -x -C "$2"`
+	extract := exec.CommandContext(t.Context(), "sh", "-c", script, root, commit, version.root)
+	// The shell reports the status of tar alone, so that output is a failure too.
 	if out, err := extract.CombinedOutput(); err != nil || len(out) > 0 {
-		t.Fatalf("the production version is not in the history: %v\n%s", err, out)
+		t.Fatalf("extracting the production version %s: %v\n%s", commit, err, out)
 	}
-	return v
+	return version
 }
 
-// productionCommit is the commit that deploy/service.toml names.
+// productionCommit returns the commit that the service file names.
 func productionCommit(t *testing.T, root string) string {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join(root, "deploy", "service.toml"))
+	text, err := os.ReadFile(filepath.Join(root, serviceFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := commitLine.FindSubmatch(b)
-	if m == nil {
-		t.Fatal("deploy/service.toml names no production version")
+	match := commitLine.FindSubmatch(text)
+	if match == nil {
+		t.Fatalf("%s does not name a production version", serviceFile)
 	}
-	return string(m[1])
+	return string(match[1])
 }
 
-// AddFile writes a file into a directory of the production version.
+// AddFile adds a file, such as a test, to a directory of the production version.
 func (v *Version) AddFile(t *testing.T, directory, name string, content []byte) {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(v.root, directory, name), content, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(v.root, directory, name), content, newFileMode); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Test runs a test of the production version with additional environment variables.
+// Test runs one test of the production version with additional environment variables.
 func (v *Version) Test(t *testing.T, directory, name string, env ...string) {
 	t.Helper()
 	run := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-run", "^"+name+"$", "./"+directory)
 	run.Dir = v.root
 	run.Env = append(os.Environ(), env...)
 	if out, err := run.CombinedOutput(); err != nil {
-		t.Fatalf("the production version does not understand this one: %v\n%s", err, out)
+		t.Fatalf("test %s of the production version: %v\n%s", name, err, out)
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 		"samePlace": true, "spread": false, "windfall": true, "guessS": 240.0, "stitchS": 30.0, "bankS": 4.0, "dueS": 900.0, "later": 1}
 }
 
-// Bad input must be told from good by the field, since it is never retried.
+// An invalid submission is never retried, so a valid one must not be taken for it.
 func TestParseJob(t *testing.T) {
 	for name, change := range map[string]func(m map[string]any){
 		"good":              func(map[string]any) {},
