--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -86,6 +86,8 @@
 		p.finalizeJob(job)
 	case wire.JobCancelled:
 		p.Cancel(job.ID, now)
+	case wire.JobQueued, wire.JobRunning:
+		// The end is not committed; the next batch contains it again.
 	}
 }
 
