--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -26,10 +26,13 @@
 	}
 }
 
+// machineRequest sends a request to the worker of a machine, and reports whether the worker has
+// executed it.
+type machineRequest func(ctx context.Context, id, address string) (executed bool)
+
 // startRequest runs send in a goroutine if the machine's address is known and a command slot
-// is free. send reports whether the worker has executed the request, on which the machine's
-// back-off depends.
-func (o *ownedPartition) startRequest(ctx context.Context, id string, send func(ctx context.Context, id, address string) (executed bool)) {
+// is free. Whether the request was executed decides on the machine's back-off.
+func (o *ownedPartition) startRequest(ctx context.Context, id string, send machineRequest) {
 	slots := o.controller.commandSlots
 	address := o.controller.address(id)
 	if address == "" || !slots.acquire(id, time.Now()) {
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -33,8 +33,7 @@
 	commitRefused
 	// commitInvalid: not executed, and never will be as it is, since it exceeds a limit.
 	commitInvalid
-	// commitConflict: a key has another revision than expected, perhaps that of this very
-	// batch, if the store has executed it and received it a second time.
+	// commitConflict: not executed, since a key has another revision than expected.
 	commitConflict
 	// commitUnknown: no answer; it may have been executed, or may still be.
 	commitUnknown
@@ -130,7 +129,7 @@
 	o.mu.Unlock()
 }
 
-// refreshKeys reads the keys of a batch whose outcome is not known. The next commit writes
+// refreshKeys reads the keys of a batch that was not confirmed. The next commit writes
 // them under the revisions read here, after which this one can no longer be applied.
 func (o *ownedPartition) refreshKeys(ctx context.Context, batch *scheduler.Batch) {
 	for _, compare := range batch.Txn.Compares {
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -72,15 +72,18 @@
 			owner:     &echoOwner{unblock: make(chan struct{})},
 			ownerHost: fabric.Host("owner"),
 		}
-		served := make(chan error, 1)
-		go func() { served <- peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) }()
+		served := make(chan struct{})
+		go func() {
+			defer close(served)
+			_ = peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) // fails where the test shuts the owner down
+		}()
 		f.forwarder = newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: ownerAddr}, Net: f.network})
 		f.forwarder.done = ctx.Done()
 		go func() { _ = f.forwarder.run(ctx) }()
 		time.Sleep(time.Millisecond) // until the owner listens
 		test(t, f)
 		cancel()
-		_ = <-served // an error where the test has shut the owner down
+		<-served
 		f.ownerHost.Shutdown()
 		time.Sleep(time.Minute) // until every goroutine has ended
 	})
