--- a/cmd/ambersill/main.go
+++ b/cmd/ambersill/main.go
@@ -4,6 +4,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"os"
 
 	"ambersill/internal/config"
@@ -98,7 +99,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: settings are good\n", settings.Node)
+			printf(cmd.OutOrStdout(), "%s: settings are good\n", settings.Node)
 			return nil
 		},
 	}
@@ -110,7 +111,12 @@
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			fmt.Fprintln(cmd.OutOrStdout(), "ambersill", version)
+			printf(cmd.OutOrStdout(), "ambersill %s\n", version)
 		},
 	}
 }
+
+// printf prints for the user; a failure to print does not change what the command does.
+func printf(out io.Writer, format string, args ...any) {
+	_, _ = fmt.Fprintf(out, format, args...)
+}
--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -93,12 +93,12 @@
 	if err != nil {
 		return err
 	}
-	defer store.Close()
+	defer func() { _ = store.Close() }()
 	cloud, err := serveOnLoopback(ctx, portCloud, newCloud(simulation).Handler())
 	if err != nil {
 		return err
 	}
-	defer cloud.Close()
+	defer func() { _ = cloud.Close() }()
 
 	if err := writeSettings(out, options.directory, settings); err != nil {
 		return err
@@ -108,7 +108,7 @@
 	}
 	<-ctx.Done()
 	for _, violation := range simulation.Violations() {
-		fmt.Fprintln(out, "broken rule:", violation)
+		printf(out, "broken rule: %v\n", violation)
 	}
 	return nil
 }
@@ -176,7 +176,7 @@
 		if err := os.WriteFile(path, text, fileMode); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, "settings:", path)
+		printf(out, "settings: %s\n", path)
 	}
 	return nil
 }
@@ -191,5 +191,5 @@
 		CancelAfter: cancelAfter,
 	}
 	phase := user.Run(ctx, job)
-	fmt.Fprintf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, phase)
+	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, phase)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,9 +8,29 @@
 )
 
 func goodJob() map[string]any {
-	return map[string]any{"uid": "req-000412", "lane": "train", "crew": "vision", "shape": "ensemble", "rank": "urgent", "pieces": 16,
-		"cores": 8.0, "gpus": 1.0, "ramGb": 64.0, "pattern": "img-07", "imageGb": 6.2, "breeds": []string{"g8"}, "field": nil,
-		"samePlace": true, "spread": false, "windfall": true, "guessS": 240.0, "stitchS": 30.0, "bankS": 4.0, "dueS": 900.0, "later": 1}
+	return map[string]any{
+		"uid":       "req-000412",
+		"lane":      "train",
+		"crew":      "vision",
+		"shape":     "ensemble",
+		"rank":      "urgent",
+		"pieces":    16,
+		"cores":     8.0,
+		"gpus":      1.0,
+		"ramGb":     64.0,
+		"pattern":   "img-07",
+		"imageGb":   6.2,
+		"breeds":    []string{"g8"},
+		"field":     nil,
+		"samePlace": true,
+		"spread":    false,
+		"windfall":  true,
+		"guessS":    240.0,
+		"stitchS":   30.0,
+		"bankS":     4.0,
+		"dueS":      900.0,
+		"later":     1, // unknown fields are ignored
+	}
 }
 
 // An invalid submission is never retried, so a valid one must not be taken for it.
