--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -25,135 +25,173 @@
 	for i := range machines {
 		harness.addMachine(fmt.Sprintf("m-%06d", i), "cpu", "a", false)
 	}
-	next := 0
-	for i := 0; b.Loop(); i++ {
+	submitted := 0
+	for cycle := 0; b.Loop(); cycle++ {
 		for len(harness.jobs) < jobs {
-			job := newArrayJob(fmt.Sprintf("req-%06d", next), 220, 1)
-			job.Image, job.ImageGB = fmt.Sprint("img-", next%18), 1
+			job := newArrayJob(fmt.Sprintf("req-%06d", submitted), 220, 1)
+			job.Image, job.ImageGB = fmt.Sprint("img-", submitted%18), 1
 			harness.addJob(job)
-			next++
+			submitted++
 		}
 		harness.now = harness.now.Add(100 * time.Millisecond)
 		harness.Schedule(harness.now)
 		harness.commitBatches()
-		for k, id := range harness.machineIDs {
-			if (k+i)%20 != 0 {
-				continue
+		for i, id := range harness.machineIDs {
+			if (i+cycle)%20 == 0 {
+				harness.completeTasks(id)
+				harness.sendHeartbeat(id)
 			}
-			harness.sendHeartbeat(id)
-			for _, a := range sortedTaskAttempts(harness.machines[id].placements) {
-				harness.endTask(id, a.task, a.attempt, wire.ExitDone)
-			}
-			harness.sendHeartbeat(id)
-			harness.sendHeartbeat(id)
 		}
 		harness.MachinesAwaitingCommands(true)
-		if i%10 == 0 {
+		if cycle%10 == 0 {
 			harness.Summary(harness.now)
 		}
 	}
 }
 
-// encodedBytes is a value's size in the protocol's measure.
-func encodedBytes(t *testing.T, v any) int {
-	n := encodedBytesOrZero(v)
-	if n == 0 {
-		t.Fatalf("%v has no size", v)
+// completeTasks has a worker start what it is to run, and report all its tasks as done.
+func (h *partitionHarness) completeTasks(id string) {
+	h.sendHeartbeat(id)
+	for _, key := range sortedTaskAttempts(h.machines[id].placements) {
+		h.endTask(id, key.task, key.attempt, wire.ExitDone)
+	}
+	h.sendHeartbeat(id)
+}
+
+// encodedBytes returns a value's size in the protocol's measure, as JSON.
+func encodedBytes(t *testing.T, value any) int {
+	t.Helper()
+	size := encodedBytesOrZero(value)
+	if size == 0 {
+		t.Fatalf("%v can't be encoded", value)
 	}
-	return n
+	return size
 }
 
-// encodedBytesOrZero is jsonBytes; 0 for what is no value.
-func encodedBytesOrZero(v any) int {
-	raw, err := wire.Marshal(v)
+// encodedBytesOrZero is encodedBytes; 0 for what can't be encoded.
+func encodedBytesOrZero(value any) int {
+	raw, err := wire.Marshal(value)
 	if err != nil {
 		return 0
 	}
-	var plain any
-	if wire.Unmarshal(raw, &plain) != nil {
+	var decoded any
+	if wire.Unmarshal(raw, &decoded) != nil {
 		return 0
 	}
-	out, err := json.Marshal(withStringKeys(plain))
+	text, err := json.Marshal(withStringKeys(decoded))
 	if err != nil {
 		return 0
 	}
-	return len(out)
+	return len(text)
 }
 
-func withStringKeys(v any) any {
-	switch x := v.(type) {
+// withStringKeys returns a decoded value with the keys of its maps as strings, as JSON wants
+// them.
+func withStringKeys(value any) any {
+	switch value := value.(type) {
 	case map[any]any:
-		out := map[string]any{}
-		for k, e := range x {
-			out[fmt.Sprint(k)] = withStringKeys(e)
+		converted := map[string]any{}
+		for key, element := range value {
+			converted[fmt.Sprint(key)] = withStringKeys(element)
 		}
-		return out
+		return converted
 	case []any:
-		for i := range x {
-			x[i] = withStringKeys(x[i])
+		for i := range value {
+			value[i] = withStringKeys(value[i])
 		}
 	}
-	return v
+	return value
 }
 
-// With several times the machines and jobs of any deployment served, each record
-// stays within a value, and a transaction within 64 KiB: one that does not would be
-// refused for ever, and with it all that it holds.
+// longName is as long as names in records get.
+var longName = strings.Repeat("x", 60)
+
+// With several times the machines and jobs of any deployment served, each record stays
+// within a value, and a transaction within 64 KiB: a larger one would be refused each time,
+// and with it everything that it holds.
 func TestRecordsStayWithinTheirLimits(t *testing.T) {
 	harness := newPartitionHarness()
-	limit := int(harness.settings.Cluster.State.ValueKB * 1024)
-	long := strings.Repeat("x", 60)
-	recs := map[string]records.MachineRecord{}
-	per := records.MachinesPerGroup(harness.settings.Cluster.State.ValueKB, long, long)
+	checkMachineGroupSize(t, harness)
 	for i := range 1500 {
-		id := fmt.Sprintf("m-%09d", i)
-		harness.addMachine(id, "cpu", "a", false)
-		if i < per {
-			recs[id] = records.MachineRecord{MachineType: long, Zone: long, Spot: true, Partition: 4, Desired: records.DesiredReturned, MoveTo: 3, Released: true, CreatedAtMS: 1 << 41, FencingToken: 1 << 40}
-		}
-	}
-	if n := encodedBytes(t, records.MachineGroupRecord{Machines: recs}); n > limit {
-		t.Errorf("a group of %d bytes", n)
+		harness.addMachine(fmt.Sprintf("m-%09d", i), "cpu", "a", false)
 	}
 	for i := range 600 {
 		job := newArrayJob(fmt.Sprintf("req-%06d", i), 128, 1+float64(i)/1000)
-		job.Class, job.Team, job.Image = long, long, long
+		job.Class, job.Team, job.Image = longName, longName, longName
 		harness.addJob(job)
 	}
 	for round := range 3 {
 		harness.Schedule(harness.now)
-		for {
-			batch := harness.PrepareBatch()
-			if batch.Empty() {
-				break
-			}
-			if n := encodedBytes(t, batch.Txn); n > 64<<10 || len(batch.Txn.Writes) > harness.settings.Cluster.State.TxnOps || len(batch.Txn.Compares) > 4*harness.settings.Cluster.State.TxnOps {
-				t.Fatalf("a transaction of %d bytes, %d changes, %d conditions", n, len(batch.Txn.Writes), len(batch.Txn.Compares))
-			}
-			for _, w := range batch.Txn.Writes {
-				if n := encodedBytes(t, w.Value); n > limit {
-					t.Fatalf("%s has %d bytes", w.Put, n)
-				}
-			}
-			harness.revision++
-			harness.ConfirmBatch(batch, harness.revision)
+		commitWithinLimits(t, harness)
+		checkSummarySize(t, harness)
+		for _, id := range harness.machineIDs[:300*(round+1)] {
+			harness.completeTasks(id)
 		}
-		summary := harness.Summary(harness.now)
-		for _, notes := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
-			if n := encodedBytes(t, notes); n > limit {
-				t.Fatalf("notes of %d bytes", n)
-			}
+	}
+}
+
+// valueLimit is the size in bytes up to which the key-value store accepts a value.
+func (h *partitionHarness) valueLimit() int {
+	return int(h.settings.Cluster.State.ValueKB * 1024)
+}
+
+// checkMachineGroupSize checks the largest record of a full group of machines.
+func checkMachineGroupSize(t *testing.T, harness *partitionHarness) {
+	t.Helper()
+	group := map[string]records.MachineRecord{}
+	for i := range records.MachinesPerGroup(harness.settings.Cluster.State.ValueKB, longName, longName) {
+		group[fmt.Sprintf("m-%09d", i)] = records.MachineRecord{
+			MachineType:  longName,
+			Zone:         longName,
+			Spot:         true,
+			Partition:    4,
+			Desired:      records.DesiredReturned,
+			MoveTo:       3,
+			Released:     true,
+			CreatedAtMS:  1 << 41,
+			FencingToken: 1 << 40,
+		}
+	}
+	if size := encodedBytes(t, records.MachineGroupRecord{Machines: group}); size > harness.valueLimit() {
+		t.Errorf("a group of %d bytes", size)
+	}
+}
+
+// commitWithinLimits commits all changes, and checks each transaction against the limits of
+// the key-value store.
+func commitWithinLimits(t *testing.T, harness *partitionHarness) {
+	t.Helper()
+	maxOps := harness.settings.Cluster.State.TxnOps
+	for {
+		batch := harness.PrepareBatch()
+		if batch.Empty() {
+			return
 		}
-		if n := encodedBytes(t, summary); n > limit || len(summary.Waiting) == 0 {
-			t.Fatalf("a summary of %d bytes with %d demands", n, len(summary.Waiting))
+		size, writes, compares := encodedBytes(t, batch.Txn), len(batch.Txn.Writes), len(batch.Txn.Compares)
+		if size > 64<<10 || writes > maxOps || compares > 4*maxOps {
+			t.Fatalf("a transaction of %d bytes, %d writes, %d compares", size, writes, compares)
 		}
-		for _, id := range harness.machineIDs[:300*(round+1)] {
-			harness.sendHeartbeat(id)
-			for _, a := range sortedTaskAttempts(harness.machines[id].placements) {
-				harness.endTask(id, a.task, a.attempt, wire.ExitDone)
+		for _, write := range batch.Txn.Writes {
+			if size := encodedBytes(t, write.Value); size > harness.valueLimit() {
+				t.Fatalf("%s has %d bytes", write.Put, size)
 			}
-			harness.sendHeartbeat(id)
 		}
+		harness.revision++
+		harness.ConfirmBatch(batch, harness.revision)
+	}
+}
+
+// checkSummarySize checks the summary's records, and that it shows waiting tasks.
+func checkSummarySize(t *testing.T, harness *partitionHarness) {
+	t.Helper()
+	summary := harness.Summary(harness.now)
+	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
+		if size := encodedBytes(t, digests); size > harness.valueLimit() {
+			t.Fatalf("digests of %d bytes", size)
+		}
+	}
+	if size := encodedBytes(t, summary); size > harness.valueLimit() || len(summary.Waiting) == 0 {
+		t.Fatalf("a summary of %d bytes with %d demands", size, len(summary.Waiting))
 	}
 }
 
@@ -170,12 +208,13 @@
 	harness.ReduceLimits()
 	harness.ReduceLimits()
 	after := harness.PrepareBatch()
-	for _, w := range after.Txn.Writes {
-		if n := encodedBytesOrZero(w.Value); n > 2<<10 {
-			t.Errorf("%s has %d bytes", w.Put, n)
+	for _, write := range after.Txn.Writes {
+		if size := encodedBytesOrZero(write.Value); size > 2<<10 {
+			t.Errorf("%s has %d bytes", write.Put, size)
 		}
 	}
-	if n := encodedBytesOrZero(before.Txn.Writes[0].Value); n <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
-		t.Errorf("a value of %d bytes before, %d changes after", n, len(after.Txn.Writes))
+	sizeBefore := encodedBytesOrZero(before.Txn.Writes[0].Value)
+	if sizeBefore <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
+		t.Errorf("a value of %d bytes before, %d writes after", sizeBefore, len(after.Txn.Writes))
 	}
 }
