--- /dev/null
+++ b/internal/docs/docs_test.go
@@ -0,0 +1,228 @@
+// Package docs checks that the documents name what the code has.
+package docs
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+// root is the repository's root.
+const root = "../.."
+
+// source is what the documents may name.
+type source struct {
+	packages    map[string]bool // by directory, as internal/scheduler
+	identifiers map[string]bool // package.Name, package.Type.Method and package.Type.Field
+	messages    map[string]bool // of log lines of level info and error
+}
+
+// readSource parses all Go files but tests.
+func readSource(t *testing.T) *source {
+	t.Helper()
+	s := &source{packages: map[string]bool{}, identifiers: map[string]bool{}, messages: map[string]bool{}}
+	fileSet := token.NewFileSet()
+	for _, top := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
+				return err
+			}
+			directory, err := filepath.Rel(root, filepath.Dir(path))
+			if err != nil {
+				return err
+			}
+			s.packages[filepath.ToSlash(directory)] = true
+			if strings.HasSuffix(path, "_test.go") {
+				return nil
+			}
+			file, err := parser.ParseFile(fileSet, path, nil, 0)
+			if err != nil {
+				return err
+			}
+			s.addDeclarations(file)
+			s.addMessages(file)
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	return s
+}
+
+// addDeclarations notes a file's package-level names, methods and fields.
+func (s *source) addDeclarations(file *ast.File) {
+	prefix := file.Name.Name + "."
+	for _, declaration := range file.Decls {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			name := declaration.Name.Name
+			if declaration.Recv != nil {
+				name = receiverType(declaration) + "." + name
+			}
+			s.identifiers[prefix+name] = true
+		case *ast.GenDecl:
+			for _, spec := range declaration.Specs {
+				s.addSpec(prefix, spec)
+			}
+		}
+	}
+}
+
+func (s *source) addSpec(prefix string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			s.identifiers[prefix+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		s.identifiers[prefix+spec.Name.Name] = true
+		structure, ok := spec.Type.(*ast.StructType)
+		if !ok {
+			return
+		}
+		for _, field := range structure.Fields.List {
+			for _, name := range field.Names {
+				s.identifiers[prefix+spec.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+// receiverType is the name of a method's type.
+func receiverType(declaration *ast.FuncDecl) string {
+	expression := declaration.Recv.List[0].Type
+	if pointer, ok := expression.(*ast.StarExpr); ok {
+		expression = pointer.X
+	}
+	if name, ok := expression.(*ast.Ident); ok {
+		return name.Name
+	}
+	return ""
+}
+
+// addMessages notes the messages that a file logs with slog.Info and slog.Error.
+func (s *source) addMessages(file *ast.File) {
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
+		if !ok || len(call.Args) == 0 {
+			return true
+		}
+		function, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok || (function.Sel.Name != "Info" && function.Sel.Name != "Error") {
+			return true
+		}
+		if logger, ok := function.X.(*ast.Ident); !ok || logger.Name != "slog" {
+			return true
+		}
+		literal, ok := call.Args[0].(*ast.BasicLit)
+		if !ok {
+			return true
+		}
+		if message, err := strconv.Unquote(literal.Value); err == nil {
+			s.messages[message] = true
+		}
+		return true
+	})
+}
+
+func readDocument(t *testing.T, name string) string {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join(root, "docs", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b)
+}
+
+var (
+	codeSpan       = regexp.MustCompile("`([^`\n]+)`")
+	directoryName  = regexp.MustCompile(`^(cmd|internal)(/[a-z]+)+/?$`)
+	fileName       = regexp.MustCompile(`^(cmd|internal)(/[a-z]+)+/[a-z_]+\.go$`)
+	identifierName = regexp.MustCompile(`^[a-z]+(\.[A-Za-z]\w*){1,2}$`)
+)
+
+// A page that names what is gone misleads whoever is paged and searches for it.
+func TestDocumentedNamesExist(t *testing.T) {
+	s := readSource(t)
+	names := map[string]bool{} // of packages, without their directories
+	for directory := range s.packages {
+		names[filepath.Base(directory)] = true
+	}
+	for _, document := range []string{"architecture.md", "design.md"} {
+		checked := 0
+		for _, match := range codeSpan.FindAllStringSubmatch(readDocument(t, document), -1) {
+			name := match[1]
+			packageName, _, _ := strings.Cut(name, ".")
+			switch {
+			case fileName.MatchString(name):
+				if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+					t.Errorf("%s names a file that is gone: %s", document, name)
+				}
+			case directoryName.MatchString(name):
+				if !s.packages[strings.TrimSuffix(name, "/")] {
+					t.Errorf("%s names a package that is gone: %s", document, name)
+				}
+			case identifierName.MatchString(name) && names[packageName]:
+				if !s.identifiers[name] {
+					t.Errorf("%s names what is gone: %s", document, name)
+				}
+			default:
+				continue
+			}
+			checked++
+		}
+		if checked == 0 {
+			t.Errorf("%s names nothing that could be checked", document)
+		}
+	}
+}
+
+// Whoever reads the log looks a line up in operations.md: each one of level info or error
+// stands there, and none that is gone.
+func TestLogMessagesAreDocumented(t *testing.T) {
+	s := readSource(t)
+	text := readDocument(t, "operations.md")
+	documented := documentedMessages(text)
+	if len(documented) == 0 || len(s.messages) == 0 {
+		t.Fatalf("%d messages documented, %d logged", len(documented), len(s.messages))
+	}
+	for message := range s.messages {
+		if !slices.Contains(documented, message) {
+			t.Errorf("logged but not in operations.md: %q", message)
+		}
+	}
+	for _, message := range documented {
+		if !s.messages[message] {
+			t.Errorf("in operations.md but not logged: %q", message)
+		}
+	}
+}
+
+// documentedMessages lists the code spans in the first column of the tables of log lines.
+func documentedMessages(text string) []string {
+	var messages []string
+	inSection := false
+	for line := range strings.Lines(text) {
+		if strings.HasPrefix(line, "## ") {
+			inSection = strings.HasPrefix(line, "## Log lines of level")
+			continue
+		}
+		if !inSection || !strings.HasPrefix(line, "|") {
+			continue
+		}
+		cells := strings.Split(line, "|")
+		for _, match := range codeSpan.FindAllStringSubmatch(cells[1], -1) {
+			messages = append(messages, match[1])
+		}
+	}
+	return messages
+}
