--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -23,12 +23,13 @@
 	packages    map[string]bool // by directory, as internal/scheduler
 	identifiers map[string]bool // package.Name, package.Type.Method and package.Type.Field
 	messages    map[string]bool // of log lines of level info and error
+	tests       map[string]bool // tests and benchmarks
 }
 
 // readSource parses all Go files but tests.
 func readSource(t *testing.T) *source {
 	t.Helper()
-	s := &source{packages: map[string]bool{}, identifiers: map[string]bool{}, messages: map[string]bool{}}
+	s := &source{packages: map[string]bool{}, identifiers: map[string]bool{}, messages: map[string]bool{}, tests: map[string]bool{}}
 	fileSet := token.NewFileSet()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
@@ -40,13 +41,14 @@
 				return err
 			}
 			s.packages[filepath.ToSlash(directory)] = true
-			if strings.HasSuffix(path, "_test.go") {
-				return nil
-			}
 			file, err := parser.ParseFile(fileSet, path, nil, 0)
 			if err != nil {
 				return err
 			}
+			if strings.HasSuffix(path, "_test.go") {
+				s.addTests(file)
+				return nil
+			}
 			s.addDeclarations(file)
 			s.addMessages(file)
 			return nil
@@ -58,6 +60,15 @@
 	return s
 }
 
+// addTests notes a file's tests and benchmarks.
+func (s *source) addTests(file *ast.File) {
+	for _, declaration := range file.Decls {
+		if function, ok := declaration.(*ast.FuncDecl); ok && testName.MatchString(function.Name.Name) {
+			s.tests[function.Name.Name] = true
+		}
+	}
+}
+
 // addDeclarations notes a file's package-level names, methods and fields.
 func (s *source) addDeclarations(file *ast.File) {
 	prefix := file.Name.Name + "."
@@ -147,6 +158,7 @@
 	codeSpan       = regexp.MustCompile("`([^`\n]+)`")
 	directoryName  = regexp.MustCompile(`^(cmd|internal)(/[a-z]+)+/?$`)
 	fileName       = regexp.MustCompile(`^(cmd|internal)(/[a-z]+)+/[a-z_]+\.go$`)
+	testName       = regexp.MustCompile(`\b(Test|Benchmark)[A-Z]\w+`)
 	identifierName = regexp.MustCompile(`^[a-z]+(\.[A-Za-z]\w*){1,2}$`)
 )
 
@@ -180,6 +192,11 @@
 			}
 			checked++
 		}
+		for _, name := range testName.FindAllString(readDocument(t, document), -1) {
+			if !s.tests[name] {
+				t.Errorf("%s names a test that is gone: %s", document, name)
+			}
+		}
 		if checked == 0 {
 			t.Errorf("%s names nothing that could be checked", document)
 		}
