--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -146,8 +146,10 @@
 // add rents one machine; mu must be held.
 func (c *Cloud) add(typ, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", c.next)
-	m := &instance{rentedAt: time.Now(), machine: wire.CloudMachine{ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+c.next),
-		MachineType: typ, Zone: zone, Spot: spot, State: wire.MachineStarting}}
+	m := &instance{rentedAt: time.Now(), machine: wire.CloudMachine{
+		ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+c.next),
+		MachineType: typ, Zone: zone, Spot: spot, State: wire.MachineStarting,
+	}}
 	c.next++
 	c.machines[id] = m
 	for _, t := range c.MachineTypes {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -213,78 +213,13 @@
 	fault.Nodes = s.nodes(fault) // whoever owns the part when the trouble is over
 	switch fault.Kind {
 	case ControllerCrash:
-		for _, n := range fault.Nodes {
-			s.countInjected(fault.Kind, 1)
-			s.Crash(n)
-			s.wg.Go(func() {
-				select {
-				case <-time.After(fault.Wait):
-					s.Start(n)
-				case <-ctx.Done():
-				}
-			})
-		}
-	case StoreRefusesNode:
-		for _, n := range fault.Nodes {
-			s.Store.RefuseHost(s.Nodes[n].Name, true)
-		}
-		waitUntilOver(ctx, fault)
-		for _, n := range fault.Nodes {
-			s.countInjected(fault.Kind, s.Store.Refused(s.Nodes[n].Name))
-			s.Store.RefuseHost(s.Nodes[n].Name, false)
-		}
-	case StoreOutage:
-		s.countInjected(fault.Kind, 1)
-		s.Store.SetDown(true)
-		waitUntilOver(ctx, fault)
-		s.Store.SetDown(false)
-	case StoreSlow:
-		s.countInjected(fault.Kind, 1)
-		s.Store.SetDelay(fault.Wait)
-		waitUntilOver(ctx, fault)
-		s.Store.SetDelay(0)
-	case WatchesStalled:
-		s.countInjected(fault.Kind, 1)
-		s.Store.StallWatches(true)
-		waitUntilOver(ctx, fault)
-		s.Store.StallWatches(false)
-	case ListsRefused:
-		s.countInjected(fault.Kind, 1)
-		s.Store.RefuseLists(true)
-		waitUntilOver(ctx, fault)
-		s.Store.RefuseLists(false)
+		s.crashControllers(ctx, fault)
+	case StoreRefusesNode, StoreOutage, StoreSlow, WatchesStalled, ListsRefused:
+		s.injectStoreFault(ctx, fault)
 	case LateCommits, LostResponses:
-		named := map[string]bool{}
-		for _, n := range fault.Nodes {
-			named[s.Nodes[n].Name] = true
-		}
-		s.whileCommitFault(ctx, fault, &s.commitFault, func(from string) (RequestFault, time.Duration) {
-			if (len(named) > 0 && !named[from]) || s.float() >= fault.Share {
-				return NoFault, 0
-			}
-			s.countInjected(fault.Kind, 1)
-			if fault.Kind == LostResponses {
-				return LoseResponse, 0
-			}
-			return ExecuteLate, time.Duration((2 + 10*s.float()) * float64(time.Second))
-		})
+		s.disturbCommits(ctx, fault)
 	case LateHeartbeats:
-		s.mu.Lock()
-		s.onHeartbeat = func(_ *wire.Heartbeat, send func(Node)) {
-			if s.float() >= fault.Share {
-				return
-			}
-			to := s.Nodes[int(s.float()*float64(len(s.Nodes)))]
-			time.AfterFunc(2*time.Second+time.Duration(s.float()*float64(fault.Wait)), func() {
-				s.countInjected(fault.Kind, 1)
-				send(to)
-			})
-		}
-		s.mu.Unlock()
-		waitUntilOver(ctx, fault)
-		s.mu.Lock()
-		s.onHeartbeat = nil
-		s.mu.Unlock()
+		s.copyHeartbeatsLate(ctx, fault)
 	case HeartbeatsForNextOwner:
 		s.replayToNextOwner(ctx, fault)
 	case MachineHang, MachineInboundCut, MachineOutboundCut, DelayedCommands, MachineLost:
@@ -294,10 +229,7 @@
 		waitUntilOver(ctx, fault)
 		s.cut(fault, false)
 	case SlowLinks:
-		s.countInjected(fault.Kind, 1)
-		s.Simulation.SetLinkDelay(fault.Wait)
-		waitUntilOver(ctx, fault)
-		s.Simulation.SetLinkDelay(0)
+		s.delay(ctx, fault, s.Simulation.SetLinkDelay)
 	case SlowProcessor, NodeFrozen:
 		s.limitProcessor(ctx, fault)
 	case CancelRunningJobs:
@@ -307,6 +239,106 @@
 	}
 }
 
+// injectStoreFault disturbs requests to the key-value store other than single commits.
+func (s *FaultInjector) injectStoreFault(ctx context.Context, fault Fault) {
+	switch fault.Kind {
+	case StoreRefusesNode:
+		s.refuseNodes(ctx, fault)
+	case StoreOutage:
+		s.switchOn(ctx, fault, s.Store.SetDown)
+	case StoreSlow:
+		s.delay(ctx, fault, s.Store.SetDelay)
+	case WatchesStalled:
+		s.switchOn(ctx, fault, s.Store.StallWatches)
+	case ListsRefused:
+		s.switchOn(ctx, fault, s.Store.RefuseLists)
+	default:
+		panic(fmt.Sprintf("emulator: %q does not strike the key-value store", fault.Kind))
+	}
+}
+
+// switchOn sets a fault that is either on or off for as long as it lasts.
+func (s *FaultInjector) switchOn(ctx context.Context, fault Fault, set func(on bool)) {
+	s.countInjected(fault.Kind, 1)
+	set(true)
+	waitUntilOver(ctx, fault)
+	set(false)
+}
+
+// delay sets a delay of the fault's Wait for as long as it lasts.
+func (s *FaultInjector) delay(ctx context.Context, fault Fault, set func(delay time.Duration)) {
+	s.countInjected(fault.Kind, 1)
+	set(fault.Wait)
+	waitUntilOver(ctx, fault)
+	set(0)
+}
+
+// crashControllers kills the nodes' controllers, and starts each again after the fault's Wait.
+func (s *FaultInjector) crashControllers(ctx context.Context, fault Fault) {
+	for _, n := range fault.Nodes {
+		s.countInjected(fault.Kind, 1)
+		s.Crash(n)
+		s.wg.Go(func() {
+			select {
+			case <-time.After(fault.Wait):
+				s.Start(n)
+			case <-ctx.Done():
+			}
+		})
+	}
+}
+
+// refuseNodes has the key-value store refuse all requests of the nodes.
+func (s *FaultInjector) refuseNodes(ctx context.Context, fault Fault) {
+	for _, n := range fault.Nodes {
+		s.Store.RefuseHost(s.Nodes[n].Name, true)
+	}
+	waitUntilOver(ctx, fault)
+	for _, n := range fault.Nodes {
+		s.countInjected(fault.Kind, s.Store.Refused(s.Nodes[n].Name))
+		s.Store.RefuseHost(s.Nodes[n].Name, false)
+	}
+}
+
+// disturbCommits executes commits late, or loses their responses. The nodes named send them,
+// or any node if none is.
+func (s *FaultInjector) disturbCommits(ctx context.Context, fault Fault) {
+	named := map[string]bool{}
+	for _, n := range fault.Nodes {
+		named[s.Nodes[n].Name] = true
+	}
+	s.whileCommitFault(ctx, fault, func(from string) (RequestFault, time.Duration) {
+		if (len(named) > 0 && !named[from]) || s.float() >= fault.Share {
+			return NoFault, 0
+		}
+		s.countInjected(fault.Kind, 1)
+		if fault.Kind == LostResponses {
+			return LoseResponse, 0
+		}
+		return ExecuteLate, time.Duration((2 + 10*s.float()) * float64(time.Second))
+	})
+}
+
+// copyHeartbeatsLate sends copies of heartbeats to any node, up to the fault's Wait later.
+func (s *FaultInjector) copyHeartbeatsLate(ctx context.Context, fault Fault) {
+	s.mu.Lock()
+	s.onHeartbeat = func(_ *wire.Heartbeat, send func(Node)) {
+		if s.float() >= fault.Share {
+			return
+		}
+		to := s.Nodes[int(s.float()*float64(len(s.Nodes)))]
+		time.AfterFunc(2*time.Second+time.Duration(s.float()*float64(fault.Wait)), func() {
+			s.countInjected(fault.Kind, 1)
+			send(to)
+		})
+	}
+	s.mu.Unlock()
+	waitUntilOver(ctx, fault)
+	s.mu.Lock()
+	s.onHeartbeat = nil
+	s.mu.Unlock()
+}
+
 // limitProcessor takes processor time from the nodes.
 func (s *FaultInjector) limitProcessor(ctx context.Context, fault Fault) {
 	var struck sync.WaitGroup
@@ -327,13 +359,13 @@
 }
 
 // whileCommitFault sets what becomes of commits for as long as the trouble lasts.
-func (s *FaultInjector) whileCommitFault(ctx context.Context, fault Fault, at *func(string) (RequestFault, time.Duration), f func(string) (RequestFault, time.Duration)) {
+func (s *FaultInjector) whileCommitFault(ctx context.Context, fault Fault, f func(string) (RequestFault, time.Duration)) {
 	s.mu.Lock()
-	*at = f
+	s.commitFault = f
 	s.mu.Unlock()
 	waitUntilOver(ctx, fault)
 	s.mu.Lock()
-	*at = nil
+	s.commitFault = nil
 	s.mu.Unlock()
 }
 
@@ -395,6 +427,8 @@
 			worker.DelayCommands(fault.Wait)
 		case MachineLost:
 			s.Cloud.TakeBack(worker.Machine.ID)
+		default:
+			panic(fmt.Sprintf("emulator: %q does not strike machines", fault.Kind))
 		}
 	}
 	if fault.Kind != DelayedCommands {
@@ -427,42 +461,50 @@
 		s.countInjected(fault.Kind, 1)
 	}
 	for name := range inside {
-		switch fault.Kind {
-		case NodeIsolated, PeersCut:
-			if fault.Kind == NodeIsolated {
-				part(name, "state")
-			}
-			for _, o := range s.Nodes {
-				if o.Name != name {
-					part(name, o.Name)
-				}
-			}
-		case WorkersCut:
-			for zone := range s.Simulation.ZoneNets {
-				part(name, "workers-"+zone)
-			}
-		case CloudCut:
-			part(name, "cloud")
-		case ZoneCut:
-			for _, o := range append([]string{"state", "cloud"}, s.otherWorkers(fault.Zone)...) {
-				part(name, o)
-			}
-			for _, o := range s.Nodes {
-				if !inside[o.Name] {
-					part(name, o.Name)
-				}
-			}
+		for _, host := range s.hostsCutFrom(name, inside, fault) {
+			part(name, host)
 		}
 	}
 	if fault.Kind == ZoneCut {
-		for _, o := range s.Nodes {
-			if !inside[o.Name] {
-				part("workers-"+fault.Zone, o.Name)
-			}
+		for _, host := range s.nodesOutside(inside) {
+			part("workers-"+fault.Zone, host)
 		}
 	}
 }
 
+// hostsCutFrom lists the hosts that a fault cuts a node off from. inside are all nodes that the
+// fault names.
+func (s *FaultInjector) hostsCutFrom(name string, inside map[string]bool, fault Fault) []string {
+	others := s.nodesOutside(map[string]bool{name: true})
+	switch fault.Kind {
+	case NodeIsolated:
+		return append([]string{"state"}, others...)
+	case PeersCut:
+		return others
+	case WorkersCut:
+		return s.otherWorkers("")
+	case CloudCut:
+		return []string{"cloud"}
+	case ZoneCut:
+		hosts := append([]string{"state", "cloud"}, s.otherWorkers(fault.Zone)...)
+		return append(hosts, s.nodesOutside(inside)...)
+	default:
+		panic(fmt.Sprintf("emulator: %q cuts no links", fault.Kind))
+	}
+}
+
+// nodesOutside lists the nodes that are not in a set, by name.
+func (s *FaultInjector) nodesOutside(inside map[string]bool) []string {
+	var out []string
+	for _, node := range s.Nodes {
+		if !inside[node.Name] {
+			out = append(out, node.Name)
+		}
+	}
+	return out
+}
+
+// otherWorkers lists the workers' hosts of all zones but one; "" leaves out none.
 func (s *FaultInjector) otherWorkers(zone string) []string {
 	var out []string
 	for z := range s.Simulation.ZoneNets {
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -6,6 +6,7 @@
 
 import (
 	"bytes"
+	"context"
 	"fmt"
 	"io"
 	"net/http"
@@ -359,12 +360,15 @@
 // rawTxn keeps the values encoded.
 type rawTxn struct {
 	Compares []wire.Compare `cbor:"when"`
-	Writes   []struct {
-		Put    string   `cbor:"put"`
-		Value  wire.Raw `cbor:"value"`
-		Hold   uint64   `cbor:"hold"`
-		Delete string   `cbor:"delete"`
-	} `cbor:"then"`
+	Writes   []rawWrite     `cbor:"then"`
+}
+
+// rawWrite is a write whose value is kept as it was sent.
+type rawWrite struct {
+	Put    string   `cbor:"put"`
+	Value  wire.Raw `cbor:"value"`
+	Hold   uint64   `cbor:"hold"`
+	Delete string   `cbor:"delete"`
 }
 
 func (s *KeyValueStore) commit(w http.ResponseWriter, r *http.Request) {
@@ -399,21 +403,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
-	if s.limits != nil {
-		if why := s.limits.exceeded(t); why != "" {
-			s.invalid = append(s.invalid, why)
-			return http.StatusBadRequest, wire.ErrorResponse{Error: why}
-		}
-		if !s.limits.changes.AllowN(time.Now(), len(t.Writes)) {
-			return http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many changes"}
-		}
-	}
-	for _, o := range t.Writes {
-		if o.Put != "" && o.Hold != 0 {
-			if _, ok := s.leases[o.Hold]; !ok {
-				return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
-			}
-		}
+	if status, why := s.validate(t); status != http.StatusOK {
+		return status, wire.ErrorResponse{Error: why}
 	}
 	var failed []string
 	for _, c := range t.Compares {
@@ -425,24 +416,52 @@
 		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
 	if len(t.Writes) > 0 {
-		s.revision++
-		for _, o := range t.Writes {
-			if o.Put != "" {
-				if s.Changed != nil {
-					s.Changed(o.Put, s.items[o.Put].value, o.Value)
-				}
-				s.items[o.Put] = entry{value: o.Value, revision: s.revision, leaseID: o.Hold}
-				s.appendChange(change{key: o.Put, value: o.Value, revision: s.revision})
-				continue
-			}
-			if _, ok := s.items[o.Delete]; ok {
-				delete(s.items, o.Delete)
-				s.appendChange(change{key: o.Delete, deleted: true, revision: s.revision})
+		s.write(t.Writes)
+	}
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
+}
+
+// validate returns StatusOK, or the status and the reason with which a transaction is refused
+// whatever its compares say. The lock must be held.
+func (s *KeyValueStore) validate(t *rawTxn) (status int, why string) {
+	if s.limits != nil {
+		if why := s.limits.exceeded(t); why != "" {
+			s.invalid = append(s.invalid, why)
+			return http.StatusBadRequest, why
+		}
+		if !s.limits.changes.AllowN(time.Now(), len(t.Writes)) {
+			return http.StatusTooManyRequests, "too many changes"
+		}
+	}
+	for _, o := range t.Writes {
+		if o.Put == "" || o.Hold == 0 {
+			continue
+		}
+		if _, ok := s.leases[o.Hold]; !ok {
+			return http.StatusBadRequest, "no such lease"
+		}
+	}
+	return http.StatusOK, ""
+}
+
+// write carries out the writes of one transaction. The lock must be held.
+func (s *KeyValueStore) write(writes []rawWrite) {
+	s.revision++
+	for _, o := range writes {
+		if o.Put != "" {
+			if s.Changed != nil {
+				s.Changed(o.Put, s.items[o.Put].value, o.Value)
 			}
+			s.items[o.Put] = entry{value: o.Value, revision: s.revision, leaseID: o.Hold}
+			s.appendChange(change{key: o.Put, value: o.Value, revision: s.revision})
+			continue
+		}
+		if _, ok := s.items[o.Delete]; ok {
+			delete(s.items, o.Delete)
+			s.appendChange(change{key: o.Delete, deleted: true, revision: s.revision})
 		}
-		s.notifyWatches()
 	}
-	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
+	s.notifyWatches()
 }
 
 func (s *KeyValueStore) grant(w http.ResponseWriter, r *http.Request) {
@@ -488,6 +507,27 @@
 	writeResponse(w, http.StatusOK, map[string]bool{})
 }
 
+// eventsSince returns the changes after a revision of the keys under a prefix. The lock must
+// be held.
+func (s *KeyValueStore) eventsSince(since uint64, prefix string) []wire.Event {
+	events := []wire.Event{} // an empty list on the wire, not null
+	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > since })
+	for _, c := range s.log[first:] {
+		if !strings.HasPrefix(c.key, prefix) {
+			continue
+		}
+		event := wire.Event{Put: c.key, Value: c.value, Revision: c.revision}
+		if c.deleted {
+			event = wire.Event{Delete: c.key, Value: wire.Raw{cborNull}, Revision: c.revision}
+		}
+		events = append(events, event)
+	}
+	return events
+}
+
+// cborNull is the CBOR encoding of null, the value of a deleted key.
+const cborNull = 0xf6
+
 func (s *KeyValueStore) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	prefix := q.Get("prefix")
@@ -508,18 +548,7 @@
 			writeResponse(w, http.StatusGone, wire.ErrorResponse{Error: "too old"})
 			return
 		}
-		out := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
-		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > since })
-		for _, c := range s.log[i:] {
-			if !strings.HasPrefix(c.key, prefix) {
-				continue
-			}
-			e := wire.Event{Put: c.key, Value: c.value, Revision: c.revision}
-			if c.deleted {
-				e = wire.Event{Delete: c.key, Value: wire.Raw{0xf6}, Revision: c.revision}
-			}
-			out.Events = append(out.Events, e)
-		}
+		out := wire.WatchResponse{Revision: s.revision, Events: s.eventsSince(since, prefix)}
 		changed, served := s.changed, s.served(r.RemoteAddr) && !s.watchesStalled
 		s.mu.Unlock()
 		if !served && over && s.WatchesEnd {
@@ -531,17 +560,31 @@
 			writeResponse(w, http.StatusOK, out)
 			return
 		}
-		// Holds end without a request too, so look again now and then.
-		again := time.NewTimer(200 * time.Millisecond)
-		select {
-		case <-changed:
-		case <-again.C:
-		case <-t.C:
-			over = true
-		case <-r.Context().Done():
-			again.Stop()
+		timedOut, err := awaitChange(r.Context(), changed, t.C)
+		if err != nil {
 			return
 		}
-		again.Stop()
+		over = over || timedOut
+	}
+}
+
+// watchInterval is how often a watch looks for leases that have expired, which no request
+// announces.
+const watchInterval = 200 * time.Millisecond
+
+// awaitChange waits for a change, the watch's timeout or, at most, the watch interval. It
+// reports whether the timeout has passed, and fails if the context ends.
+func awaitChange(ctx context.Context, changed <-chan struct{}, timeout <-chan time.Time) (timedOut bool, err error) {
+	interval := time.NewTimer(watchInterval)
+	defer interval.Stop()
+	select {
+	case <-changed:
+		return false, nil
+	case <-interval.C:
+		return false, nil
+	case <-timeout:
+		return true, nil
+	case <-ctx.Done():
+		return false, ctx.Err()
 	}
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -22,8 +22,10 @@
 
 // NewNetwork makes an empty network.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*listener{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{},
-		messageCost: map[string]time.Duration{}}
+	return &Network{
+		listeners: map[string]*listener{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{},
+		messageCost: map[string]time.Duration{},
+	}
 }
 
 // Host is one machine's access to the network; it implements transport.Net.
@@ -71,7 +73,7 @@
 // deliver hands on what is written, and after Close what is left of it. Sending takes the
 // processor of the host.
 func (c *conn) deliver() {
-	defer c.Conn.Close()
+	defer func() { _ = c.Conn.Close() }()
 	for closed := false; !closed || len(c.out) > 0; {
 		select {
 		case b := <-c.out:
@@ -175,15 +177,15 @@
 	c.a.network.mu.Unlock()
 	c.once.Do(func() {
 		close(c.done)
-		time.AfterFunc(flushLimit, func() { c.Conn.Close() })
+		time.AfterFunc(flushLimit, func() { _ = c.Conn.Close() })
 	})
 	return nil
 }
 
 // reset closes the connection, and drops what is under way.
 func (c *conn) reset() {
-	c.Close()
-	c.Conn.Close()
+	_ = c.Close()
+	_ = c.Conn.Close()
 }
 
 // Dial connects to an address.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -54,8 +54,10 @@
 // StartWorker begins a machine's worker.
 func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
 	ctx, cancel := context.WithCancel(w.Ctx)
-	worker := &Worker{Machine: m, simulation: w, machineType: w.MachineTypes[m.MachineType], tasks: map[string]*task{}, images: map[string]bool{}, incarnation: 1,
-		leaseStart: time.Now(), resume: make(chan struct{}), changed: make(chan struct{}, 1), cancel: cancel}
+	worker := &Worker{
+		Machine: m, simulation: w, machineType: w.MachineTypes[m.MachineType], tasks: map[string]*task{}, images: map[string]bool{}, incarnation: 1,
+		leaseStart: time.Now(), resume: make(chan struct{}), changed: make(chan struct{}, 1), cancel: cancel,
+	}
 	go worker.run(ctx)
 	go worker.listen(ctx)
 	return worker
@@ -181,8 +183,10 @@
 
 func (k *Worker) heartbeat() wire.Heartbeat {
 	k.sequence++
-	r := wire.Heartbeat{Machine: k.Machine.ID, Address: k.Machine.Address, MachineType: k.Machine.MachineType, Zone: k.Machine.Zone, Spot: k.Machine.Spot, Incarnation: k.incarnation,
-		Sequence: k.sequence, FencingToken: k.fencingToken, TerminationNoticeS: k.terminationNoticeS, Tasks: []wire.TaskStatus{}}
+	r := wire.Heartbeat{
+		Machine: k.Machine.ID, Address: k.Machine.Address, MachineType: k.Machine.MachineType, Zone: k.Machine.Zone, Spot: k.Machine.Spot, Incarnation: k.incarnation,
+		Sequence: k.sequence, FencingToken: k.fencingToken, TerminationNoticeS: k.terminationNoticeS, Tasks: []wire.TaskStatus{},
+	}
 	for _, t := range k.tasks {
 		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitCause: t.cause, CheckpointSaved: t.saved})
 	}
@@ -344,7 +348,7 @@
 		k.handleCommands(ctx, w, &request)
 	})
 	server := &http.Server{Handler: deferResponses(mux)}
-	stop := context.AfterFunc(ctx, func() { server.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	_ = server.Serve(listener)
 }
