--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -27,7 +27,7 @@
 	settings   *config.Settings
 	tuning     tuning.Tuning
 	partitions int // number of partitions, the same on all nodes
-	// limits are the state service's limits that all writes keep to.
+	// limits are the key-value store's limits that all writes keep to.
 	limits config.StateLimits
 	// supportedLevel is the highest feature level that this node supports.
 	supportedLevel records.FeatureLevel
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -27,7 +27,7 @@
 	heapMiB         uint64
 	systemMiB       uint64 // memory obtained from the operating system
 	goroutines      int
-	stateServed     int // requests to the state service, by outcome
+	stateServed     int // requests to the key-value store, by outcome
 	stateRefused    int
 	stateUnknown    int
 	finalJobsCached int
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -8,7 +8,7 @@
 )
 
 // finalJobCache keeps the records of jobs whose end is known to be committed. They never
-// change again, so that queries for them need no request to the state service.
+// change again, so that queries for them need no request to the key-value store.
 type finalJobCache struct {
 	limit int // records
 
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -10,7 +10,7 @@
 
 const (
 	// healthyContactFactor is the multiple of FreshS up to which a node stays healthy
-	// without contact to the state service: half as long again as it takes requests for, so
+	// without contact to the key-value store: half as long again as it takes requests for, so
 	// that one slow answer changes nothing.
 	healthyContactFactor = 1.5
 	// peerContactTimeout bounds the question for a peer's contact, within a health check
@@ -30,13 +30,13 @@
 	return c.noPeerInContact()
 }
 
-// peerContact is what a peer answers about its contact to the state service.
+// peerContact is what a peer answers about its contact to the key-value store.
 type peerContact struct {
 	reachable bool
-	fresh     bool // the state service has served the peer within FreshS
+	fresh     bool // the key-value store has served the peer within FreshS
 }
 
-// noPeerInContact reports whether no other node has contact to the state service either.
+// noPeerInContact reports whether no other node has contact to the key-value store either.
 // Without contact to that nor to any other node, it is this node that is cut off, as far
 // as anybody can tell, so that the result is false then. A node without peers has nobody
 // to compare itself with; its result is true.
@@ -64,20 +64,20 @@
 	return peerContact{reachable: true, fresh: age < tuning.Seconds(c.tuning.FreshS)}
 }
 
-// SinceContact returns the time since the state service last served this node.
+// SinceContact returns the time since the key-value store last served this node.
 func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
 
-// NoContactError reports that the state service does not serve this node at present.
+// NoContactError reports that the key-value store does not serve this node at present.
 type NoContactError struct {
 	// Since is the time since it last did.
 	Since time.Duration
 }
 
 func (e *NoContactError) Error() string {
-	return fmt.Sprintf("no contact to the state service for %.0f s", e.Since.Seconds())
+	return fmt.Sprintf("no contact to the key-value store for %.0f s", e.Since.Seconds())
 }
 
-// checkContact returns a *NoContactError if the state service has not served this node for
+// checkContact returns a *NoContactError if the key-value store has not served this node for
 // longer than FreshS. Requests that need that service are refused at once then, rather
 // than after a wait.
 func (c *Controller) checkContact() error {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -37,7 +37,7 @@
 	renewedAt time.Time
 	// registered is whether the node's record stands under the present lease.
 	registered bool
-	// contactLost is what was last logged about contact to the state service.
+	// contactLost is what was last logged about contact to the key-value store.
 	contactLost bool
 }
 
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// logContact logs when contact to the state service is lost or regained.
+// logContact logs when contact to the key-value store is lost or regained.
 func (m *membership) logContact() {
 	since := m.controller.SinceContact()
 	lost := since > tuning.Seconds(m.controller.tuning.FreshS)
@@ -72,7 +72,7 @@
 		return
 	}
 	m.contactLost = lost
-	slog.Info("contact to the state service", "lost", lost, "since_s", since.Seconds())
+	slog.Info("contact to the key-value store", "lost", lost, "since_s", since.Seconds())
 }
 
 // ensureLease requests a lease if there is none, and reports whether there is one now. If
@@ -150,7 +150,7 @@
 
 // setLease stores the lease; 0 if there is none. Its duration counts from when the grant or
 // renewal was requested, since the answer does not tell when it was carried out, and less
-// the drift between this clock and the state service's.
+// the drift between this clock and the key-value store's.
 func (c *Controller) setLease(leaseID uint64, requestedAt time.Time) {
 	duration := tuning.Seconds(c.tuning.HoldS * (1 - c.tuning.Drift))
 	c.mu.Lock()
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -2,7 +2,7 @@
 
 import "ambersill/internal/tuning"
 
-// updateRateShare sets this node's share of the state service's rate limits: an equal base
+// updateRateShare sets this node's share of the key-value store's rate limits: an equal base
 // for users' requests, and the rest in proportion to the partitions it owns. The leader may
 // use more in the moments when it records many rentals: at its base share alone, those of a
 // fleet that starts from nothing took 13 s on a service of 25 changes a second.
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -25,7 +25,7 @@
 	worker   *Worker
 }
 
-// Cloud is a stand-in for the cloud. Its machines run Workers.
+// Cloud emulates the cloud. Its machines run Workers.
 type Cloud struct {
 	MachineTypes []wire.MachineType
 	Capacity     []Capacity
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -10,15 +10,15 @@
 	"ambersill/internal/wire"
 )
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// The troubles. Each strikes at its time and, where it lasts, ends after For.
+// The kinds of faults. Each begins at its time and, where it lasts, ends after For.
 const (
 	// ControllerCrash kills controllers (Nodes, or Count of them from there on); each is back
 	// after Wait.
 	ControllerCrash FaultKind = "crash"
-	// StoreRefusesNode: the state service refuses the nodes alone; their watches stay open.
+	// StoreRefusesNode: the key-value store refuses the nodes alone; their watches stay open.
 	StoreRefusesNode FaultKind = "state refuses"
 	// StoreOutage: it refuses everybody, and no hold runs out.
 	StoreOutage FaultKind = "state out"
@@ -39,7 +39,7 @@
 	HeartbeatsForNextOwner FaultKind = "reports for next"
 	// SlowLinks: what workers and users send and get takes Wait longer each way.
 	SlowLinks FaultKind = "slow links"
-	// MachineHang, Deaf, Mute: Count machines with work (0: all) hang, hear nothing, or reach no
+	// MachineHang, MachineInboundCut, MachineOutboundCut: Count machines with work (0: all) hang, receive nothing, or reach no
 	// controller.
 	MachineHang        FaultKind = "hang"
 	MachineInboundCut  FaultKind = "deaf"
@@ -48,7 +48,7 @@
 	DelayedCommands FaultKind = "held orders"
 	// MachineLost: Count machines are gone at once.
 	MachineLost FaultKind = "taken"
-	// NodeIsolated: the nodes lose the state service and the other controllers.
+	// NodeIsolated: the nodes lose the key-value store and the other controllers.
 	NodeIsolated FaultKind = "alone"
 	// PeersCut: the nodes lose the other controllers.
 	PeersCut FaultKind = "peers cut"
@@ -67,7 +67,7 @@
 	CancelRunningJobs FaultKind = "cancel now"
 )
 
-// Owner stands for the node that owns the first part when the trouble strikes; Others for
+// Owner stands for the node that owns the first partition when the fault begins; Others for
 // all but that one.
 const (
 	Owner  = -1
@@ -86,7 +86,7 @@
 	Team    string // only machines with work of it
 }
 
-// FaultInjector is where troubles strike: the stand-ins, and the controllers by their callbacks.
+// FaultInjector injects faults into the emulated systems, and into the controllers by its callbacks.
 type FaultInjector struct {
 	Network    *Network
 	Store      *KeyValueStore
@@ -95,9 +95,9 @@
 	Nodes      []Node
 	Rand       *rand.Rand
 	// Start and Crash begin and kill a controller. Owner tells which one owns the first
-	// part by the state service's record, and that record's stamp.
+	// partition by the store's record, and that record's revision.
 	Start, Crash func(node int)
-	Owner        func() (node int, stamp uint64)
+	Owner        func() (node int, revision uint64)
 	// Cancel has the users of up to n jobs that run (0: all) cancel them.
 	Cancel func(n int) int
 
@@ -108,7 +108,7 @@
 	wg          sync.WaitGroup
 }
 
-// Injected counts how often a kind of trouble came about: requests refused, commits late or
+// Injected counts how often a kind of fault took effect: requests refused, commits late or
 // unanswered, copies delivered, commands late, machines and nodes struck.
 func (s *FaultInjector) Injected(k FaultKind) int {
 	s.mu.Lock()
@@ -131,7 +131,7 @@
 	return s.Rand.Float64()
 }
 
-// Attach has the stand-ins ask the stage what becomes of commits and reports; to be
+// Attach has the emulated systems ask the injector what becomes of commits and heartbeats; to be
 // called before the controllers start.
 func (s *FaultInjector) Attach() {
 	s.Store.Faults = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Run has a script's troubles strike, each in a goroutine of its own, and returns when
+// Run injects a script's faults, each in a goroutine of its own, and returns when
 // all are over.
 func (s *FaultInjector) Run(ctx context.Context, script ...Fault) {
 	for _, fault := range script {
@@ -168,7 +168,7 @@
 	s.wg.Wait()
 }
 
-// waitUntilOver waits until the trouble is over.
+// waitUntilOver waits until the fault is over.
 func waitUntilOver(ctx context.Context, fault Fault) {
 	select {
 	case <-time.After(fault.For):
@@ -210,7 +210,7 @@
 }
 
 func (s *FaultInjector) inject(ctx context.Context, fault Fault) {
-	fault.Nodes = s.nodes(fault) // whoever owns the part when the trouble is over
+	fault.Nodes = s.nodes(fault) // whoever owns the partition when the fault is over
 	switch fault.Kind {
 	case ControllerCrash:
 		s.crashControllers(ctx, fault)
@@ -358,7 +358,7 @@
 	struck.Wait()
 }
 
-// whileCommitFault sets what becomes of commits for as long as the trouble lasts.
+// whileCommitFault sets what becomes of commits for as long as the fault lasts.
 func (s *FaultInjector) whileCommitFault(ctx context.Context, fault Fault, f func(string) (RequestFault, time.Duration)) {
 	s.mu.Lock()
 	s.commitFault = f
@@ -372,10 +372,10 @@
 // nextOwnerTimeout is how long another owner is waited for.
 const nextOwnerTimeout = 2 * time.Minute
 
-// replayToNextOwner keeps the first copy of each machine's reports in this trouble, and sends
+// replayToNextOwner keeps the first copy of each machine's heartbeats during the fault, and sends
 // them to every node when the part has another owner.
 func (s *FaultInjector) replayToNextOwner(ctx context.Context, fault Fault) {
-	_, stamp := s.Owner()
+	_, revision := s.Owner()
 	kept := map[string]func(Node){}
 	s.mu.Lock()
 	s.onHeartbeat = func(heartbeat *wire.Heartbeat, send func(Node)) {
@@ -391,7 +391,7 @@
 	s.onHeartbeat = nil
 	s.mu.Unlock()
 	for end := time.Now().Add(nextOwnerTimeout); ; time.Sleep(20 * time.Millisecond) {
-		if n, now := s.Owner(); n >= 0 && now != stamp {
+		if n, now := s.Owner(); n >= 0 && now != revision {
 			break
 		}
 		if ctx.Err() != nil || time.Now().After(end) {
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -1,7 +1,3 @@
-// Package emulator holds stand-ins for what lies outside ambersill - the state
-// service, the cloud, its workers and users - written from the protocol's page.
-// They serve a cluster for trying ambersill out, and the tests. They keep time
-// by package time only, so that a test can run them in virtual time.
 package emulator
 
 import (
@@ -40,7 +36,7 @@
 	expiresAt time.Time
 }
 
-// RequestFault is what becomes of one request to a stand-in.
+// RequestFault is what becomes of one request to an emulated system.
 type RequestFault int
 
 // The faults.
@@ -51,7 +47,7 @@
 	RefuseRequest              // 503, not carried out
 )
 
-// KeyValueStore is a stand-in for the state service.
+// KeyValueStore emulates the key-value store.
 type KeyValueStore struct {
 	// Faults, if set, decides on each commit of a host.
 	Faults func(from string, t *wire.Txn) (RequestFault, time.Duration)
@@ -138,7 +134,7 @@
 	return s.listed
 }
 
-// NewKeyValueStore makes an empty state service.
+// NewKeyValueStore makes an empty store.
 func NewKeyValueStore() *KeyValueStore {
 	return &KeyValueStore{items: map[string]entry{}, leases: map[uint64]lease{}, refused: map[string]int{}, changed: make(chan struct{})}
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -10,7 +10,7 @@
 	"golang.org/x/time/rate"
 )
 
-// limits are the state service's limits on what is written.
+// limits are the key-value store's limits on what is written.
 type limits struct {
 	config.StateLimits
 	changes *rate.Limiter
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -23,7 +23,7 @@
 	timer   *time.Timer
 }
 
-// Worker is a stand-in for the worker of one machine. All workers of a world
+// Worker emulates the worker of one machine. All workers of a simulation
 // share its lock, which keeps gangs and the model simple.
 type Worker struct {
 	Machine     wire.CloudMachine
@@ -132,7 +132,7 @@
 	return k.lateCommands
 }
 
-// Incarnation is the worker's present session.
+// Incarnation is the worker's present incarnation.
 func (k *Worker) Incarnation() uint64 {
 	k.simulation.mu.Lock()
 	defer k.simulation.mu.Unlock()
@@ -167,7 +167,7 @@
 	k.refused = nil
 }
 
-// checkLease ends the session once the lease has run out. A hanging machine's
+// checkLease ends the incarnation once the lease has run out. A hanging machine's
 // tasks end with it too: it kills them before it does anything else.
 func (k *Worker) checkLease() {
 	if k.dead || time.Since(k.leaseStart) <= k.simulation.LeaseDuration {
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -66,7 +66,7 @@
 	return JobCounts{Known: answer.Known, Done: answer.Done, Running: answer.Running}, nil
 }
 
-// SinceContact asks the peer how long ago the state service last served it.
+// SinceContact asks the peer how long ago the key-value store last served it.
 func (p *Peer) SinceContact(timeout time.Duration) (time.Duration, error) {
 	var answer Answer
 	if err := p.callAndTrack(methodView, Query{}, &answer, timeout); err != nil {
--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -39,7 +39,7 @@
 type Answer struct {
 	Known         bool
 	Done, Running int
-	// Contact: seconds since the state service last served the node.
+	// Contact: seconds since the key-value store last served the node.
 	Contact float64
 }
 
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -1,5 +1,5 @@
 // Package peerrpc carries the calls between controllers, by net/rpc. Every call is a
-// hint: the state service alone decides.
+// hint: the key-value store alone decides.
 package peerrpc
 
 import (
@@ -50,7 +50,7 @@
 	JobCancelled(JobCancellation)
 	// LocalJobCounts counts the tasks of a job that this node runs.
 	LocalJobCounts(jobID string) JobCounts
-	// SinceContact is the time since the state service last served this node.
+	// SinceContact is the time since the key-value store last served this node.
 	SinceContact() time.Duration
 	// OwnedHeartbeat answers a heartbeat that reached another node, as the owner of the
 	// machine's partition.
