--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -74,7 +74,7 @@
 	return partitionCounters{
 		partition: o.index,
 		jobs:      o.partition.JobCount(),
-		machines:  len(o.partition.MachineIDs()),
+		machines:  o.partition.MachineCount(),
 		done:      o.partition.Counters,
 	}, true
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -197,11 +197,15 @@
 func (o *ownedPartition) jobCounts(jobID string) peerrpc.JobCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var counts peerrpc.JobCounts
-	if o.partition != nil {
-		counts.Done, counts.Running, counts.Known = o.partition.JobCounts(jobID)
+	if o.partition == nil {
+		return peerrpc.JobCounts{}
+	}
+	counts, known := o.partition.JobCounts(jobID)
+	return peerrpc.JobCounts{
+		Known:   known,
+		Done:    counts.Done,
+		Running: counts.Running,
 	}
-	return counts
 }
 
 // partitionOf returns the partition that a job belongs to: its team's where teams have
--- a/internal/controller/partition_claims_test.go
+++ b/internal/controller/partition_claims_test.go
@@ -132,7 +132,7 @@
 	owned := test.controller.ownedPartition(0)
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
-	if n := len(owned.partition.MachineIDs()); !test.changed || n != len(test.controller.cluster.machines) {
+	if n := owned.partition.MachineCount(); !test.changed || n != len(test.controller.cluster.machines) {
 		test.t.Errorf("changed %v: the partition has %d machines, the cache %d", test.changed, n, len(test.controller.cluster.machines))
 	}
 }
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -47,7 +47,7 @@
 	partition.Restore(decodeChunks(listed.chunks), decodeJournal(listed.journal))
 	partition.SetCancelledJobs(o.cancelledJobs(listed.cancellations), now)
 	o.publish(partition, listed.cancellationsReadAt)
-	slog.Info("partition loaded", "partition", o.index, "jobs", partition.JobCount(), "machines", len(partition.MachineIDs()))
+	slog.Info("partition loaded", "partition", o.index, "jobs", partition.JobCount(), "machines", partition.MachineCount())
 	o.wakeUp()
 	return listed.revision, nil
 }
--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -221,12 +221,3 @@
 // allocatedShare returns the share of the machine's capacity that is allocated, in the
 // dimension that is the scarcest there.
 func (m *Machine) allocatedShare() float64 { return m.capacity.DominantShare(m.allocated) }
-
-// allMachines returns the partition's machines by ID.
-func (p *Partition) allMachines() []*Machine {
-	machines := make([]*Machine, len(p.machineIDs))
-	for i, id := range p.machineIDs {
-		machines[i] = p.machines[id]
-	}
-	return machines
-}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -117,7 +117,7 @@
 // FencingRequest returns a command request without commands. It raises the token that the
 // worker has seen, so that an earlier owner's commands can no longer take effect.
 func (p *Partition) FencingRequest(id string) (wire.CommandRequest, bool) {
-	machine := p.machines[id]
+	machine := p.machines.get(id)
 	if machine == nil || machine.Record.Released {
 		return wire.CommandRequest{}, false
 	}
@@ -133,7 +133,7 @@
 // MachinesNotFenced lists the machines with tasks of an earlier owner that have not shown
 // the current token yet.
 func (p *Partition) MachinesNotFenced() []string {
-	return p.selectMachines(func(machine *Machine) bool {
+	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0
 	})
 }
@@ -141,7 +141,7 @@
 // MachinesToRefence lists the machines whose records must be rewritten to raise their
 // tokens, because commands sent under the current one may still be executed.
 func (p *Partition) MachinesToRefence() []string {
-	return p.selectMachines(func(machine *Machine) bool {
+	return p.machines.selectIDs(func(machine *Machine) bool {
 		return machine.command.needsHigherToken(machine.token.current)
 	})
 }
@@ -150,7 +150,7 @@
 // next heartbeat. fresh is as with HandleHeartbeat; without it only stops of cancelled jobs
 // are sent.
 func (p *Partition) MachinesAwaitingCommands(fresh bool) []string {
-	return p.selectMachines(func(machine *Machine) bool {
+	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(fresh)
 	})
 }
@@ -174,7 +174,7 @@
 // request is answered, nothing else is started or forgotten there: a copy that the network
 // delays could start a task once more after the worker forgot it.
 func (p *Partition) DirectCommands(id string, fresh bool) (wire.CommandRequest, bool) {
-	machine := p.machines[id]
+	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
 		return wire.CommandRequest{}, false
 	}
@@ -224,7 +224,7 @@
 
 // HandleCommandOutcome records what became of a command request.
 func (p *Partition) HandleCommandOutcome(request wire.CommandRequest, id string, outcome CommandOutcome) {
-	machine := p.machines[id]
+	machine := p.machines.get(id)
 	if machine == nil {
 		return
 	}
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -78,15 +78,15 @@
 	}
 	harness.HandleCommandOutcome(request, "m-1", CommandsUnknown)
 	harness.sendHeartbeat("m-1")
-	if len(harness.machines["m-1"].placements) != 1 || len(harness.MachinesToRefence()) != 1 {
+	if len(harness.machines.get("m-1").placements) != 1 || len(harness.MachinesToRefence()) != 1 {
 		t.Fatal("the placement was detached although its start may still be executed")
 	}
 	harness.revision++
-	record := harness.machines["m-1"].Record
+	record := harness.machines.get("m-1").Record
 	record.FencingToken = harness.revision
 	harness.SetMachine("m-1", record, harness.revision, harness.now) // the record is rewritten
 	harness.sendHeartbeat("m-1")                                     // carries the higher token
-	if len(harness.machines["m-1"].placements) != 0 || harness.machines["m-1"].command.unconfirmed {
+	if len(harness.machines.get("m-1").placements) != 0 || harness.machines.get("m-1").command.unconfirmed {
 		t.Fatal("the placement is kept although its start can no longer be executed")
 	}
 }
@@ -164,8 +164,8 @@
 		harness.Schedule(harness.now)
 		harness.commitBatches()
 	}
-	if len(harness.machines["m-1"].placements) != 0 || harness.jobs["req-1"] != nil {
-		t.Errorf("%d placements left, job known: %v", len(harness.machines["m-1"].placements), harness.jobs["req-1"] != nil)
+	if len(harness.machines.get("m-1").placements) != 0 || harness.jobs["req-1"] != nil {
+		t.Errorf("%d placements left, job known: %v", len(harness.machines.get("m-1").placements), harness.jobs["req-1"] != nil)
 	}
 }
 
@@ -178,7 +178,7 @@
 	harness.addJob(newArrayJob("req-1", 2, 1))
 	harness.addJob(newArrayJob("req-2", 1, 1))
 	harness.Schedule(harness.now)
-	if placements := len(harness.machines["m-1"].placements); placements != 1 {
+	if placements := len(harness.machines.get("m-1").placements); placements != 1 {
 		t.Errorf("%d placements beside a cancelled job", placements)
 	}
 	harness.commitBatches()
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -50,7 +50,7 @@
 func (p *Partition) consolidationCandidates() []*Machine {
 	inDemand := p.typesInDemand()
 	var candidates []*Machine
-	for _, machine := range p.allMachines() {
+	for _, machine := range p.machines.all() {
 		if !machine.usable() || machine.reservedFor != "" || inDemand[machine.Record.MachineType] {
 			continue
 		}
@@ -134,7 +134,7 @@
 func (p *Partition) evacuationTarget(placement *Placement, remaining map[*Machine]resource.Vector, now time.Time) *Machine {
 	job := placement.job
 	remainingRunS := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
-	for _, target := range p.allMachines() {
+	for _, target := range p.machines.all() {
 		if !isEvacuationTarget(placement.machine, target) || !machineAllowed(job.Job, target) {
 			continue
 		}
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -116,7 +116,7 @@
 	for i, id := range exchangeMachines {
 		harness.sendHeartbeat(id)
 		harness.sendHeartbeat(id)
-		for n, key := range sortedTaskAttempts(harness.machines[id].placements) {
+		for n, key := range sortedTaskAttempts(harness.machines.get(id).placements) {
 			if round < exchangeRounds-1 && (n+i+round)%3 == 0 {
 				harness.endTask(id, key.task, key.attempt, causes[n%len(causes)])
 			}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -57,7 +57,7 @@
 		}
 		return zones[name]
 	}
-	for _, machine := range p.allMachines() {
+	for _, machine := range p.machines.all() {
 		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
 			continue
 		}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -142,7 +142,7 @@
 	if batch := harness.PrepareBatch(); batch.endedJob == nil || batch.endedJob.ID != job.ID {
 		t.Error("the job's end is not committed")
 	}
-	if placements := len(harness.machines["m-1"].placements); placements != 1 {
+	if placements := len(harness.machines.get("m-1").placements); placements != 1 {
 		t.Errorf("%d placements on the machine whose worker has not reported the end yet", placements)
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -80,7 +80,7 @@
 		Machine:      id,
 		Incarnation:  1,
 		Sequence:     h.sequences[id],
-		FencingToken: h.machines[id].token.current,
+		FencingToken: h.machines.get(id).token.current,
 	}
 	for _, status := range h.workerTasks[id] {
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -27,7 +27,7 @@
 // for the worker. fresh reports whether this owner has read the key-value store recently;
 // if not, a task of a cancelled job might be started, so no task is.
 func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, fresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
-	machine := p.machines[heartbeat.Machine]
+	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
 		return verdict, wire.HeartbeatResponse{}
 	}
@@ -154,7 +154,7 @@
 // HandleCommandResponse reconciles the state with a worker's response to a command request.
 // It does not renew the lease, which only responses to heartbeats do.
 func (p *Partition) HandleCommandResponse(response *wire.Heartbeat, now time.Time) {
-	machine := p.machines[response.Machine]
+	machine := p.machines.get(response.Machine)
 	if machine == nil || machine.isSuperseded(response) || machine.latest.isStale(response) {
 		return
 	}
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -33,7 +33,7 @@
 		Placements:     []records.PlacementRecord{{Task: 0, Attempt: 3, Machine: "m-1", Incarnation: incarnation}},
 	}
 	h.Restore([]records.LoadedChunk{{JobID: "req-1", Name: "0", Revision: h.revision, Record: record}}, nil)
-	return h.machines["m-1"]
+	return h.machines.get("m-1")
 }
 
 // isUnhealthy reports whether the leader is told to replace the machine.
@@ -42,13 +42,7 @@
 }
 
 func (h *partitionHarness) unhealthyMachines() []string {
-	var ids []string
-	for _, id := range h.machineIDs {
-		if h.isUnhealthy(id) {
-			ids = append(ids, id)
-		}
-	}
-	return ids
+	return h.machines.selectIDs(func(machine *Machine) bool { return h.isUnhealthy(machine.ID) })
 }
 
 // A machine whose lease expired is kept for as long as another would take to boot: it may
@@ -57,10 +51,10 @@
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addMachine("m-2", "cpu", "a", false)
-	harness.machines["m-2"].quarantined = true
+	harness.machines.get("m-2").quarantined = true
 	harness.now = harness.now.Add(16 * time.Second) // beyond the lease
 	harness.Schedule(harness.now)
-	if !harness.machines["m-1"].lease.expired {
+	if !harness.machines.get("m-1").lease.expired {
 		t.Fatal("the lease has not expired")
 	}
 	if diff := cmp.Diff([]string{"m-2"}, harness.unhealthyMachines()); diff != "" {
@@ -116,7 +110,7 @@
 func TestHeartbeatVerdicts(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
-	token := harness.machines["m-1"].token.current
+	token := harness.machines.get("m-1").token.current
 	// The cases build on each other.
 	for _, test := range []struct {
 		name      string
@@ -147,7 +141,7 @@
 	harness.sendHeartbeat("m-1")
 	harness.now = harness.now.Add(20 * time.Second)
 	harness.Schedule(harness.now)
-	return harness, harness.machines["m-1"]
+	return harness, harness.machines.get("m-1")
 }
 
 // Once the lease has expired, a delayed heartbeat of the old incarnation does not make a
@@ -193,7 +187,7 @@
 func TestDelayedHeartbeatFreesNothingForNewOwner(t *testing.T) {
 	earlierOwner := newPartitionHarness()
 	earlierOwner.addMachine("m-1", "cpu", "a", true)
-	earlierToken := earlierOwner.machines["m-1"].token.current
+	earlierToken := earlierOwner.machines.get("m-1").token.current
 	harness := newPartitionHarness()
 	harness.Revision = 500
 	machine := harness.restoreTask(2)
@@ -214,7 +208,7 @@
 func TestUnreachableWorkerGetsNoTasks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
-	machine := harness.machines["m-1"]
+	machine := harness.machines.get("m-1")
 	sequence := harness.sequences["m-1"]
 	sendHeartbeats := func(incarnation uint64, duration time.Duration) {
 		for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
@@ -254,7 +248,7 @@
 func TestNewIncarnationNeedsHeartbeat(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
-	machine := harness.machines["m-1"]
+	machine := harness.machines.get("m-1")
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.now = harness.now.Add(14500 * time.Millisecond)
 	refusal := newHeartbeat(2, 50, machine.token.current)
@@ -291,7 +285,7 @@
 	if harness.NeedsScheduling() {
 		t.Error("scheduling is needed after a cycle that left nothing to do")
 	}
-	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines["m-1"].token.current)
+	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines.get("m-1").token.current)
 	for _, status := range harness.workerTasks["m-1"] {
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -123,7 +123,7 @@
 	causes := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped})
 	for _, id := range test.machines {
 		test.owner.sendHeartbeat(id)
-		for _, key := range sortedTaskAttempts(test.owner.machines[id].placements) {
+		for _, key := range sortedTaskAttempts(test.owner.machines.get(id).placements) {
 			if _, running := test.owner.workerTasks[id][key]; !running || rapid.IntRange(0, 2).Draw(test.t, "ends") != 0 {
 				continue
 			}
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -9,11 +9,11 @@
 // ExpireLeases frees what time alone frees: the placements on machines whose leases have
 // expired, and starts that were withdrawn.
 func (p *Partition) ExpireLeases(now time.Time) {
-	for _, id := range p.machineIDs {
-		p.expireLease(p.machines[id], now)
+	for _, machine := range p.machines.all() {
+		p.expireLease(machine, now)
 	}
-	for _, id := range p.machineIDs {
-		p.requeueWithdrawnStarts(p.machines[id], now)
+	for _, machine := range p.machines.all() {
+		p.requeueWithdrawnStarts(machine, now)
 	}
 }
 
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -78,17 +77,6 @@
 	})
 }
 
-// selectMachines returns the IDs of the machines that match, in order.
-func (p *Partition) selectMachines(match func(*Machine) bool) []string {
-	var ids []string
-	for _, id := range p.machineIDs {
-		if match(p.machines[id]) {
-			ids = append(ids, id)
-		}
-	}
-	return ids
-}
-
 // wantsImage reports whether a task placed on the machine needs the image.
 func (m *Machine) wantsImage(image string) bool {
 	for _, placement := range m.placements {
@@ -105,9 +93,10 @@
 		p.RemoveMachine(id, now)
 		return
 	}
-	machine := p.machines[id]
+	machine := p.machines.get(id)
 	if machine == nil {
-		machine = p.addMachine(id, now)
+		machine = newMachine(id, now)
+		p.machines.add(machine)
 	} else if revision < machine.revision {
 		return // a watch and a listing may overlap
 	}
@@ -120,18 +109,11 @@
 	p.capacityVersion++
 }
 
-func (p *Partition) addMachine(id string, now time.Time) *Machine {
-	machine := newMachine(id, now)
-	p.machines[id] = machine
-	p.machineIDs = slices.Sorted(maps.Keys(p.machines))
-	return machine
-}
-
 // RemoveMachine drops a machine that was moved to another partition, or whose record was
 // deleted. That happens only after the cloud has confirmed that the machine is gone, so all
 // its tasks are gone too.
 func (p *Partition) RemoveMachine(id string, now time.Time) {
-	machine := p.machines[id]
+	machine := p.machines.get(id)
 	if machine == nil {
 		return
 	}
@@ -139,8 +121,7 @@
 	for _, job := range p.jobs {
 		delete(job.failedMachines, id)
 	}
-	delete(p.machines, id)
-	p.machineIDs = slices.Sorted(maps.Keys(p.machines))
+	p.machines.remove(id)
 	p.capacityVersion++
 }
 
@@ -148,9 +129,9 @@
 // which no task of this partition can be in effect, with the records to write for them.
 func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
 	releasable := map[string]records.MachineRecord{}
-	for id, machine := range p.machines {
+	for _, machine := range p.machines.all() {
 		if machine.mayBeReleased() {
-			releasable[id] = releasedRecord(machine.Record)
+			releasable[machine.ID] = releasedRecord(machine.Record)
 		}
 	}
 	return releasable
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -27,8 +27,7 @@
 	cancelledJobIDs map[string]bool // by the last listing, jobs not known yet included
 	tombstones      tombstones
 
-	machines   map[string]*Machine
-	machineIDs []string // the keys of machines, sorted
+	machines machineSet
 
 	// capacityVersion counts the changes of free capacity, scheduledVersion is its value
 	// at the end of the last scheduling cycle.
@@ -67,7 +66,7 @@
 		jobs:         map[string]*Job{},
 		teams:        map[string]*quota.Team{},
 		tombstones:   newTombstones(),
-		machines:     map[string]*Machine{},
+		machines:     newMachineSet(),
 		layout:       newChunkLayout(index, settings),
 		journal:      newJournal(index, tuning.JournalSlots),
 	}
@@ -113,18 +112,23 @@
 	return job
 }
 
-// JobCounts returns how many of a job's tasks are done and how many run; known is false if
-// the partition does not have the job.
-func (p *Partition) JobCounts(id string) (done, running int, known bool) {
+// JobCounts counts a job's tasks by their state.
+type JobCounts struct {
+	Done    int
+	Running int // those that save a checkpoint included
+}
+
+// JobCounts counts the tasks of a job, and reports whether the partition has the job.
+func (p *Partition) JobCounts(id string) (JobCounts, bool) {
 	job := p.jobs[id]
 	if job == nil {
-		return 0, 0, false
+		return JobCounts{}, false
 	}
-	return job.doneTasks, job.runningTasks(), true
+	return JobCounts{Done: job.doneTasks, Running: job.runningTasks()}, true
 }
 
 // JobCount returns the number of jobs that are not over.
 func (p *Partition) JobCount() int { return len(p.jobs) }
 
-// MachineIDs returns the IDs of the partition's machines, sorted.
-func (p *Partition) MachineIDs() []string { return p.machineIDs }
+// MachineCount returns the number of the partition's machines.
+func (p *Partition) MachineCount() int { return p.machines.len() }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -16,7 +16,7 @@
 	}
 	job.lastPreemptionSearch = now
 	afterPreemption := func(machine *Machine) resource.Vector { return p.capacityAfterPreemption(job, machine) }
-	machines := p.findMachines(job, count, now, p.allMachines(), afterPreemption)
+	machines := p.findMachines(job, count, now, p.machines.all(), afterPreemption)
 	if !job.canStartOn(machines, count) {
 		return
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -181,7 +181,7 @@
 
 // restorePlacement attaches a placement of an earlier owner, unless its machine is gone.
 func (p *Partition) restorePlacement(chunk *chunk, placed records.PlacementRecord) {
-	machine := p.machines[placed.Machine]
+	machine := p.machines.get(placed.Machine)
 	if machine == nil {
 		// A machine's record is deleted only after the cloud has confirmed its return, so
 		// nothing on it can be in effect.
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -36,10 +36,10 @@
 		harness.now = harness.now.Add(100 * time.Millisecond)
 		harness.Schedule(harness.now)
 		harness.commitBatches()
-		for i, id := range harness.machineIDs {
+		for i, machine := range harness.machines.all() {
 			if (i+cycle)%20 == 0 {
-				harness.completeTasks(id)
-				harness.sendHeartbeat(id)
+				harness.completeTasks(machine.ID)
+				harness.sendHeartbeat(machine.ID)
 			}
 		}
 		harness.MachinesAwaitingCommands(true)
@@ -52,7 +52,7 @@
 // completeTasks has a worker start what it is to run, and report all its tasks as done.
 func (h *partitionHarness) completeTasks(id string) {
 	h.sendHeartbeat(id)
-	for _, key := range sortedTaskAttempts(h.machines[id].placements) {
+	for _, key := range sortedTaskAttempts(h.machines.get(id).placements) {
 		h.endTask(id, key.task, key.attempt, wire.ExitDone)
 	}
 	h.sendHeartbeat(id)
@@ -124,8 +124,8 @@
 		harness.Schedule(harness.now)
 		commitWithinLimits(t, harness)
 		checkSummarySize(t, harness)
-		for _, id := range harness.machineIDs[:300*(round+1)] {
-			harness.completeTasks(id)
+		for _, machine := range harness.machines.all()[:300*(round+1)] {
+			harness.completeTasks(machine.ID)
 		}
 	}
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -45,8 +45,7 @@
 // collectCandidates notes the machines that could take work in this cycle.
 func (p *Partition) collectCandidates() {
 	p.candidates = p.candidates[:0]
-	for _, id := range p.machineIDs {
-		machine := p.machines[id]
+	for _, machine := range p.machines.all() {
 		if machine.usable() && machine.free().CPUs > resource.Epsilon {
 			p.candidates = append(p.candidates, machine)
 		}
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -137,7 +137,7 @@
 func checkCapacity(t *rapid.T, harness *partitionHarness, used map[string]resource.Vector) {
 	t.Helper()
 	for id, request := range used {
-		if capacity := harness.machines[id].capacity; !capacity.Contains(request) {
+		if capacity := harness.machines.get(id).capacity; !capacity.Contains(request) {
 			t.Fatalf("%s of capacity %v holds %v", id, capacity, request)
 		}
 	}
@@ -161,13 +161,13 @@
 	if !harness.team(job.Team).WithinLimit(request) {
 		return
 	}
-	for id, machine := range harness.machines {
+	for _, machine := range harness.machines.all() {
 		if machine.reservedFor != "" && machine.reservedFor != job.ID {
 			continue
 		}
-		free := machine.capacity.Sub(used[id])
+		free := machine.capacity.Sub(used[machine.ID])
 		if free.Contains(request) && leavesGPUShare(job, machine, free) && machineAllowed(job.Job, machine) {
-			t.Fatalf("a task of %s waits though it fits on %s", job.ID, id)
+			t.Fatalf("a task of %s waits though it fits on %s", job.ID, machine.ID)
 		}
 	}
 }
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -95,14 +95,14 @@
 		}
 		harness.sendHeartbeat("m-1")
 		harness.sendHeartbeat("m-1")
-		for _, key := range sortedTaskAttempts(harness.machines["m-1"].placements) {
+		for _, key := range sortedTaskAttempts(harness.machines.get("m-1").placements) {
 			harness.endTask("m-1", key.task, key.attempt, wire.ExitDone)
 		}
 		harness.now = harness.now.Add(10 * time.Minute)
 		harness.sendHeartbeat("m-1")
 		harness.sendHeartbeat("m-1")
 	}
-	machine := harness.machines["m-1"]
+	machine := harness.machines.get("m-1")
 	if job.highestAttempt < 1900 {
 		t.Fatalf("%d attempts", job.highestAttempt)
 	}
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -117,7 +117,7 @@
 	case job.IsService():
 		// A running replica serves until the machine goes, unless another machine has
 		// the capacity for it.
-		if !running || len(p.findMachines(job, 1, now, p.allMachines(), (*Machine).free)) > 0 {
+		if !running || len(p.findMachines(job, 1, now, p.machines.all(), (*Machine).free)) > 0 {
 			p.requestStop(placement, 0, now)
 		}
 	case !running || job.CheckpointIntervalS > 0:
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -27,7 +27,7 @@
 		BookedOnDemand: map[string]float64{},
 		MachineDigests: map[string]records.MachineDigest{},
 	}
-	for _, machine := range p.allMachines() {
+	for _, machine := range p.machines.all() {
 		p.addToSummary(&summary, machine, now)
 	}
 	roundBooked(summary.BookedMachines)
