--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -51,9 +51,9 @@
 	return err
 }
 
-// announceCancellation tells the partition's owner of a committed cancellation at once.
+// announceCancellation notifies the partition's owner of a committed cancellation at once.
 // Nothing relies on it: the owner reads the cancellation itself a second later or, if the
-// state service refuses that node alone, within half a minute.
+// key-value store refuses that node alone, stops answering heartbeats within half a minute.
 func (c *Controller) announceCancellation(partition int, jobID string) {
 	if owned := c.ownedPartition(partition); owned != nil {
 		owned.jobCancelled(jobID)
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -23,11 +23,11 @@
 // ownedPartition is a partition for as long as this node owns it. A node that loses a
 // partition and claims it again has a new one.
 //
-// Controller.claim starts run in a goroutine. Once the partition is loaded, run starts
+// Controller.startOwning starts run in a goroutine. Once the partition is loaded, run starts
 // watchJobs, pollCancellations and fenceMachines, and runs the scheduling cycles itself.
 // Cycles and fenceMachines start one short-lived goroutine for each request to a worker.
-// All of them use the context that claim has made for the partition and end with it, which
-// cancel does: when ownership is lost, and when the controller stops.
+// All of them use the context that startOwning has made for the partition and end with it,
+// which cancel does: when ownership is lost, and when the controller stops.
 type ownedPartition struct {
 	controller *Controller
 	index      int
