--- /dev/null
+++ b/internal/emulator/kvstore_handlers.go
@@ -0,0 +1,188 @@
+package emulator
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"ambersill/internal/wire"
+)
+
+// maxListedKeys is how many keys a page of a listing has at most, by the protocol.
+const maxListedKeys = 1000
+
+// Reasons in the answers to refused requests.
+const (
+	noSuchLease = "no such lease"
+	unavailable = "trouble" // what the protocol's systems answer with 503
+)
+
+// rawTxn is a transaction whose values stay encoded.
+type rawTxn struct {
+	Compares []wire.Compare `cbor:"when"`
+	Writes   []rawWrite     `cbor:"then"`
+}
+
+// rawWrite is a write whose value is kept as it was sent.
+type rawWrite struct {
+	Put     string   `cbor:"put"`
+	Value   wire.Raw `cbor:"value"`
+	LeaseID uint64   `cbor:"hold"`
+	Delete  string   `cbor:"delete"`
+}
+
+// keys returns the transaction with its keys only, as much of it as faults depend on.
+func (t *rawTxn) keys() *wire.Txn {
+	txn := &wire.Txn{Compares: t.Compares}
+	for _, write := range t.Writes {
+		txn.Writes = append(txn.Writes, wire.Write{Put: write.Put, Delete: write.Delete})
+	}
+	return txn
+}
+
+// Handler serves the protocol.
+func (s *KeyValueStore) Handler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /store/{key...}", s.handleGet)
+	mux.HandleFunc("GET /store", s.handleList)
+	mux.HandleFunc("POST /commit", s.handleCommit)
+	mux.HandleFunc("POST /holds", s.handleGrantLease)
+	mux.HandleFunc("POST /holds/{id}/extend", s.handleRenewLease)
+	mux.HandleFunc("DELETE /holds/{id}", s.handleEndLease)
+	mux.HandleFunc("GET /watch", s.handleWatch)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		served, responseDelay := s.admit(r.RemoteAddr)
+		if !served {
+			writeError(w, http.StatusServiceUnavailable, unavailable)
+			return
+		}
+		response := newDeferredResponse(w)
+		mux.ServeHTTP(response, r)
+		if responseDelay > 0 {
+			time.Sleep(responseDelay)
+		}
+		response.send()
+	})
+}
+
+// admit reports whether a request of the host is served, and after which delay it is answered.
+func (s *KeyValueStore) admit(host string) (served bool, responseDelay time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	if s.refusesHost(host) {
+		s.faults.refusals[host]++
+	}
+	return s.serves(host), s.faults.responseDelay
+}
+
+func (s *KeyValueStore) handleGet(w http.ResponseWriter, r *http.Request) {
+	key := r.PathValue("key")
+	s.mu.Lock()
+	e, ok := s.items[key]
+	storeRevision := s.revision
+	s.mu.Unlock()
+	if !ok {
+		writeResponse(w, http.StatusNotFound, wire.TxnResponse{Revision: storeRevision})
+		return
+	}
+	writeResponse(w, http.StatusOK, keyValue(key, e))
+}
+
+func (s *KeyValueStore) handleList(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	prefix, since := query.Get("prefix"), query.Get("since")
+	pageSize := pageSizeOf(r, maxListedKeys)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faults.listsRefused {
+		writeError(w, http.StatusTooManyRequests, "too many requests")
+		return
+	}
+	keys := s.sortedKeys(func(key string, _ entry) bool {
+		return strings.HasPrefix(key, prefix) && key > since
+	})
+	page := wire.KeyValuePage{
+		Items:    []wire.KeyValue{}, // an empty list on the wire, not null
+		Revision: s.revision,
+	}
+	if len(keys) > pageSize {
+		keys = keys[:pageSize]
+		page.More = true
+	}
+	s.listed += len(keys)
+	for _, key := range keys {
+		page.Items = append(page.Items, keyValue(key, s.items[key]))
+	}
+	writeResponse(w, http.StatusOK, page)
+}
+
+func keyValue(key string, e entry) wire.KeyValue {
+	return wire.KeyValue{
+		Key:      key,
+		Value:    e.value,
+		Revision: e.revision,
+		LeaseID:  e.leaseID,
+	}
+}
+
+func (s *KeyValueStore) handleCommit(w http.ResponseWriter, r *http.Request) {
+	var txn rawTxn
+	if !readRequest(w, r, &txn) {
+		return
+	}
+	fault, delay := NoFault, time.Duration(0)
+	if s.Faults != nil {
+		fault, delay = s.Faults(r.RemoteAddr, txn.keys())
+	}
+	switch fault {
+	case RefuseRequest:
+		writeError(w, http.StatusServiceUnavailable, unavailable)
+	case LoseResponse:
+		s.apply(&txn)
+		panic(http.ErrAbortHandler)
+	case ExecuteLate:
+		time.AfterFunc(delay, func() { s.apply(&txn) })
+		panic(http.ErrAbortHandler)
+	default:
+		status, body := s.apply(&txn)
+		writeResponse(w, status, body)
+	}
+}
+
+func (s *KeyValueStore) handleGrantLease(w http.ResponseWriter, r *http.Request) {
+	var request wire.LeaseRequest
+	if !readRequest(w, r, &request) {
+		return
+	}
+	id := s.grantLease(time.Duration(request.TTLMS) * time.Millisecond)
+	writeResponse(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+}
+
+func (s *KeyValueStore) handleRenewLease(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	id := leaseIDOf(r)
+	if !s.renewLease(id) {
+		writeError(w, http.StatusNotFound, noSuchLease)
+		return
+	}
+	writeResponse(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+}
+
+func (s *KeyValueStore) handleEndLease(w http.ResponseWriter, r *http.Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.endLease(leaseIDOf(r))
+	writeResponse(w, http.StatusOK, map[string]bool{})
+}
+
+// leaseIDOf returns the lease ID in a request's path; 0, which no lease has, if there is none.
+func leaseIDOf(r *http.Request) uint64 {
+	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
+	if err != nil {
+		return 0
+	}
+	return id
+}
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -10,6 +10,12 @@
 	"golang.org/x/time/rate"
 )
 
+const (
+	// comparesPerWrite is how many compares are allowed for each write, by the protocol.
+	comparesPerWrite = 4
+	bytesPerKiB      = 1024
+)
+
 // limits are the key-value store's limits on what is written.
 type limits struct {
 	config.StateLimits
@@ -20,7 +26,10 @@
 func (s *KeyValueStore) Limit(l config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = &limits{l, rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))}
+	s.limits = &limits{
+		StateLimits: l,
+		changes:     rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS)),
+	}
 }
 
 // Invalid lists why requests were answered 400 so far.
@@ -30,54 +39,53 @@
 	return append([]string(nil), s.invalid...)
 }
 
-// exceeded tells which limit of size a transaction exceeds; "" if none.
-func (l *limits) exceeded(t *rawTxn) string {
-	if len(t.Writes) > l.TxnOps {
-		return fmt.Sprintf("%d changes in a transaction", len(t.Writes))
+// exceeded names the limit of size that a transaction exceeds; "" if none.
+func (l *limits) exceeded(txn *rawTxn) string {
+	if len(txn.Writes) > l.TxnOps {
+		return fmt.Sprintf("%d changes in a transaction", len(txn.Writes))
 	}
-	if len(t.Compares) > conditionsPerChange*l.TxnOps {
-		return fmt.Sprintf("%d conditions in a transaction", len(t.Compares))
+	if len(txn.Compares) > comparesPerWrite*l.TxnOps {
+		return fmt.Sprintf("%d conditions in a transaction", len(txn.Compares))
 	}
-	for _, w := range t.Writes {
-		if n := jsonSize(w.Value); n > int(l.ValueKB*1024) {
-			return fmt.Sprintf("%d bytes in %s", n, w.Put)
+	for _, write := range txn.Writes {
+		size, err := JSONSize(write.Value)
+		if err != nil {
+			continue // a delete, or no value that the store would have to measure
+		}
+		if size > int(l.ValueKB*bytesPerKiB) {
+			return fmt.Sprintf("%d bytes in %s", size, write.Put)
 		}
 	}
 	return ""
 }
 
-// conditionsPerChange is how many conditions are allowed for each change, by the protocol.
-const conditionsPerChange = 4
-
-// jsonSize is a value's size in the protocol's measure; 0 for what is no value.
-func jsonSize(raw wire.Raw) int {
-	if len(raw) == 0 {
-		return 0
-	}
-	var plain any
-	if wire.Unmarshal(raw, &plain) != nil {
-		return 0
+// JSONSize returns the size of an encoded value as the protocol measures it: in bytes, as JSON.
+func JSONSize(raw wire.Raw) (int, error) {
+	var decoded any
+	if err := wire.Unmarshal(raw, &decoded); err != nil {
+		return 0, fmt.Errorf("decoding the value: %w", err)
 	}
-	b, err := json.Marshal(textKeys(plain))
+	text, err := json.Marshal(withStringKeys(decoded))
 	if err != nil {
-		return 0
+		return 0, fmt.Errorf("encoding the value as JSON: %w", err)
 	}
-	return len(b)
+	return len(text), nil
 }
 
-// textKeys turns maps with keys of any type into those that JSON knows.
-func textKeys(v any) any {
-	switch x := v.(type) {
+// withStringKeys returns a decoded value with the keys of its maps as strings, the only ones
+// that JSON has.
+func withStringKeys(value any) any {
+	switch value := value.(type) {
 	case map[any]any:
-		out := map[string]any{}
-		for k, e := range x {
-			out[fmt.Sprint(k)] = textKeys(e)
+		converted := map[string]any{}
+		for key, element := range value {
+			converted[fmt.Sprint(key)] = withStringKeys(element)
 		}
-		return out
+		return converted
 	case []any:
-		for i := range x {
-			x[i] = textKeys(x[i])
+		for i := range value {
+			value[i] = withStringKeys(value[i])
 		}
 	}
-	return v
+	return value
 }
--- /dev/null
+++ b/internal/emulator/responses.go
@@ -0,0 +1,83 @@
+package emulator
+
+import (
+	"bytes"
+	"io"
+	"net/http"
+	"strconv"
+
+	"ambersill/internal/wire"
+)
+
+// deferredResponse buffers a response until its handler has returned and holds no lock, since
+// a host that is frozen does not read it.
+type deferredResponse struct {
+	http.ResponseWriter
+	status int
+	body   bytes.Buffer
+}
+
+func newDeferredResponse(w http.ResponseWriter) *deferredResponse {
+	return &deferredResponse{ResponseWriter: w, status: http.StatusOK}
+}
+
+// WriteHeader sets the status to send.
+func (d *deferredResponse) WriteHeader(status int) { d.status = status }
+
+// Write appends to the body to send.
+func (d *deferredResponse) Write(b []byte) (int, error) { return d.body.Write(b) }
+
+// send sends the response.
+func (d *deferredResponse) send() {
+	d.ResponseWriter.WriteHeader(d.status)
+	_, _ = d.ResponseWriter.Write(d.body.Bytes())
+}
+
+// deferResponses sends a handler's responses after it has returned.
+func deferResponses(h http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		response := newDeferredResponse(w)
+		h.ServeHTTP(response, r)
+		response.send()
+	})
+}
+
+// writeResponse sends a message.
+func writeResponse(w http.ResponseWriter, status int, message any) {
+	body, err := wire.Marshal(message)
+	if err != nil {
+		status, body = http.StatusInternalServerError, nil
+	}
+	w.Header().Set("Content-Type", wire.ContentType)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	_, _ = w.Write(body)
+}
+
+// writeError refuses a request.
+func writeError(w http.ResponseWriter, status int, reason string) {
+	writeResponse(w, status, wire.ErrorResponse{Error: reason})
+}
+
+// readRequest decodes a request's body. If that fails it answers 400 and returns false.
+func readRequest(w http.ResponseWriter, r *http.Request, message any) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
+	if err == nil {
+		err = wire.Unmarshal(body, message)
+	}
+	if err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
+		return false
+	}
+	return true
+}
+
+// pageSizeOf returns how many items a listing request asks for, and the maximum if it names no
+// number that is allowed.
+func pageSizeOf(r *http.Request, maximum int) int {
+	size, err := strconv.Atoi(r.URL.Query().Get("most"))
+	if err != nil || size < 1 || size > maximum {
+		return maximum
+	}
+	return size
+}
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -1,12 +1,12 @@
 package scheduler
 
 import (
-	"encoding/json"
 	"fmt"
 	"strings"
 	"testing"
 	"time"
 
+	"ambersill/internal/emulator"
 	"ambersill/internal/records"
 	"ambersill/internal/wire"
 )
@@ -74,33 +74,11 @@
 	if err != nil {
 		return 0
 	}
-	var decoded any
-	if wire.Unmarshal(raw, &decoded) != nil {
-		return 0
-	}
-	text, err := json.Marshal(withStringKeys(decoded))
+	size, err := emulator.JSONSize(raw)
 	if err != nil {
 		return 0
 	}
-	return len(text)
-}
-
-// withStringKeys returns a decoded value with the keys of its maps as strings, as JSON wants
-// them.
-func withStringKeys(value any) any {
-	switch value := value.(type) {
-	case map[any]any:
-		converted := map[string]any{}
-		for key, element := range value {
-			converted[fmt.Sprint(key)] = withStringKeys(element)
-		}
-		return converted
-	case []any:
-		for i := range value {
-			value[i] = withStringKeys(value[i])
-		}
-	}
-	return value
+	return size
 }
 
 // longName is as long as names in records get.
