--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -30,8 +30,17 @@
 	}
 	runSimulation(t, 2, 1, false, func(cluster *simulatedCluster) {
 		job := &wire.Job{
-			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 6, CPUs: 4, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120,
+			ID:            "req-000001",
+			Class:         "c",
+			Team:          "free",
+			Shape:         wire.ArrayJob,
+			Priority:      "standard",
+			Tasks:         6,
+			CPUs:          4,
+			MemoryGB:      4,
+			Image:         "img",
+			ImageGB:       1,
+			EstimatedRunS: 120,
 		}
 		cluster.submit(job, 0)
 		time.Sleep(time.Minute)
@@ -61,8 +70,18 @@
 	runSimulation(t, 4, 1, false, func(cluster *simulatedCluster) {
 		job := func(id string, tasks int) *wire.Job {
 			return &wire.Job{
-				ID: id, Class: "c", Team: "free", Shape: wire.GangJob, Priority: "standard", Tasks: tasks, CPUs: 16, GPUs: 4, MemoryGB: 64,
-				Image: "img", ImageGB: 90, EstimatedRunS: 20,
+				ID:            id,
+				Class:         "c",
+				Team:          "free",
+				Shape:         wire.GangJob,
+				Priority:      "standard",
+				Tasks:         tasks,
+				CPUs:          16,
+				GPUs:          4,
+				MemoryGB:      64,
+				Image:         "img",
+				ImageGB:       90,
+				EstimatedRunS: 20,
 			}
 		}
 		cluster.submit(job("req-000001", 1), 0)
@@ -80,8 +99,19 @@
 	}
 	runSimulation(t, 3, 1, false, func(cluster *simulatedCluster) {
 		job := &wire.Job{
-			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 150, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120, AllowSpot: true, MachineTypes: []string{"small"},
+			ID:            "req-000001",
+			Class:         "c",
+			Team:          "free",
+			Shape:         wire.ArrayJob,
+			Priority:      "standard",
+			Tasks:         150,
+			CPUs:          8,
+			MemoryGB:      4,
+			Image:         "img",
+			ImageGB:       1,
+			EstimatedRunS: 120,
+			AllowSpot:     true,
+			MachineTypes:  []string{"small"},
 		}
 		cluster.submit(job, 0)
 		time.Sleep(25 * time.Second) // before kinds are asked for again
@@ -102,8 +132,17 @@
 	}
 	runSimulation(t, 2, 1, false, func(cluster *simulatedCluster) {
 		cluster.submit(&wire.Job{
-			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 3, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 90,
+			ID:            "req-000001",
+			Class:         "c",
+			Team:          "free",
+			Shape:         wire.ArrayJob,
+			Priority:      "standard",
+			Tasks:         3,
+			CPUs:          8,
+			MemoryGB:      4,
+			Image:         "img",
+			ImageGB:       1,
+			EstimatedRunS: 90,
 		}, 0)
 		time.Sleep(40 * time.Second)
 		ws := cluster.cloud.Workers()
@@ -134,8 +173,17 @@
 	}
 	runSimulation(t, 5, 1, false, func(cluster *simulatedCluster) {
 		cluster.submit(&wire.Job{
-			ID: "req-000001", Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: 4, CPUs: 8, MemoryGB: 4,
-			Image: "img", ImageGB: 1, EstimatedRunS: 120,
+			ID:            "req-000001",
+			Class:         "c",
+			Team:          "free",
+			Shape:         wire.ArrayJob,
+			Priority:      "standard",
+			Tasks:         4,
+			CPUs:          8,
+			MemoryGB:      4,
+			Image:         "img",
+			ImageGB:       1,
+			EstimatedRunS: 120,
 		}, 0)
 		time.Sleep(50 * time.Second)
 		if cluster.simulation.Starts() != 4 {
@@ -195,8 +243,19 @@
 		cluster.simulation.SetLinkDelay(delay)
 		job := func(n int, shape wire.JobShape, rank wire.Priority, tasks int, cpus, seconds float64) *wire.Job {
 			return &wire.Job{
-				ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: []string{"red", "blue", "free"}[n%3], Shape: shape, Priority: rank,
-				Tasks: tasks, CPUs: cpus, MemoryGB: 4, Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, MachineTypes: []string{"small"}, AllowSpot: true,
+				ID:            fmt.Sprintf("req-%06d", n),
+				Class:         "c",
+				Team:          []string{"red", "blue", "free"}[n%3],
+				Shape:         shape,
+				Priority:      rank,
+				Tasks:         tasks,
+				CPUs:          cpus,
+				MemoryGB:      4,
+				Image:         "img",
+				ImageGB:       0.5,
+				EstimatedRunS: seconds,
+				MachineTypes:  []string{"small"},
+				AllowSpot:     true,
 			}
 		}
 		big := map[string]time.Time{}
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -115,7 +115,11 @@
 		if cluster.faultsOver.Load() || rnd.Float64() > share {
 			return emulator.NoFault, 0
 		}
-		return []emulator.RequestFault{emulator.LoseResponse, emulator.ExecuteLate, emulator.RefuseRequest}[rnd.IntN(3)], time.Duration(rnd.IntN(60)) * time.Second
+		return []emulator.RequestFault{
+			emulator.LoseResponse,
+			emulator.ExecuteLate,
+			emulator.RefuseRequest,
+		}[rnd.IntN(3)], time.Duration(rnd.IntN(60)) * time.Second
 	}
 	cluster.store.Faults = func(string, *wire.Txn) (emulator.RequestFault, time.Duration) { return pick(0.03) }
 	cluster.cloud.Faults = func() (emulator.RequestFault, time.Duration) { return pick(0.2) }
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -77,8 +77,19 @@
 // smallMachineJob is a job of the free team on small machines.
 func smallMachineJob(n, tasks int, cpus, seconds float64) *wire.Job {
 	return &wire.Job{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "standard", Tasks: tasks, CPUs: cpus, MemoryGB: 4,
-		Image: "img", ImageGB: 1, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"},
+		ID:            fmt.Sprintf("req-%06d", n),
+		Class:         "c",
+		Team:          "free",
+		Shape:         wire.ArrayJob,
+		Priority:      "standard",
+		Tasks:         tasks,
+		CPUs:          cpus,
+		MemoryGB:      4,
+		Image:         "img",
+		ImageGB:       1,
+		EstimatedRunS: seconds,
+		AllowSpot:     true,
+		MachineTypes:  []string{"small"},
 	}
 }
 
@@ -107,7 +118,12 @@
 // report to the old owner. Its contact may be renewed in between by a watch that ends, and
 // is back after the outage before the news are; neither may keep the tasks alive.
 func TestJobsCancelledWhileOwnerIsRefused(t *testing.T) {
-	refused := emulator.Fault{At: 40 * second, For: 3 * second, Kind: emulator.StoreRefusesNode, Nodes: []int{emulator.Owner}}
+	refused := emulator.Fault{
+		At:    40 * second,
+		For:   3 * second,
+		Kind:  emulator.StoreRefusesNode,
+		Nodes: []int{emulator.Owner},
+	}
 	cancels := emulator.Fault{At: 41 * second, Kind: emulator.CancelRunningJobs, Count: 5}
 	out := emulator.Fault{At: 42500 * time.Millisecond, For: 60 * second, Kind: emulator.StoreOutage}
 	with := func(more ...emulator.Fault) []emulator.Fault {
@@ -116,44 +132,116 @@
 	stuck := emulator.Fault{At: 40 * second, For: 80 * second, Kind: emulator.WatchesStalled}
 	long := refused
 	long.For = 70 * second
-	met := map[emulator.FaultKind]int{emulator.StoreRefusesNode: 1, emulator.CancelRunningJobs: 5, emulator.StoreOutage: 1}
+	met := map[emulator.FaultKind]int{
+		emulator.StoreRefusesNode:  1,
+		emulator.CancelRunningJobs: 5,
+		emulator.StoreOutage:       1,
+	}
 	all := []faultScenario{
 		{name: "ends in the outage", script: with()},
 		{name: "outlasts the outage", script: []emulator.Fault{long, cancels, out}},
-		{name: "a second outage", script: with(emulator.Fault{At: 103500 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage})},
-		{name: "a moment of contact", script: []emulator.Fault{
-			refused, cancels,
-			{At: 42500 * time.Millisecond, For: 20 * second, Kind: emulator.StoreOutage},
-			{At: 62600 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage},
-		}},
-		{name: "the owner restarts", script: with(emulator.Fault{At: 55 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 200 * time.Millisecond})},
-		{name: "machines hang", script: with(emulator.Fault{At: 41500 * time.Millisecond, For: 12 * second, Kind: emulator.MachineHang, Count: 3})},
-		{name: "machines are deaf", script: with(emulator.Fault{At: 41500 * time.Millisecond, For: 90 * second, Kind: emulator.MachineInboundCut, Count: 3})},
-		{name: "reports come through a third node", script: with(emulator.Fault{At: 39 * second, For: 80 * second, Kind: emulator.WorkersCut, Nodes: []int{emulator.Owner}})},
-		{name: "all at the same moment", script: []emulator.Fault{
-			refused,
-			{At: 40 * second, Kind: emulator.CancelRunningJobs, Count: 5},
-			{At: 41500 * time.Millisecond, For: 60 * second, Kind: emulator.StoreOutage},
-		}},
-		{name: "answers are slow", script: with(emulator.Fault{At: 30 * second, For: 90 * second, Kind: emulator.StoreSlow, Wait: 800 * time.Millisecond})},
+		{
+			name: "a second outage",
+			script: with(emulator.Fault{
+				At:   103500 * time.Millisecond,
+				For:  50 * second,
+				Kind: emulator.StoreOutage,
+			}),
+		},
+		{
+			name: "a moment of contact",
+			script: []emulator.Fault{
+				refused, cancels,
+				{At: 42500 * time.Millisecond, For: 20 * second, Kind: emulator.StoreOutage},
+				{At: 62600 * time.Millisecond, For: 50 * second, Kind: emulator.StoreOutage},
+			},
+		},
+		{
+			name: "the owner restarts",
+			script: with(emulator.Fault{
+				At:    55 * second,
+				Kind:  emulator.ControllerCrash,
+				Nodes: []int{emulator.Owner},
+				Wait:  200 * time.Millisecond,
+			}),
+		},
+		{
+			name: "machines hang",
+			script: with(emulator.Fault{
+				At:    41500 * time.Millisecond,
+				For:   12 * second,
+				Kind:  emulator.MachineHang,
+				Count: 3,
+			}),
+		},
+		{
+			name: "machines are deaf",
+			script: with(emulator.Fault{
+				At:    41500 * time.Millisecond,
+				For:   90 * second,
+				Kind:  emulator.MachineInboundCut,
+				Count: 3,
+			}),
+		},
+		{
+			name: "reports come through a third node",
+			script: with(emulator.Fault{
+				At:    39 * second,
+				For:   80 * second,
+				Kind:  emulator.WorkersCut,
+				Nodes: []int{emulator.Owner},
+			}),
+		},
+		{
+			name: "all at the same moment",
+			script: []emulator.Fault{
+				refused,
+				{At: 40 * second, Kind: emulator.CancelRunningJobs, Count: 5},
+				{At: 41500 * time.Millisecond, For: 60 * second, Kind: emulator.StoreOutage},
+			},
+		},
+		{
+			name: "answers are slow",
+			script: with(emulator.Fault{
+				At:   30 * second,
+				For:  90 * second,
+				Kind: emulator.StoreSlow,
+				Wait: 800 * time.Millisecond,
+			}),
+		},
 	}
 	for i := range all {
 		all[i].minInjected = met
 	}
 	all = append(all, faultScenario{
-		name: "watches are stuck", script: []emulator.Fault{stuck, cancels},
+		name:        "watches are stuck",
+		script:      []emulator.Fault{stuck, cancels},
 		minInjected: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.CancelRunningJobs: 5},
 	})
 	// The owner has contact all the time, and no news.
 	all = append(all, faultScenario{
-		name: "the marks cannot be read", script: []emulator.Fault{stuck, cancels, {At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused}},
-		minInjected: map[emulator.FaultKind]int{emulator.WatchesStalled: 1, emulator.ListsRefused: 1, emulator.CancelRunningJobs: 5},
+		name: "the marks cannot be read",
+		script: []emulator.Fault{
+			stuck,
+			cancels,
+			{At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused},
+		},
+		minInjected: map[emulator.FaultKind]int{
+			emulator.WatchesStalled:    1,
+			emulator.ListsRefused:      1,
+			emulator.CancelRunningJobs: 5,
+		},
 	})
 	for i := range all {
 		all[i].seed, all[i].submit = uint64(20+i), submitLongJobs(8)
 		all[i].setup = func(cluster *simulatedCluster) { cluster.store.WatchesEnd = true }
 		// No node can tell the owner, so that it hears by the state service only.
-		all[i].script = append(all[i].script, emulator.Fault{At: 40500 * time.Millisecond, For: 2 * second, Kind: emulator.PeersCut, Nodes: []int{emulator.Owner}})
+		all[i].script = append(all[i].script, emulator.Fault{
+			At:    40500 * time.Millisecond,
+			For:   2 * second,
+			Kind:  emulator.PeersCut,
+			Nodes: []int{emulator.Owner},
+		})
 	}
 	runScenarios(t, all)
 }
@@ -230,26 +318,56 @@
 	crash := emulator.Fault{At: 60 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 4 * second}
 	tenTimes := []emulator.Fault{{At: 90 * second, For: 25 * second, Kind: emulator.StoreOutage}}
 	for i := range 10 {
-		tenTimes = append(tenTimes, emulator.Fault{At: time.Duration(50+12*i) * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: time.Duration(200+700*i) * time.Millisecond})
+		tenTimes = append(tenTimes, emulator.Fault{
+			At:    time.Duration(50+12*i) * second,
+			Kind:  emulator.ControllerCrash,
+			Nodes: owner,
+			Wait:  time.Duration(200+700*i) * time.Millisecond,
+		})
 	}
 	runScenarios(t, []faultScenario{
 		{
-			name: "machines with long tasks hang as the owner ends", seed: 40, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.MachineHang: 4, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.MachineHang, Count: 4}, crash},
+			name:        "machines with long tasks hang as the owner ends",
+			seed:        40,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.MachineHang: 4, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				{At: 59 * second, For: 12 * second, Kind: emulator.MachineHang, Count: 4},
+				crash,
+			},
 		},
 		{
-			name: "machines do not hear the next owner", seed: 41, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.MachineInboundCut: 4, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 40 * second, Kind: emulator.MachineInboundCut, Count: 4}, crash},
+			name:        "machines do not hear the next owner",
+			seed:        41,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.MachineInboundCut: 4, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				{At: 59 * second, For: 40 * second, Kind: emulator.MachineInboundCut, Count: 4},
+				crash,
+			},
 		},
 		{
-			name: "machines cannot be reached by the next owner", seed: 42, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1, emulator.ControllerCrash: 1},
-			script: []emulator.Fault{{At: 59 * second, For: 12 * second, Kind: emulator.ZoneCut, Zone: "a"}, crash},
+			name:        "machines cannot be reached by the next owner",
+			seed:        42,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				{At: 59 * second, For: 12 * second, Kind: emulator.ZoneCut, Zone: "a"},
+				crash,
+			},
 		},
 		{
-			name: "all end for longer than a lease", seed: 43, submit: submitLongAndShortJobs(10, 6, 30), minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 3, emulator.MachineInboundCut: 3}, check: expectStarts(46),
+			name:        "all end for longer than a lease",
+			seed:        43,
+			submit:      submitLongAndShortJobs(10, 6, 30),
+			minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 3, emulator.MachineInboundCut: 3},
+			check:       expectStarts(46),
 			// Some machines do not hear those that are back: their work is known to be over
 			// by their sessions alone, and goes on elsewhere.
-			script: []emulator.Fault{{At: 59 * second, For: 90 * second, Kind: emulator.MachineInboundCut, Count: 3}, {At: 60 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 20 * second}},
+			script: []emulator.Fault{
+				{At: 59 * second, For: 90 * second, Kind: emulator.MachineInboundCut, Count: 3},
+				{At: 60 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 20 * second},
+			},
 			observe: func(cluster *simulatedCluster) {
 				time.Sleep(92 * second)
 				if n := cluster.simulation.Running(); n != 20 {
@@ -258,21 +376,49 @@
 			},
 		},
 		{
-			name: "handed over and back, all end, and one is back at once", seed: 44, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 5},
+			name:        "handed over and back, all end, and one is back at once",
+			seed:        44,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 5},
 			script: []emulator.Fault{
 				crash,
 				{At: 66 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 300 * time.Millisecond},
 				{At: 72 * second, Kind: emulator.ControllerCrash, Nodes: all, Wait: 200 * time.Millisecond},
-			}, check: expectStarts(20),
+			},
+			check: expectStarts(20),
 		},
-		{name: "ten owners in two minutes, and an outage", seed: 45, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 8, emulator.StoreOutage: 1}, script: tenTimes},
 		{
-			name: "a zone is cut off with the owner inside", seed: 46, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
-			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "a", Nodes: owner}},
+			name:        "ten owners in two minutes, and an outage",
+			seed:        45,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 8, emulator.StoreOutage: 1},
+			script:      tenTimes,
 		},
 		{
-			name: "a zone is cut off with another inside", seed: 47, submit: submitLongAndShortJobs(10, 6, 30), minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
-			script: []emulator.Fault{{At: 60 * second, For: 50 * second, Kind: emulator.ZoneCut, Zone: "b", Nodes: []int{emulator.Others}}},
+			name:        "a zone is cut off with the owner inside",
+			seed:        46,
+			submit:      submitLongJobs(10),
+			minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
+			script: []emulator.Fault{{
+				At:    60 * second,
+				For:   50 * second,
+				Kind:  emulator.ZoneCut,
+				Zone:  "a",
+				Nodes: owner,
+			}},
+		},
+		{
+			name:        "a zone is cut off with another inside",
+			seed:        47,
+			submit:      submitLongAndShortJobs(10, 6, 30),
+			minInjected: map[emulator.FaultKind]int{emulator.ZoneCut: 1},
+			script: []emulator.Fault{{
+				At:    60 * second,
+				For:   50 * second,
+				Kind:  emulator.ZoneCut,
+				Zone:  "b",
+				Nodes: []int{emulator.Others},
+			}},
 		},
 	})
 }
@@ -281,7 +427,10 @@
 // which does not reach the workers: they must not live on the old one's answers.
 func TestIsolatedOwnerKeepsWorkers(t *testing.T) {
 	runScenarios(t, []faultScenario{{
-		name: "cancelled through the next owner", seed: 50, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.NodeIsolated: 1, emulator.CancelRunningJobs: 5},
+		name:        "cancelled through the next owner",
+		seed:        50,
+		submit:      submitLongJobs(10),
+		minInjected: map[emulator.FaultKind]int{emulator.NodeIsolated: 1, emulator.CancelRunningJobs: 5},
 		script: []emulator.Fault{
 			{At: 60 * second, For: 80 * second, Kind: emulator.NodeIsolated, Nodes: []int{emulator.Owner}},
 			{At: 60 * second, For: 80 * second, Kind: emulator.WorkersCut, Nodes: []int{emulator.Others}},
@@ -295,22 +444,63 @@
 // Teams are at their limits while the owner changes, machines can't be asked, and jobs
 // are cancelled: what may still be on a machine counts.
 func TestTeamsAtLimits(t *testing.T) {
-	crash := emulator.Fault{At: 71 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 3 * second}
+	crash := emulator.Fault{
+		At:    71 * second,
+		Kind:  emulator.ControllerCrash,
+		Nodes: []int{emulator.Owner},
+		Wait:  3 * second,
+	}
 	cancels := emulator.Fault{At: 70500 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 0}
 	met := map[emulator.FaultKind]int{emulator.CancelRunningJobs: 6, emulator.ControllerCrash: 1}
 	row := func(name string, seed uint64, silence ...emulator.Fault) faultScenario {
-		return faultScenario{name: name, seed: seed, submit: submitJobsAtTeamLimits, observe: expectTeamsAtLimits(69 * second), minInjected: met, script: append(silence, cancels, crash)}
+		return faultScenario{
+			name:        name,
+			seed:        seed,
+			submit:      submitJobsAtTeamLimits,
+			observe:     expectTeamsAtLimits(69 * second),
+			minInjected: met,
+			script:      append(silence, cancels, crash),
+		}
 	}
-	deaf := row("machines are deaf", 63, emulator.Fault{At: 70 * second, For: 30 * second, Kind: emulator.MachineInboundCut, Count: 3, Team: "blue"},
-		emulator.Fault{At: 70 * second, For: 30 * second, Kind: emulator.MachineInboundCut, Count: 1, Team: "red"})
-	zone := row("a zone is cut off", 61, emulator.Fault{At: 70 * second, For: 13 * second, Kind: emulator.ZoneCut, Zone: "a"})
+	deaf := row("machines are deaf", 63, emulator.Fault{
+		At:    70 * second,
+		For:   30 * second,
+		Kind:  emulator.MachineInboundCut,
+		Count: 3,
+		Team:  "blue",
+	},
+		emulator.Fault{
+			At:    70 * second,
+			For:   30 * second,
+			Kind:  emulator.MachineInboundCut,
+			Count: 1,
+			Team:  "red",
+		})
+	zone := row("a zone is cut off", 61, emulator.Fault{
+		At:   70 * second,
+		For:  13 * second,
+		Kind: emulator.ZoneCut,
+		Zone: "a",
+	})
 	// Once the owner is gone: it would place the next work where its orders are lost.
 	for _, m := range []faultScenario{deaf, zone} {
 		m.script[len(m.script)-2].At = 72 * second
 	}
 	runScenarios(t, []faultScenario{
-		row("machines hang", 60, emulator.Fault{At: 70 * second, For: 13 * second, Kind: emulator.MachineHang, Count: 3, Team: "blue"},
-			emulator.Fault{At: 70 * second, For: 13 * second, Kind: emulator.MachineHang, Count: 1, Team: "red"}),
+		row("machines hang", 60, emulator.Fault{
+			At:    70 * second,
+			For:   13 * second,
+			Kind:  emulator.MachineHang,
+			Count: 3,
+			Team:  "blue",
+		},
+			emulator.Fault{
+				At:    70 * second,
+				For:   13 * second,
+				Kind:  emulator.MachineHang,
+				Count: 1,
+				Team:  "red",
+			}),
 		zone,
 		deaf,
 	})
@@ -337,7 +527,13 @@
 	// so that the next one does not hear of what runs there.
 	lateThenCrash := func(at ...time.Duration) (out []emulator.Fault) {
 		for _, x := range at {
-			out = append(out, emulator.Fault{At: x - 5*second, For: 5 * second, Kind: emulator.LateCommits, Share: 1, Nodes: owner},
+			out = append(out, emulator.Fault{
+				At:    x - 5*second,
+				For:   5 * second,
+				Kind:  emulator.LateCommits,
+				Share: 1,
+				Nodes: owner,
+			},
 				emulator.Fault{At: x, For: 9 * second, Kind: emulator.MachineHang, Count: 7},
 				emulator.Fault{At: x, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second})
 		}
@@ -345,7 +541,11 @@
 	}
 	takenEach := func(gap, from time.Duration, n int) (out []emulator.Fault) {
 		for i := range n {
-			out = append(out, emulator.Fault{At: from + time.Duration(i)*gap, Kind: emulator.MachineLost, Count: 1})
+			out = append(out, emulator.Fault{
+				At:    from + time.Duration(i)*gap,
+				Kind:  emulator.MachineLost,
+				Count: 1,
+			})
 		}
 		return out
 	}
@@ -353,7 +553,15 @@
 		// The first reports of all, without a task. The machines with work hang then, so
 		// that neither an answer to an order nor a newer report of theirs comes first.
 		{
-			name: "old reports as the next owner begins", seed: 70, submit: submitLongAndShortJobs(5, 5, 10), minInjected: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.MachineHang: 4, emulator.ControllerCrash: 1}, check: expectStarts(15),
+			name:   "old reports as the next owner begins",
+			seed:   70,
+			submit: submitLongAndShortJobs(5, 5, 10),
+			minInjected: map[emulator.FaultKind]int{
+				emulator.HeartbeatsForNextOwner: 6,
+				emulator.MachineHang:            4,
+				emulator.ControllerCrash:        1,
+			},
+			check: expectStarts(15),
 			script: []emulator.Fault{
 				{At: 2 * second, For: 36 * second, Kind: emulator.HeartbeatsForNextOwner},
 				{At: 39 * second, For: 11 * second, Kind: emulator.MachineHang},
@@ -362,44 +570,127 @@
 		},
 		// Those kept for the next owner, and some that have its token already.
 		{
-			name: "old reports once the next owner has acted", seed: 71, submit: submitJobStream(60, 2, 4, second, 15), minInjected: map[emulator.FaultKind]int{emulator.HeartbeatsForNextOwner: 6, emulator.LateHeartbeats: 20, emulator.ControllerCrash: 1},
+			name:   "old reports once the next owner has acted",
+			seed:   71,
+			submit: submitJobStream(60, 2, 4, second, 15),
+			minInjected: map[emulator.FaultKind]int{
+				emulator.HeartbeatsForNextOwner: 6,
+				emulator.LateHeartbeats:         20,
+				emulator.ControllerCrash:        1,
+			},
 			script: []emulator.Fault{
 				{At: 22 * second, For: 20 * second, Kind: emulator.HeartbeatsForNextOwner, Wait: 6 * second},
 				{At: 50 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 3 * second},
-				{At: 54 * second, For: 30 * second, Kind: emulator.LateHeartbeats, Share: 0.5, Wait: 10 * second},
+				{
+					At:    54 * second,
+					For:   30 * second,
+					Kind:  emulator.LateHeartbeats,
+					Share: 0.5,
+					Wait:  10 * second,
+				},
 			},
 		},
 		{
-			name: "copies from earlier sessions and attempts", seed: 72, submit: submitJobStream(60, 2, 4, second, 15), minInjected: map[emulator.FaultKind]int{emulator.LateHeartbeats: 50, emulator.MachineHang: 4},
-			script: []emulator.Fault{{At: 20 * second, For: 80 * second, Kind: emulator.LateHeartbeats, Share: 0.3, Wait: 30 * second}, {At: 45 * second, For: 16 * second, Kind: emulator.MachineHang, Count: 4}},
+			name:        "copies from earlier sessions and attempts",
+			seed:        72,
+			submit:      submitJobStream(60, 2, 4, second, 15),
+			minInjected: map[emulator.FaultKind]int{emulator.LateHeartbeats: 50, emulator.MachineHang: 4},
+			script: []emulator.Fault{
+				{
+					At:    20 * second,
+					For:   80 * second,
+					Kind:  emulator.LateHeartbeats,
+					Share: 0.3,
+					Wait:  30 * second,
+				},
+				{At: 45 * second, For: 16 * second, Kind: emulator.MachineHang, Count: 4},
+			},
 		},
 		{
-			name: "orders are held up", seed: 73, submit: yielding, minInjected: map[emulator.FaultKind]int{emulator.DelayedCommands: 5}, check: expectNoRepeatedAttempts,
-			script: []emulator.Fault{{At: 42 * second, For: 50 * second, Kind: emulator.DelayedCommands, Wait: 9 * second}},
+			name:        "orders are held up",
+			seed:        73,
+			submit:      yielding,
+			minInjected: map[emulator.FaultKind]int{emulator.DelayedCommands: 5},
+			check:       expectNoRepeatedAttempts,
+			script: []emulator.Fault{{
+				At:   42 * second,
+				For:  50 * second,
+				Kind: emulator.DelayedCommands,
+				Wait: 9 * second,
+			}},
 		},
 		{
-			name: "machines go on with an order in flight", seed: 74, submit: submitJobStream(60, 2, 4, second, 20), minInjected: map[emulator.FaultKind]int{emulator.MachineHang: 4},
-			script: []emulator.Fault{{At: 30 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 42 * second, For: 9 * second, Kind: emulator.MachineHang}, {At: 55 * second, For: 13 * second, Kind: emulator.MachineHang}},
+			name:        "machines go on with an order in flight",
+			seed:        74,
+			submit:      submitJobStream(60, 2, 4, second, 20),
+			minInjected: map[emulator.FaultKind]int{emulator.MachineHang: 4},
+			script: []emulator.Fault{
+				{At: 30 * second, For: 9 * second, Kind: emulator.MachineHang},
+				{At: 42 * second, For: 9 * second, Kind: emulator.MachineHang},
+				{At: 55 * second, For: 13 * second, Kind: emulator.MachineHang},
+			},
 		},
 		{
-			name: "machines reach no controller, orders reach them", seed: 75, submit: submitJobStream(90, 2, 4, second, 14), minInjected: map[emulator.FaultKind]int{emulator.MachineOutboundCut: 4, emulator.CloudCut: 1, emulator.CancelRunningJobs: 5},
+			name:   "machines reach no controller, orders reach them",
+			seed:   75,
+			submit: submitJobStream(90, 2, 4, second, 14),
+			minInjected: map[emulator.FaultKind]int{
+				emulator.MachineOutboundCut: 4,
+				emulator.CloudCut:           1,
+				emulator.CancelRunningJobs:  5,
+			},
 			// Their leases run out, and then orders to stop work reach them, which are refused
 			// by the next session. Nothing is returned once the next owner has learned the machines' addresses.
-			script: []emulator.Fault{{At: 61 * second, Kind: emulator.CancelRunningJobs}, {At: 54 * second, For: 40 * second, Kind: emulator.CloudCut, Nodes: []int{0, 1, 2}}, {At: 45 * second, For: 45 * second, Kind: emulator.MachineOutboundCut, Count: 5}, {At: 48 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second}},
+			script: []emulator.Fault{
+				{At: 61 * second, Kind: emulator.CancelRunningJobs},
+				{At: 54 * second, For: 40 * second, Kind: emulator.CloudCut, Nodes: []int{0, 1, 2}},
+				{At: 45 * second, For: 45 * second, Kind: emulator.MachineOutboundCut, Count: 5},
+				{At: 48 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second},
+			},
 		},
 		{
-			name: "writes are late", seed: 76, submit: submitJobStream(150, 2, 2, 500*time.Millisecond, 10), minInjected: map[emulator.FaultKind]int{emulator.LateCommits: 6, emulator.ControllerCrash: 3},
-			script: lateThenCrash(40*second, 55*second, 70*second),
+			name:        "writes are late",
+			seed:        76,
+			submit:      submitJobStream(150, 2, 2, 500*time.Millisecond, 10),
+			minInjected: map[emulator.FaultKind]int{emulator.LateCommits: 6, emulator.ControllerCrash: 3},
+			script:      lateThenCrash(40*second, 55*second, 70*second),
 		},
 		{
-			name: "answers to writes are lost", seed: 77, pollAllNodes: true, submit: submitJobStream(40, 2, 2, second, 10), minInjected: map[emulator.FaultKind]int{emulator.LostResponses: 20},
-			script: []emulator.Fault{{At: 10 * second, For: 50 * second, Kind: emulator.LostResponses, Share: 0.4}},
+			name:         "answers to writes are lost",
+			seed:         77,
+			pollAllNodes: true,
+			submit:       submitJobStream(40, 2, 2, second, 10),
+			minInjected:  map[emulator.FaultKind]int{emulator.LostResponses: 20},
+			script: []emulator.Fault{{
+				At:    10 * second,
+				For:   50 * second,
+				Kind:  emulator.LostResponses,
+				Share: 0.4,
+			}},
 		},
 		{
-			name: "machines boot within two seconds, writes lag, and the owner ends", seed: 78, setup: boots, submit: submitJobStream(40, 2, 2, second, 30), minInjected: map[emulator.FaultKind]int{emulator.StoreSlow: 1, emulator.ControllerCrash: 2, emulator.MachineLost: 5},
+			name:   "machines boot within two seconds, writes lag, and the owner ends",
+			seed:   78,
+			setup:  boots,
+			submit: submitJobStream(40, 2, 2, second, 30),
+			minInjected: map[emulator.FaultKind]int{
+				emulator.StoreSlow:       1,
+				emulator.ControllerCrash: 2,
+				emulator.MachineLost:     5,
+			},
 			// Machines are taken, and their records go while the next owner reads its own.
-			script: append(takenEach(500*time.Millisecond, 28*second, 16), emulator.Fault{At: 3 * second, For: 60 * second, Kind: emulator.StoreSlow, Wait: 600 * time.Millisecond},
-				emulator.Fault{At: 15 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}, emulator.Fault{At: 42 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}),
+			script: append(takenEach(500*time.Millisecond, 28*second, 16), emulator.Fault{
+				At:   3 * second,
+				For:  60 * second,
+				Kind: emulator.StoreSlow,
+				Wait: 600 * time.Millisecond,
+			},
+				emulator.Fault{
+					At:    15 * second,
+					Kind:  emulator.ControllerCrash,
+					Nodes: owner,
+					Wait:  second,
+				}, emulator.Fault{At: 42 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: second}),
 		},
 	})
 }
@@ -423,9 +714,18 @@
 	}
 	runScenarios(t, []faultScenario{
 		{
-			name: "cancelled and asked about at the last task's end", seed: 80, pollAllNodes: true, setup: cancelAtEnd, submit: submitJobStream(80, 1, 2, 250*time.Millisecond, 5),
+			name:         "cancelled and asked about at the last task's end",
+			seed:         80,
+			pollAllNodes: true,
+			setup:        cancelAtEnd,
+			submit:       submitJobStream(80, 1, 2, 250*time.Millisecond, 5),
 			// So that what a cancellation reads and what it writes lie apart.
-			script: []emulator.Fault{{At: 15 * second, For: 60 * second, Kind: emulator.StoreSlow, Wait: 150 * time.Millisecond}},
+			script: []emulator.Fault{{
+				At:   15 * second,
+				For:  60 * second,
+				Kind: emulator.StoreSlow,
+				Wait: 150 * time.Millisecond,
+			}},
 			check: func(t *testing.T, cluster *simulatedCluster) {
 				if done, cancelled := cluster.countFinalPhase(wire.JobDone), cluster.countFinalPhase(wire.JobCancelled); done < 5 || cancelled < 5 {
 					t.Errorf("%d done, %d cancelled", done, cancelled)
@@ -433,27 +733,56 @@
 			},
 		},
 		{
-			name: "asked at all nodes within milliseconds", seed: 81, pollAllNodes: true, submit: submitJobStream(40, 2, 2, 500*time.Millisecond, 6), minInjected: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 3},
-			script: []emulator.Fault{{At: 30 * second, Kind: emulator.CancelRunningJobs, Count: 10}, {At: 34 * second, Kind: emulator.CancelRunningJobs, Count: 10}},
+			name:         "asked at all nodes within milliseconds",
+			seed:         81,
+			pollAllNodes: true,
+			submit:       submitJobStream(40, 2, 2, 500*time.Millisecond, 6),
+			minInjected:  map[emulator.FaultKind]int{emulator.CancelRunningJobs: 3},
+			script: []emulator.Fault{
+				{At: 30 * second, Kind: emulator.CancelRunningJobs, Count: 10},
+				{At: 34 * second, Kind: emulator.CancelRunningJobs, Count: 10},
+			},
 		},
 		{
-			name: "cancelled while the work changes hands", seed: 82, pollAllNodes: true, submit: submitLongJobs(10), minInjected: map[emulator.FaultKind]int{emulator.CancelRunningJobs: 9, emulator.ControllerCrash: 1},
+			name:         "cancelled while the work changes hands",
+			seed:         82,
+			pollAllNodes: true,
+			submit:       submitLongJobs(10),
+			minInjected:  map[emulator.FaultKind]int{emulator.CancelRunningJobs: 9, emulator.ControllerCrash: 1},
 			script: []emulator.Fault{
-				{At: 60 * second, Kind: emulator.ControllerCrash, Nodes: []int{emulator.Owner}, Wait: 20 * second},
+				{
+					At:    60 * second,
+					Kind:  emulator.ControllerCrash,
+					Nodes: []int{emulator.Owner},
+					Wait:  20 * second,
+				},
 				{At: 60300 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3},
 				{At: 62 * second, Kind: emulator.CancelRunningJobs, Count: 3},
 				{At: 64500 * time.Millisecond, Kind: emulator.CancelRunningJobs, Count: 3},
 			},
 		},
-		{name: "one-task jobs four a second, a quarter cancelled", seed: 83, submit: submitJobStream(480, 1, 2, 250*time.Millisecond, 5), check: records},
-		{name: "odd requests", seed: 84, submit: func(cluster *simulatedCluster) {
-			submitLongJobs(2)(cluster)
-			u := &emulator.User{Simulation: cluster.simulation, Net: cluster.network.Host("odd"), Pick: func() emulator.Node { return cluster.nodes[cluster.random.IntN(3)] }}
-			for n := range 10 {
-				time.Sleep(2 * second)
-				u.SubmitInvalid(cluster.ctx, smallMachineJob(500+n, 1, 1, 5))
-			}
-		}},
+		{
+			name:   "one-task jobs four a second, a quarter cancelled",
+			seed:   83,
+			submit: submitJobStream(480, 1, 2, 250*time.Millisecond, 5),
+			check:  records,
+		},
+		{
+			name: "odd requests",
+			seed: 84,
+			submit: func(cluster *simulatedCluster) {
+				submitLongJobs(2)(cluster)
+				u := &emulator.User{
+					Simulation: cluster.simulation,
+					Net:        cluster.network.Host("odd"),
+					Pick:       func() emulator.Node { return cluster.nodes[cluster.random.IntN(3)] },
+				}
+				for n := range 10 {
+					time.Sleep(2 * second)
+					u.SubmitInvalid(cluster.ctx, smallMachineJob(500+n, 1, 1, 5))
+				}
+			},
+		},
 	})
 }
 
@@ -461,7 +790,10 @@
 // what has ended is not run again.
 func TestFinishedTasksDoNotRunAgain(t *testing.T) {
 	runScenarios(t, []faultScenario{{
-		name: "across owners and an outage", seed: 90, minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 2, emulator.StoreOutage: 1}, check: expectStarts(30),
+		name:        "across owners and an outage",
+		seed:        90,
+		minInjected: map[emulator.FaultKind]int{emulator.ControllerCrash: 2, emulator.StoreOutage: 1},
+		check:       expectStarts(30),
 		setup: func(cluster *simulatedCluster) {
 			cluster.simulation.RunTime = func(_ *wire.Job, task int) time.Duration { return time.Duration(15+25*task) * second }
 		},
@@ -482,7 +814,9 @@
 // Jobs bound to one zone, arrays too, lose machines, and a zone is cut off.
 func TestSingleZoneJobsLoseMachines(t *testing.T) {
 	runScenarios(t, []faultScenario{{
-		name: "taken, and cut off", seed: 91, minInjected: map[emulator.FaultKind]int{emulator.MachineLost: 6, emulator.ZoneCut: 1},
+		name:        "taken, and cut off",
+		seed:        91,
+		minInjected: map[emulator.FaultKind]int{emulator.MachineLost: 6, emulator.ZoneCut: 1},
 		submit: func(cluster *simulatedCluster) {
 			for n := range 12 {
 				job := smallMachineJob(n, 3, 4, 60)
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -33,8 +33,19 @@
 
 func idleArrayJob(n, tasks int, cpus, seconds float64) *wire.Job {
 	return &wire.Job{
-		ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: "free", Shape: wire.ArrayJob, Priority: "idle", Tasks: tasks, CPUs: cpus, MemoryGB: 1,
-		Image: "img", ImageGB: 0.5, EstimatedRunS: seconds, AllowSpot: true, MachineTypes: []string{"small"},
+		ID:            fmt.Sprintf("req-%06d", n),
+		Class:         "c",
+		Team:          "free",
+		Shape:         wire.ArrayJob,
+		Priority:      "idle",
+		Tasks:         tasks,
+		CPUs:          cpus,
+		MemoryGB:      1,
+		Image:         "img",
+		ImageGB:       0.5,
+		EstimatedRunS: seconds,
+		AllowSpot:     true,
+		MachineTypes:  []string{"small"},
 	}
 }
 
@@ -54,8 +65,22 @@
 		cluster.submit(idleArrayJob(50, 1200, 1, 40), 80*time.Second)
 		for n := range 6 {
 			g := &wire.Job{
-				ID: fmt.Sprintf("req-%06d", 100+n), Class: "c", Team: "free", Shape: wire.GangJob, Priority: "urgent", Tasks: 8, CPUs: 16, GPUs: 4, MemoryGB: 64,
-				Image: "big", ImageGB: 2, EstimatedRunS: 40, SingleZone: true, AllowSpot: true, CheckpointIntervalS: 15, CheckpointSaveS: 3,
+				ID:                  fmt.Sprintf("req-%06d", 100+n),
+				Class:               "c",
+				Team:                "free",
+				Shape:               wire.GangJob,
+				Priority:            "urgent",
+				Tasks:               8,
+				CPUs:                16,
+				GPUs:                4,
+				MemoryGB:            64,
+				Image:               "big",
+				ImageGB:             2,
+				EstimatedRunS:       40,
+				SingleZone:          true,
+				AllowSpot:           true,
+				CheckpointIntervalS: 15,
+				CheckpointSaveS:     3,
 			}
 			cluster.submit(g, 0)
 		}
@@ -139,12 +164,21 @@
 	}
 	const finished = 10000
 	runFleetSimulation(t, 11, 4, func(cluster *simulatedCluster) {
-		store := kvstore.New(kvstore.Options{Net: cluster.network.Host("history"), Addr: "10.2.0.1:1", Timeout: 2 * time.Second, ReadRate: 1e6, WriteRate: 1e6})
+		store := kvstore.New(kvstore.Options{
+			Net:       cluster.network.Host("history"),
+			Addr:      "10.2.0.1:1",
+			Timeout:   2 * time.Second,
+			ReadRate:  1e6,
+			WriteRate: 1e6,
+		})
 		for n := 0; n < finished; {
 			var txn wire.Txn
 			for range 20 {
 				id := fmt.Sprintf("req-9%06d", n)
-				txn.Writes = append(txn.Writes, wire.Write{Put: records.JobKey(id), Value: records.JobRecord{Job: &wire.Job{ID: id, Tasks: 1}, Phase: wire.JobDone}})
+				txn.Writes = append(txn.Writes, wire.Write{
+					Put:   records.JobKey(id),
+					Value: records.JobRecord{Job: &wire.Job{ID: id, Tasks: 1}, Phase: wire.JobDone},
+				})
 				n++
 			}
 			if _, err := store.Commit(cluster.ctx, txn); err != nil {
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -20,8 +20,20 @@
 	secs := func(least, most int) time.Duration {
 		return time.Duration(least*1000+rnd.IntN((most-least)*1000)) * time.Millisecond
 	}
-	fault := emulator.Fault{For: secs(3, 30), Count: 1 + rnd.IntN(5), Zone: []string{"a", "b"}[rnd.IntN(2)], Wait: secs(1, 12), Share: 0.1 + 0.4*rnd.Float64()}
-	fault.Nodes = [][]int{{emulator.Owner}, {emulator.Owner}, {emulator.Others}, {rnd.IntN(3)}, {0, 1, 2}}[rnd.IntN(5)]
+	fault := emulator.Fault{
+		For:   secs(3, 30),
+		Count: 1 + rnd.IntN(5),
+		Zone:  []string{"a", "b"}[rnd.IntN(2)],
+		Wait:  secs(1, 12),
+		Share: 0.1 + 0.4*rnd.Float64(),
+	}
+	fault.Nodes = [][]int{
+		{emulator.Owner},
+		{emulator.Owner},
+		{emulator.Others},
+		{rnd.IntN(3)},
+		{0, 1, 2},
+	}[rnd.IntN(5)]
 	kinds := []emulator.FaultKind{
 		emulator.ControllerCrash, emulator.StoreRefusesNode, emulator.StoreOutage, emulator.StoreSlow, emulator.WatchesStalled, emulator.ListsRefused, emulator.LateCommits, emulator.LostResponses,
 		emulator.LateHeartbeats, emulator.HeartbeatsForNextOwner, emulator.SlowLinks, emulator.MachineHang, emulator.MachineInboundCut, emulator.MachineOutboundCut, emulator.DelayedCommands, emulator.MachineLost, emulator.NodeIsolated,
@@ -29,7 +41,11 @@
 	}
 	switch fault.Kind = kinds[rnd.IntN(len(kinds))]; fault.Kind {
 	case emulator.ControllerCrash: // back within a fraction of a second, too
-		fault.Wait = []time.Duration{time.Duration(20+rnd.IntN(300)) * time.Millisecond, secs(1, 5), secs(5, 20)}[rnd.IntN(3)]
+		fault.Wait = []time.Duration{
+			time.Duration(20+rnd.IntN(300)) * time.Millisecond,
+			secs(1, 5),
+			secs(5, 20),
+		}[rnd.IntN(3)]
 	case emulator.StoreSlow, emulator.SlowLinks:
 		fault.Wait = time.Duration(10+rnd.IntN(400)) * time.Millisecond
 	case emulator.SlowProcessor:
@@ -73,8 +89,11 @@
 			rnd := rand.New(rand.NewPCG(uint64(seed), 6))
 			script := randomFaultPairs(rnd, 3*time.Minute)
 			m := faultScenario{
-				seed: uint64(200 + seed), pollAllNodes: seed%2 == 1, script: script, submit: func(cluster *simulatedCluster) { cluster.submitRandomJobs(36, 170*second) },
-				setup: func(cluster *simulatedCluster) { cluster.store.WatchesEnd = seed%3 == 0 },
+				seed:         uint64(200 + seed),
+				pollAllNodes: seed%2 == 1,
+				script:       script,
+				submit:       func(cluster *simulatedCluster) { cluster.submitRandomJobs(36, 170*second) },
+				setup:        func(cluster *simulatedCluster) { cluster.store.WatchesEnd = seed%3 == 0 },
 			}
 			m.run(t)
 			if t.Failed() {
@@ -112,8 +131,14 @@
 		{"went_back", func(cluster *simulatedCluster) {
 			cluster.simulation.PhaseReported("req-000001", wire.JobCancelled, now())
 		}}, // nobody asked
-		{"not_done", func(cluster *simulatedCluster) { cluster.simulation.PhaseReported("req-000001", wire.JobDone, now()) }},
-		{"invented", func(cluster *simulatedCluster) { cluster.simulation.PhaseReported("req-000009", wire.JobQueued, now()) }},
+		{
+			"not_done",
+			func(cluster *simulatedCluster) { cluster.simulation.PhaseReported("req-000001", wire.JobDone, now()) },
+		},
+		{
+			"invented",
+			func(cluster *simulatedCluster) { cluster.simulation.PhaseReported("req-000009", wire.JobQueued, now()) },
+		},
 		{"forgotten", func(cluster *simulatedCluster) {
 			cluster.simulation.PhaseReported("req-000001", wire.JobQueued, now())
 			time.Sleep(time.Millisecond)
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -51,33 +51,76 @@
 }
 
 var testMachineTypes = []wire.MachineType{
-	{Name: "small", CPUs: 8, MemoryGB: 32, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 20, Zones: []string{"a", "b"}},
-	{Name: "big", CPUs: 16, GPUs: 4, MemoryGB: 128, ImageCacheGB: 50, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 30, Zones: []string{"a", "b"}},
+	{
+		Name:             "small",
+		CPUs:             8,
+		MemoryGB:         32,
+		ImageCacheGB:     50,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      1,
+		HourlySpotPrice:  0.4,
+		BootS:            20,
+		Zones:            []string{"a", "b"},
+	},
+	{
+		Name:             "big",
+		CPUs:             16,
+		GPUs:             4,
+		MemoryGB:         128,
+		ImageCacheGB:     50,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      8,
+		HourlySpotPrice:  3,
+		BootS:            30,
+		Zones:            []string{"a", "b"},
+	},
 }
 
 func newSimulatedCluster(ctx context.Context, t *testing.T, seed uint64) *simulatedCluster {
 	cluster := &simulatedCluster{
-		noTeamLimits: seed%3 == 2, t: t, random: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, network: emulator.NewNetwork(), store: emulator.NewKeyValueStore(),
-		crashFuncs: map[int]func(){}, finalPhases: map[string]wire.JobPhase{}, cancelFuncs: map[string]func(){}, tuning: tuning.Default(),
+		noTeamLimits: seed%3 == 2,
+		t:            t,
+		random:       rand.New(rand.NewPCG(seed, 1)),
+		ctx:          ctx,
+		network:      emulator.NewNetwork(),
+		store:        emulator.NewKeyValueStore(),
+		crashFuncs:   map[int]func(){},
+		finalPhases:  map[string]wire.JobPhase{},
+		cancelFuncs:  map[string]func(){},
+		tuning:       tuning.Default(),
 	}
 	for i := range 3 {
-		cluster.nodes = append(cluster.nodes, emulator.Node{Name: fmt.Sprintf("node-%d", i), Addr: fmt.Sprintf("10.0.0.%d:8080", i+1)})
+		cluster.nodes = append(cluster.nodes, emulator.Node{
+			Name: fmt.Sprintf("node-%d", i),
+			Addr: fmt.Sprintf("10.0.0.%d:8080", i+1),
+		})
 	}
 	types := map[string]wire.MachineType{}
 	for _, x := range testMachineTypes {
 		types[x.Name] = x
 	}
 	cluster.simulation = &emulator.Simulation{
-		Ctx: ctx, ZoneNets: map[string]transport.Net{}, Nodes: cluster.nodes, MachineTypes: types, Teams: cluster.settings(0).Cluster.Teams,
-		HeartbeatInterval: 2 * time.Second, LeaseDuration: 14 * time.Second, GangWaitTimeout: 35 * time.Second, GangPeerTimeout: 5 * time.Second, CancelDeadline: 44 * time.Second,
+		Ctx:               ctx,
+		ZoneNets:          map[string]transport.Net{},
+		Nodes:             cluster.nodes,
+		MachineTypes:      types,
+		Teams:             cluster.settings(0).Cluster.Teams,
+		HeartbeatInterval: 2 * time.Second,
+		LeaseDuration:     14 * time.Second,
+		GangWaitTimeout:   35 * time.Second,
+		GangPeerTimeout:   5 * time.Second,
+		CancelDeadline:    44 * time.Second,
 	}
 	for _, z := range cluster.settings(0).Cluster.Zones {
 		cluster.simulation.ZoneNets[z] = cluster.network.Host("workers-" + z)
 	}
 	cluster.simulation.Init()
 	cluster.cloud = &emulator.Cloud{
-		MachineTypes: testMachineTypes, Lag: 4 * time.Second, Boot: cluster.simulation.StartWorker, Rand: cluster.random,
-		BootTime: func(x wire.MachineType) time.Duration { return time.Duration(x.BootS) * time.Second },
+		MachineTypes: testMachineTypes,
+		Lag:          4 * time.Second,
+		Boot:         cluster.simulation.StartWorker,
+		Rand:         cluster.random,
+		BootTime:     func(x wire.MachineType) time.Duration { return time.Duration(x.BootS) * time.Second },
 	}
 	for _, x := range testMachineTypes {
 		for _, z := range x.Zones {
@@ -90,8 +133,16 @@
 	cluster.serveHost("state", "10.2.0.1:1", cluster.store.Handler())
 	cluster.serveHost("cloud", "10.2.0.2:1", cluster.cloud.Handler())
 	cluster.injector = &emulator.FaultInjector{
-		Network: cluster.network, Store: cluster.store, Cloud: cluster.cloud, Simulation: cluster.simulation, Nodes: cluster.nodes, Rand: rand.New(rand.NewPCG(seed, 5)),
-		Start: cluster.startNode, Crash: cluster.crashNode, Owner: cluster.partitionOwner, Cancel: cluster.cancelRunningJobs,
+		Network:    cluster.network,
+		Store:      cluster.store,
+		Cloud:      cluster.cloud,
+		Simulation: cluster.simulation,
+		Nodes:      cluster.nodes,
+		Rand:       rand.New(rand.NewPCG(seed, 5)),
+		Start:      cluster.startNode,
+		Crash:      cluster.crashNode,
+		Owner:      cluster.partitionOwner,
+		Cancel:     cluster.cancelRunningJobs,
 	}
 	cluster.injector.Attach()
 	return cluster
@@ -123,10 +174,19 @@
 }
 
 func (cluster *simulatedCluster) settings(i int) *config.Settings {
-	settings := &config.Settings{Node: cluster.nodes[i].Name, Zone: "a", PublicAddr: cluster.nodes[i].Addr, MeshAddr: fmt.Sprintf("10.0.0.%d:8081", i+1)}
+	settings := &config.Settings{
+		Node:       cluster.nodes[i].Name,
+		Zone:       "a",
+		PublicAddr: cluster.nodes[i].Addr,
+		MeshAddr:   fmt.Sprintf("10.0.0.%d:8081", i+1),
+	}
 	for k, n := range cluster.nodes {
 		if k != i {
-			settings.Members = append(settings.Members, config.Member{Node: n.Name, Zone: "a", Addr: fmt.Sprintf("10.0.0.%d:8081", k+1)})
+			settings.Members = append(settings.Members, config.Member{
+				Node: n.Name,
+				Zone: "a",
+				Addr: fmt.Sprintf("10.0.0.%d:8081", k+1),
+			})
 		}
 	}
 	settings.Outside.State, settings.Outside.Cloud = "10.2.0.1:1", "10.2.0.2:1"
@@ -248,8 +308,13 @@
 	cluster.cancelFuncs[job.ID] = sync.OnceFunc(func() { close(cancel) })
 	cluster.mu.Unlock()
 	u := &emulator.User{
-		Simulation: cluster.simulation, Net: cluster.network.Host("user-" + job.ID), CancelAfter: cancelAfter, Cancel: cancel, PollsAllNodes: cluster.pollAllNodes, CancelDone: cluster.pollAllNodes,
-		Pick: func() emulator.Node { return cluster.nodes[rnd.IntN(len(cluster.nodes))] },
+		Simulation:    cluster.simulation,
+		Net:           cluster.network.Host("user-" + job.ID),
+		CancelAfter:   cancelAfter,
+		Cancel:        cancel,
+		PollsAllNodes: cluster.pollAllNodes,
+		CancelDone:    cluster.pollAllNodes,
+		Pick:          func() emulator.Node { return cluster.nodes[rnd.IntN(len(cluster.nodes))] },
 	}
 	cluster.background.Go(func() {
 		p := u.Run(cluster.ctx, job)
@@ -263,9 +328,18 @@
 func (cluster *simulatedCluster) submitRandomJobs(n int, over time.Duration) {
 	for i := range n {
 		job := &wire.Job{
-			ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: []string{"red", "blue", "free"}[cluster.random.IntN(3)], Shape: wire.ArrayJob,
-			Priority: []wire.Priority{"idle", "standard", "urgent"}[cluster.random.IntN(3)], Tasks: 1 + cluster.random.IntN(12), CPUs: 1 + float64(cluster.random.IntN(4)), MemoryGB: 4,
-			Image: fmt.Sprintf("img-%d", cluster.random.IntN(4)), ImageGB: 1, EstimatedRunS: 5 + 30*cluster.random.Float64(), AllowSpot: cluster.random.IntN(2) == 0,
+			ID:            fmt.Sprintf("req-%06d", i),
+			Class:         "c",
+			Team:          []string{"red", "blue", "free"}[cluster.random.IntN(3)],
+			Shape:         wire.ArrayJob,
+			Priority:      []wire.Priority{"idle", "standard", "urgent"}[cluster.random.IntN(3)],
+			Tasks:         1 + cluster.random.IntN(12),
+			CPUs:          1 + float64(cluster.random.IntN(4)),
+			MemoryGB:      4,
+			Image:         fmt.Sprintf("img-%d", cluster.random.IntN(4)),
+			ImageGB:       1,
+			EstimatedRunS: 5 + 30*cluster.random.Float64(),
+			AllowSpot:     cluster.random.IntN(2) == 0,
 		}
 		if cluster.random.IntN(2) == 0 {
 			job.CheckpointIntervalS, job.CheckpointSaveS = 20, 2
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -61,7 +61,11 @@
 
 // lowerStoreLimits has the state service lower its limits.
 func (cluster *simulatedCluster) lowerStoreLimits() {
-	cluster.store.Limit(config.StateLimits{WriteRPS: loweredLimits.WriteRPS, ValueKB: loweredLimits.ValueKB, TxnOps: loweredLimits.TxnOps})
+	cluster.store.Limit(config.StateLimits{
+		WriteRPS: loweredLimits.WriteRPS,
+		ValueKB:  loweredLimits.ValueKB,
+		TxnOps:   loweredLimits.TxnOps,
+	})
 }
 
 // runUpgradeSimulation is a day on which no node is up at first, and all are of the old version.
@@ -83,8 +87,16 @@
 // serviceJob is a service that its user cancels after a while.
 func serviceJob(n, replicas int, cpus float64) *wire.Job {
 	return &wire.Job{
-		ID: fmt.Sprintf("req-%06d", n), Class: "s", Team: "free", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas,
-		CPUs: cpus, MemoryGB: 4, Image: "srv", ImageGB: 1,
+		ID:       fmt.Sprintf("req-%06d", n),
+		Class:    "s",
+		Team:     "free",
+		Shape:    wire.ServiceJob,
+		Priority: "production",
+		Tasks:    replicas,
+		CPUs:     cpus,
+		MemoryGB: 4,
+		Image:    "srv",
+		ImageGB:  1,
 	}
 }
 
@@ -215,9 +227,12 @@
 				return 45 * time.Second, first
 			})
 		}},
-		{"its machine ends", func(cluster *simulatedCluster) {
-			cluster.runAfter(45*time.Second, func() { cluster.cloud.TakeBack(cluster.cloud.Workers()[0].Machine.ID) })
-		}},
+		{
+			"its machine ends",
+			func(cluster *simulatedCluster) {
+				cluster.runAfter(45*time.Second, func() { cluster.cloud.TakeBack(cluster.cloud.Workers()[0].Machine.ID) })
+			},
+		},
 		{"its machine hangs, and goes on with it", func(cluster *simulatedCluster) {
 			cluster.runAfter(45*time.Second, func() { cluster.cloud.Workers()[0].Hang(40 * time.Second) })
 		}},
@@ -304,7 +319,11 @@
 		cluster.submit(job, 3*time.Minute)
 		more := serviceJob(2, 6, 8)
 		more.Team = "blue"
-		u := &emulator.User{Simulation: cluster.simulation, Net: cluster.network.Host("user"), Pick: func() emulator.Node { return cluster.nodes[0] }}
+		u := &emulator.User{
+			Simulation: cluster.simulation,
+			Net:        cluster.network.Host("user"),
+			Pick:       func() emulator.Node { return cluster.nodes[0] },
+		}
 		ctx, cancel := context.WithTimeout(cluster.ctx, 20*time.Second)
 		defer cancel()
 		if u.Run(ctx, more); ctx.Err() != nil {
@@ -335,7 +354,9 @@
 			rnd := rand.New(rand.NewPCG(uint64(seed), 9))
 			script := randomFaultPairs(rnd, 3*time.Minute)
 			m := faultScenario{
-				seed: uint64(300 + seed), pollAllNodes: seed%2 == 1, script: script,
+				seed:         uint64(300 + seed),
+				pollAllNodes: seed%2 == 1,
+				script:       script,
 				setup: func(cluster *simulatedCluster) {
 					cluster.startFromOldVersion()
 					ends := rand.New(rand.NewPCG(uint64(seed), 10)) // used under the world's lock
@@ -344,7 +365,10 @@
 					})
 				},
 				submit: func(cluster *simulatedCluster) {
-					waits := []time.Duration{time.Duration(rnd.IntN(60)) * second, time.Duration(10+rnd.IntN(20)) * second}
+					waits := []time.Duration{
+						time.Duration(rnd.IntN(60)) * second,
+						time.Duration(10+rnd.IntN(20)) * second,
+					}
 					go func() {
 						time.Sleep(20 * second)
 						cluster.rollOutNewVersion(10 * second)
@@ -384,7 +408,10 @@
 				cluster := newSimulatedCluster(ctx, t, 1)
 				c := New(cluster.settings(0), cluster.tuning, cluster.network.Host("node-0")) // without its watch
 				c.machineTypes = testMachineTypes
-				level := wire.Write{Put: records.FeatureLevelKey, Value: records.LevelRecord{Level: records.CurrentFeatureLevel}}
+				level := wire.Write{
+					Put:   records.FeatureLevelKey,
+					Value: records.LevelRecord{Level: records.CurrentFeatureLevel},
+				}
 				if !meanwhile {
 					if _, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{level}}); err != nil {
 						t.Fatal(err)
