--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -21,17 +21,21 @@
 
 // machineChanged handles a change of a machine's record in the cluster cache: whatever is
 // kept of a machine that is gone is removed, and the owned partitions are updated.
-func (c *Controller) machineChanged(machine string, entry machineEntry, gone bool) {
-	c.mu.Lock()
-	all := c.ownedPartitions()
-	if gone {
-		delete(c.addresses, machine)
-		delete(c.visits, machine)
-		c.commandSlots.forget(machine)
+func (c *Controller) machineChanged(change machineChange) {
+	if change.gone {
+		c.forgetMachine(change.machine)
 	}
-	c.mu.Unlock()
-	for _, owned := range all {
-		owned.machineChanged(machine, entry, gone)
+	for _, owned := range c.ownedPartitions() {
+		owned.machineChanged(change)
 		owned.wakeUp()
 	}
 }
+
+// forgetMachine drops what the node itself keeps of a machine.
+func (c *Controller) forgetMachine(machine string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.addresses, machine)
+	delete(c.visits, machine)
+	c.commandSlots.forget(machine)
+}
--- a/internal/controller/addresses_test.go
+++ b/internal/controller/addresses_test.go
@@ -5,7 +5,6 @@
 	"testing"
 
 	"ambersill/internal/records"
-	"ambersill/internal/wire"
 )
 
 // However many machines come and go, the addresses of those that exist are known, also of
@@ -22,14 +21,14 @@
 			id := fmt.Sprintf("m-%d-%d", generation, i)
 			ids = append(ids, id)
 			group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{id: {MachineType: "small", Zone: "a"}}}
-			c.cluster.apply(records.MachinePrefix+id, must(wire.Marshal(group)), revision, false)
+			c.cluster.apply(putChange(records.MachinePrefix+id, group, revision))
 			c.recordAddress(id, address)
 			if c.address(id) == "" {
 				t.Fatalf("the address of machine %d is not known", i)
 			}
 		}
 		for _, id := range ids {
-			c.cluster.apply(records.MachinePrefix+id, nil, revision, true)
+			c.cluster.apply(deletionOf(records.MachinePrefix+id, revision))
 			c.recordAddress(id, address) // from a listing that lags
 		}
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -32,7 +32,7 @@
 	c = New(cluster.settings(0), tuning.Default(), nil)
 	machine := records.MachineRecord{MachineType: "big", Zone: "a"}
 	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{fixtureMachine: machine}}
-	c.cluster.apply(records.MachinePrefix+fixtureMachine, must(wire.Marshal(group)), groupRevision, false)
+	c.cluster.apply(putChange(records.MachinePrefix+fixtureMachine, group, groupRevision))
 
 	job := smallMachineJob(1, tasks, 1, 1000)
 	partition := scheduler.NewPartition(0, claimRevision, c.settings, &c.tuning)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"ambersill/internal/records"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
@@ -114,10 +115,10 @@
 
 // jobCancelled cancels a job on the hint of the node that has committed its cancellation.
 func (o *ownedPartition) jobCancelled(id string) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.partition != nil {
-		o.partition.Cancel(id, time.Now())
+	loaded := o.whenLoaded(func(partition *scheduler.Partition) {
+		partition.Cancel(id, time.Now())
+	})
+	if loaded {
 		o.wakeUp()
 	}
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"ambersill/internal/scheduler"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
@@ -33,24 +34,13 @@
 }
 
 // setCatalog stores the machine types and passes them on to the owned partitions. One that
-// is claimed later starts with them.
+// is loaded later starts with them.
 func (c *Controller) setCatalog(types []wire.MachineType) {
 	c.mu.Lock()
 	c.machineTypes = types
-	all := c.ownedPartitions()
 	c.mu.Unlock()
-	for _, owned := range all {
-		owned.setMachineTypes(types)
-	}
-}
-
-// setMachineTypes does nothing while the partition's records are being read: it is given
-// the types when that is done.
-func (o *ownedPartition) setMachineTypes(types []wire.MachineType) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.partition != nil {
-		o.partition.SetMachineTypes(types)
+	for _, owned := range c.ownedPartitions() {
+		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetMachineTypes(types) })
 	}
 }
 
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -54,7 +54,7 @@
 	changed    chan struct{}           // closed and replaced at every change
 
 	// The callbacks are set before the first use and called without mu held.
-	onMachine func(machine string, entry machineEntry, gone bool)
+	onMachine func(change machineChange)
 	onOwner   func(partition int, owner ownership)
 	onLevel   func(level records.FeatureLevel)
 }
@@ -96,20 +96,44 @@
 	deleted  bool
 }
 
+func deletionOf(key string, revision uint64) keyChange {
+	return keyChange{key: key, revision: revision, deleted: true}
+}
+
 func (c *clusterCache) applyEvent(event wire.Event) {
 	if event.Delete != "" {
-		c.apply(event.Delete, nil, event.Revision, true)
+		c.apply(deletionOf(event.Delete, event.Revision))
 		return
 	}
-	c.apply(event.Put, event.Value, event.Revision, false)
+	c.apply(keyChange{key: event.Put, value: event.Value, revision: event.Revision})
+}
+
+// apply updates the copy by the change of one key, and then calls the callback that the
+// change concerns.
+func (c *clusterCache) apply(change keyChange) {
+	c.update(func() (notify func()) { return c.applyByKind(change) })
+}
+
+// setLeader updates the copy by a claim of leadership whose outcome is known before the
+// watch delivers it.
+func (c *clusterCache) setLeader(owner ownership) {
+	c.update(func() (notify func()) {
+		c.applyLeader(owner)
+		return nil
+	})
 }
 
-// apply updates the copy by one key, which was written or deleted at the revision, and
-// then calls the callback that the change concerns.
-func (c *clusterCache) apply(key string, value wire.Raw, revision uint64, deleted bool) {
-	change := keyChange{key: key, value: value, revision: revision, deleted: deleted}
+// setPartitionOwner updates the copy by a claim of a partition whose outcome is known before
+// the watch delivers it.
+func (c *clusterCache) setPartitionOwner(partition int, owner ownership) {
+	c.update(func() (notify func()) { return c.applyPartition(partition, owner) })
+}
+
+// update runs a step that changes the copy with mu held, signals the change, and then calls
+// what the step returned, if anything, with mu free again.
+func (c *clusterCache) update(step func() (notify func())) {
 	c.mu.Lock()
-	notify := c.applyByKind(change)
+	notify := step()
 	c.signalChange()
 	c.mu.Unlock()
 	if notify != nil {
@@ -117,25 +141,29 @@
 	}
 }
 
-// applyByKind applies a change by the kind of its key. It returns what is to be called once
-// c.mu, which must be held, is free again; nil if nothing is.
+// applyByKind applies a change by the kind of its key; c.mu must be held. It returns what
+// is to be called once c.mu is free again, nil if nothing is.
 func (c *clusterCache) applyByKind(change keyChange) (notify func()) {
 	switch change.key {
 	case records.LeaderKey:
-		c.applyLeader(change)
+		c.applyLeader(decodeOwnership(change))
 		return nil
 	case records.FeatureLevelKey:
 		return c.applyLevel(change)
 	}
 	if name, ok := strings.CutPrefix(change.key, records.PartitionPrefix); ok {
-		return c.applyPartition(name, change)
+		partition, err := strconv.Atoi(name)
+		if err != nil {
+			return nil
+		}
+		return c.applyPartition(partition, decodeOwnership(change))
 	}
 	if name, ok := strings.CutPrefix(change.key, records.NodePrefix); ok {
 		c.applyNode(name, change)
 		return nil
 	}
 	if name, ok := strings.CutPrefix(change.key, records.MachinePrefix); ok {
-		return c.applyGroup(name, change.value, change.revision, change.deleted)
+		return c.applyGroup(name, change)
 	}
 	if id, ok := strings.CutPrefix(change.key, records.RentalPrefix); ok {
 		c.applyRental(id, change)
@@ -145,19 +173,17 @@
 
 // applyLeader ignores changes older than the one known: a claim's answer and its event
 // arrive in either order.
-func (c *clusterCache) applyLeader(change keyChange) {
-	if change.revision >= c.leader.revision {
-		c.leader = decodeOwnership(change)
+func (c *clusterCache) applyLeader(owner ownership) {
+	if owner.revision >= c.leader.revision {
+		c.leader = owner
 	}
 }
 
 // applyPartition ignores changes older than the one known, as applyLeader does.
-func (c *clusterCache) applyPartition(name string, change keyChange) (notify func()) {
-	partition, err := strconv.Atoi(name)
-	if err != nil || change.revision < c.partitions[partition].revision {
+func (c *clusterCache) applyPartition(partition int, owner ownership) (notify func()) {
+	if owner.revision < c.partitions[partition].revision {
 		return nil
 	}
-	owner := decodeOwnership(change)
 	c.partitions[partition] = owner
 	if c.onOwner == nil {
 		return nil
@@ -223,10 +249,10 @@
 	// In descending order of their names, for the reason given at sortEvents.
 	for _, item := range slices.Backward(items) {
 		listed[item.Key] = true
-		c.apply(item.Key, item.Value, item.Revision, false)
+		c.apply(keyChange{key: item.Key, value: item.Value, revision: item.Revision})
 	}
 	for _, key := range c.keysMissingFrom(listed, revision) {
-		c.apply(key, nil, revision, true)
+		c.apply(deletionOf(key, revision))
 	}
 	c.mu.Lock()
 	c.loaded = true
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -196,8 +196,10 @@
 	slog.Info("stopped", "node", c.settings.Node)
 }
 
-// ownedPartitions lists the partitions that this node owns in order; c.mu must be held.
+// ownedPartitions lists the partitions that this node owns in order.
 func (c *Controller) ownedPartitions() []*ownedPartition {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	all := make([]*ownedPartition, 0, len(c.owned))
 	for partition := range c.partitions {
 		if owned := c.owned[partition]; owned != nil {
@@ -207,25 +209,9 @@
 	return all
 }
 
-// allOwnedPartitions lists the partitions that this node owns in order.
-func (c *Controller) allOwnedPartitions() []*ownedPartition {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ownedPartitions()
-}
-
 // ownedPartition returns a partition that this node owns, nil if it does not own it.
 func (c *Controller) ownedPartition(partition int) *ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.owned[partition]
 }
-
-// must returns a value whose error can only be a fault of the program, such as a record
-// that cannot be encoded.
-func must[T any](value T, err error) T {
-	if err != nil {
-		panic(err)
-	}
-	return value
-}
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -56,8 +56,8 @@
 		stateUnknown:    unknown,
 		finalJobsCached: c.finalJobs.size(),
 	}
-	for _, owned := range c.allOwnedPartitions() {
-		if partition, ok := owned.counters(); ok {
+	for _, owned := range c.ownedPartitions() {
+		if partition, loaded := owned.counters(); loaded {
 			counters.partitions = append(counters.partitions, partition)
 		}
 	}
@@ -65,18 +65,16 @@
 }
 
 // counters returns false while the partition's records are being read.
-func (o *ownedPartition) counters() (partitionCounters, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.partition == nil {
-		return partitionCounters{}, false
-	}
-	return partitionCounters{
-		partition: o.index,
-		jobs:      o.partition.JobCount(),
-		machines:  o.partition.MachineCount(),
-		done:      o.partition.Counters,
-	}, true
+func (o *ownedPartition) counters() (counters partitionCounters, loaded bool) {
+	loaded = o.whenLoaded(func(partition *scheduler.Partition) {
+		counters = partitionCounters{
+			partition: o.index,
+			jobs:      partition.JobCount(),
+			machines:  partition.MachineCount(),
+			done:      partition.Counters,
+		}
+	})
+	return counters, loaded
 }
 
 // logArgs returns keys and values for slog. The keys of a partition follow its number, and
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -7,21 +7,15 @@
 
 	"ambersill/internal/kvstore"
 	"ambersill/internal/records"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/wire"
 )
 
 // levelRaised passes a new feature level on to the owned partitions.
 func (c *Controller) levelRaised(level records.FeatureLevel) {
 	slog.Info("feature level", "level", level)
-	c.mu.Lock()
-	owned := c.ownedPartitions()
-	c.mu.Unlock()
-	for _, o := range owned {
-		o.mu.Lock()
-		if o.partition != nil {
-			o.partition.SetLevel(level)
-		}
-		o.mu.Unlock()
+	for _, owned := range c.ownedPartitions() {
+		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetLevel(level) })
 	}
 }
 
@@ -51,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	c.cluster.apply(records.FeatureLevelKey, item.Value, item.Revision, false)
+	c.cluster.apply(keyChange{key: records.FeatureLevelKey, value: item.Value, revision: item.Revision})
 	return nil
 }
 
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -3,8 +3,22 @@
 import (
 	"ambersill/internal/emulator"
 	"ambersill/internal/tuning"
+	"ambersill/internal/wire"
 )
 
+// must returns a value whose error can only be a fault of the test.
+func must[T any](value T, err error) T {
+	if err != nil {
+		panic(err)
+	}
+	return value
+}
+
+// putChange is the change of a key to a record.
+func putChange(key string, record any, revision uint64) keyChange {
+	return keyChange{key: key, value: must(wire.Marshal(record)), revision: revision}
+}
+
 // isolatedController returns a controller on a network without any other host.
 func isolatedController() *Controller {
 	cluster := &simulatedCluster{nodes: []emulator.Node{{Name: "node-0", Addr: "10.0.0.1:8080"}, {Name: "node-1", Addr: "10.0.0.2:8080"}}}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"time"
 
@@ -12,6 +13,7 @@
 	"ambersill/internal/kvstore"
 	"ambersill/internal/peerrpc"
 	"ambersill/internal/records"
+	"ambersill/internal/scheduler"
 	"ambersill/internal/wire"
 )
 
@@ -146,13 +148,14 @@
 	if err := c.checkContact(); err != nil {
 		return records.JobRecord{}, 0, err
 	}
-	item, err := c.store.Get(ctx, records.JobKey(id))
+	key := records.JobKey(id)
+	item, err := c.store.Get(ctx, key)
 	if err != nil {
 		return records.JobRecord{}, 0, err
 	}
 	var record records.JobRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		return records.JobRecord{}, 0, err
+		return records.JobRecord{}, 0, fmt.Errorf("decode %s: %w", key, err)
 	}
 	c.finalJobs.add(record)
 	return record, item.Revision, nil
@@ -186,7 +189,7 @@
 
 // LocalJobCounts counts the tasks of a job that a partition of this node runs.
 func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
-	for _, owned := range c.allOwnedPartitions() {
+	for _, owned := range c.ownedPartitions() {
 		if counts := owned.jobCounts(jobID); counts.Known {
 			return counts
 		}
@@ -194,18 +197,16 @@
 	return peerrpc.JobCounts{}
 }
 
-func (o *ownedPartition) jobCounts(jobID string) peerrpc.JobCounts {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.partition == nil {
-		return peerrpc.JobCounts{}
-	}
-	counts, known := o.partition.JobCounts(jobID)
-	return peerrpc.JobCounts{
-		Known:   known,
-		Done:    counts.Done,
-		Running: counts.Running,
-	}
+func (o *ownedPartition) jobCounts(jobID string) (counts peerrpc.JobCounts) {
+	o.whenLoaded(func(partition *scheduler.Partition) {
+		tasks, known := partition.JobCounts(jobID)
+		counts = peerrpc.JobCounts{
+			Known:   known,
+			Done:    tasks.Done,
+			Running: tasks.Running,
+		}
+	})
+	return counts
 }
 
 // partitionOf returns the partition that a job belongs to: its team's where teams have
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -54,8 +54,7 @@
 		slog.Debug("leadership not claimed", "err", err)
 		return
 	}
-	owner := records.OwnerRecord{Node: c.settings.Node}
-	c.cluster.apply(records.LeaderKey, must(wire.Marshal(owner)), revision, false)
+	c.cluster.setLeader(ownership{node: c.settings.Node, revision: revision})
 	c.setLeading(true)
 	newLeader(c, revision, leaseID).run(ctx)
 	c.setLeading(false)
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -22,26 +22,33 @@
 	removed []string
 }
 
+// machineChange is a change of a machine's record.
+type machineChange struct {
+	machine string
+	entry   machineEntry // empty if the machine is gone
+	gone    bool
+}
+
 // applyGroup applies a change of a group of machines, and returns what notifies the
 // listener; nil if there is nothing to do.
-func (c *clusterCache) applyGroup(name string, value wire.Raw, revision uint64, deleted bool) (notify func()) {
+func (c *clusterCache) applyGroup(name string, change keyChange) (notify func()) {
 	old := c.groups[name]
-	if revision < old.revision {
+	if change.revision < old.revision {
 		return nil
 	}
 	var group records.MachineGroupRecord
-	if !deleted {
+	if !change.deleted {
 		var err error
-		if group, err = records.DecodeMachineGroup(name, value, revision); err != nil {
-			slog.Error("record not understood", "key", records.MachinePrefix+name, "err", err)
+		if group, err = records.DecodeMachineGroup(name, change.value, change.revision); err != nil {
+			slog.Error("record not understood", "key", change.key, "err", err)
 			return nil
 		}
 	}
-	difference := c.replaceGroupMachines(name, old.record, group, revision)
-	if deleted {
+	difference := c.replaceGroupMachines(name, old.record, group, change.revision)
+	if change.deleted {
 		delete(c.groups, name)
 	} else {
-		c.groups[name] = groupEntry{record: group, revision: revision}
+		c.groups[name] = groupEntry{record: group, revision: change.revision}
 	}
 	if c.onMachine == nil {
 		return nil
@@ -69,12 +76,12 @@
 	return difference
 }
 
-func (d groupDifference) notify(onMachine func(machine string, entry machineEntry, gone bool)) {
+func (d groupDifference) notify(onMachine func(change machineChange)) {
 	for id, entry := range d.changed {
-		onMachine(id, entry, false)
+		onMachine(machineChange{machine: id, entry: entry})
 	}
 	for _, id := range d.removed {
-		onMachine(id, machineEntry{}, true)
+		onMachine(machineChange{machine: id, gone: true})
 	}
 }
 
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -41,7 +41,7 @@
 	for name, applyPieces := range map[string]func(c *clusterCache){
 		"watched": func(c *clusterCache) {
 			for _, event := range sortEvents(divided) {
-				c.apply(event.Put, event.Value, event.Revision, false)
+				c.applyEvent(event)
 			}
 		},
 		"listed": func(c *clusterCache) {
@@ -54,11 +54,11 @@
 	} {
 		c := newClusterCache()
 		for _, event := range groupEvents([]records.MachineGroupRecord{whole}, 7) {
-			c.apply(event.Put, event.Value, event.Revision, false)
+			c.applyEvent(event)
 		}
-		c.onMachine = func(machine string, _ machineEntry, gone bool) {
-			if gone {
-				t.Errorf("%s: %s is gone", name, machine)
+		c.onMachine = func(change machineChange) {
+			if change.gone {
+				t.Errorf("%s: %s is gone", name, change.machine)
 			}
 		}
 		applyPieces(c)
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -50,18 +50,12 @@
 	partition *scheduler.Partition
 	// pendingChanges are the newest changes of machines that came while the records were
 	// read, by machine; nil after that.
-	pendingChanges map[string]pendingMachineChange
+	pendingChanges map[string]machineChange
 	// cancellationsReadAt is when the newest reading of the cancellations was asked for:
 	// every cancellation that was confirmed before then is known to partition.
 	cancellationsReadAt time.Time
 }
 
-// pendingMachineChange is a change of a machine's record that is still to be applied.
-type pendingMachineChange struct {
-	entry machineEntry
-	gone  bool
-}
-
 // newOwnedPartition returns a partition that was claimed at a revision of its key; cancel
 // ends the context that is passed to run.
 func (c *Controller) newOwnedPartition(index int, revision uint64, cancel context.CancelFunc) *ownedPartition {
@@ -73,31 +67,42 @@
 		wake:            make(chan struct{}, 1),
 		summary:         newSummaryWriter(),
 		loggedKnowledge: cancellationKnowledge{startsTasks: true, answersHeartbeats: true},
-		pendingChanges:  map[string]pendingMachineChange{},
+		pendingChanges:  map[string]machineChange{},
 	}
 }
 
 // machineChanged applies a change of a machine's record. While the partition is loaded the
 // change is kept for later: the listing may be older, and the cluster cache reports each
 // change only once.
-func (o *ownedPartition) machineChanged(id string, entry machineEntry, gone bool) {
+func (o *ownedPartition) machineChanged(change machineChange) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	change := pendingMachineChange{entry: entry, gone: gone}
 	if o.partition == nil {
-		o.pendingChanges[id] = change
+		o.pendingChanges[change.machine] = change
 		return
 	}
-	o.applyMachine(id, change)
+	o.applyMachine(change)
 }
 
 // applyMachine applies a change of a machine's record to the partition; o.mu must be held.
-func (o *ownedPartition) applyMachine(id string, change pendingMachineChange) {
+func (o *ownedPartition) applyMachine(change machineChange) {
 	if change.gone {
-		o.partition.RemoveMachine(id, time.Now())
+		o.partition.RemoveMachine(change.machine, time.Now())
 		return
 	}
-	o.partition.SetMachine(id, change.entry.record, change.entry.revision, time.Now())
+	o.partition.SetMachine(change.machine, change.entry.record, change.entry.revision, time.Now())
+}
+
+// whenLoaded calls a function with the partition while o.mu is held, and reports whether it
+// did: it does nothing while the partition's records are still being read.
+func (o *ownedPartition) whenLoaded(use func(partition *scheduler.Partition)) (loaded bool) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.partition == nil {
+		return false
+	}
+	use(o.partition)
+	return true
 }
 
 // wakeUp asks for a scheduling cycle; several requests before it begins are one.
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -10,7 +10,6 @@
 	"ambersill/internal/peerrpc"
 	"ambersill/internal/records"
 	"ambersill/internal/transport"
-	"ambersill/internal/wire"
 )
 
 const (
@@ -119,7 +118,7 @@
 	// with the same revision.
 	key := records.PartitionKey(partition)
 	if item, err := c.store.Get(ctx, key); err == nil {
-		c.cluster.apply(key, item.Value, item.Revision, false)
+		c.cluster.apply(keyChange{key: key, value: item.Value, revision: item.Revision})
 	}
 }
 
@@ -148,8 +147,7 @@
 	c.owned[partition] = owned
 	c.mu.Unlock()
 	c.updateRateShare()
-	record := must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node}))
-	c.cluster.apply(records.PartitionKey(partition), record, revision, false)
+	c.cluster.setPartitionOwner(partition, ownership{node: c.settings.Node, revision: revision})
 	if owner := c.cluster.partitionOwner(partition); owner.revision > revision {
 		// The lease expired meanwhile, and the next owner's claim was applied before this
 		// one was answered: ownerChanged did not find the partition then.
@@ -173,11 +171,7 @@
 	if claim.Partition < 0 || claim.Partition >= c.partitions {
 		return
 	}
-	record, err := wire.Marshal(records.OwnerRecord{Node: claim.Node})
-	if err != nil {
-		return
-	}
-	c.cluster.apply(records.PartitionKey(claim.Partition), record, claim.Revision, false)
+	c.cluster.setPartitionOwner(claim.Partition, ownership{node: claim.Node, revision: claim.Revision})
 }
 
 // ownerChanged releases a partition whose key shows a later claim, whoever made it.
@@ -203,7 +197,7 @@
 }
 
 func (c *Controller) releaseAllPartitions() {
-	for _, owned := range c.allOwnedPartitions() {
+	for _, owned := range c.ownedPartitions() {
 		c.releasePartition(owned, releasedLeaseLost)
 	}
 }
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -131,7 +131,7 @@
 	// to partitions that are published.
 	o.partition.SetLevel(o.controller.cluster.featureLevel())
 	for _, id := range slices.Sorted(maps.Keys(o.pendingChanges)) {
-		o.applyMachine(id, o.pendingChanges[id])
+		o.applyMachine(o.pendingChanges[id])
 	}
 	o.pendingChanges = nil
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net/http"
 	"time"
@@ -28,7 +29,7 @@
 func (c *Controller) serve(ctx context.Context) error {
 	listener, err := c.net.Listen(ctx, c.settings.PublicAddr)
 	if err != nil {
-		return err
+		return fmt.Errorf("listen for users and workers on %s: %w", c.settings.PublicAddr, err)
 	}
 	listener = netutil.LimitListener(listener, c.publicSockets())
 	server := &http.Server{
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -424,7 +424,7 @@
 				c.setLease(leaseID, time.Now())
 				c.claimUnownedPartition(ctx, 0)
 				if meanwhile {
-					c.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(level.Value)), 50, false)
+					c.cluster.apply(putChange(records.FeatureLevelKey, level.Value, 50))
 				}
 				time.Sleep(3 * time.Second)
 				owned := c.ownedPartition(0)
@@ -448,7 +448,7 @@
 	for i := range 40 {
 		names = append(names, fmt.Sprint("n", i))
 		record := records.NodeRecord{Node: names[i], Level: records.CurrentFeatureLevel}
-		c.apply(records.NodePrefix+names[i], must(wire.Marshal(record)), uint64(i+1), false)
+		c.apply(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
 	}
 	if conds, ready := c.readyFor(records.CurrentFeatureLevel, names); !ready || len(conds) != len(names) {
 		t.Errorf("ready %v, %d conditions", ready, len(conds))
