--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,7 +28,7 @@
 // that a job is meant for, 0 if it fits none. Types with GPUs are not meant for work
 // without, if a type without GPUs fits.
 func PrimaryMachineType(job *wire.Job, types []wire.MachineType) int {
-	request := resource.OfJob(job)
+	request := resource.TaskRequest(job)
 	cpuOnlyTypeFits := resource.CPUOnlyTypeFits(request, job.MachineTypes, slices.Values(types))
 	for i, machineType := range types {
 		if !typeFits(job, machineType) {
@@ -66,7 +66,7 @@
 // capacity for it.
 func typeFits(job *wire.Job, machineType wire.MachineType) bool {
 	return resource.TypeAllowed(job.MachineTypes, machineType.Name) &&
-		resource.OfMachineType(machineType).Contains(resource.OfJob(job))
+		resource.OfMachineType(machineType).Contains(resource.TaskRequest(job))
 }
 
 // feasibleZones returns the zones in which machines that fit a job can be rented.
@@ -88,7 +88,7 @@
 // simultaneousRequest returns what a job must be able to allocate at once: all tasks of a
 // gang and all replicas of a service run at the same time, an array's can take turns.
 func simultaneousRequest(job *wire.Job) resource.Vector {
-	request := resource.OfJob(job)
+	request := resource.TaskRequest(job)
 	if job.IsGang() || job.IsService() {
 		return request.Scale(job.Tasks)
 	}
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -86,8 +86,8 @@
 	return math.Max(0, used/capacity)
 }
 
-// OfJob returns what one task of a job requests.
-func OfJob(job *wire.Job) Vector {
+// TaskRequest returns what one task of a job requests.
+func TaskRequest(job *wire.Job) Vector {
 	return Vector{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
 
--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -23,9 +23,6 @@
 // capacityFunc returns how much of a machine's capacity counts as available.
 type capacityFunc func(*Machine) resource.Vector
 
-// taskRequest returns what one task of the job requests.
-func (j *Job) taskRequest() resource.Vector { return resource.OfJob(j.Job) }
-
 // maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one.
 func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
 
@@ -49,6 +46,12 @@
 	return resource.TypeAllowed(job.MachineTypes, machine.Record.MachineType)
 }
 
+// machineSuitable reports whether the machine can take work, and may take that of a job in
+// particular, its capacity and reservations aside.
+func machineSuitable(job *Job, machine *Machine) bool {
+	return machine.usable() && machineAllowed(job.Job, machine) && !job.failures.failedOn(machine.ID)
+}
+
 // findMachines returns machines for up to count tasks of a job among those given, one entry
 // for each task; for a gang in a single zone count of them or none.
 func (p *Partition) findMachines(job *Job, count int, now time.Time, among []*Machine, available capacityFunc) []*Machine {
@@ -70,30 +73,30 @@
 // eligible reports whether tasks of a job may be placed on a machine now, its capacity
 // aside.
 func (p *Partition) eligible(job *Job, machine *Machine, now time.Time) bool {
-	if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
+	if !machineSuitable(job, machine) {
 		return false
 	}
 	if machine.isReservedForOther(job, now) {
 		return false
 	}
 	// Jobs that the overdue one has overtaken may need an empty machine as a whole.
-	needsUsedMachine := job.startOverdue && !job.startForced && !job.IsGang()
+	needsUsedMachine := job.cycle.startOverdue && !job.cycle.startForced && !job.IsGang()
 	return !needsUsedMachine || len(machine.placements) > 0
 }
 
 // fitsTask reports whether one task of a job may take of the machine's available capacity.
 func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
-	return available.Contains(job.taskRequest()) && leavesGPUShare(job, machine, available)
+	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUShare(job, machine, available)
 }
 
 // leavesGPUShare reports whether a task without GPUs leaves the machine's free GPUs their
 // share of its CPUs and memory, where other types could do its work: GPUs are scarce, and
 // idle with no CPUs beside them. A job that has waited long may take any capacity.
 func leavesGPUShare(job *Job, machine *Machine, available resource.Vector) bool {
-	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cpuOnlyTypeFits || job.ignoresGPUShare {
+	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUShare {
 		return true
 	}
-	remaining := available.Sub(job.taskRequest())
+	remaining := available.Sub(resource.TaskRequest(job.Job))
 	freeGPUShare := available.GPUs / machine.capacity.GPUs
 	return remaining.CPUs >= freeGPUShare*machine.capacity.CPUs-resource.Epsilon &&
 		remaining.MemoryGB >= freeGPUShare*machine.capacity.MemoryGB-resource.Epsilon
@@ -137,7 +140,7 @@
 // packCheapest fills the cheapest machines one after the other. The cost of a machine counts
 // only what is allocated already, so the order stays the same while tasks are assigned.
 func (p *Partition) packCheapest(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
-	request := job.taskRequest()
+	request := resource.TaskRequest(job.Job)
 	byZone := job.tasksByZone()
 	var assigned []*Machine
 	for _, machine := range p.sortByCost(job, eligible) {
@@ -192,7 +195,7 @@
 // one that would occupy the machine while it fetches.
 func (p *Partition) shortestImageFetch(job *Job) float64 {
 	shortest, found := 0.0, false
-	request := job.taskRequest()
+	request := resource.TaskRequest(job.Job)
 	for _, machine := range p.candidates {
 		if !machine.free().Contains(request) || !machineAllowed(job.Job, machine) {
 			continue
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+	"sort"
 	"strconv"
 
 	"ambersill/internal/records"
@@ -49,6 +50,11 @@
 	oldestUncompacted uint64
 }
 
+// chunkOf returns the chunk that contains a task.
+func (j *Job) chunkOf(task int) *chunk {
+	return j.chunks[sort.Search(len(j.chunks), func(i int) bool { return j.chunks[i].to > task })]
+}
+
 // newChunk returns a chunk without a record.
 func newChunk(job *Job, index, from, to int, format chunkFormat) *chunk {
 	return &chunk{
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -106,7 +106,7 @@
 		if target == nil {
 			return false
 		}
-		remaining[target] = freeExcept(target, remaining).Sub(placement.job.taskRequest())
+		remaining[target] = freeExcept(target, remaining).Sub(resource.TaskRequest(placement.job.Job))
 	}
 	return true
 }
@@ -142,7 +142,7 @@
 		if remainingRunS < minRemainingFactor*moveS {
 			continue
 		}
-		if freeExcept(target, remaining).Contains(job.taskRequest()) {
+		if freeExcept(target, remaining).Contains(resource.TaskRequest(job.Job)) {
 			return target
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -32,7 +32,7 @@
 // Otherwise small work would take each slot as it becomes free, and a gang of many machines
 // would never find them free together.
 func (p *Partition) reserveForGang(job *Job, count int, now time.Time) {
-	if !job.IsGang() || !job.starved || now.Before(job.reservedUntil) {
+	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
 	}
 	slots := earliestSlots(job, count, p.futureZones(job, now))
@@ -58,7 +58,7 @@
 		return zones[name]
 	}
 	for _, machine := range p.machines.all() {
-		if !machine.usable() || !machineAllowed(job.Job, machine) || job.failedMachines[machine.ID] {
+		if !machineSuitable(job, machine) {
 			continue
 		}
 		if machine.isReservedForOther(job, now) {
@@ -124,7 +124,7 @@
 // futureSlots returns when a machine will have capacity for one task of a job, for a second
 // one, and so on, if nothing else is placed there.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
-	request := job.taskRequest()
+	request := resource.TaskRequest(job.Job)
 	free := machine.free()
 	var slots []futureSlot
 	addSlots := func(availableInS float64) {
@@ -149,7 +149,7 @@
 	var ends []taskEnd
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
-		ends = append(ends, taskEnd{inS: p.remainingSeconds(placement, now), request: placement.job.taskRequest()})
+		ends = append(ends, taskEnd{inS: p.remainingSeconds(placement, now), request: resource.TaskRequest(placement.job.Job)})
 	}
 	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.inS, b.inS) })
 	return ends
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"sort"
 	"time"
 
 	"ambersill/internal/wire"
@@ -40,22 +39,21 @@
 	// placements are gone.
 	gangBroken bool
 
-	failedMachines  map[string]bool // where its tasks exited with an error
-	retryAt         time.Time       // no attempt before then
-	retryBackoffS   float64
+	failures        jobFailures
 	replicaRestarts map[int]replicaRestart // of replicas that ended soon after their start
 
 	// noCapacityVersion is the capacity version at which no machine was found for the
 	// job. The search is repeated only after the capacity has changed.
-	noCapacityVersion    int
-	lastPreemption       time.Time
-	lastPreemptionSearch time.Time
-	reservedUntil        time.Time // until then machines are reserved for the job
-	// awaitingPreemption: tasks are being stopped for the job, so no machine needs to be
-	// rented for it.
-	awaitingPreemption bool
+	noCapacityVersion int
+	reservedUntil     time.Time // until then machines are reserved for the job
 
-	// These depend on the time and on the other jobs; buildQueues sets them.
+	preemption preemptionState
+	cycle      cycleState
+}
+
+// cycleState is what a job may claim in a scheduling cycle. It depends on the time and on the
+// other jobs; buildQueues sets it.
+type cycleState struct {
 	imageFetchS     float64 // seconds that the image's fetch takes at least, where there is capacity
 	withinGuarantee bool    // fits the team's guarantee together with the team's earlier jobs
 	ignoresGPUShare bool    // has waited so long that it may take any capacity
@@ -78,11 +76,6 @@
 	}
 }
 
-// chunkOf returns the chunk that contains a task.
-func (j *Job) chunkOf(task int) *chunk {
-	return j.chunks[sort.Search(len(j.chunks), func(i int) bool { return j.chunks[i].to > task })]
-}
-
 // runningTasks counts the tasks that run, those that save a checkpoint included.
 func (j *Job) runningTasks() int {
 	running := 0
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -119,7 +119,7 @@
 	}
 	p.requeueAll(machine, now)
 	for _, job := range p.jobs {
-		delete(job.failedMachines, id)
+		job.failures.forgetMachine(id)
 	}
 	p.machines.remove(id)
 	p.capacityVersion++
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -75,19 +75,6 @@
 	return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 }
 
-// pendingForget is an exited task which its worker may forget once its end is committed. If
-// it did so before, the next owner would take the task for lost.
-type pendingForget struct {
-	job          *Job
-	task         int
-	chunkVersion int // of the task's chunk, with the end
-}
-
-// ready reports whether the task's end is committed.
-func (f pendingForget) ready() bool {
-	return f.job.finalized || f.job.chunkOf(f.task).committedVersion >= f.chunkVersion
-}
-
 // sortedPlacements returns a job's placements in the order of its tasks.
 func sortedPlacements(job *Job) []*Placement {
 	placements := make([]*Placement, 0, len(job.placements))
@@ -111,7 +98,7 @@
 // attach has a placement use its machine's capacity and its team's quota.
 func (p *Partition) attach(placement *Placement) {
 	job, machine := placement.job, placement.machine
-	request := job.taskRequest()
+	request := resource.TaskRequest(job.Job)
 	team := p.team(job.Team)
 	job.taskStates[placement.task] = taskPlaced
 	job.waitingTasks--
@@ -133,7 +120,7 @@
 	delete(job.placements, placement.task)
 	placement.machine.remove(placement)
 	team := p.team(job.Team)
-	team.Allocated = team.Allocated.Sub(job.taskRequest())
+	team.Allocated = team.Allocated.Sub(resource.TaskRequest(job.Job))
 	if job.taskStates[placement.task] == taskPlaced {
 		job.taskStates[placement.task] = taskWaiting
 		job.waitingTasks++
@@ -148,7 +135,7 @@
 func (m *Machine) remove(placement *Placement) {
 	job := placement.job
 	delete(m.placements, placement.taskAttempt())
-	m.allocated = m.allocated.Sub(job.taskRequest())
+	m.allocated = m.allocated.Sub(resource.TaskRequest(job.Job))
 	if len(m.placements) == 0 {
 		m.allocated = resource.Vector{} // without rounding errors
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,20 +8,28 @@
 	"ambersill/internal/tuning"
 )
 
+// preemptionState is how far preemption for a job has got.
+type preemptionState struct {
+	lastSearch    time.Time // for work to preempt
+	lastPreempted time.Time // when work was last preempted for the job
+	// awaiting: tasks are being stopped for the job, so no machine needs to be rented for it.
+	awaiting bool
+}
+
 // preempt stops work of lower priority, or what another team runs beyond its guarantee, for
 // up to count tasks of a job that finds no capacity.
 func (p *Partition) preempt(job *Job, count int, now time.Time) {
 	if !p.maySearchPreemption(job, now) {
 		return
 	}
-	job.lastPreemptionSearch = now
+	job.preemption.lastSearch = now
 	afterPreemption := func(machine *Machine) resource.Vector { return p.capacityAfterPreemption(job, machine) }
 	machines := p.findMachines(job, count, now, p.machines.all(), afterPreemption)
 	if !job.canStartOn(machines, count) {
 		return
 	}
-	job.lastPreemption = now
-	job.awaitingPreemption = true
+	job.preemption.lastPreempted = now
+	job.preemption.awaiting = true
 	tasks := countByMachine(machines)
 	for _, machine := range machines {
 		if tasks[machine] > 0 {
@@ -36,10 +44,10 @@
 	if !job.mayPreempt() {
 		return false
 	}
-	if now.Sub(job.lastPreemption) < tuning.Seconds(p.tuning.PreemptGapS) {
+	if now.Sub(job.preemption.lastPreempted) < tuning.Seconds(p.tuning.PreemptGapS) {
 		return false
 	}
-	return now.Sub(job.lastPreemptionSearch) >= tuning.Seconds(p.tuning.SearchGapS)
+	return now.Sub(job.preemption.lastSearch) >= tuning.Seconds(p.tuning.SearchGapS)
 }
 
 // countByMachine counts how often each machine is listed.
@@ -57,7 +65,7 @@
 	capacity := machine.free()
 	for _, placement := range machine.placements {
 		if p.preemptible(placement, job) {
-			capacity = capacity.Add(placement.job.taskRequest())
+			capacity = capacity.Add(resource.TaskRequest(placement.job.Job))
 		}
 	}
 	return capacity
@@ -66,7 +74,7 @@
 // preemptOnMachine stops as much on a machine as the given number of tasks of a job needs,
 // and reserves the machine for the job until the stopped work has left.
 func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
-	needed := job.taskRequest().Scale(tasks)
+	needed := resource.TaskRequest(job.Job).Scale(tasks)
 	available := machine.freeAfterStops()
 	graceS := 0.0
 	for _, placement := range p.victims(job, machine, now) {
@@ -76,7 +84,7 @@
 		if placement.stopRequest != nil {
 			continue
 		}
-		available = available.Add(placement.job.taskRequest())
+		available = available.Add(resource.TaskRequest(placement.job.Job))
 		if placement.job.placements[placement.task] != placement {
 			continue // stopped with another member of its gang, before its start was sent
 		}
@@ -93,7 +101,7 @@
 	capacity := m.free()
 	for _, placement := range m.placements {
 		if placement.stopRequest != nil {
-			capacity = capacity.Add(placement.job.taskRequest())
+			capacity = capacity.Add(resource.TaskRequest(placement.job.Job))
 		}
 	}
 	return capacity
@@ -130,7 +138,7 @@
 
 // mayPreempt reports whether the job may preempt at all: idle work beyond its team's
 // guarantee may not.
-func (j *Job) mayPreempt() bool { return j.withinGuarantee || j.Priority.Value() > 0 }
+func (j *Job) mayPreempt() bool { return j.cycle.withinGuarantee || j.Priority.Value() > 0 }
 
 // preemptible reports whether a placement may be stopped for a job: work of lower priority
 // unless only that is guaranteed, and another team's work beyond its guarantee for
@@ -141,9 +149,9 @@
 		return false
 	}
 	if other.Priority.Value() < job.Priority.Value() {
-		return job.withinGuarantee || !other.withinGuarantee
+		return job.cycle.withinGuarantee || !other.cycle.withinGuarantee
 	}
-	return job.withinGuarantee && !other.withinGuarantee && other.Team != job.Team
+	return job.cycle.withinGuarantee && !other.cycle.withinGuarantee && other.Team != job.Team
 }
 
 // isProtected reports whether a placement that was forced is still to have its start
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -56,7 +56,7 @@
 	if order := compareUrgency(job, otherJob); order != 0 {
 		return order < 0
 	}
-	if !job.starved {
+	if !job.cycle.starved {
 		if order := cmp.Compare(p.fairShareStep(queue), p.fairShareStep(other)); order != 0 {
 			return order < 0
 		}
@@ -82,18 +82,18 @@
 // goes first. Jobs whose first start is overdue go first, whatever their guarantee and
 // priority; then guaranteed work, then by priority, and among equals starved jobs.
 func compareUrgency(a, b *Job) int {
-	if order := compareTrueFirst(a.startOverdue, b.startOverdue); order != 0 {
+	if order := compareTrueFirst(a.cycle.startOverdue, b.cycle.startOverdue); order != 0 {
 		return order
 	}
-	if !a.startOverdue {
-		if order := compareTrueFirst(a.withinGuarantee, b.withinGuarantee); order != 0 {
+	if !a.cycle.startOverdue {
+		if order := compareTrueFirst(a.cycle.withinGuarantee, b.cycle.withinGuarantee); order != 0 {
 			return order
 		}
 		if order := cmp.Compare(b.Priority.Value(), a.Priority.Value()); order != 0 {
 			return order
 		}
 	}
-	return compareTrueFirst(a.starved, b.starved)
+	return compareTrueFirst(a.cycle.starved, b.cycle.starved)
 }
 
 // compareTrueFirst orders true before false.
@@ -110,7 +110,7 @@
 // compareTurn orders jobs of the same urgency; negative: a goes first. Starved jobs go by
 // age, others by when their turn is.
 func (p *Partition) compareTurn(a, b *Job) int {
-	if a.starved && b.starved {
+	if a.cycle.starved && b.cycle.starved {
 		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
 			return order
 		}
@@ -131,7 +131,7 @@
 	case job.DeadlineS > 0:
 		return job.SubmittedAt.Add(tuning.Seconds(job.DeadlineS - job.EstimatedRunS))
 	}
-	remainingS := float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.imageFetchS
+	remainingS := float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.cycle.imageFetchS
 	work := remainingS * max(job.CPUs, 1)
 	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
@@ -179,9 +179,9 @@
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
 	var total resource.Vector
 	for _, job := range jobs {
-		unfinished := job.taskRequest().Scale(job.Tasks - job.doneTasks)
+		unfinished := resource.TaskRequest(job.Job).Scale(job.Tasks - job.doneTasks)
 		total = total.Add(unfinished)
-		job.withinGuarantee = team.WithinGuarantee(total)
+		job.cycle.withinGuarantee = team.WithinGuarantee(total)
 	}
 }
 
@@ -190,12 +190,12 @@
 func (p *Partition) updateWaiting(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
 	waitsForFirstStart := !job.begun()
-	job.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
-	job.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
-	job.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
-	job.ignoresGPUShare = age > tuning.Seconds(gpuShareStarveFactor*p.tuning.StarveS)
-	job.cpuOnlyTypeFits = job.GPUs == 0 &&
-		resource.CPUOnlyTypeFits(job.taskRequest(), job.MachineTypes, maps.Values(p.machineTypes))
+	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
+	job.cycle.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
+	job.cycle.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
+	job.cycle.ignoresGPUShare = age > tuning.Seconds(gpuShareStarveFactor*p.tuning.StarveS)
+	job.cycle.cpuOnlyTypeFits = job.GPUs == 0 &&
+		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
 
 // begun reports whether the job has had its first start. Placements of a gang do not count
@@ -212,10 +212,10 @@
 func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
 	var placeable []*Job
 	for _, job := range jobs {
-		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.retryAt) {
+		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.failures.retryAt) {
 			continue
 		}
-		job.imageFetchS = p.shortestImageFetch(job)
+		job.cycle.imageFetchS = p.shortestImageFetch(job)
 		placeable = append(placeable, job)
 	}
 	slices.SortStableFunc(placeable, p.compareInQueue)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -6,6 +6,19 @@
 	"ambersill/internal/wire"
 )
 
+// pendingForget is an exited task which its worker may forget once its end is committed. If
+// it did so before, the next owner would take the task for lost.
+type pendingForget struct {
+	job          *Job
+	task         int
+	chunkVersion int // of the task's chunk, with the end
+}
+
+// ready reports whether the task's end is committed.
+func (f pendingForget) ready() bool {
+	return f.job.finalized || f.job.chunkOf(f.task).committedVersion >= f.chunkVersion
+}
+
 // reconcileTasks compares the task list of a worker's message with the machine's placements.
 func (p *Partition) reconcileTasks(machine *Machine, message *wire.Heartbeat, now time.Time) {
 	machine.statusLists++
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -104,14 +104,14 @@
 	if count == 0 {
 		return 0
 	}
-	remaining := team.RemainingTasks(job.taskRequest())
+	remaining := team.RemainingTasks(resource.TaskRequest(job.Job))
 	if job.IsGang() {
 		if job.waitingTasks < job.Tasks || remaining < job.Tasks {
 			return 0
 		}
 		return job.Tasks
 	}
-	if job.startOverdue {
+	if job.cycle.startOverdue {
 		count = min(count, overdueSlice)
 	}
 	return min(count, remaining)
@@ -131,7 +131,7 @@
 func (p *Partition) requestCapacity(job *Job, count int, now time.Time) {
 	job.noCapacityVersion = p.capacityVersion
 	p.preempt(job, min(count, preemptionSlice), now)
-	if !job.awaitingPreemption {
+	if !job.preemption.awaiting {
 		p.reserveForGang(job, count, now)
 	}
 }
@@ -140,7 +140,7 @@
 // the machines.
 func (p *Partition) startTasks(job *Job, machines []*Machine, now time.Time) {
 	job.highestAttempt++
-	job.awaitingPreemption = false
+	job.preemption.awaiting = false
 	if job.GPUs > 0 {
 		// With fewer GPUs free, more of these machines' CPUs and memory is free for others.
 		p.capacityVersion++
@@ -165,7 +165,7 @@
 		attempt:             job.highestAttempt,
 		machine:             machine,
 		incarnation:         machine.latest.incarnation,
-		preemptionProtected: job.startForced,
+		preemptionProtected: job.cycle.startForced,
 	}
 	p.attach(placement)
 	chunk := placement.chunk()
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -80,7 +80,7 @@
 	for _, job := range h.jobs {
 		for _, placement := range job.placements {
 			id := placement.machine.ID
-			used[id] = used[id].Add(resource.OfJob(job.Job))
+			used[id] = used[id].Add(resource.TaskRequest(job.Job))
 		}
 	}
 	return used
@@ -91,7 +91,7 @@
 	used := map[string]resource.Vector{}
 	for _, job := range h.jobs {
 		for range job.placements {
-			used[job.Team] = used[job.Team].Add(resource.OfJob(job.Job))
+			used[job.Team] = used[job.Team].Add(resource.TaskRequest(job.Job))
 		}
 	}
 	return used
@@ -154,7 +154,7 @@
 // other.
 func checkNothingWaitsThatFits(t *rapid.T, harness *partitionHarness, job *Job, used map[string]resource.Vector) {
 	t.Helper()
-	request := resource.OfJob(job.Job)
+	request := resource.TaskRequest(job.Job)
 	if job.waitingTasks == 0 || job.IsGang() || job.SingleZone || job.SpreadZones {
 		return
 	}
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -34,7 +34,7 @@
 	job := placement.job
 	if p.countsAsStarted(placement, now) {
 		delete(job.replicaRestarts, placement.task)
-		clear(job.failedMachines)
+		job.failures.forgetAllMachines()
 		return
 	}
 	restart := job.replicaRestarts[placement.task]
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -112,7 +112,7 @@
 	}{
 		{"done tasks", job.doneTasks, 0},
 		{"replica restarts", len(job.replicaRestarts), 4},
-		{"failed machines", len(job.failedMachines), 1},
+		{"failed machines", len(job.failures.machines), 1},
 		{"pending forgets", len(machine.pendingForgets), 4},
 		{"placements", len(machine.placements), 4},
 		{"failed jobs", len(machine.failedJobs), 1},
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -60,7 +60,7 @@
 	var allocated resource.Vector
 	for _, placement := range m.placements {
 		if !placement.job.AllowSpot {
-			allocated = allocated.Add(placement.job.taskRequest())
+			allocated = allocated.Add(resource.TaskRequest(placement.job.Job))
 		}
 	}
 	return allocated
@@ -128,7 +128,7 @@
 		machineTypes:  fmt.Sprint(demand.MachineTypes),
 		zone:          demand.Zone,
 		allowSpot:     demand.AllowSpot,
-		taskResources: job.taskRequest(),
+		taskResources: resource.TaskRequest(job.Job),
 		priority:      demand.Priority,
 	}
 	return key, true
@@ -175,10 +175,10 @@
 
 // unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
 func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
-	if job.awaitingPreemption && now.Sub(job.lastPreemption).Seconds() < p.tuning.PreemptGapS {
+	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted work will leave it the capacity
 	}
-	count := min(job.startableCount(now), team.RemainingTasks(job.taskRequest()))
+	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
 		return 0
 	}
--- a/internal/scheduler/task_exit.go
+++ b/internal/scheduler/task_exit.go
@@ -3,14 +3,9 @@
 import (
 	"time"
 
-	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
-// jobFailureMachines is the number of machines on which a job must have failed for the
-// cause to be sought in the job rather than in a machine.
-const jobFailureMachines = 2
-
 // taskExited records the exit of a placement's task, and requeues the task if it has no
 // result.
 func (p *Partition) taskExited(placement *Placement, cause wire.ExitCause, now time.Time) {
@@ -51,7 +46,7 @@
 		p.requeue(placement, now)
 		return
 	}
-	job.retryBackoffS = 0
+	job.failures.resetBackoff()
 	if job.IsGang() {
 		p.finishGang(job)
 	} else {
@@ -93,31 +88,3 @@
 	p.journal.markDirty(job.chunkOf(task), task)
 	p.Counters.Finished++
 }
-
-// recordFailure blames an error on the machine if several jobs fail there, and on the job
-// if it fails on several machines.
-func (p *Partition) recordFailure(job *Job, machine *Machine, now time.Time) {
-	if job.failedMachines == nil {
-		job.failedMachines = map[string]bool{}
-	}
-	job.failedMachines[machine.ID] = true
-	machine.failedJobs[job.ID] = true
-	if len(machine.failedJobs) >= p.tuning.SickErrors && !machine.quarantined {
-		machine.quarantined = true
-		p.capacityVersion++
-	}
-	if len(job.failedMachines) >= jobFailureMachines && !job.IsService() {
-		p.backOff(job, now)
-	}
-}
-
-// backOff delays the next attempt of a job, each time for longer: a job that fails
-// everywhere must not keep machines busy or rented.
-func (p *Partition) backOff(job *Job, now time.Time) {
-	if job.retryBackoffS == 0 {
-		job.retryBackoffS = p.tuning.ErrorBackoffS
-	} else {
-		job.retryBackoffS = min(2*job.retryBackoffS, p.tuning.ErrorBackoffMaxS)
-	}
-	job.retryAt = now.Add(tuning.Seconds(job.retryBackoffS))
-}
