--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -119,7 +119,6 @@
 		MachineTypes: testMachineTypes,
 		Lag:          4 * time.Second,
 		Boot:         cluster.simulation.StartWorker,
-		Rand:         cluster.random,
 		BootTime:     func(x wire.MachineType) time.Duration { return time.Duration(x.BootS) * time.Second },
 	}
 	for _, x := range testMachineTypes {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -2,16 +2,23 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"net/http"
 	"sort"
-	"strconv"
 	"sync"
 	"time"
 
 	"ambersill/internal/wire"
 )
 
+// Limits of requests, by the protocol.
+const (
+	maxRentedMachines = 50  // in one request
+	maxListedMachines = 500 // in a page of the list
+)
+
+// firstWorkerPort is the port of the first machine's worker; the others use the next ones.
+const firstWorkerPort = 20000
+
 // Capacity is how many machines of a kind there are.
 type Capacity struct {
 	MachineType, Zone string
@@ -19,256 +26,288 @@
 	Count             int
 }
 
+// offers reports whether the capacity is of the kind that a request asks for.
+func (c *Capacity) offers(request *wire.RentRequest) bool {
+	return c.MachineType == request.MachineType && c.Zone == request.Zone && c.Spot == request.Spot
+}
+
+// instance is a rented machine.
 type instance struct {
 	machine  wire.CloudMachine
 	rentedAt time.Time
-	worker   *Worker
+	worker   *Worker // nil until the machine has booted
+}
+
+// occupies reports whether the machine takes from the capacity that a request asks for.
+func (i *instance) occupies(request *wire.RentRequest) bool {
+	machine := &i.machine
+	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
+		machine.Spot == request.Spot && machine.State != wire.MachineFailed
 }
 
 // Cloud emulates the cloud. Its machines run Workers.
 type Cloud struct {
 	MachineTypes []wire.MachineType
 	Capacity     []Capacity
-	Lag          time.Duration
-	// Faults, if set, decides on each rental and return.
+	Lag          time.Duration // by which the list of machines is late
+	// Faults, if set, decides what happens to each rental and return.
 	Faults func() (RequestFault, time.Duration)
 	// Boot starts a machine's worker once it is up.
 	Boot func(m wire.CloudMachine) *Worker
-	// BootTime of one machine; 0: it never comes up.
+	// BootTime returns how long one machine takes to boot; 0: it never comes up.
 	BootTime func(t wire.MachineType) time.Duration
-	Rand     *rand.Rand
 
 	mu        sync.Mutex
-	next      int
+	next      int // number of the next machine
 	machines  map[string]*instance
-	rentals   map[string][]string
+	rentals   map[string][]string // IDs of the machines that each request ID has rented
 	refusals  int
 	snapshots []listSnapshot
 }
 
 // listSnapshot is the list as it was at a time; the cloud shows an old one.
 type listSnapshot struct {
-	at   time.Time
-	list []wire.CloudMachine
+	at       time.Time
+	machines []wire.CloudMachine
 }
 
 // Handler serves the protocol.
 func (c *Cloud) Handler() http.Handler {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines, c.rentals = map[string]*instance{}, map[string][]string{}
+		c.machines = map[string]*instance{}
+		c.rentals = map[string][]string{}
 	}
 	c.mu.Unlock()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) {
-		writeResponse(w, http.StatusOK, wire.Catalog{Types: c.MachineTypes})
-	})
-	mux.HandleFunc("POST /hosts", c.rent)
-	mux.HandleFunc("POST /hosts/return", c.returnMachines)
-	mux.HandleFunc("GET /hosts", c.list)
+	mux.HandleFunc("GET /catalog", c.handleCatalog)
+	mux.HandleFunc("POST /hosts", c.handleRent)
+	mux.HandleFunc("POST /hosts/return", c.handleReturn)
+	mux.HandleFunc("GET /hosts", c.handleList)
 	return deferResponses(mux)
 }
 
-func (c *Cloud) fault() (RequestFault, time.Duration) {
-	if c.Faults == nil {
-		return NoFault, 0
-	}
-	return c.Faults()
+func (c *Cloud) handleCatalog(w http.ResponseWriter, _ *http.Request) {
+	writeResponse(w, http.StatusOK, wire.Catalog{Types: c.MachineTypes})
 }
 
-func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
-	var q wire.RentRequest
-	if !readRequest(w, r, &q) {
+func (c *Cloud) handleRent(w http.ResponseWriter, r *http.Request) {
+	var request wire.RentRequest
+	if !readRequest(w, r, &request) {
 		return
 	}
-	if q.RequestID == "" || q.Count < 1 || q.Count > 50 {
-		writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
+	if request.RequestID == "" || request.Count < 1 || request.Count > maxRentedMachines {
+		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
-	f, wait := c.fault()
-	switch f {
-	case RefuseRequest:
-		writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-	case ExecuteLate:
-		time.AfterFunc(wait, func() { c.doRent(q) })
-		panic(http.ErrAbortHandler)
-	default:
-		ids := c.doRent(q)
-		if f == LoseResponse {
-			panic(http.ErrAbortHandler)
-		}
+	fault, delay := c.fault()
+	executeWithFault(w, fault, delay, func() (int, any) {
+		ids := c.rent(&request)
 		if ids == nil {
-			writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
-			return
+			return http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"}
 		}
-		writeResponse(w, http.StatusOK, wire.MachineIDs{Machines: ids})
+		return http.StatusOK, wire.MachineIDs{Machines: ids}
+	})
+}
+
+func (c *Cloud) handleReturn(w http.ResponseWriter, r *http.Request) {
+	var request wire.MachineIDs
+	if !readRequest(w, r, &request) {
+		return
 	}
+	fault, delay := c.fault()
+	executeWithFault(w, fault, delay, func() (int, any) {
+		c.remove(request.Machines)
+		return http.StatusOK, map[string]bool{}
+	})
 }
 
-// Refusals counts the rentals for which there was no room.
+func (c *Cloud) fault() (RequestFault, time.Duration) {
+	if c.Faults == nil {
+		return NoFault, 0
+	}
+	return c.Faults()
+}
+
+// Refusals counts the rentals for which there was no capacity.
 func (c *Cloud) Refusals() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusals
 }
 
-func (c *Cloud) doRent(q wire.RentRequest) []string {
+// rent rents as many of the requested machines as there is capacity for, and returns their IDs;
+// nil if there is none. A repeated request returns the machines that it has rented before.
+func (c *Cloud) rent(request *wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ids, ok := c.rentals[q.RequestID]; ok {
+	if ids, ok := c.rentals[request.RequestID]; ok {
 		return ids
 	}
-	free := 0
-	for _, k := range c.Capacity {
-		if k.MachineType == q.MachineType && k.Zone == q.Zone && k.Spot == q.Spot {
-			free += k.Count
-		}
-	}
-	for _, m := range c.machines {
-		if m.machine.MachineType == q.MachineType && m.machine.Zone == q.Zone && m.machine.Spot == q.Spot && m.machine.State != wire.MachineFailed {
-			free--
-		}
-	}
-	n := min(q.Count, free)
-	if n <= 0 {
+	count := min(request.Count, c.freeCapacity(request))
+	if count <= 0 {
 		c.refusals++
 		return nil
 	}
 	var ids []string
-	for range n {
-		id := c.add(q.MachineType, q.Zone, q.Spot)
-		ids = append(ids, id)
+	for range count {
+		ids = append(ids, c.add(request.MachineType, request.Zone, request.Spot))
 	}
-	c.rentals[q.RequestID] = ids
+	c.rentals[request.RequestID] = ids
 	return ids
 }
 
-// add rents one machine; mu must be held.
-func (c *Cloud) add(typ, zone string, spot bool) string {
+// freeCapacity counts the machines of the requested kind that are not rented. The lock must be
+// held.
+func (c *Cloud) freeCapacity(request *wire.RentRequest) int {
+	free := 0
+	for _, capacity := range c.Capacity {
+		if capacity.offers(request) {
+			free += capacity.Count
+		}
+	}
+	for _, rented := range c.machines {
+		if rented.occupies(request) {
+			free--
+		}
+	}
+	return free
+}
+
+// Add rents a machine without a request, whatever the capacity, and returns its ID. Handler
+// must have been called before.
+func (c *Cloud) Add(machineType, zone string, spot bool) string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.add(machineType, zone, spot)
+}
+
+// add rents one machine, and returns its ID. The lock must be held.
+func (c *Cloud) add(machineType, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", c.next)
-	m := &instance{rentedAt: time.Now(), machine: wire.CloudMachine{
-		ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+c.next),
-		MachineType: typ, Zone: zone, Spot: spot, State: wire.MachineStarting,
-	}}
+	added := &instance{
+		machine: wire.CloudMachine{
+			ID:          id,
+			Address:     fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.next),
+			MachineType: machineType,
+			Zone:        zone,
+			Spot:        spot,
+			State:       wire.MachineStarting,
+		},
+		rentedAt: time.Now(),
+	}
 	c.next++
-	c.machines[id] = m
-	for _, t := range c.MachineTypes {
-		if t.Name != typ {
+	c.machines[id] = added
+	for _, offered := range c.MachineTypes {
+		if offered.Name != machineType {
 			continue
 		}
-		if d := c.BootTime(t); d > 0 {
-			time.AfterFunc(d, func() {
-				c.mu.Lock()
-				defer c.mu.Unlock()
-				if c.machines[id] == m {
-					m.machine.State = wire.MachineRunning
-					m.worker = c.Boot(m.machine)
-				}
-			})
+		if bootTime := c.BootTime(offered); bootTime > 0 {
+			time.AfterFunc(bootTime, func() { c.boot(added) })
 		}
 	}
 	return id
 }
 
-// Add has a machine there from the start.
-func (c *Cloud) Add(typ, zone string, spot bool) string {
+// boot starts a machine's worker, unless the machine has been returned meanwhile.
+func (c *Cloud) boot(booting *instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.add(typ, zone, spot)
-}
-
-func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
-	var q wire.MachineIDs
-	if !readRequest(w, r, &q) {
+	if c.machines[booting.machine.ID] != booting {
 		return
 	}
-	f, wait := c.fault()
-	switch f {
-	case RefuseRequest:
-		writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-	case ExecuteLate:
-		time.AfterFunc(wait, func() { c.remove(q.Machines) })
-		panic(http.ErrAbortHandler)
-	default:
-		c.remove(q.Machines)
-		if f == LoseResponse {
-			panic(http.ErrAbortHandler)
-		}
-		writeResponse(w, http.StatusOK, map[string]bool{})
-	}
+	booting.machine.State = wire.MachineRunning
+	booting.worker = c.Boot(booting.machine)
 }
 
+// remove ends machines with their workers.
 func (c *Cloud) remove(ids []string) {
+	for _, worker := range c.removeInstances(ids) {
+		worker.Kill()
+	}
+}
+
+// removeInstances removes machines, and returns the workers of those that had booted.
+func (c *Cloud) removeInstances(ids []string) []*Worker {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	var workers []*Worker
 	for _, id := range ids {
-		if m := c.machines[id]; m != nil {
-			workers = append(workers, m.worker)
-			delete(c.machines, id)
+		removed := c.machines[id]
+		if removed == nil {
+			continue
 		}
-	}
-	c.mu.Unlock()
-	for _, worker := range workers {
-		if worker != nil {
-			worker.Kill()
+		delete(c.machines, id)
+		if removed.worker != nil {
+			workers = append(workers, removed.worker)
 		}
 	}
+	return workers
 }
 
-// TakeBack removes a machine without notice, as the cloud does with spot machines.
+// TakeBack removes a machine without notice, as the cloud does with spot instances.
 func (c *Cloud) TakeBack(id string) { c.remove([]string{id}) }
 
-// Workers lists the machines that are up, by name.
+// Workers lists the workers of the machines that are up, by machine ID.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*Worker
-	for _, m := range c.machines {
-		if m.worker != nil {
-			out = append(out, m.worker)
+	var workers []*Worker
+	for _, rented := range c.machines {
+		if rented.worker != nil {
+			workers = append(workers, rented.worker)
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].Machine.ID < out[b].Machine.ID })
-	return out
+	sort.Slice(workers, func(a, b int) bool { return workers[a].Machine.ID < workers[b].Machine.ID })
+	return workers
 }
 
-func (c *Cloud) list(w http.ResponseWriter, r *http.Request) {
-	c.mu.Lock()
-	now := time.Now()
-	var cur []wire.CloudMachine
-	for _, m := range c.machines {
-		x := m.machine
-		x.AgeS = now.Sub(m.rentedAt).Seconds()
-		cur = append(cur, x)
-	}
-	sort.Slice(cur, func(a, b int) bool { return cur[a].ID < cur[b].ID })
-	c.snapshots = append(c.snapshots, listSnapshot{now, cur})
-	// The list shown is the newest one that is at least Lag old, so it can be
-	// as old as the reader is slow.
-	show := []wire.CloudMachine{}
-	keep := 0
-	for i, s := range c.snapshots {
-		if now.Sub(s.at) >= c.Lag {
-			show, keep = s.list, i
-		}
-	}
-	c.snapshots = c.snapshots[keep:]
-	c.mu.Unlock()
+func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
+	machines := c.laggingList()
 	since := r.URL.Query().Get("since")
-	most, err := strconv.Atoi(r.URL.Query().Get("most"))
-	if err != nil || most < 1 || most > 500 {
-		most = 500
-	}
-	p := wire.MachinePage{Machines: []wire.CloudMachine{}}
-	for _, m := range show {
-		if m.ID <= since {
+	pageSize := pageSizeOf(r, maxListedMachines)
+	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // an empty list on the wire, not null
+	for _, machine := range machines {
+		if machine.ID <= since {
 			continue
 		}
-		if len(p.Machines) == most {
-			p.More = true
+		if len(page.Machines) == pageSize {
+			page.More = true
 			break
 		}
-		p.Machines = append(p.Machines, m)
+		page.Machines = append(page.Machines, machine)
+	}
+	writeResponse(w, http.StatusOK, page)
+}
+
+// laggingList takes a snapshot of the list, and returns the newest one that is at least Lag
+// old; none yet: an empty list. Snapshots are taken on request only, so that the list can be
+// as old as its reader is slow.
+func (c *Cloud) laggingList() []wire.CloudMachine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := time.Now()
+	c.snapshots = append(c.snapshots, listSnapshot{at: now, machines: c.currentList(now)})
+	var shown []wire.CloudMachine
+	shownIndex := 0
+	for i, snapshot := range c.snapshots {
+		if now.Sub(snapshot.at) >= c.Lag {
+			shown = snapshot.machines
+			shownIndex = i
+		}
+	}
+	c.snapshots = c.snapshots[shownIndex:]
+	return shown
+}
+
+// currentList lists the rented machines by ID. The lock must be held.
+func (c *Cloud) currentList(now time.Time) []wire.CloudMachine {
+	var machines []wire.CloudMachine
+	for _, rented := range c.machines {
+		machine := rented.machine
+		machine.AgeS = now.Sub(rented.rentedAt).Seconds()
+		machines = append(machines, machine)
 	}
-	writeResponse(w, http.StatusOK, p)
+	sort.Slice(machines, func(a, b int) bool { return machines[a].ID < machines[b].ID })
+	return machines
 }
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -12,11 +12,8 @@
 // maxListedKeys is how many keys a page of a listing has at most, by the protocol.
 const maxListedKeys = 1000
 
-// Reasons in the answers to refused requests.
-const (
-	noSuchLease = "no such lease"
-	unavailable = "trouble" // what the protocol's systems answer with 503
-)
+// noSuchLease is the reason in the answers to requests that name an unknown lease.
+const noSuchLease = "no such lease"
 
 // rawTxn is a transaction whose values stay encoded.
 type rawTxn struct {
@@ -136,19 +133,7 @@
 	if s.Faults != nil {
 		fault, delay = s.Faults(r.RemoteAddr, txn.keys())
 	}
-	switch fault {
-	case RefuseRequest:
-		writeError(w, http.StatusServiceUnavailable, unavailable)
-	case LoseResponse:
-		s.apply(&txn)
-		panic(http.ErrAbortHandler)
-	case ExecuteLate:
-		time.AfterFunc(delay, func() { s.apply(&txn) })
-		panic(http.ErrAbortHandler)
-	default:
-		status, body := s.apply(&txn)
-		writeResponse(w, status, body)
-	}
+	executeWithFault(w, fault, delay, func() (int, any) { return s.apply(&txn) })
 }
 
 func (s *KeyValueStore) handleGrantLease(w http.ResponseWriter, r *http.Request) {
--- a/internal/emulator/responses.go
+++ b/internal/emulator/responses.go
@@ -5,10 +5,14 @@
 	"io"
 	"net/http"
 	"strconv"
+	"time"
 
 	"ambersill/internal/wire"
 )
 
+// unavailable is the reason in the answers to requests that a fault refuses with 503.
+const unavailable = "trouble"
+
 // deferredResponse buffers a response until its handler has returned and holds no lock, since
 // a host that is frozen does not read it.
 type deferredResponse struct {
@@ -81,3 +85,20 @@
 	}
 	return size
 }
+
+// executeWithFault executes a request and answers it, as far as the fault lets it.
+func executeWithFault(w http.ResponseWriter, fault RequestFault, delay time.Duration, execute func() (status int, body any)) {
+	switch fault {
+	case RefuseRequest:
+		writeError(w, http.StatusServiceUnavailable, unavailable)
+	case LoseResponse:
+		execute()
+		panic(http.ErrAbortHandler)
+	case ExecuteLate:
+		time.AfterFunc(delay, func() { execute() })
+		panic(http.ErrAbortHandler)
+	default:
+		status, body := execute()
+		writeResponse(w, status, body)
+	}
+}
