--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 type Member struct {
 	Node string `toml:"node"`
 	Zone string `toml:"zone"`
-	Addr string `toml:"addr"` // its mesh address
+	Addr string `toml:"addr"` // for calls between controllers
 }
 
 // Outside has the addresses of the services that controllers depend on.
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -220,7 +220,7 @@
 	})
 	// The owner has contact all the time, and no news.
 	all = append(all, faultScenario{
-		name: "the marks cannot be read",
+		name: "the cancellations cannot be read",
 		script: []emulator.Fault{
 			stuck,
 			cancels,
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -32,9 +32,9 @@
 	LateCommits FaultKind = "late writes"
 	// LostResponses: that Share of commits (likewise) is carried out at once and gets no answer.
 	LostResponses FaultKind = "lost answers"
-	// LateHeartbeats: of that Share of reports a copy reaches some node again, up to Wait later.
+	// LateHeartbeats: of that Share of heartbeats a copy reaches some node again, up to Wait later.
 	LateHeartbeats FaultKind = "late reports"
-	// HeartbeatsForNextOwner: copies are kept, and reach every node Wait after the part has
+	// HeartbeatsForNextOwner: copies are kept, and reach every node Wait after the partition has
 	// another owner.
 	HeartbeatsForNextOwner FaultKind = "reports for next"
 	// SlowLinks: what workers and users send and get takes Wait longer each way.
@@ -373,7 +373,7 @@
 const nextOwnerTimeout = 2 * time.Minute
 
 // replayToNextOwner keeps the first copy of each machine's heartbeats during the fault, and sends
-// them to every node when the part has another owner.
+// them to every node when the partition has another owner.
 func (s *FaultInjector) replayToNextOwner(ctx context.Context, fault Fault) {
 	_, revision := s.Owner()
 	kept := map[string]func(Node){}
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -44,9 +44,9 @@
 
 // Handler answers the calls of other controllers.
 type Handler interface {
-	// PartitionClaimed is told that another node owns a partition.
+	// PartitionClaimed handles the announcement that another node owns a partition.
 	PartitionClaimed(OwnershipClaim)
-	// JobCancelled is told that another node has committed a cancellation.
+	// JobCancelled handles the announcement that another node has committed a cancellation.
 	JobCancelled(JobCancellation)
 	// LocalJobCounts counts the tasks of a job that this node runs.
 	LocalJobCounts(jobID string) JobCounts
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// bookedPrecision: booked machines are told to the leader in thousandths, which keeps
+	// bookedPrecision: the summary states booked machines in thousandths, which keeps
 	// the record small and equal sums equal.
 	bookedPrecision = 1000
 	// maxWaitingBytes bounds the waiting tasks in a summary, those first in turn: the leader
