--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -116,7 +116,7 @@
 // newSimulation returns a simulation of the workers and users of the configured controllers.
 func newSimulation(ctx context.Context, settings []config.Settings) *emulator.Simulation {
 	cluster := &settings[0].Cluster
-	simulation := &emulator.Simulation{
+	simulationConfig := emulator.SimulationConfig{
 		Ctx:               ctx,
 		Net:               transport.TCP{},
 		MachineTypes:      map[string]wire.MachineType{sampleMachineType.Name: sampleMachineType},
@@ -128,10 +128,9 @@
 		Teams:             cluster.Teams,
 	}
 	for _, node := range settings {
-		simulation.Nodes = append(simulation.Nodes, emulator.Node{Name: node.Node, Addr: node.PublicAddr})
+		simulationConfig.Nodes = append(simulationConfig.Nodes, emulator.Node{Name: node.Node, Addr: node.PublicAddr})
 	}
-	simulation.Init()
-	return simulation
+	return emulator.NewSimulation(simulationConfig)
 }
 
 // newCloud returns a cloud that offers one machine type in one zone.
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -99,7 +99,7 @@
 	for _, x := range testMachineTypes {
 		types[x.Name] = x
 	}
-	cluster.simulation = &emulator.Simulation{
+	cluster.simulation = emulator.NewSimulation(emulator.SimulationConfig{
 		Ctx:               ctx,
 		ZoneNets:          map[string]transport.Net{},
 		Nodes:             cluster.nodes,
@@ -110,11 +110,10 @@
 		GangWaitTimeout:   35 * time.Second,
 		GangPeerTimeout:   5 * time.Second,
 		CancelDeadline:    44 * time.Second,
-	}
+	})
 	for _, z := range cluster.settings(0).Cluster.Zones {
 		cluster.simulation.ZoneNets[z] = cluster.network.Host("workers-" + z)
 	}
-	cluster.simulation.Init()
 	cluster.cloud = &emulator.Cloud{
 		MachineTypes: testMachineTypes,
 		Lag:          4 * time.Second,
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -19,14 +19,13 @@
 }
 
 func newCheckerSetup() *checkerSetup {
-	s := &checkerSetup{Simulation: &Simulation{
+	s := &checkerSetup{Simulation: NewSimulation(SimulationConfig{
 		Teams:           []config.Team{{Name: "limited", CPUsMax: 2}},
 		LeaseDuration:   time.Hour,
 		GangWaitTimeout: time.Minute,
 		GangPeerTimeout: 5 * time.Second,
 		CancelDeadline:  44 * time.Second,
-	}}
-	s.Init()
+	})}
 	machine := func(id, machineType, zone string, spot bool) *Worker {
 		return &Worker{
 			Machine:     wire.CloudMachine{ID: id, MachineType: machineType, Zone: zone, Spot: spot},
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -14,10 +14,8 @@
 // Node is a controller's public address.
 type Node struct{ Name, Addr string }
 
-// Simulation joins the workers and the users, and is the reference model of the protocol's
-// rules: it sees every task start and end, knows what users were answered, and records what
-// violates a rule. The rules are in checker.go, the tasks' lifecycle in lifecycle.go.
-type Simulation struct {
+// SimulationConfig configures a simulation.
+type SimulationConfig struct {
 	Ctx               context.Context
 	Net               transport.Net
 	ZoneNets          map[string]transport.Net // of zones that can be cut off; others use Net
@@ -29,13 +27,20 @@
 	GangWaitTimeout   time.Duration // gang_wait_s
 	GangPeerTimeout   time.Duration // gang_peer_s
 	CancelDeadline    time.Duration // cancel_s
-	// RunTime of a task; nil: its estimate.
+	// RunTime returns how long a task runs; nil: as long as its job estimates.
 	RunTime func(job *wire.Job, task int) time.Duration
 	// OnHeartbeat, if set, is called with each heartbeat, and may send copies of it to nodes
 	// later.
 	OnHeartbeat func(heartbeat *wire.Heartbeat, send func(to Node))
 	// OnJobDone, if set, is called when the last task of a job completes.
 	OnJobDone func(job string)
+}
+
+// Simulation joins the workers and the users, and is the reference model of the protocol's
+// rules: it sees every task start and end, knows what users were answered, and records what
+// violates a rule. The rules are in checker.go, the tasks' lifecycle in lifecycle.go.
+type Simulation struct {
+	SimulationConfig
 
 	// mu guards all that follows, and the state of all workers.
 	mu          sync.Mutex
@@ -62,12 +67,15 @@
 	attempt uint64
 }
 
-// Init prepares the simulation.
-func (w *Simulation) Init() {
-	w.jobs = map[string]*jobState{}
-	w.running = map[string]map[*Worker]*task{}
-	w.attempts = map[taskAttempt]bool{}
-	w.done = map[string]bool{}
+// NewSimulation returns a simulation without workers and jobs.
+func NewSimulation(config SimulationConfig) *Simulation {
+	return &Simulation{
+		SimulationConfig: config,
+		jobs:             map[string]*jobState{},
+		running:          map[string]map[*Worker]*task{},
+		attempts:         map[taskAttempt]bool{},
+		done:             map[string]bool{},
+	}
 }
 
 // SetLinkDelay has what workers and users send and receive take that much longer each way.
