--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -8,8 +8,8 @@
 //	POST /agent/beat           heartbeat of a worker: 200, or 421 with the node to report to
 //	GET  /up                   health check: 200, or 503
 //
-// A request that is refused for good is answered with the status code of a StatusError. One
-// that cannot be served at present is answered 503; users find in Retry-After when to
+// A request that is refused permanently is answered with the status code of a StatusError.
+// One that cannot be served at present is answered 503; Retry-After tells users when to
 // repeat it.
 package api
 
@@ -34,9 +34,8 @@
 	Job(ctx context.Context, id string) (wire.JobStatus, error)
 	// Cancel cancels a job and returns its status. It is idempotent.
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
-	// Heartbeat answers a worker; if not ok, node names the one that it should report to,
-	// if that is known.
-	Heartbeat(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, node string, ok bool)
+	// Heartbeat answers a worker.
+	Heartbeat(heartbeat *wire.Heartbeat) HeartbeatResult
 	// Healthy reports whether the node can take requests.
 	Healthy() bool
 }
@@ -47,7 +46,17 @@
 	Created bool // false if the job was known before
 }
 
-// StatusError is an error with a final answer for the user, who need not repeat the request.
+// HeartbeatResult is the result of a worker's heartbeat.
+type HeartbeatResult struct {
+	// Accepted reports whether the heartbeat is answered with Response.
+	Accepted bool
+	Response wire.HeartbeatResponse
+	// RedirectTo names the node to which the worker should send the next heartbeat instead;
+	// empty if the heartbeat was accepted, or if no such node is known.
+	RedirectTo string
+}
+
+// StatusError is a permanent error: repeating the request unchanged would not help.
 type StatusError struct {
 	// Status is the HTTP status code, 400 to 499.
 	Status int
@@ -66,7 +75,7 @@
 }
 
 // Handler returns the HTTP handler of a service. Users' requests that take longer than
-// userTimeout are refused with the advice to repeat them after retryAfterS seconds.
+// userTimeout are answered 503, with retryAfterS seconds in Retry-After.
 func Handler(service Service, retryAfterS int, userTimeout time.Duration) http.Handler {
 	h := &handler{service: service, retryAfter: strconv.Itoa(retryAfterS), userTimeout: userTimeout}
 	mux := http.NewServeMux()
@@ -104,8 +113,11 @@
 	h.serveJob(w, r, h.service.Cancel)
 }
 
+// jobOperation is an operation of a Service on the job with an ID.
+type jobOperation func(ctx context.Context, id string) (wire.JobStatus, error)
+
 // serveJob answers a request that names a job with the status that the operation returns.
-func (h *handler) serveJob(w http.ResponseWriter, r *http.Request, operation func(context.Context, string) (wire.JobStatus, error)) {
+func (h *handler) serveJob(w http.ResponseWriter, r *http.Request, operation jobOperation) {
 	ctx, cancel := context.WithTimeout(r.Context(), h.userTimeout)
 	defer cancel()
 	status, err := operation(ctx, r.PathValue("id"))
@@ -126,12 +138,12 @@
 		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "not a report"})
 		return
 	}
-	response, node, ok := h.service.Heartbeat(&heartbeat)
+	result := h.service.Heartbeat(&heartbeat)
 	switch {
-	case ok:
-		h.send(w, http.StatusOK, response)
-	case node != "":
-		h.send(w, http.StatusMisdirectedRequest, wire.Redirect{Node: node})
+	case result.Accepted:
+		h.send(w, http.StatusOK, result.Response)
+	case result.RedirectTo != "":
+		h.send(w, http.StatusMisdirectedRequest, wire.Redirect{Node: result.RedirectTo})
 	default:
 		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not in charge"})
 	}
@@ -155,7 +167,7 @@
 	return body, true
 }
 
-// sendError answers with a StatusError's code and reason, and any other error with 503.
+// sendError answers a StatusError with its status code and reason, and other errors with 503.
 func (h *handler) sendError(w http.ResponseWriter, err error) {
 	if statusErr, ok := errors.AsType[*StatusError](err); ok {
 		h.send(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -13,20 +13,20 @@
 )
 
 // An owner must not start tasks, or keep tasks alive by answering heartbeats, if jobs may
-// have been cancelled without its knowledge. So it reads the cancellations again and again,
-// and goes by the age of the newest reading.
+// have been cancelled without its knowledge. So it polls the cancellations, and decides by
+// the age of the latest poll that succeeded.
 
-// failedPollFraction is the part of the usual gap between two readings of the cancellations
-// that is waited after one that failed, so that a single error does not stop the starts.
-const failedPollFraction = 4
+// failedPollDivisor divides the interval between two polls of the cancellations for the wait
+// after one that failed, so that a single error does not stop the starts.
+const failedPollDivisor = 4
 
-// cancellationKnowledge says what an owner may do with what it knows of cancellations.
+// cancellationKnowledge is what an owner may do, given what it knows of cancellations.
 type cancellationKnowledge struct {
 	startsTasks       bool
 	answersHeartbeats bool
 }
 
-// cancellationKnowledgeAt returns what knowledge of the given age is good for.
+// cancellationKnowledgeAt returns what an owner may do with knowledge of the given age.
 func (c *Controller) cancellationKnowledgeAt(age time.Duration) cancellationKnowledge {
 	return cancellationKnowledge{
 		startsTasks:       age < tuning.Seconds(c.tuning.FreshS),
@@ -41,14 +41,15 @@
 // which a cancellation has to take effect.
 func (c *Controller) heartbeatAnswerLimit() time.Duration {
 	workers := c.settings.Cluster.Workers
-	return tuning.Seconds(workers.CancelS - workers.LeaseS*(1+c.tuning.Drift) - workers.ReportS - c.tuning.MarginS)
+	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
+	return tuning.Seconds(workers.CancelS - leaseS - workers.ReportS - c.tuning.MarginS)
 }
 
 // cancellationAge returns the age of the owner's knowledge of cancellations: all that were
 // confirmed longer ago are known, whichever node confirmed them. The time since the last
-// contact with the store would not do: with contact back after an outage, or watches open
-// but stuck, an owner whose requests alone had been refused answered its workers'
-// heartbeats without knowing what other nodes had confirmed meanwhile.
+// contact with the store is not enough: once contact was regained after an outage, or while
+// watches were open but stuck, an owner that alone had its requests refused answered its
+// workers' heartbeats without knowing what other nodes had confirmed meanwhile.
 func (o *ownedPartition) cancellationAge() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -73,37 +74,37 @@
 		"answers_heartbeats", knowledge.answersHeartbeats, "age_s", age.Seconds())
 }
 
-// pollCancellations reads the keys of cancelled jobs until the context ends. A key is
+// pollCancellations polls the keys of cancelled jobs until the context ends. A key is
 // committed with the cancellation and deleted when nothing of the job is left, so that a
-// reading shows every cancellation up to when it was asked for.
+// poll shows every cancellation that was committed before it was requested.
 func (o *ownedPartition) pollCancellations(ctx context.Context) {
-	gap := tuning.Seconds(o.controller.tuning.NewsS)
+	interval := tuning.Seconds(o.controller.tuning.NewsS)
 	for ctx.Err() == nil {
 		o.logKnowledge()
-		asked := time.Now()
+		requestedAt := time.Now()
 		items, _, err := o.controller.store.ListUnthrottled(ctx, records.CancellationPrefix(o.index))
 		if err != nil {
 			slog.Debug("cancellations not read", "partition", o.index, "err", err)
-			transport.Pause(ctx, gap/failedPollFraction)
+			transport.Pause(ctx, interval/failedPollDivisor)
 			continue
 		}
-		o.setCancellations(items, asked)
-		transport.Pause(ctx, gap-time.Since(asked))
+		o.setCancellations(items, requestedAt)
+		transport.Pause(ctx, interval-time.Since(requestedAt))
 	}
 }
 
-// setCancellations applies a reading of the cancellations that was asked for at a time.
-func (o *ownedPartition) setCancellations(items []wire.KeyValue, asked time.Time) {
+// setCancellations applies the cancellations that a poll has listed.
+func (o *ownedPartition) setCancellations(items []wire.KeyValue, requestedAt time.Time) {
 	o.mu.Lock()
 	anyNew := o.partition.SetCancelledJobs(o.cancelledJobs(items), time.Now())
-	o.cancellationsReadAt = asked
+	o.cancellationsReadAt = requestedAt
 	o.mu.Unlock()
 	if anyNew {
 		o.wakeUp()
 	}
 }
 
-// cancelledJobs returns the jobs that a listing of the cancellations names.
+// cancelledJobs returns the IDs of the jobs in a listing of the cancellations.
 func (o *ownedPartition) cancelledJobs(items []wire.KeyValue) []string {
 	prefix := records.CancellationPrefix(o.index)
 	ids := make([]string, len(items))
@@ -113,7 +114,7 @@
 	return ids
 }
 
-// jobCancelled cancels a job on the hint of the node that has committed its cancellation.
+// jobCancelled cancels a job when the node that committed its cancellation announces it.
 func (o *ownedPartition) jobCancelled(id string) {
 	loaded := o.whenLoaded(func(partition *scheduler.Partition) {
 		partition.Cancel(id, time.Now())
--- a/internal/controller/cluster_watch.go
+++ b/internal/controller/cluster_watch.go
@@ -50,7 +50,9 @@
 
 // watchPrefixFrom follows the changes of a prefix after a revision. It returns when the
 // context ends, or when the next changes were compacted.
-func watchPrefixFrom(ctx context.Context, store *kvstore.Client, prefix string, revision uint64, handler watchHandler) {
+func watchPrefixFrom(
+	ctx context.Context, store *kvstore.Client, prefix string, revision uint64, handler watchHandler,
+) {
 	for ctx.Err() == nil {
 		response, err := store.Watch(ctx, prefix, revision, watchTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -12,9 +12,9 @@
 	"ambersill/internal/wire"
 )
 
-// sendCommands sends starts and stops without waiting for the machines' next heartbeats. What
-// finds no free slot now goes with a later scheduling cycle, or in the response to a
-// heartbeat. While the owner's knowledge of cancellations is too old, only the tasks of
+// sendCommands sends starts and stops without waiting for the machines' next heartbeats.
+// Commands for which no slot is free are sent in a later scheduling cycle, or in the response
+// to a heartbeat. While the owner's knowledge of cancellations is too old, only the tasks of
 // cancelled jobs are stopped, which is right whoever owns the partition by now.
 func (o *ownedPartition) sendCommands(ctx context.Context) {
 	mayStart := o.mayStartTasks()
@@ -31,7 +31,7 @@
 type machineRequest func(ctx context.Context, id, address string) (executed bool)
 
 // startRequest runs send in a goroutine if the machine's address is known and a command slot
-// is free. Whether the request was executed decides on the machine's back-off.
+// is free. A request that is not executed puts the machine into back-off.
 func (o *ownedPartition) startRequest(ctx context.Context, id string, send machineRequest) {
 	slots := o.controller.commandSlots
 	address := o.controller.address(id)
@@ -69,7 +69,7 @@
 	return executed
 }
 
-// commandOutcome returns what became of a request to a worker.
+// commandOutcome classifies the result of a request to a worker.
 func commandOutcome(executed bool, err error) scheduler.CommandOutcome {
 	switch {
 	case executed:
@@ -83,7 +83,9 @@
 
 // handleCommandResponse reconciles the outcome of a request and the worker's response; the
 // heartbeat is nil if there was none.
-func (o *ownedPartition) handleCommandResponse(id string, request wire.CommandRequest, heartbeat *wire.Heartbeat, outcome scheduler.CommandOutcome) {
+func (o *ownedPartition) handleCommandResponse(
+	id string, request wire.CommandRequest, heartbeat *wire.Heartbeat, outcome scheduler.CommandOutcome,
+) {
 	o.mu.Lock()
 	o.partition.HandleCommandOutcome(request, id, outcome)
 	if heartbeat != nil {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -58,8 +58,8 @@
 	leaseID      uint64    // 0 without a lease
 	leaseExpiry  time.Time // until then the lease surely lasts, even without contact
 	leading      bool
-	addresses    map[string]string // of machines, from heartbeats or the cloud's listing
-	visits       map[string]visit  // machines that report here but are assigned to other nodes
+	addresses    map[string]string // by machine, from heartbeats or the cloud's listing
+	visits       map[string]visit  // by machine: workers that are assigned to other nodes
 }
 
 // New returns a controller that has not started yet.
@@ -100,7 +100,9 @@
 	return c
 }
 
-func newStoreClient(settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StateLimits) *kvstore.Client {
+func newStoreClient(
+	settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StateLimits,
+) *kvstore.Client {
 	return kvstore.New(kvstore.Options{
 		Net:       network,
 		Addr:      settings.Outside.State,
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -108,7 +108,8 @@
 	case commitRefused:
 		transport.Pause(ctx, commitRetryDelay)
 	case commitInvalid:
-		slog.Error("commit over the key-value store's limits", "partition", o.index, "changes", len(batch.Txn.Writes), "err", err)
+		slog.Error("commit over the key-value store's limits",
+			"partition", o.index, "changes", len(batch.Txn.Writes), "err", err)
 		o.reduceLimits(ctx)
 		transport.Pause(ctx, commitRetryDelay)
 	case commitConflict, commitUnknown:
@@ -142,7 +143,7 @@
 			continue
 		}
 		if item.Revision != o.revision {
-			o.controller.releasePartition(o, "its key has another revision")
+			o.controller.releasePartition(o, releasedKeyChanged)
 			return
 		}
 	}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -4,54 +4,54 @@
 	"log/slog"
 	"time"
 
+	"ambersill/internal/api"
 	"ambersill/internal/peerrpc"
 	"ambersill/internal/scheduler"
 	"ambersill/internal/wire"
 )
 
-// Heartbeat answers a worker's heartbeat. If it is not accepted, redirect names the node to
-// which the worker should send the next one, if any.
+// Heartbeat answers a worker's heartbeat.
 //
 // Workers may report to any node. A node that does not own the machine's partition forwards
 // the heartbeat to the owner, many at a time, and returns the owner's response: reading
 // requests is most of what a heartbeat costs, and on small processors the owner alone was
 // overloaded by it.
-func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) (response wire.HeartbeatResponse, redirect string, accepted bool) {
+func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) api.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
 		// Either its record has not reached this node yet, or it was returned: a late
-		// copy of a heartbeat must not bring its address back.
-		return wire.HeartbeatResponse{}, "", false
+		// copy of a heartbeat must not restore its address.
+		return api.HeartbeatResult{}
 	}
 	partition := entry.record.Partition
 	owner := c.cluster.partitionOwner(partition).node
 	assigned := c.assignedNode(heartbeat.Machine, owner)
 	if assigned != c.settings.Node && c.shouldRedirect(heartbeat.Machine, time.Now()) {
-		return wire.HeartbeatResponse{}, assigned, false
+		return api.HeartbeatResult{RedirectTo: assigned}
 	}
 	if c.ownedPartition(partition) != nil {
-		result := c.OwnedHeartbeat(heartbeat)
-		return result.Response, "", result.Accepted
+		return ownerResult(c.OwnedHeartbeat(heartbeat))
 	}
 	return c.forwardHeartbeat(heartbeat, owner)
 }
 
-// forwardHeartbeat has the owner of the machine's partition answer a heartbeat. The results
-// are those of Heartbeat.
-func (c *Controller) forwardHeartbeat(heartbeat *wire.Heartbeat, owner string) (response wire.HeartbeatResponse, redirect string, accepted bool) {
+// forwardHeartbeat has the owner of the machine's partition answer a heartbeat.
+func (c *Controller) forwardHeartbeat(heartbeat *wire.Heartbeat, owner string) api.HeartbeatResult {
 	forwarder := c.forwarders[owner]
 	if forwarder == nil {
-		return wire.HeartbeatResponse{}, "", false
+		return api.HeartbeatResult{}
 	}
 	result, reached := forwarder.forward(heartbeat)
 	if !reached {
 		// The worker itself may still be able to reach the owner.
-		return wire.HeartbeatResponse{}, owner, false
+		return api.HeartbeatResult{RedirectTo: owner}
 	}
-	if !result.Accepted {
-		return wire.HeartbeatResponse{}, "", false
-	}
-	return result.Response, "", true
+	return ownerResult(result)
+}
+
+// ownerResult returns the answer of a partition's owner as that to the worker.
+func ownerResult(result peerrpc.HeartbeatResult) api.HeartbeatResult {
+	return api.HeartbeatResult{Accepted: result.Accepted, Response: result.Response}
 }
 
 // OwnedHeartbeat answers a heartbeat as the owner of its machine's partition. It is not
@@ -83,17 +83,19 @@
 	}
 	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), knowledge.startsTasks)
 	if verdict != scheduler.HeartbeatAccepted {
-		slog.Debug("heartbeat not accepted", "machine", heartbeat.Machine, "verdict", verdict, "token", heartbeat.FencingToken)
+		slog.Debug("heartbeat not accepted",
+			"machine", heartbeat.Machine, "verdict", verdict.String(), "token", heartbeat.FencingToken)
 		if verdict == scheduler.HeartbeatSuperseded && !knowledge.startsTasks {
-			// Another owner has reached the worker, and nobody else can let this node
-			// know: it must not keep other machines from that owner. Not under o.mu,
-			// since releasing takes the controller's lock.
-			go o.controller.releasePartition(o, "a worker has seen a higher fencing token")
+			// Another owner has reached the worker, and this node cannot learn that in
+			// any other way: it must not keep other machines from that owner. Releasing
+			// takes the controller's lock, which must not be taken under o.mu.
+			go o.controller.releasePartition(o, releasedSuperseded)
 		}
 		return peerrpc.HeartbeatResult{Response: response}
 	}
 	o.controller.commandSlots.resetBackoff(heartbeat.Machine)
-	// Most heartbeats change nothing, and a cycle for each costs too much on a small processor.
+	// Most heartbeats change nothing, and a cycle for each costs too much on a small
+	// processor.
 	if o.partition.NeedsScheduling() {
 		o.wakeUp()
 	}
--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -9,7 +9,7 @@
 	"ambersill/internal/wire"
 )
 
-// maxAnnouncements bounds the cancellations that are being announced to owners at a time.
+// maxAnnouncements bounds the concurrent announcements of cancellations to owners.
 const maxAnnouncements = 32
 
 // Cancel cancels a job. Cancelling is idempotent: a job that has ended is answered with its
@@ -38,7 +38,9 @@
 
 // commitCancellation writes a cancelled job's record on the condition that it was not
 // changed since it was read, and the cancellation for the partition's owner.
-func (c *Controller) commitCancellation(ctx context.Context, record records.JobRecord, revision uint64) error {
+func (c *Controller) commitCancellation(
+	ctx context.Context, record records.JobRecord, revision uint64,
+) error {
 	id := record.Job.ID
 	key := records.JobKey(id)
 	_, err := c.store.CommitUrgent(ctx, wire.Txn{
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -20,8 +20,7 @@
 func (o *ownedPartition) watchJobs(ctx context.Context, revision uint64) {
 	o.watchJobsFrom(ctx, revision)
 	for ctx.Err() == nil {
-		// The watch is further behind than the store keeps changes; the partition's
-		// records hold what was missed.
+		// The next changes were compacted; the partition's records hold what was missed.
 		revision, err := o.relistJobs(ctx)
 		if err != nil {
 			transport.Pause(ctx, relistRetryDelay)
@@ -31,8 +30,8 @@
 	}
 }
 
-// watchJobsFrom follows the jobs' records until the context ends or the store no longer
-// keeps the changes that come next.
+// watchJobsFrom follows the jobs' records until the context ends, or until the next changes
+// were compacted.
 func (o *ownedPartition) watchJobsFrom(ctx context.Context, revision uint64) {
 	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.jobChanged})
 }
@@ -43,7 +42,10 @@
 		return
 	}
 	var record records.JobRecord
-	if err := wire.Unmarshal(event.Value, &record); err != nil || record.Job == nil || record.Partition != o.index {
+	if err := wire.Unmarshal(event.Value, &record); err != nil {
+		return
+	}
+	if record.Job == nil || record.Partition != o.index {
 		return
 	}
 	o.mu.Lock()
@@ -53,7 +55,7 @@
 	case wire.JobCancelled:
 		o.partition.Cancel(record.Job.ID, time.Now())
 	case wire.JobRunning, wire.JobDone:
-		// The end is written by this owner itself; that a job runs is not stored.
+		// This owner writes the end of a job itself; JobRunning is never stored.
 	}
 	o.mu.Unlock()
 	o.wakeUp()
@@ -86,7 +88,7 @@
 	return revision, nil
 }
 
-// submittedChunk decodes a first chunk that still is as the job's submission wrote it. One
+// submittedChunk decodes a first chunk that was not changed since the job's submission. One
 // with a job revision was rewritten by an owner, which has known the job since.
 func submittedChunk(item wire.KeyValue) (*records.ChunkRecord, bool) {
 	_, name, ok := records.ParseChunkKey(item.Key)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -17,8 +17,8 @@
 	"ambersill/internal/wire"
 )
 
-// jobCountsTimeout bounds the question for a job's counts, which are for display only; the
-// user waits 2 s for all of the query.
+// jobCountsTimeout bounds the call for a job's counts, which are for display only; the user
+// waits 2 s for the whole query.
 const jobCountsTimeout = 200 * time.Millisecond
 
 var (
@@ -56,10 +56,15 @@
 
 // submitInfeasible answers the submission of a job that could never run. One that was
 // accepted before, under other settings, is known all the same.
-func (c *Controller) submitInfeasible(ctx context.Context, job *wire.Job, infeasible error) (api.Submission, error) {
+func (c *Controller) submitInfeasible(
+	ctx context.Context, job *wire.Job, infeasible error,
+) (api.Submission, error) {
 	submission, err := c.knownJob(ctx, job.ID)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return api.Submission{}, &api.StatusError{Status: http.StatusUnprocessableEntity, Reason: infeasible.Error()}
+		return api.Submission{}, &api.StatusError{
+			Status: http.StatusUnprocessableEntity,
+			Reason: infeasible.Error(),
+		}
 	}
 	return submission, err
 }
@@ -92,8 +97,8 @@
 	}
 }
 
-// mayBeCommitted reports whether, after a failed commit, only the record can show the state:
-// another commit came first, or the answer to this one was lost.
+// mayBeCommitted reports whether, after a failed commit, the record has to be read to know the
+// state: another commit was first, or the response to this one was lost.
 func mayBeCommitted(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
@@ -170,8 +175,8 @@
 	return status
 }
 
-// jobCounts returns a job's counts as the partition's owner knows them; zero if it does not
-// answer in time. They are for display only.
+// jobCounts returns a job's counts from the partition's owner, zero if it does not answer in
+// time.
 func (c *Controller) jobCounts(id string, partition int) peerrpc.JobCounts {
 	if counts := c.LocalJobCounts(id); counts.Known {
 		return counts
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -15,10 +15,10 @@
 // returned; it must not be adopted then.
 const returnedStillListed = 2 * time.Minute
 
-// machineListing is what the leader knows of a machine by the cloud's lists.
+// machineListing is what the leader knows of a machine from the cloud's lists.
 type machineListing struct {
 	listed     bool      // in the latest list
-	state      string    // there; empty if it is not listed
+	state      string    // in the latest list; empty if it is not listed
 	everListed bool      // in any list of this term
 	missed     int       // lists in a row that lack the machine, which was once listed
 	returnedAt time.Time // zero unless it was returned shortly before
@@ -87,7 +87,9 @@
 // adoptMachines records listed machines that have no record: rented by a request that was
 // lost or late, or there from the start. Sizing returns them if they are too many. They are
 // added to the given machines; the result is false if some could not be recorded.
-func (l *leader) adoptMachines(ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry) bool {
+func (l *leader) adoptMachines(
+	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+) bool {
 	now := time.Now()
 	adopted := map[string]records.MachineRecord{}
 	byOffering := map[autoscaler.Offering][]string{}
@@ -114,7 +116,7 @@
 	return true
 }
 
-// adoptable reports whether a machine without a record is worth one.
+// adoptable reports whether a machine without a record is to be adopted.
 func (l *leader) adoptable(machine wire.CloudMachine) bool {
 	returned := !l.listings[machine.ID].returnedAt.IsZero()
 	return !returned && machine.State != wire.MachineFailed
@@ -138,7 +140,9 @@
 
 // divideIntoGroups divides new machines of one offering into groups whose records fit a
 // value.
-func (l *leader) divideIntoGroups(offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord) []records.MachineGroupRecord {
+func (l *leader) divideIntoGroups(
+	offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord,
+) []records.MachineGroupRecord {
 	var groups []records.MachineGroupRecord
 	for chunk := range slices.Chunk(ids, l.machinesPerGroup(offering)) {
 		group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -16,7 +16,7 @@
 	revision uint64
 }
 
-// groupDifference is what a new state of a group means for its machines.
+// groupDifference is the changes of machines that follow from a new state of their group.
 type groupDifference struct {
 	changed map[string]machineEntry
 	removed []string
@@ -56,9 +56,11 @@
 	return func() { difference.notify(c.onMachine) }
 }
 
-// replaceGroupMachines replaces the machines of a group. One that another group holds by now
-// is not removed: its own was divided.
-func (c *clusterCache) replaceGroupMachines(name string, old, group records.MachineGroupRecord, revision uint64) groupDifference {
+// replaceGroupMachines replaces the machines of a group. A machine that is in another group
+// by now is not removed: its former group was divided.
+func (c *clusterCache) replaceGroupMachines(
+	name string, old, group records.MachineGroupRecord, revision uint64,
+) groupDifference {
 	difference := groupDifference{changed: map[string]machineEntry{}}
 	for id, record := range group.Machines {
 		entry := machineEntry{record: record, group: name, revision: revision}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -52,9 +52,11 @@
 	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
 }
 
-// rewriteMachines changes machines' records, in as many transactions as it takes, under the
+// rewriteMachines changes machines' records, in as many transactions as necessary, under the
 // fence of the partition's owner or of the leader; a nil record removes the machine.
-func (c *Controller) rewriteMachines(ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord) error {
+func (c *Controller) rewriteMachines(
+	ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord,
+) error {
 	limit := c.groupLimit()
 	maxWrites := min(c.limits.TxnOps, max(1, tuning.TxnBytes/limit))
 	var next groupChange
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -13,8 +13,8 @@
 
 const (
 	// loadRetryDelay is the wait before a partition's records are read again after an error:
-	// short beside the seconds that a takeover may last, and long enough that a busy
-	// key-value store is not kept busy by the attempts.
+	// short compared with the seconds that a failover may last, and long enough that the
+	// attempts do not overload a busy key-value store.
 	loadRetryDelay = 300 * time.Millisecond
 	// slowCycle is the duration from which a scheduling cycle is logged as slow.
 	slowCycle = time.Second
@@ -35,7 +35,7 @@
 	// owner has the condition that the key still has it, which fences former owners.
 	revision uint64
 	cancel   context.CancelFunc
-	// wake asks for a scheduling cycle before the next tick.
+	// wake requests a scheduling cycle before the next tick.
 	wake chan struct{}
 
 	// summary is used by the goroutine of run alone.
@@ -43,22 +43,24 @@
 	// loggedKnowledge is what was last logged; used by pollCancellations alone.
 	loggedKnowledge cancellationKnowledge
 
-	// mu guards the fields below and all that partition refers to. It is not held while
-	// the key-value store or a worker is waited for.
+	// mu guards the fields below and all that partition refers to. It is not held during
+	// requests to the key-value store or to a worker.
 	mu sync.Mutex
 	// partition is nil until the partition's records are read.
 	partition *scheduler.Partition
 	// pendingChanges are the newest changes of machines that came while the records were
 	// read, by machine; nil after that.
 	pendingChanges map[string]machineChange
-	// cancellationsReadAt is when the newest reading of the cancellations was asked for:
+	// cancellationsReadAt is when the latest poll of the cancellations was requested:
 	// every cancellation that was confirmed before then is known to partition.
 	cancellationsReadAt time.Time
 }
 
 // newOwnedPartition returns a partition that was claimed at a revision of its key; cancel
 // ends the context that is passed to run.
-func (c *Controller) newOwnedPartition(index int, revision uint64, cancel context.CancelFunc) *ownedPartition {
+func (c *Controller) newOwnedPartition(
+	index int, revision uint64, cancel context.CancelFunc,
+) *ownedPartition {
 	return &ownedPartition{
 		controller:      c,
 		index:           index,
@@ -105,7 +107,7 @@
 	return true
 }
 
-// wakeUp asks for a scheduling cycle; several requests before it begins are one.
+// wakeUp requests a scheduling cycle; several requests before it begins count as one.
 func (o *ownedPartition) wakeUp() {
 	select {
 	case o.wake <- struct{}{}:
@@ -139,8 +141,8 @@
 	return 0, false
 }
 
-// runCycles runs a scheduling cycle at each tick and whenever one is asked for, with a
-// least gap between two.
+// runCycles runs a scheduling cycle at each tick and whenever one is requested, with a
+// minimum gap between two.
 func (o *ownedPartition) runCycles(ctx context.Context) {
 	gap := tuning.Seconds(o.controller.tuning.PassGapS)
 	ticker := time.NewTicker(tuning.Seconds(o.controller.tuning.TickS))
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -18,8 +18,13 @@
 	overflowClaimDelay = time.Second
 	// claimAnnouncementTimeout bounds the call that announces a claim to a peer.
 	claimAnnouncementTimeout = 2 * time.Second
-	// releasedLeaseLost is the reason logged for releasing partitions with their lease.
-	releasedLeaseLost = "lease lost"
+)
+
+// Reasons for releasing a partition, as they are logged.
+const (
+	releasedLeaseLost  = "lease lost"
+	releasedSuperseded = "a worker has seen a higher fencing token"
+	releasedKeyChanged = "its key has another revision"
 )
 
 // errNoLease: nothing can be claimed without a lease.
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -22,13 +22,13 @@
 	cancellations []wire.KeyValue
 	// revision is one from which a watch misses no job that the listings lack.
 	revision uint64
-	// cancellationsReadAt is when the cancellations were asked for.
+	// cancellationsReadAt is when the listing of the cancellations was requested.
 	cancellationsReadAt time.Time
 }
 
 // load restores the partition from its records, and returns the revision to watch jobs
-// from. It runs after the claim, whose revision fences the former owner: nothing of that
-// one can be committed any more, so that what is read here is complete.
+// from. It runs after the claim, whose revision fences the former owner: that owner can no
+// longer commit anything, so that what is read here is complete.
 func (o *ownedPartition) load(ctx context.Context) (uint64, error) {
 	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
 		return 0, fmt.Errorf("read feature level: %w", err)
@@ -47,7 +47,8 @@
 	partition.Restore(decodeChunks(listed.chunks), decodeJournal(listed.journal))
 	partition.SetCancelledJobs(o.cancelledJobs(listed.cancellations), now)
 	o.publish(partition, listed.cancellationsReadAt)
-	slog.Info("partition loaded", "partition", o.index, "jobs", partition.JobCount(), "machines", partition.MachineCount())
+	slog.Info("partition loaded",
+		"partition", o.index, "jobs", partition.JobCount(), "machines", partition.MachineCount())
 	o.wakeUp()
 	return listed.revision, nil
 }
@@ -77,7 +78,7 @@
 	return listed, nil
 }
 
-// loadMachines adds the machines of all groups; the partition leaves out those of others.
+// loadMachines adds the machines of all groups; SetMachine ignores those of other partitions.
 func loadMachines(partition *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
 	for _, item := range groups {
 		group, err := records.DecodeMachineGroup(item.Key[len(records.MachinePrefix):], item.Value, item.Revision)
@@ -101,7 +102,12 @@
 			slog.Error("record not understood", "key", item.Key, "err", err)
 			continue
 		}
-		chunks = append(chunks, records.LoadedChunk{JobID: jobID, Name: name, Revision: item.Revision, Record: record})
+		chunks = append(chunks, records.LoadedChunk{
+			JobID:    jobID,
+			Name:     name,
+			Revision: item.Revision,
+			Record:   record,
+		})
 	}
 	return chunks
 }
@@ -120,8 +126,8 @@
 	return journal
 }
 
-// publish makes the loaded partition the one that answers heartbeats, after the changes of
-// machines that came meanwhile.
+// publish applies the changes of machines that arrived while the records were read, and lets
+// the loaded partition answer heartbeats.
 func (o *ownedPartition) publish(partition *scheduler.Partition, cancellationsReadAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -22,8 +22,8 @@
 	return autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// needsFirstMachine reports whether work waits while there is no machine, nor one to come:
-// it would wait for the next regular sizing for nothing.
+// needsFirstMachine reports whether tasks wait while there is no machine and no rental, so
+// that sizing the fleet at once spares them the wait for the next regular sizing.
 func (l *leader) needsFirstMachine() bool {
 	cluster := l.controller.cluster
 	cluster.mu.Lock()
@@ -40,8 +40,8 @@
 	return false
 }
 
-// runSizing sizes the fleet: it records rentals, which finishRentals carries out, and what
-// the partitions' owners are to do with machines.
+// runSizing sizes the fleet: it records rentals, which finishRentals executes, and the
+// desired states of machines, which the partitions' owners bring about.
 func (l *leader) runSizing(ctx context.Context) {
 	types := l.controller.catalog()
 	if len(types) == 0 {
@@ -57,7 +57,8 @@
 		Unavailable:    l.unavailableOfferings(now),
 	}, now)
 	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines,
-		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns, "machines", len(ids))
+		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns,
+		"machines", len(ids))
 	l.recordRentals(ctx, plan.Rentals)
 	changes := desiredChanges(plan, machines)
 	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
@@ -100,7 +101,9 @@
 }
 
 // desiredChanges returns the records of the machines that a plan moves or returns.
-func desiredChanges(plan autoscaler.Plan, machines map[string]machineEntry) map[string]*records.MachineRecord {
+func desiredChanges(
+	plan autoscaler.Plan, machines map[string]machineEntry,
+) map[string]*records.MachineRecord {
 	changes := map[string]*records.MachineRecord{}
 	for _, move := range plan.Reassignments {
 		record := machines[move.MachineID].record
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -23,6 +23,21 @@
 	HeartbeatNotOwned
 )
 
+// String returns the verdict as it is logged.
+func (v HeartbeatVerdict) String() string {
+	switch v {
+	case HeartbeatAccepted:
+		return "accepted"
+	case HeartbeatStale:
+		return "stale"
+	case HeartbeatSuperseded:
+		return "superseded"
+	case HeartbeatNotOwned:
+		return "not owned"
+	}
+	return "unknown"
+}
+
 // HandleHeartbeat reconciles the state with a worker's heartbeat and returns the commands
 // for the worker. fresh reports whether this owner has read the key-value store recently;
 // if not, a task of a cancelled job might be started, so no task is.
