--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler decides how many machines of which kind the cluster rents. It
-// calls nobody and keeps no records: the leader passes in what it knows of the fleet and
-// of the waiting work, and carries out the Plan that comes back.
+// Package autoscaler decides how many machines of which type the cluster rents. It does no
+// input or output: the leader passes in the state of the fleet and the waiting demand, and
+// carries out the Plan that is returned.
 package autoscaler
 
 import (
@@ -42,8 +42,8 @@
 type Input struct {
 	MachineTypes []wire.MachineType
 	Machines     []Machine
-	// PendingRentals holds one entry for each machine of the recorded rentals that the
-	// cloud has not answered yet.
+	// PendingRentals has one entry for each machine of the recorded rentals that the cloud
+	// has not answered yet.
 	PendingRentals []Machine
 	// Summaries of the partitions, by partition.
 	Summaries map[int]records.PartitionSummary
@@ -84,7 +84,7 @@
 	belowTargetSince map[string]time.Time
 }
 
-// New returns an Autoscaler that has seen no surplus of machines yet.
+// New returns an Autoscaler that has not observed a surplus of machines yet.
 func New(tunables *tuning.Tuning) *Autoscaler {
 	return &Autoscaler{tuning: tunables, belowTargetSince: map[string]time.Time{}}
 }
@@ -123,7 +123,7 @@
 	return round.plan
 }
 
-// machinesFor returns how many machines hold the booked capacity at the in-flight target.
+// machinesFor returns how many machines the booked capacity needs at the in-flight target.
 func (a *Autoscaler) machinesFor(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/resource"
 )
 
-// capacityBin is the free capacity of a machine that is empty, still to come, or to be
+// capacityBin is the free capacity of a machine that is empty, still booting, or to be
 // rented.
 type capacityBin struct {
 	machine   *Machine // nil if it has no ID yet
@@ -90,6 +90,7 @@
 	assignment assignment
 }
 
+// newPacking returns a packing without assignments.
 func newPacking(round *sizingRound, demand partitionDemand, zone string) *packing {
 	return &packing{
 		round:    round,
@@ -122,6 +123,7 @@
 	p.unplaced -= tasks
 }
 
+// fillBins assigns tasks to the usable bins, in order, until all are placed.
 func (p *packing) fillBins(usable func(*capacityBin) bool) {
 	for _, bin := range p.round.bins {
 		if p.unplaced == 0 {
@@ -134,7 +136,7 @@
 }
 
 // suits reports whether the demand's tasks may use a bin's machine. Work without GPUs stays
-// off machines with GPUs, which are dearer.
+// off machines with GPUs, which cost more.
 func (p *packing) suits(bin *capacityBin) bool {
 	if p.demand.GPUs == 0 && p.round.types[bin.offering.MachineType].GPUs > 0 {
 		return false
@@ -143,8 +145,8 @@
 }
 
 // usableInPartition reports whether a bin of the demand's own partition can take tasks. The
-// partition's scheduler has not placed the waiting tasks on its empty machines, so these
-// are no help; only several tasks of a gang can use some of them beside other machines.
+// partition's scheduler has not placed the waiting tasks on its empty machines, so these do
+// not fit them; only a gang of several tasks can use them together with other machines.
 func (p *packing) usableInPartition(bin *capacityBin) bool {
 	if bin.partition != p.demand.partition {
 		return false
@@ -171,6 +173,8 @@
 	}
 }
 
+// offeringAllowed reports whether a demand permits machines of an offering in a zone, or in any
+// if it is empty.
 func offeringAllowed(demand records.Demand, offering Offering, zone string) bool {
 	return resource.TypeAllowed(demand.MachineTypes, offering.MachineType) &&
 		(zone == "" || offering.Zone == zone) &&
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -9,7 +9,7 @@
 	"ambersill/internal/records"
 )
 
-// partitionDemand is the demand of alike tasks that wait in a partition.
+// partitionDemand is the demand of tasks with the same requirements that wait in a partition.
 type partitionDemand struct {
 	records.Demand
 	partition int
@@ -34,14 +34,14 @@
 	return demands
 }
 
-// concurrentTasks returns how many places a demand asks for at once: short tasks of an
-// array follow one another in the same place within the horizon.
+// concurrentTasks returns how many of a demand's tasks are to run at once: short tasks of an
+// array run one after the other on the same capacity within the horizon.
 func (r *sizingRound) concurrentTasks(demand records.Demand) int {
 	if demand.Gang || demand.EstimatedRunS >= r.tuning.HorizonS {
 		return demand.Tasks
 	}
-	places := float64(demand.Tasks) * demand.EstimatedRunS / r.tuning.HorizonS / r.tuning.QueueTarget
-	return max(1, int(math.Ceil(places)))
+	slots := float64(demand.Tasks) * demand.EstimatedRunS / r.tuning.HorizonS / r.tuning.QueueTarget
+	return max(1, int(math.Ceil(slots)))
 }
 
 // bookedType is the capacity in use of one machine type, in machines.
@@ -56,6 +56,7 @@
 	busiestPartition int // the one with the most capacity in use
 }
 
+// sumBooked adds up the capacity in use in all partitions, in the order of their numbers.
 func sumBooked(summaries map[int]records.PartitionSummary) bookedCapacity {
 	booked := bookedCapacity{byType: map[string]bookedType{}}
 	most := -1.0 // below the sum of a partition that uses nothing
@@ -91,6 +92,8 @@
 	return machines
 }
 
+// sortedPartitions returns the numbers of the partitions that have summaries, sorted, so that
+// plans are deterministic.
 func sortedPartitions(summaries map[int]records.PartitionSummary) []int {
 	return slices.Sorted(maps.Keys(summaries))
 }
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -8,19 +8,19 @@
 	"ambersill/internal/wire"
 )
 
-// bootCostS is the boot time, in seconds, that counts as much as the price of the machine:
-// machines that are up sooner are worth some more.
+// bootCostS is the boot time, in seconds, that doubles the cost of a machine: one that boots
+// faster may cost more.
 const bootCostS = 300
 
 // offeringCost is an offering with what decides whether it is rented.
 type offeringCost struct {
 	offering Offering
 	cost     float64 // of the waiting work, per task
-	machines int     // of this offering, there or planned
+	machines int     // of this offering, existing or planned
 }
 
 // betterThan reports whether an offering is cheaper than another, or as cheap with fewer
-// machines: that spreads alike machines over the zones.
+// machines, which spreads machines of one type over the zones.
 func (c offeringCost) betterThan(other offeringCost) bool {
 	if c.cost < other.cost-resource.Epsilon {
 		return true
@@ -51,7 +51,7 @@
 	return best.offering, !math.IsInf(best.cost, 1)
 }
 
-// tasksPerMachine returns how many of the demand's tasks a machine of a type holds; 0 if it
+// tasksPerMachine returns how many of the demand's tasks fit a machine of a type; 0 if it
 // is not to be rented for them.
 func (p *packing) tasksPerMachine(machineType wire.MachineType) int {
 	if !resource.TypeAllowed(p.demand.MachineTypes, machineType.Name) {
@@ -98,7 +98,8 @@
 }
 
 // rentInEmptiestZone plans the rental of machines that the in-flight term asks for, in the
-// zone that has the fewest of them. If no spot machines are to be had, others are rented.
+// zone that has the fewest of them. If no spot machines are available, on-demand machines
+// are rented.
 func (r *sizingRound) rentInEmptiestZone(machineType wire.MachineType, spot bool, partition, count int) {
 	offering, ok := r.offeringWithFewest(machineType, spot)
 	if !ok && spot {
--- a/internal/autoscaler/round.go
+++ b/internal/autoscaler/round.go
@@ -11,7 +11,7 @@
 
 // fleetCounts counts the machines of one type.
 type fleetCounts struct {
-	machines int // rented or to come, except those that are being returned
+	machines int // rented or pending, except those that are being returned
 	onDemand int // of these, the ones that are not spot machines
 	queued   int // additional ones that the waiting tasks need
 }
@@ -23,7 +23,7 @@
 	types  map[string]wire.MachineType
 	fleets map[string]*fleetCounts // by machine type
 	// existing counts the machines of each offering, those being returned included but
-	// not the ones that are still to come.
+	// not the pending rentals.
 	existing map[Offering]int
 	// queued counts the rentals that this round has planned for waiting tasks.
 	queued map[Offering]int
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -14,7 +14,7 @@
 }
 
 // scaleIn plans the return of empty machines once a surplus has lasted. On-demand machines
-// go first, being dearer.
+// are returned first, since they cost more.
 func (a *Autoscaler) scaleIn(round *sizingRound, machineType string, surplus machineSurplus, now time.Time) {
 	if !a.surplusHasLasted(machineType, surplus.total, now) {
 		return
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -14,7 +14,7 @@
 	// JobRevision is the revision of the job's record. It is left out until the first
 	// rewrite, since both records are created at the same revision.
 	JobRevision    uint64            `cbor:"js,omitempty"`
-	HighestAttempt uint64            `cbor:"try"`            // highest attempt given out to any task of the job
+	HighestAttempt uint64            `cbor:"try"`            // highest attempt of any task of the job
 	DoneRanges     []int             `cbor:"done,omitempty"` // flattened ranges of the tasks that are done
 	Placements     []PlacementRecord `cbor:"live,omitempty"`
 	// JournalSequence is that of the newest journal record whose changes are all included.
@@ -55,7 +55,7 @@
 // TasksPerChunk returns the number of tasks in a chunk of the initial format. All controllers
 // must derive it from the same setting.
 func TasksPerChunk(settings *config.Settings) int {
-	return max(1, int(settings.Cluster.State.ValueKB*bytesPerKiB)/tuning.TaskBytes)
+	return max(1, ValueBytes(settings.Cluster.State.ValueKB)/tuning.TaskBytes)
 }
 
 // HasExplicitRange reports whether the record contains the range of its tasks.
--- a/internal/records/doc.go
+++ b/internal/records/doc.go
@@ -27,6 +27,6 @@
 //	s/P/N          map[string]MachineDigest  partition owner             c/p/P
 //	s/P/wN         []Demand                  partition owner             c/p/P
 //
-// Records with a lease vanish when it expires. JobRecords are kept for ever; chunks and
+// Records with a lease are deleted when it expires. JobRecords are never deleted; chunks and
 // cancellations are deleted after the job's end.
 package records
--- a/internal/records/journal.go
+++ b/internal/records/journal.go
@@ -1,7 +1,7 @@
 package records
 
-// JournalRecord is one record of a partition's journal. Its sequence orders it: what a record
-// says of a task is overridden by one with a higher sequence, and a chunk's record contains
+// JournalRecord is one record of a partition's journal. Its sequence orders it: the state of a
+// task in a record is overridden by one with a higher sequence, and a chunk's record contains
 // everything up to its own JournalSequence.
 type JournalRecord struct {
 	Sequence uint64         `cbor:"q"`
@@ -13,7 +13,7 @@
 	_              struct{} `cbor:",toarray"`
 	Job            string
 	Chunk          int    // the chunk's number in the initial format
-	HighestAttempt uint64 // highest attempt given out to any task of the job
+	HighestAttempt uint64 // highest attempt of any task of the job
 	Placements     []PlacementRecord
 	DoneRanges     []int // flattened ranges of the tasks that are done
 	WaitingRanges  []int // flattened ranges of the tasks that wait again
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -29,7 +29,7 @@
 	MachinePrefix = "c/m/"
 	// RentalPrefix, with the name of a rental, is the key of its RentalRecord.
 	RentalPrefix = "c/h/"
-	// SummaryPrefix is the prefix of all that partitions' owners report to the leader.
+	// SummaryPrefix is the prefix of all summaries and their further records.
 	SummaryPrefix = "s/"
 )
 
@@ -89,8 +89,8 @@
 // MachineDigestsKey returns the key of the i-th record of a partition's machine digests.
 func MachineDigestsKey(partition, i int) string { return SummaryKey(partition) + "/" + strconv.Itoa(i) }
 
-// WaitingKey returns the key of the i-th record of the demand that a partition's summary has no
-// capacity for.
+// WaitingKey returns the key of the i-th record of the demand that does not fit a partition's
+// summary.
 func WaitingKey(partition, i int) string { return SummaryKey(partition) + "/w" + strconv.Itoa(i) }
 
 // partitionedPrefix returns the prefix of one partition's keys of a kind.
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -14,7 +14,7 @@
 	Zone        string `cbor:"zone"`
 	Spot        bool   `cbor:"spot"`
 	Partition   int    `cbor:"part"`
-	// Desired is what the leader wants of the machine.
+	// Desired is the state that the leader wants the machine to reach.
 	Desired DesiredState `cbor:"wish,omitempty"`
 	// MoveTo is the partition that the machine moves to, for DesiredMoved.
 	MoveTo int `cbor:"to,omitempty"`
@@ -27,7 +27,7 @@
 	FencingToken uint64 `cbor:"tok,omitempty"`
 }
 
-// DesiredState is what the leader wants of a machine.
+// DesiredState is the state that the leader wants a machine to reach.
 type DesiredState string
 
 // The states that the leader writes.
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -11,6 +11,9 @@
 // bytesPerKiB converts limits, which settings give in KiB.
 const bytesPerKiB = 1024
 
+// ValueBytes returns the size of the largest value in bytes for a limit in KiB.
+func ValueBytes(valueKB float64) int { return int(valueKB * bytesPerKiB) }
+
 // Bounds of sizes in bytes, as the key-value store counts them: by the length as JSON.
 const (
 	// ChunkOverheadBytes bounds a chunk's record without its tasks and the job's description.
@@ -50,10 +53,10 @@
 	return jobDescriptionOverheadBytes + names + namesBytes(job.MachineTypes)
 }
 
-// JobFitsRecord reports whether a job's description leaves capacity for a task in a record.
+// JobFitsRecord reports whether a record has enough space for a job's description and a task.
 func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
 	size := ChunkOverheadBytes + JobDescriptionBytes(job) + tuning.TaskBytes
-	return size <= int(settings.WriteLimits().ValueKB*bytesPerKiB)
+	return size <= ValueBytes(settings.WriteLimits().ValueKB)
 }
 
 // rangesBytes bounds the size of flattened ranges.
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -8,11 +8,12 @@
 	"ambersill/internal/resource"
 )
 
-// PartitionSummary is what a partition's owner reports to the leader for sizing the fleet.
+// PartitionSummary is the state of a partition from which the leader sizes the fleet. The
+// partition's owner writes it.
 type PartitionSummary struct {
 	// BookedMachines is the booked capacity by machine type, in machines.
 	BookedMachines map[string]float64 `cbor:"booked"`
-	// BookedOnDemand is the part of it that jobs hold which may not use spot instances.
+	// BookedOnDemand is the capacity in it of jobs that may not use spot instances.
 	BookedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
@@ -26,7 +27,7 @@
 	OverflowRecords int `cbor:"more,omitempty"`
 }
 
-// MachineDigest is what a partition's owner reports of a machine, a set of flags.
+// MachineDigest is the state of a machine as reported by its partition's owner, a set of flags.
 type MachineDigest uint8
 
 // The flags of a MachineDigest.
@@ -92,7 +93,7 @@
 // SplitWaiting keeps those demands in the summary that fit its record, and returns the rest,
 // divided into further records. valueKB is the size of a value in KiB.
 func (s *PartitionSummary) SplitWaiting(valueKB float64) [][]Demand {
-	limit := int(valueKB * bytesPerKiB)
+	limit := ValueBytes(valueKB)
 	all := s.Waiting
 	s.Waiting = nil
 	var overflow [][]Demand
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -9,7 +9,7 @@
 	"ambersill/internal/wire"
 )
 
-// Batch is a set of a partition's changes on its way to the key-value store.
+// Batch is a set of a partition's changes that one transaction commits to the key-value store.
 type Batch struct {
 	// Txn is the transaction that commits the batch.
 	Txn wire.Txn
@@ -129,7 +129,7 @@
 }
 
 // putEndedJob adds a job's end: the final state for users, and the deletion of the first chunk,
-// which made the job known to a new owner.
+// from which a new owner would load the job.
 func (b *batchBuilder) putEndedJob(job *Job) {
 	record := records.JobRecord{
 		Job:           job.Job,
@@ -180,14 +180,14 @@
 }
 
 // deleteCancelledJob deletes the records of a cancelled job from the last chunk to the first,
-// which makes it known to a new owner, and then its cancellation.
+// from which a new owner loads the job, and then its cancellation.
 func (b *batchBuilder) deleteCancelledJob(job *Job) {
 	for i, chunk := range slices.Backward(job.chunks) {
 		if !chunk.hasRecord() {
 			continue
 		}
 		// The first chunk and the cancellation are deleted together, so that no
-		// cancellation is left behind of a job that no owner knows.
+		// cancellation remains of a job that no owner can load any more.
 		if !b.canWrite(finalWrites) || (i == 0 && b.batch.endedJob != nil) {
 			return
 		}
--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -13,10 +13,10 @@
 // Costs of a machine for a task, in seconds of image fetch that it is worth to avoid it.
 const (
 	// gpuMachineCostS keeps work without GPUs off machines with GPUs, which are scarce. It
-	// exceeds the fetch of all but the largest images.
+	// exceeds the fetch time of all but the largest images.
 	gpuMachineCostS = 120
-	// emptyMachineCostS is for a machine with nothing on it, less for fuller ones, so that
-	// work gathers on some machines and others fall empty.
+	// emptyMachineCostS is for a machine without tasks, less for fuller ones, so that work is
+	// packed onto few machines and the others can be returned.
 	emptyMachineCostS = 10
 )
 
@@ -84,14 +84,15 @@
 	return !needsUsedMachine || len(machine.placements) > 0
 }
 
-// fitsTask reports whether one task of a job may take of the machine's available capacity.
+// fitsTask reports whether the machine's available capacity suffices for one task of a job,
+// and may be used for it.
 func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
 	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUShare(job, machine, available)
 }
 
 // leavesGPUShare reports whether a task without GPUs leaves the machine's free GPUs their
-// share of its CPUs and memory, where other types could do its work: GPUs are scarce, and
-// idle with no CPUs beside them. A job that has waited long may take any capacity.
+// share of its CPUs and memory, where other types could run it: GPUs are scarce, and cannot be
+// used without CPUs. A job that has waited long may take any capacity.
 func leavesGPUShare(job *Job, machine *Machine, available resource.Vector) bool {
 	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUShare {
 		return true
@@ -191,8 +192,8 @@
 }
 
 // shortestImageFetch returns the shortest fetch of a job's image, in seconds, among the
-// candidates with capacity for a task of it now. A job whose image is cached goes before
-// one that would occupy the machine while it fetches.
+// candidates with capacity for a task of it now. A job whose image is cached precedes one
+// that would occupy the machine while it fetches.
 func (p *Partition) shortestImageFetch(job *Job) float64 {
 	shortest, found := 0.0, false
 	request := resource.TaskRequest(job.Job)
@@ -208,7 +209,7 @@
 }
 
 // placementCost orders machines for a task, in seconds: by the image's fetch, then the
-// scarcer machine, then the emptier one, so that whole machines fall empty.
+// scarcer machine, then the emptier one, so that whole machines become empty.
 func (p *Partition) placementCost(job *Job, machine *Machine) float64 {
 	cost := p.imageFetchSeconds(job, machine)
 	if job.GPUs == 0 && machine.machineType.GPUs > 0 {
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -98,7 +98,7 @@
 }
 
 // unfinishedPlacement returns the placement of a task that is not done, or nil. Tasks that are
-// done keep their placement until the worker's report confirms the end.
+// done keep their placement until the worker's heartbeat confirms the end.
 func (j *Job) unfinishedPlacement(task int) *Placement {
 	if j.taskStates[task] == taskDone {
 		return nil
@@ -107,12 +107,12 @@
 }
 
 // record returns the placement as records contain it.
-func (p *Placement) record() records.PlacementRecord {
+func (pl *Placement) record() records.PlacementRecord {
 	return records.PlacementRecord{
-		Task:        p.task,
-		Attempt:     p.attempt,
-		Machine:     p.machine.ID,
-		Incarnation: p.incarnation,
+		Task:        pl.task,
+		Attempt:     pl.attempt,
+		Machine:     pl.machine.ID,
+		Incarnation: pl.incarnation,
 	}
 }
 
@@ -155,7 +155,7 @@
 }
 
 // usualTaskBytes is the usual size of a placement in a chunk's record, in bytes. A waiting task
-// counts as much, since its placement will take it.
+// counts as much, since it will have a placement.
 const usualTaskBytes = 32
 
 // recordedTaskBytes bounds the size of a task in the chunk's record.
@@ -230,7 +230,7 @@
 	return piece
 }
 
-// linkTo notes that the chunk's state is in another chunk's record until it has its own.
+// linkTo records that the chunk's state is in another chunk's record until it has its own.
 func (c *chunk) linkTo(origin *chunk) {
 	c.splitFrom = origin
 	origin.splitOff = append(origin.splitOff, c)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -33,8 +33,8 @@
 	case status.State == wire.TaskExited:
 		return newCommand(wire.ForgetTask, key), machine.mayForget(key)
 	case placement == nil:
-		// Nothing is on record of the task: its job was cancelled or is over, or the
-		// attempt was given up.
+		// No placement is recorded for the task: its job was cancelled or has ended, or
+		// the attempt was abandoned.
 		return newCommand(wire.StopTask, key), true
 	case placement.stopRequest != nil:
 		command = newCommand(wire.StopTask, key)
@@ -52,7 +52,7 @@
 		return false
 	}
 	forget, known := m.pendingForgets[key]
-	// The end of an exited task of which nothing is known has been recorded before.
+	// The end of an exited task that is not pending was committed before.
 	return !known || forget.ready()
 }
 
@@ -75,6 +75,7 @@
 	return commands
 }
 
+// newCommand returns a command for a task, with the grace period of a stop left at 0.
 func newCommand(op wire.Op, key taskAttempt) wire.Command {
 	return wire.Command{Op: op, Task: key.task, Attempt: key.attempt}
 }
@@ -126,6 +127,8 @@
 	return request, true
 }
 
+// newCommandRequest returns a request that the worker refuses if it has seen a higher token or
+// is in another incarnation.
 func (m *Machine) newCommandRequest() wire.CommandRequest {
 	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
 }
@@ -161,6 +164,8 @@
 	return m.token.acknowledged && !m.command.pending()
 }
 
+// hasUnsentCommands reports whether a start or stop on the machine is still to be sent. fresh
+// is as with HandleHeartbeat.
 func (m *Machine) hasUnsentCommands(fresh bool) bool {
 	for _, placement := range m.placements {
 		if placement.stopUnsent(fresh) || (fresh && placement.startUnsent()) {
@@ -209,7 +214,7 @@
 	return wire.Command{}, false
 }
 
-// CommandOutcome is what became of a command request.
+// CommandOutcome is the outcome of a command request.
 type CommandOutcome int
 
 // The outcomes of a command request.
@@ -218,11 +223,11 @@
 	CommandsExecuted CommandOutcome = iota
 	// CommandsNotExecuted: the worker refused the request, or it was never sent.
 	CommandsNotExecuted
-	// CommandsUnknown: no answer arrived, so the request may be executed at any time.
+	// CommandsUnknown: no response arrived, so the request may be executed at any time.
 	CommandsUnknown
 )
 
-// HandleCommandOutcome records what became of a command request.
+// HandleCommandOutcome records the outcome of a command request.
 func (p *Partition) HandleCommandOutcome(request wire.CommandRequest, id string, outcome CommandOutcome) {
 	machine := p.machines.get(id)
 	if machine == nil {
@@ -253,7 +258,7 @@
 	}
 }
 
-// recordStartOutcome records what became of a direct request with the placement's start.
+// recordStartOutcome records the outcome of a direct request with the placement's start.
 func (pl *Placement) recordStartOutcome(outcome CommandOutcome) {
 	switch outcome {
 	case CommandsExecuted:
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -18,12 +18,12 @@
 	// values a batch writes many journal records, and the ring could otherwise overwrite a
 	// change between two batches.
 	compactionBatches = 2
-	// compactionWriteShare: compaction takes this fraction of a batch while the journal can go
-	// on, so that neither holds up the other.
+	// compactionWriteShare: compaction uses this fraction of a batch while the journal can be
+	// appended to, so that neither blocks the other.
 	compactionWriteShare = 2
 )
 
-// formatConversion paces the rewriting of records for the sake of their format.
+// formatConversion limits the rate at which records are rewritten to convert their format.
 type formatConversion struct {
 	lastRewrite time.Time
 }
@@ -34,7 +34,7 @@
 }
 
 // compact adds the records of chunks whose journaled changes the ring will soon overwrite. It
-// reports whether the journal can go on before those records are committed.
+// reports whether the journal can be appended to before those records are committed.
 func (b *batchBuilder) compact() bool {
 	due := b.chunksToCompact()
 	if len(due) == 0 {
@@ -57,7 +57,7 @@
 }
 
 // oldestUncompacted returns the oldest sequence that the chunks' records lack. It is 0, which
-// holds the journal up, while the first of them is a piece without journaled changes that has
+// blocks the journal, while the first of them is a piece without journaled changes that has
 // to be written before the chunk that it was split off from.
 func oldestUncompacted(due []*chunk) uint64 {
 	oldest := due[0].oldestUncompacted
@@ -108,8 +108,8 @@
 	return chunk.oldestUncompacted+journal.slotCount() <= journal.sequence+margin
 }
 
-// convertFormat rewrites one record for the sake of its format from time to time, so that none
-// of the initial format is left in the end.
+// convertFormat rewrites one record of the initial format if the next conversion is due, so
+// that eventually none remains.
 func (b *batchBuilder) convertFormat() {
 	p := b.partition
 	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleTime) || !b.canWrite(1) {
@@ -155,8 +155,8 @@
 	return pieces
 }
 
-// putChunk adds a chunk's record to the batch if the transaction can take its bytes. A batch
-// without anything else takes a record of any size.
+// putChunk adds a chunk's record to the batch if the transaction's size limit permits. A
+// batch without other changes accepts a record of any size, or it could never be written.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
 	size := record.SizeBound()
 	if b.size > 0 && b.size+size > tuning.TxnBytes {
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// confirmJournal notes that a batch's journal records are committed.
+// confirmJournal records that a batch's journal records are committed.
 func (p *Partition) confirmJournal(batch *Batch, revision uint64) {
 	p.Counters.JournalRecords += len(batch.journalSequences)
 	for _, sequence := range batch.journalSequences {
@@ -35,7 +35,7 @@
 	}
 }
 
-// confirmChunks notes that a batch's chunk records are committed.
+// confirmChunks records that a batch's chunk records are committed.
 func (p *Partition) confirmChunks(batch *Batch, revision uint64) {
 	p.Counters.Compactions += len(batch.chunkWrites)
 	for _, write := range batch.chunkWrites {
@@ -48,8 +48,8 @@
 	}
 }
 
-// finalizeJob forgets a job whose end is committed. Placements of a finished gang that its
-// workers have not reported yet keep their capacity until they do.
+// finalizeJob removes a job whose end is committed. Placements of a finished gang whose ends
+// the workers have not reported yet keep their capacity until they do.
 func (p *Partition) finalizeJob(job *Job) {
 	job.finalized = true
 	delete(p.jobs, job.ID)
@@ -91,7 +91,7 @@
 	}
 }
 
-// refreshJournal notes the revision of a key of the journal, and reports whether it is one.
+// refreshJournal updates the revision of a key of the journal, and reports whether it is one.
 func (p *Partition) refreshJournal(batch *Batch, key string, revision uint64) bool {
 	for _, sequence := range batch.journalSequences {
 		if key == p.journal.key(sequence) {
@@ -102,7 +102,7 @@
 	return false
 }
 
-// refreshChunks notes the revision of a key of a chunk that the batch writes or deletes.
+// refreshChunks updates the revision of a key of a chunk that the batch writes or deletes.
 func (p *Partition) refreshChunks(batch *Batch, key string, revision uint64) {
 	for _, write := range batch.chunkWrites {
 		if key == p.layout.chunkKey(write.chunk) {
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -11,10 +11,10 @@
 
 const (
 	// maxConsolidationShare is the allocated share of a machine up to which it is worth
-	// draining: what is fuller moves more work than it saves.
+	// draining: a fuller one costs more in moved work than its return saves.
 	maxConsolidationShare = 0.5
 	// drainReservationCycles is how many intervals of ConsolidateS a machine that is drained
-	// takes no work: enough for its tasks to leave and the leader to return it.
+	// accepts no work: enough for its tasks to leave and the leader to return it.
 	drainReservationCycles = 3
 	// minRemainingFactor is the multiple of a move's time, image fetch and checkpoint, that a
 	// task must still have to run for the move to pay off.
@@ -83,7 +83,8 @@
 	return inDemand
 }
 
-// drain stops all work on a machine, which is then placed elsewhere, and keeps new work off.
+// drain stops all work on a machine, which is then placed elsewhere, and reserves the machine
+// so that it gets no new work.
 func (p *Partition) drain(machine *Machine, now time.Time) {
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		if placement := machine.placements[key]; placement != nil {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,7 +10,8 @@
 	"ambersill/internal/tuning"
 )
 
-// minRemainingS is how long a task that has outrun its estimate is still expected to run.
+// minRemainingS is how long a task that has exceeded its estimated run time is still expected
+// to run.
 const minRemainingS = 1
 
 // futureSlot is capacity for one task of a job that a machine will have.
@@ -28,9 +29,9 @@
 }
 
 // reserveForGang reserves machines for a gang that has waited long, where all the capacity
-// that it needs becomes free the soonest as the tasks there end. Nothing is stopped for it.
-// Otherwise small work would take each slot as it becomes free, and a gang of many machines
-// would never find them free together.
+// that it needs becomes free the soonest as the tasks there end. No task is stopped for it.
+// Without reservations small jobs would use each slot as it becomes free, and a gang of many
+// machines would never find them free together.
 func (p *Partition) reserveForGang(job *Job, count int, now time.Time) {
 	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// A gang whose first task has waited in vain while another fetches a large image must not
+// A gang whose first task has timed out while another fetches a large image must not
 // be stopped as a whole: the fetch would be aborted, and begin again with the next attempt,
 // forever.
 func TestIncompleteGangFinishesItsFetches(t *testing.T) {
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// setTerminationNotice records whether the cloud has announced that it takes the machine
-// away.
+// setTerminationNotice records whether the cloud has announced that it will reclaim the
+// machine.
 func (p *Partition) setTerminationNotice(machine *Machine, noticed bool) {
 	if machine.terminationNotice != noticed {
 		machine.terminationNotice = noticed
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -36,7 +36,7 @@
 	return h.machines.get("m-1")
 }
 
-// isUnhealthy reports whether the leader is told to replace the machine.
+// isUnhealthy reports whether the partition's summary has the leader replace the machine.
 func (h *partitionHarness) isUnhealthy(id string) bool {
 	return h.Summary(h.now).MachineDigests[id]&records.DigestUnhealthy != 0
 }
@@ -46,7 +46,7 @@
 }
 
 // A machine whose lease expired is kept for as long as another would take to boot: it may
-// hang or be cut off, and be back before. A quarantined one is replaced at once.
+// only hang or be partitioned, and recover before. A quarantined one is replaced at once.
 func TestExpiredMachineIsUnhealthyOnlyAfterBootTime(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,7 +6,7 @@
 	"ambersill/internal/wire"
 )
 
-// taskState is what has become of one of a job's tasks.
+// taskState is the state of one of a job's tasks.
 type taskState uint8
 
 const (
@@ -15,11 +15,11 @@
 	taskDone
 )
 
-// capacityNeverSearched is the capacity version of a job for which no machine was sought in
-// vain since it was added or lost a task. Partition.capacityVersion is never below 0.
+// capacityNeverSearched is the capacity version of a job for which no search for machines has
+// failed since it was added or lost a task. Partition.capacityVersion is never below 0.
 const capacityNeverSearched = -1
 
-// Job is a job that is not over, with the state of its tasks.
+// Job is a job that has not ended, with the state of its tasks.
 type Job struct {
 	*wire.Job
 	SubmittedAt time.Time
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -13,8 +13,8 @@
 // only before the ring overwrites a change that it lacks.
 type journal struct {
 	prefix string // of the keys of the slots
-	// sequence is the last one given out. Each is used once, whatever becomes of its batch: a
-	// lost batch may still be applied late, and must then be older than what was written since.
+	// sequence is the last one assigned. Each is used once, whatever the outcome of its batch:
+	// a lost batch may still be applied late, and must then be older than what was written since.
 	sequence uint64
 	// slotRevisions are the revisions of the slots' keys, as last read or written.
 	slotRevisions []uint64
@@ -50,24 +50,24 @@
 // revision returns the revision of the key that a sequence's record is written to.
 func (j *journal) revision(sequence uint64) uint64 { return j.slotRevisions[j.slot(sequence)] }
 
-// setRevision notes the revision of the key that a sequence's record is written to.
+// setRevision sets the revision of the key that a sequence's record is written to.
 func (j *journal) setRevision(sequence, revision uint64) {
 	j.slotRevisions[j.slot(sequence)] = revision
 }
 
-// nextSequence gives out a sequence.
+// nextSequence assigns a sequence.
 func (j *journal) nextSequence() uint64 {
 	j.sequence++
 	return j.sequence
 }
 
-// observeSequence keeps a sequence that an earlier owner used from being given out again.
+// observeSequence prevents a sequence that an earlier owner used from being assigned again.
 func (j *journal) observeSequence(sequence uint64) { j.sequence = max(j.sequence, sequence) }
 
 // hasDirtyChunks reports whether there are uncommitted changes.
 func (j *journal) hasDirtyChunks() bool { return len(j.dirtyChunks) > 0 }
 
-// markDirty notes that a task's state has changed and must be committed.
+// markDirty records that a task's state has changed and must be committed.
 func (j *journal) markDirty(chunk *chunk, task int) {
 	if chunk.job.finalized {
 		return
@@ -82,13 +82,13 @@
 	chunk.dirtyTasks[task] = chunk.changeVersion
 }
 
-// chunkCommitted notes that all changes of a chunk up to a version are committed.
+// chunkCommitted records that all changes of a chunk up to a version are committed.
 func (j *journal) chunkCommitted(chunk *chunk, version int) {
 	maps.DeleteFunc(chunk.dirtyTasks, func(_, changed int) bool { return changed <= version })
 	j.updateCommittedVersion(chunk, version)
 }
 
-// tasksCommitted notes that the changes of some tasks up to a version are committed.
+// tasksCommitted records that the changes of some tasks up to a version are committed.
 func (j *journal) tasksCommitted(chunk *chunk, version int, tasks []int) {
 	for _, task := range tasks {
 		if chunk.dirtyTasks[task] <= version {
@@ -98,7 +98,7 @@
 	j.updateCommittedVersion(chunk, version)
 }
 
-// updateCommittedVersion follows a commit of the changes up to a version.
+// updateCommittedVersion raises the committed version after a commit.
 func (j *journal) updateCommittedVersion(chunk *chunk, version int) {
 	chunk.committedVersion = max(chunk.committedVersion, version)
 	chunk.limitCommittedVersion()
@@ -112,7 +112,7 @@
 	}
 }
 
-// markUncompacted notes that the record with a sequence has changes that the chunk's own lacks.
+// markUncompacted records that the journal record with a sequence has changes that the chunk's own lacks.
 func (j *journal) markUncompacted(chunk *chunk, sequence uint64) {
 	if chunk.oldestUncompacted != 0 || chunk.job.finalized {
 		return
@@ -121,13 +121,13 @@
 	j.uncompactedChunks[chunk] = true
 }
 
-// markCompacted notes that the chunk's own record contains all its journaled changes.
+// markCompacted records that the chunk's own record contains all its journaled changes.
 func (j *journal) markCompacted(chunk *chunk) {
 	chunk.oldestUncompacted = 0
 	delete(j.uncompactedChunks, chunk)
 }
 
-// adoptPieces takes up the pieces that were split off from a chunk with their changes.
+// adoptPieces tracks the pieces that were split off from a chunk with their changes.
 func (j *journal) adoptPieces(origin *chunk, pieces []*chunk) {
 	for _, piece := range pieces {
 		if piece.isDirty() {
@@ -140,7 +140,7 @@
 	j.clearIfClean(origin)
 }
 
-// forget drops a chunk whose job has ended.
+// forget stops tracking a chunk whose job has ended.
 func (j *journal) forget(chunk *chunk) {
 	delete(j.dirtyChunks, chunk)
 	delete(j.uncompactedChunks, chunk)
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -34,7 +34,7 @@
 	loweredKB    float64
 }
 
-// What a new owner reads, at any moment and whatever became of single commits, must contain
+// What a new owner reads, at any moment and whatever the outcome of single commits, must contain
 // every start that may have been sent and every end that was cleared, and no end that was never
 // reported. Records must stay within the store's limits.
 func TestJournalSurvivesATakeover(t *testing.T) {
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -42,7 +42,7 @@
 	return chunks
 }
 
-// appendChunk adds the changes of a chunk, and reports whether the batch could take them all.
+// appendChunk adds the changes of a chunk, and reports whether all of them fit the batch.
 func (w *journalWriter) appendChunk(chunk *chunk) bool {
 	tasks := chunk.sortedDirtyTasks()
 	for len(tasks) > 0 {
@@ -55,7 +55,7 @@
 			w.flush()
 			continue
 		}
-		count = max(count, 1) // an empty record takes one task at least, or none ever would
+		count = max(count, 1) // a task that exceeds the limits alone must still be written
 		w.appendEntry(chunk, tasks[:count])
 		tasks = tasks[count:]
 	}
@@ -72,7 +72,7 @@
 	return true
 }
 
-// bytesLeft returns how many bytes the record can still take.
+// bytesLeft returns how many bytes the record may still grow by.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
 	return min(valueBytes, tuning.TxnBytes-w.builder.size) - w.size
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -42,7 +42,7 @@
 // Lower bounds of ReduceLimits.
 const (
 	minValueKB = 1 // a job's description must still fit
-	minTxnOps  = 3 // the end of a job takes two changes, and one more must fit beside it
+	minTxnOps  = 3 // the end of a job needs two changes, and one more must fit with them
 )
 
 // ReduceLimits halves what the next commits may contain, after the key-value store has found
@@ -67,7 +67,7 @@
 }
 
 // maxValueBytes returns the size of the largest value that may be written.
-func (l *chunkLayout) maxValueBytes() int { return int(l.limits.ValueKB * 1024) }
+func (l *chunkLayout) maxValueBytes() int { return records.ValueBytes(l.limits.ValueKB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
@@ -131,7 +131,7 @@
 	return all
 }
 
-// overlay replaces what a new extent covers of the others, which are in order without gaps.
+// overlay replaces what a new extent covers of the others, which are sorted without gaps.
 func overlay(all []extent, added extent) []extent {
 	const mostAdded = 2 // the new extent, and the rest of one that is cut in two
 	out := make([]extent, 0, len(all)+mostAdded)
@@ -225,8 +225,8 @@
 	return cuts
 }
 
-// outdatedChunk returns a chunk whose record is to be written for the sake of its format, or
-// nil: the stored one has no explicit range, or the chunk was split off and has none yet.
+// outdatedChunk returns a chunk whose record is to be written to convert its format, or nil:
+// the stored one has no explicit range, or the chunk was split off and has none yet.
 func (p *Partition) outdatedChunk(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -42,7 +42,7 @@
 }
 
 // requeueWithdrawnStarts requeues the placements of a machine whose starts were lost and
-// are not wanted any more.
+// to be stopped by now.
 func (p *Partition) requeueWithdrawnStarts(machine *Machine, now time.Time) {
 	if !machine.acceptsDirectCommands() || !machine.hasWithdrawnStart() {
 		return
@@ -56,6 +56,7 @@
 	}
 }
 
+// hasWithdrawnStart reports whether the start of any placement on the machine is withdrawn.
 func (m *Machine) hasWithdrawnStart() bool {
 	for _, placement := range m.placements {
 		if placement.isWithdrawnStart() {
@@ -66,8 +67,8 @@
 }
 
 // isWithdrawnStart reports whether the placement's start was sent and lost, and is to be
-// stopped: a heartbeat sent later does not show the task. A response to commands would not
-// do, as the start may be on its way in the response to a heartbeat.
+// stopped: a heartbeat sent later does not list the task. A response to commands does not
+// suffice, as the start may be in transit in the response to a heartbeat.
 func (pl *Placement) isWithdrawnStart() bool {
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -24,7 +24,7 @@
 	lease   leaseState
 	command commandState
 
-	terminationNotice bool // the cloud has announced that it takes the machine away
+	terminationNotice bool // the cloud has announced that it will reclaim the machine
 	quarantined       bool // too many jobs failed here in a row
 
 	placements     map[taskAttempt]*Placement
@@ -59,8 +59,8 @@
 	return m.Record.Desired == records.DesiredInService && !m.Record.Released
 }
 
-// selectPlacements returns the placements that match, in order. It sorts only if there are
-// any.
+// selectPlacements returns the placements that match, sorted. It sorts only if there are any:
+// the most frequent calls find none.
 func (m *Machine) selectPlacements(match func(*Placement) bool) []taskAttempt {
 	matching := false
 	for _, placement := range m.placements {
@@ -98,7 +98,7 @@
 		machine = newMachine(id, now)
 		p.machines.add(machine)
 	} else if revision < machine.revision {
-		return // a watch and a listing may overlap
+		return // a watch and a listing may overlap, so an older record may arrive later
 	}
 	machine.Record = record
 	machine.revision = revision
@@ -145,8 +145,8 @@
 	return len(m.placements) == 0 && len(m.pendingForgets) == 0
 }
 
-// releasedRecord returns the record that gives a machine to its new partition, or that lets
-// the leader return it to the cloud.
+// releasedRecord returns the record that moves a machine to its new partition, or that permits
+// the leader to return it to the cloud.
 func releasedRecord(record records.MachineRecord) records.MachineRecord {
 	if record.Desired == records.DesiredMoved {
 		record.Partition = record.MoveTo
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -9,8 +9,8 @@
 	"ambersill/internal/wire"
 )
 
-// Partition holds the jobs and machines of one partition of the cluster, and decides what
-// runs where. Its caller serialises calls.
+// Partition is the state of one partition of the cluster, its jobs and machines. It decides
+// where tasks run. It is not safe for concurrent use.
 type Partition struct {
 	Index    int
 	Revision uint64 // of the ownership: it fences all writes of the partition
@@ -22,9 +22,9 @@
 
 	jobs  map[string]*Job
 	teams map[string]*quota.Team
-	// finishedJobs are over, but their records remain to be deleted.
+	// finishedJobs have ended, but some of their records remain to be deleted.
 	finishedJobs    []*Job
-	cancelledJobIDs map[string]bool // by the last listing, jobs not known yet included
+	cancelledJobIDs map[string]bool // by the last listing, those of jobs not added yet included
 	tombstones      tombstones
 
 	machines machineSet
@@ -52,7 +52,7 @@
 	JournalRecords   int // journal records written
 	Compactions      int // chunk records written
 	GangReservations int // reservations of machines for gangs
-	GangTimeouts     int // gang tasks that waited in vain for the others
+	GangTimeouts     int // gang tasks that timed out waiting for the others
 }
 
 // NewPartition returns an empty partition owned under the given revision.
@@ -127,7 +127,7 @@
 	return JobCounts{Done: job.doneTasks, Running: job.runningTasks()}, true
 }
 
-// JobCount returns the number of jobs that are not over.
+// JobCount returns the number of jobs that have not ended.
 func (p *Partition) JobCount() int { return len(p.jobs) }
 
 // MachineCount returns the number of the partition's machines.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -27,7 +27,7 @@
 	runningSince   time.Time      // when it was first seen running
 	imageFetched   bool           // the worker is known to have its image
 
-	// gangDone: its gang is done, and only the worker's report of its end is awaited.
+	// gangDone: its gang is done, and only the worker has yet to report its end.
 	gangDone bool
 	// preemptionProtected: it was placed when its job's start was forced, and must not be
 	// preempted until the start counts. It could be stopped again and again otherwise,
@@ -35,7 +35,7 @@
 	preemptionProtected bool
 }
 
-// startState is how far the start of a placement's task has got.
+// startState is the progress of the start of a placement's task.
 type startState struct {
 	sent bool // it was sent to the worker at least once
 	// heartbeatSequence is that of the newest heartbeat when the start was last sent.
@@ -48,7 +48,7 @@
 	observed bool
 }
 
-// stopRequest is the wish to have a placement's task stopped.
+// stopRequest is a request to stop a placement's task.
 type stopRequest struct {
 	gracePeriodS float64
 	requestedAt  time.Time
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/tuning"
 )
 
-// preemptionState is how far preemption for a job has got.
+// preemptionState is the progress of preemption for a job.
 type preemptionState struct {
 	lastSearch    time.Time // for work to preempt
 	lastPreempted time.Time // when work was last preempted for the job
@@ -154,8 +154,8 @@
 	return job.cycle.withinGuarantee && !other.cycle.withinGuarantee && other.Team != job.Team
 }
 
-// isProtected reports whether a placement that was forced is still to have its start
-// counted.
+// isProtected reports whether a placement was forced and has not run long enough for its start
+// to count.
 func (p *Partition) isProtected(placement *Placement) bool {
 	return placement.preemptionProtected && !p.countsAsStarted(placement, p.cycleTime)
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,8 +13,8 @@
 	"ambersill/internal/tuning"
 )
 
-// The size of a usual machine stands in for a guarantee that a team does not have: a team
-// that uses one such machine counts as having used its fair share once.
+// The size of a usual machine replaces a guarantee that a team does not have: a team that uses
+// one such machine counts as having used its fair share once.
 const (
 	usualMachineGPUs = 8
 	usualMachineCPUs = 64
@@ -174,7 +174,7 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// updateGuarantees notes which of a team's jobs, the oldest first, its guarantee covers
+// updateGuarantees sets which of a team's jobs, sorted from the oldest, its guarantee covers
 // together with all older ones.
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
 	var total resource.Vector
@@ -185,8 +185,8 @@
 	}
 }
 
-// updateWaiting notes what a job may claim by how long it has waited, and whether machines
-// without GPUs could do its work.
+// updateWaiting sets what a job may claim by how long it has waited, and whether machines
+// without GPUs could run it.
 func (p *Partition) updateWaiting(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
 	waitsForFirstStart := !job.begun()
@@ -199,7 +199,7 @@
 }
 
 // begun reports whether the job has had its first start. Placements of a gang do not count
-// before one has been seen running, since all of them may still be given up.
+// before one has been seen running, since all of them may still be abandoned.
 func (j *Job) begun() bool {
 	if j.seenRunning || j.doneTasks > 0 {
 		return true
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -7,7 +7,7 @@
 )
 
 // pendingForget is an exited task which its worker may forget once its end is committed. If
-// it did so before, the next owner would take the task for lost.
+// it did so before, the next owner would consider the task lost.
 type pendingForget struct {
 	job          *Job
 	task         int
@@ -105,12 +105,12 @@
 		return true
 	}
 	// No earlier command can take effect under the current token, so a task that was
-	// seen and is not there any more has ended. One that was not seen may yet start.
+	// observed and is no longer listed has ended. One that was not observed may still start.
 	return placement.start.observed
 }
 
 // unlistedTasks returns the placements that the newest task list does not contain, in
-// order. Mostly there are none: unchanged heartbeats are by far the most frequent work.
+// order. Usually there are none, since most heartbeats report no change.
 func (m *Machine) unlistedTasks() []taskAttempt {
 	return m.selectPlacements(func(placement *Placement) bool {
 		return placement.lastStatusList != m.statusLists
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -8,11 +8,11 @@
 // job has such an ID.
 const reservedForDrain = "draining"
 
-// toleratedHeartbeats is how many heartbeat intervals anything that depends on a worker's
-// report is waited for: one or two heartbeats may be lost or late.
+// toleratedHeartbeats is how many heartbeat intervals a worker may take to report a change:
+// one or two heartbeats may be lost or late.
 const toleratedHeartbeats = 3
 
-// heartbeatToleranceS returns the seconds for which a worker's report is waited for.
+// heartbeatToleranceS returns the seconds that a worker may take to report a change.
 func (p *Partition) heartbeatToleranceS() float64 {
 	return toleratedHeartbeats * p.settings.Cluster.Workers.ReportS
 }
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -56,7 +56,8 @@
 	return chunksByJob
 }
 
-// layOutChunks gives a job the chunks that its records describe, and reads their states.
+// layOutChunks replaces a job's chunks by those that its records describe, and reads their
+// states.
 func (r *restoration) layOutChunks(job *Job, loadedChunks []*records.LoadedChunk) {
 	loaded := r.partition.layout.loadChunks(job, loadedChunks)
 	job.chunks = nil
@@ -200,7 +201,8 @@
 	})
 }
 
-// restoreGang finishes or breaks up a gang of which an earlier owner recorded a part only.
+// restoreGang finishes a gang of which only some ends are recorded, and marks one as broken of
+// which only some placements are.
 func (p *Partition) restoreGang(job *Job) {
 	if job.IsGang() && job.doneTasks > 0 {
 		// The tasks of a gang complete together. The other ends may not have been
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -86,7 +86,7 @@
 
 // With several times the machines and jobs of any deployment served, each record stays
 // within a value, and a transaction within 64 KiB: a larger one would be refused each time,
-// and with it everything that it holds.
+// and with it all changes that it contains.
 func TestRecordsStayWithinTheirLimits(t *testing.T) {
 	harness := newPartitionHarness()
 	checkMachineGroupSize(t, harness)
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -12,16 +12,16 @@
 const (
 	// placementSlice is how many tasks of an array are placed before it is another team's
 	// turn: few enough that teams share a small capacity, many enough that a large array
-	// does not take a search for each task.
+	// does not need a search for each task.
 	placementSlice = 8
 	// overdueSlice is how many tasks of an array take precedence because its first start is
 	// overdue; with the first of them it has begun.
 	overdueSlice = 1
-	// preemptionSlice is how many tasks of a job are preempted for at once. Preempted work
-	// leaves only after its grace period, so that it is asked for ahead of the next turns.
+	// preemptionSlice is for how many tasks of a job work is preempted at once. Preempted work
+	// stops only after its grace period, so capacity is requested ahead of the next turns.
 	preemptionSlice = 2 * placementSlice
-	// cachedImagesPerMachine is how many images a machine is assumed to cache, which is about
-	// what the cloud's machines hold.
+	// cachedImagesPerMachine is how many images a machine is assumed to cache, about as
+	// many as the cloud's machines do.
 	cachedImagesPerMachine = 12
 )
 
@@ -36,13 +36,13 @@
 	p.scheduledVersion = p.capacityVersion
 }
 
-// NeedsScheduling reports whether anything has changed since the last scheduling cycle that
-// another one would act on before time alone makes it do so.
+// NeedsScheduling reports whether a change since the last scheduling cycle requires another one
+// at once. What only the passing of time requires is left to the next regular cycle.
 func (p *Partition) NeedsScheduling() bool {
 	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
 }
 
-// collectCandidates notes the machines that could take work in this cycle.
+// collectCandidates lists the machines with free capacity for this cycle.
 func (p *Partition) collectCandidates() {
 	p.candidates = p.candidates[:0]
 	for _, machine := range p.machines.all() {
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -9,7 +9,7 @@
 
 const (
 	// stopDeliveryHeartbeats is how many heartbeat intervals beyond its grace period a
-	// task may take to show up as stopped: one until the command leaves, and one until
+	// task may take to be reported as stopped: one until the command leaves, and one until
 	// the worker reports the exit.
 	stopDeliveryHeartbeats = 2
 	// imageFetchAllowance is how many times the duration of a fetch at the machine type's
@@ -78,7 +78,7 @@
 }
 
 // checkpointGraceS returns the grace period in which a task of the job can save a
-// checkpoint, or 0 if that does not pay: a task that is stopped without grace loses half a
+// checkpoint, or 0 if that is not worth it: a task that is stopped without grace loses half a
 // checkpoint interval on average, so saving has to take less than that.
 func (p *Partition) checkpointGraceS(job *Job) float64 {
 	if job.CheckpointIntervalS > 2*job.CheckpointSaveS {
@@ -87,8 +87,8 @@
 	return 0
 }
 
-// remainingGraceS returns the grace period in seconds to send with a repeated stop. One
-// without grace ends a task that outlives the period that it was given.
+// remainingGraceS returns the grace period in seconds to send with a repeated stop. It is 0
+// for a task that has exceeded its grace period, which kills it.
 func (p *Partition) remainingGraceS(request *stopRequest, now time.Time) float64 {
 	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.Workers.ReportS + p.tuning.MarginS
 	if now.Sub(request.requestedAt) > tuning.Seconds(limitS) {
@@ -97,7 +97,7 @@
 	return request.gracePeriodS
 }
 
-// evacuateOnNotice stops the tasks that gain by it before the cloud takes the machine.
+// evacuateOnNotice stops the tasks that benefit from it before the cloud reclaims the machine.
 func (p *Partition) evacuateOnNotice(machine *Machine, now time.Time) {
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
@@ -108,6 +108,8 @@
 	}
 }
 
+// evacuatePlacement stops a placement unless it is better off running until the machine is
+// reclaimed, as a task without checkpoints is.
 func (p *Partition) evacuatePlacement(placement *Placement, now time.Time) {
 	job := placement.job
 	running := placement.state == wire.TaskRunning
@@ -115,8 +117,8 @@
 	case !placement.start.sent:
 		p.requeue(placement, now)
 	case job.IsService():
-		// A running replica serves until the machine goes, unless another machine has
-		// the capacity for it.
+		// A running replica serves until the machine is reclaimed, unless another
+		// machine has the capacity for it.
 		if !running || len(p.findMachines(job, 1, now, p.machines.all(), (*Machine).free)) > 0 {
 			p.requestStop(placement, 0, now)
 		}
@@ -125,10 +127,10 @@
 	}
 }
 
-// gangTimedOut handles a task of a gang that waited in vain for the others. Those which
-// still fetch their image continue until they have it, and the machines are reserved for
-// the gang, so that its next attempt starts at once. If they were stopped, they would have
-// to fetch again while the first task waits in vain again, and so forever.
+// gangTimedOut handles a task of a gang that timed out waiting for the others. Those that
+// still fetch their image continue until they have it, and the machines are reserved for the
+// gang, so that its next attempt starts at once. If they were stopped, they would have to
+// fetch again while the first task times out again, and so forever.
 func (p *Partition) gangTimedOut(placement *Placement, now time.Time) {
 	job := placement.job
 	p.reserveMachineForGang(placement, now)
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -68,7 +68,7 @@
 // resetMaxima forgets the sizes that were written before.
 func (s *fakeStore) resetMaxima() { s.largestValue, s.mostWrites = 0, 0 }
 
-// commitFate is what becomes of a transaction.
+// commitFate is the outcome of a transaction.
 type commitFate string
 
 const (
@@ -78,7 +78,8 @@
 	commitRefused   commitFate = "refused" // answered, and never applied
 )
 
-// commit has a batch meet its fate, and the owner learn of the outcome as it would.
+// commit carries out a batch with the given outcome, and has the owner learn of it as it would
+// from the key-value store.
 func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, fate commitFate) {
 	switch fate {
 	case commitRefused:
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -15,8 +15,8 @@
 	// bookedPrecision: the summary states booked machines in thousandths, which keeps
 	// the record small and equal sums equal.
 	bookedPrecision = 1000
-	// maxWaitingBytes bounds the waiting tasks in a summary, those first in turn: the leader
-	// has to read it every second.
+	// maxWaitingBytes bounds the waiting tasks in a summary, since the leader reads it every
+	// second. Those that are placed first are included.
 	maxWaitingBytes = 12 << 10
 )
 
@@ -66,7 +66,7 @@
 	return allocated
 }
 
-// digest returns what the leader has to know of a machine.
+// digest returns the state of a machine that the leader needs to size the fleet.
 func (p *Partition) digest(machine *Machine, now time.Time) records.MachineDigest {
 	digest := p.contactDigest(machine, now)
 	if machine.token.acknowledged {
@@ -81,14 +81,14 @@
 	return digest
 }
 
-// silentBeyondBoot reports whether the machine has been silent for so long that another
-// could have booted in its place. Until then it may hang or be cut off, and be back sooner,
-// with its images; if it is gone, the cloud's list shows it.
+// silentBeyondBoot reports whether the machine has been silent for so long that another could
+// have booted in its place. Until then it may only hang or be partitioned, and recover sooner,
+// with its images cached; if it is gone, the cloud's list shows it.
 func (m *Machine) silentBeyondBoot(now time.Time) bool {
 	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
 }
 
-// contactDigest returns what is wrong with the contact to a machine, 0 if nothing is.
+// contactDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
 func (p *Partition) contactDigest(machine *Machine, now time.Time) records.MachineDigest {
 	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
 	assignedLongAgo := now.Sub(machine.assignedAt) > patience
@@ -98,7 +98,7 @@
 		// No heartbeat since the takeover: only its return to the cloud frees its tasks.
 		return records.DigestUnhealthy
 	case !token.everAcknowledged && assignedLongAgo:
-		// Still booting, or cut off: the cloud's list shows which.
+		// Still booting, or partitioned: the cloud's list shows which.
 		return records.DigestNeverReported
 	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > patience:
 		// It sends heartbeats, but neither responses nor commands arrive there.
@@ -176,7 +176,7 @@
 // unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
 func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
 	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
-		return 0 // the preempted work will leave it the capacity
+		return 0 // the preempted work is about to free the capacity
 	}
 	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
@@ -204,7 +204,7 @@
 		demand.MaxPerZone = job.maxTasksPerZone()
 	}
 	if job.SingleZone {
-		// The rest of its tasks has to go where the others are.
+		// The remaining tasks have to run in the zone of the others.
 		for zone := range job.tasksByZone() {
 			demand.Zone = zone
 		}
--- a/internal/scheduler/summary_test.go
+++ b/internal/scheduler/summary_test.go
@@ -8,7 +8,7 @@
 )
 
 // A machine that the cloud lists as up, but that has sent no heartbeat since the partition's
-// owner changed, is told apart from one that boots.
+// owner changed, is distinguished from one that boots.
 func TestDigestShowsMachineThatNeverReported(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, 100, harness.now)
--- a/internal/scheduler/task_exit.go
+++ b/internal/scheduler/task_exit.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// finishTask records that a task is done; one that is done already stays as it is.
 func (p *Partition) finishTask(job *Job, task int) {
 	if job.taskStates[task] == taskDone {
 		return
--- a/internal/scheduler/tombstone_test.go
+++ b/internal/scheduler/tombstone_test.go
@@ -7,8 +7,8 @@
 	"ambersill/internal/wire"
 )
 
-// A late notice of a submission does not add a job again that has just ended, however many have
-// ended before it; and what is kept of ended jobs is bounded.
+// The late delivery of a submission does not add a job again that has just ended, however many
+// have ended before it; and the number of ended jobs that are remembered is bounded.
 func TestEndedJobsAreNotRevived(t *testing.T) {
 	harness := newPartitionHarness()
 	for n := range 3*maxTombstones + 10 {
--- a/internal/scheduler/tombstones.go
+++ b/internal/scheduler/tombstones.go
@@ -1,11 +1,11 @@
 package scheduler
 
 // maxTombstones is the number of ended jobs after which those before them are forgotten. A
-// submission that arrives late is seconds old, in which far fewer jobs end.
+// submission that a watch delivers late is seconds old, in which far fewer jobs end.
 const maxTombstones = 4096
 
-// tombstones are jobs that ended under this owner, so that a late notice of their submission
-// does not add them again. Two generations bound the memory.
+// tombstones are jobs that ended under this owner, so that the late delivery of their
+// submission does not add them again. Two generations bound the memory.
 type tombstones struct {
 	recent map[string]bool
 	older  map[string]bool
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -49,7 +49,7 @@
 	o.sequence = response.Sequence
 }
 
-// tokenState is a machine's fencing token and what its worker has shown of it. A worker
+// tokenState is a machine's fencing token and whether its worker has acknowledged it. A worker
 // refuses commands whose token is lower than the highest it has seen.
 type tokenState struct {
 	current uint64
@@ -76,7 +76,7 @@
 	return message.FencingToken == t.current
 }
 
-// trackAcknowledgement notes since when the worker's heartbeats lack the awaited token.
+// trackAcknowledgement records since when the worker's heartbeats lack the awaited token.
 func (t *tokenState) trackAcknowledgement(awaiting bool, now time.Time) {
 	switch {
 	case !awaiting:
@@ -86,7 +86,8 @@
 	}
 }
 
-// leaseState is what this owner knows of the lease under which a worker runs its tasks.
+// leaseState is the state, as known to this owner, of the lease under which a worker runs its
+// tasks.
 // Each answered heartbeat renews it; the worker kills its tasks when it expires.
 type leaseState struct {
 	lastAnswered  time.Time // when a heartbeat was last answered
@@ -106,7 +107,7 @@
 	unconfirmedToken uint64
 }
 
-// markUnconfirmed notes that commands sent under the token may be executed at any time.
+// markUnconfirmed records that commands sent under the token may be executed at any time.
 func (c *commandState) markUnconfirmed(token uint64) {
 	c.unconfirmed = true
 	c.unconfirmedToken = token
@@ -122,7 +123,7 @@
 }
 
 // needsHigherToken reports whether the machine's record must be rewritten to raise its
-// token, which is the only way to confirm what became of the commands.
+// token, which is the only way to learn the outcome of the commands.
 func (c *commandState) needsHigherToken(token uint64) bool {
 	return c.unconfirmed && token == c.unconfirmedToken
 }
