--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -23,13 +23,20 @@
 	packages    map[string]bool // by directory, as internal/scheduler
 	identifiers map[string]bool // package.Name, package.Type.Method and package.Type.Field
 	messages    map[string]bool // of log lines of level info and error
+	debugLines  map[string]bool // messages of log lines of level debug
 	tests       map[string]bool // tests and benchmarks
 }
 
 // readSource parses all Go files but tests.
 func readSource(t *testing.T) *source {
 	t.Helper()
-	s := &source{packages: map[string]bool{}, identifiers: map[string]bool{}, messages: map[string]bool{}, tests: map[string]bool{}}
+	s := &source{
+		packages:    map[string]bool{},
+		identifiers: map[string]bool{},
+		messages:    map[string]bool{},
+		debugLines:  map[string]bool{},
+		tests:       map[string]bool{},
+	}
 	fileSet := token.NewFileSet()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
@@ -120,7 +127,7 @@
 	return ""
 }
 
-// addMessages notes the messages that a file logs with slog.Info and slog.Error.
+// addMessages notes the messages that a file logs with slog.Info, slog.Error and slog.Debug.
 func (s *source) addMessages(file *ast.File) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
@@ -128,7 +135,11 @@
 			return true
 		}
 		function, ok := call.Fun.(*ast.SelectorExpr)
-		if !ok || (function.Sel.Name != "Info" && function.Sel.Name != "Error") {
+		if !ok {
+			return true
+		}
+		messages := s.messagesOf(function.Sel.Name)
+		if messages == nil {
 			return true
 		}
 		if logger, ok := function.X.(*ast.Ident); !ok || logger.Name != "slog" {
@@ -139,12 +150,25 @@
 			return true
 		}
 		if message, err := strconv.Unquote(literal.Value); err == nil {
-			s.messages[message] = true
+			messages[message] = true
 		}
 		return true
 	})
 }
 
+// messagesOf returns the set of messages that a function of package slog logs, nil for one
+// that logs none.
+func (s *source) messagesOf(function string) map[string]bool {
+	switch function {
+	case "Info", "Error":
+		return s.messages
+	case "Debug":
+		return s.debugLines
+	default:
+		return nil
+	}
+}
+
 func readDocument(t *testing.T, name string) string {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join(root, "docs", name))
@@ -208,7 +232,7 @@
 func TestLogMessagesAreDocumented(t *testing.T) {
 	s := readSource(t)
 	text := readDocument(t, "operations.md")
-	documented := documentedMessages(text)
+	documented := documentedMessages(text, "## Log lines of level", 1)
 	if len(documented) == 0 || len(s.messages) == 0 {
 		t.Fatalf("%d messages documented, %d logged", len(documented), len(s.messages))
 	}
@@ -224,20 +248,35 @@
 	}
 }
 
-// documentedMessages lists the code spans in the first column of the tables of log lines.
-func documentedMessages(text string) []string {
+// Lines of level debug need not be documented, but those that are must exist.
+func TestDocumentedDebugLinesAreLogged(t *testing.T) {
+	s := readSource(t)
+	documented := documentedMessages(readDocument(t, "operations.md"), "## Lines of level debug", 2)
+	if len(documented) == 0 {
+		t.Fatal("no line of level debug is documented")
+	}
+	for _, message := range documented {
+		if !s.debugLines[message] {
+			t.Errorf("in operations.md but not logged at level debug: %q", message)
+		}
+	}
+}
+
+// documentedMessages lists the code spans in one column of the tables in the sections whose
+// heading begins as given; the first column is 1.
+func documentedMessages(text, heading string, column int) []string {
 	var messages []string
 	inSection := false
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, "## ") {
-			inSection = strings.HasPrefix(line, "## Log lines of level")
+			inSection = strings.HasPrefix(line, heading)
 			continue
 		}
 		if !inSection || !strings.HasPrefix(line, "|") {
 			continue
 		}
 		cells := strings.Split(line, "|")
-		for _, match := range codeSpan.FindAllStringSubmatch(cells[1], -1) {
+		for _, match := range codeSpan.FindAllStringSubmatch(cells[column], -1) {
 			messages = append(messages, match[1])
 		}
 	}
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -313,3 +313,19 @@
 		t.Error("the end of a task asks for no scheduling cycle")
 	}
 }
+
+func TestHeartbeatVerdictsAreLoggedByName(t *testing.T) {
+	names := map[HeartbeatVerdict]string{
+		HeartbeatAccepted:     "accepted",
+		HeartbeatStale:        "stale",
+		HeartbeatSuperseded:   "superseded",
+		HeartbeatNotOwned:     "not owned",
+		HeartbeatNotOwned + 1: "unknown",
+		HeartbeatVerdict(-1):  "unknown",
+	}
+	for verdict, want := range names {
+		if got := verdict.String(); got != want {
+			t.Errorf("verdict %d is logged as %q, want %q", int(verdict), got, want)
+		}
+	}
+}
