--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -103,26 +103,32 @@
 	booked := sumBooked(input.Summaries)
 	round.plan.BookedMachines = booked.machinesByType()
 	for _, machineType := range input.MachineTypes {
-		fleet := round.fleetOf(machineType.Name)
-		use := booked.byType[machineType.Name]
-		target := a.machinesFor(use.machines)
-		if fleet.queued > 0 {
-			target = max(target, fleet.machines+fleet.queued)
-		}
-		round.plan.TargetMachines[machineType.Name] = target
-		if missing := target - fleet.machines - fleet.queued; missing > 0 {
-			// Work that may not run on spot machines needs capacity on the others.
-			spot := use.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
-			round.rentInEmptiestZone(machineType, spot, booked.busiestPartition, missing)
-		}
-		a.scaleIn(round, machineType.Name, machineSurplus{
-			total:    fleet.machines - target,
-			onDemand: fleet.onDemand - a.machinesFor(use.onDemand),
-		}, now)
+		a.sizeType(round, machineType, booked, now)
 	}
 	return round.plan
 }
 
+// sizeType sets the target of one machine type, and plans the rentals and returns to reach it.
+func (a *Autoscaler) sizeType(round *sizingRound, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
+	fleet := round.fleetOf(machineType.Name)
+	use := booked.byType[machineType.Name]
+	target := a.machinesFor(use.machines)
+	if fleet.queued > 0 {
+		target = max(target, fleet.machines+fleet.queued)
+	}
+	round.plan.TargetMachines[machineType.Name] = target
+	if missing := target - fleet.machines - fleet.queued; missing > 0 {
+		// Work that may not run on spot machines needs capacity on the others.
+		spot := use.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
+		round.rentInEmptiestZone(machineType, spot, booked.busiestPartition, missing)
+	}
+	surplus := machineSurplus{
+		total:    fleet.machines - target,
+		onDemand: fleet.onDemand - a.machinesFor(use.onDemand),
+	}
+	a.scaleIn(round, machineType.Name, surplus, now)
+}
+
 // machinesFor returns how many machines the booked capacity needs at the in-flight target.
 func (a *Autoscaler) machinesFor(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -51,10 +51,7 @@
 	inDemand := p.typesInDemand()
 	var candidates []*Machine
 	for _, machine := range p.machines.all() {
-		if !machine.usable() || machine.reservedFor != "" || inDemand[machine.Record.MachineType] {
-			continue
-		}
-		if len(machine.placements) > 0 && machine.allocatedShare() <= maxConsolidationShare {
+		if !inDemand[machine.Record.MachineType] && machine.worthDraining() {
 			candidates = append(candidates, machine)
 		}
 	}
@@ -67,6 +64,15 @@
 	return candidates
 }
 
+// worthDraining reports whether the machine is used by so little work that moving it costs less
+// than the return of the machine saves.
+func (m *Machine) worthDraining() bool {
+	if !m.usable() || m.reservedFor != "" {
+		return false
+	}
+	return len(m.placements) > 0 && m.allocatedShare() <= maxConsolidationShare
+}
+
 // typesInDemand returns the machine types that jobs with waiting tasks may use.
 func (p *Partition) typesInDemand() map[string]bool {
 	inDemand := map[string]bool{}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -48,23 +48,28 @@
 	p.Counters.GangReservations++
 }
 
-// futureZones returns what machines will have for a job, by zone; for a job that may be in
-// several zones, all slots under the empty name.
-func (p *Partition) futureZones(job *Job, now time.Time) map[string]*futureZone {
-	zones := map[string]*futureZone{}
-	zone := func(name string) *futureZone {
-		if zones[name] == nil {
-			zones[name] = &futureZone{}
-		}
-		return zones[name]
+// futureZones are the zones by name. For a job that may be in several zones, all slots are under
+// the empty name.
+type futureZones map[string]*futureZone
+
+// zone returns the zone of a name, to be changed in place.
+func (z futureZones) zone(name string) *futureZone {
+	if z[name] == nil {
+		z[name] = &futureZone{}
 	}
+	return z[name]
+}
+
+// futureZones returns the capacity that machines will have for a job.
+func (p *Partition) futureZones(job *Job, now time.Time) futureZones {
+	zones := futureZones{}
 	for _, machine := range p.machines.all() {
 		if !machineSuitable(job, machine) {
 			continue
 		}
 		if machine.isReservedForOther(job, now) {
 			if machine.reservedFor != reservedForDrain {
-				zone(machine.Record.Zone).reserved = true
+				zones.zone(machine.Record.Zone).reserved = true
 			}
 			continue
 		}
@@ -72,15 +77,15 @@
 		if job.SingleZone {
 			name = machine.Record.Zone
 		}
-		target := zone(name)
-		target.slots = append(target.slots, p.futureSlots(job, machine, now)...)
+		zone := zones.zone(name)
+		zone.slots = append(zone.slots, p.futureSlots(job, machine, now)...)
 	}
 	return zones
 }
 
 // earliestSlots returns the slots, by when they are available, of the zone that has count
 // of them the soonest; nil if none ever has.
-func earliestSlots(job *Job, count int, zones map[string]*futureZone) []futureSlot {
+func earliestSlots(job *Job, count int, zones futureZones) []futureSlot {
 	var best []futureSlot
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
 		if zones[name].reserved {
@@ -150,7 +155,10 @@
 	var ends []taskEnd
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
-		ends = append(ends, taskEnd{inS: p.remainingSeconds(placement, now), request: resource.TaskRequest(placement.job.Job)})
+		ends = append(ends, taskEnd{
+			inS:     p.remainingSeconds(placement, now),
+			request: resource.TaskRequest(placement.job.Job),
+		})
 	}
 	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.inS, b.inS) })
 	return ends
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -225,8 +225,16 @@
 	return cuts
 }
 
-// outdatedChunk returns a chunk whose record is to be written to convert its format, or nil:
-// the stored one has no explicit range, or the chunk was split off and has none yet.
+// isOutdated reports whether the chunk's record is to be written to convert its format: the
+// stored one has no explicit range, or the chunk was split off and has none yet.
+func (c *chunk) isOutdated(batch *Batch) bool {
+	if !c.hasRecord() {
+		return c.splitFrom != nil
+	}
+	return c.storedFormat == numberedChunk && c.splitOffWritten(batch)
+}
+
+// outdatedChunk returns a chunk whose record is to be written to convert its format, or nil.
 func (p *Partition) outdatedChunk(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
@@ -234,9 +242,7 @@
 			continue
 		}
 		for _, chunk := range slices.Backward(job.chunks) {
-			numbered := chunk.hasRecord() && chunk.storedFormat == numberedChunk
-			missing := !chunk.hasRecord() && chunk.splitFrom != nil
-			if (numbered && chunk.splitOffWritten(batch)) || missing {
+			if chunk.isOutdated(batch) {
 				return chunk
 			}
 		}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -56,8 +56,8 @@
 // updateLiveTask records the state of a task that has not exited.
 func (p *Partition) updateLiveTask(placement *Placement, state wire.TaskState, now time.Time) {
 	job := placement.job
-	startsRunning := state == wire.TaskRunning && placement.state != wire.TaskRunning
-	if startsRunning && placement.runningSince.IsZero() {
+	firstSeenRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
+	if state == wire.TaskRunning && firstSeenRunning {
 		placement.runningSince = now
 		job.seenRunning = true
 	}
@@ -66,8 +66,9 @@
 	if state != wire.TaskFetching {
 		placement.imageFetched = true
 	}
-	if state == wire.TaskWaitingForGang && job.gangBroken && placement.stopRequest == nil {
-		// The task was left alone only to finish fetching its image.
+	waitsForBrokenGang := state == wire.TaskWaitingForGang && job.gangBroken
+	if waitsForBrokenGang && placement.stopRequest == nil {
+		// The task was not stopped before only so that it could finish fetching its image.
 		p.reserveMachineForGang(placement, now)
 		p.requestStop(placement, 0, now)
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -210,5 +210,6 @@
 		// could never be placed again.
 		p.finishGang(job)
 	}
-	job.gangBroken = job.IsGang() && job.doneTasks == 0 && len(job.placements) > 0 && len(job.placements) < job.Tasks
+	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
+	job.gangBroken = job.IsGang() && job.doneTasks == 0 && partlyPlaced
 }
