--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -189,6 +189,9 @@
 		Pick:        func() emulator.Node { return simulation.Nodes[rand.IntN(len(simulation.Nodes))] },
 		CancelAfter: cancelAfter,
 	}
-	phase := user.Run(ctx, job)
-	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, phase)
+	outcome := string(user.Run(ctx, job))
+	if outcome == "" {
+		outcome = "not finished" // the emulators were stopped, or no controller accepted it
+	}
+	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, outcome)
 }
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -184,6 +184,8 @@
 	fileName       = regexp.MustCompile(`^(cmd|internal)(/[a-z]+)+/[a-z_]+\.go$`)
 	testName       = regexp.MustCompile(`\b(Test|Benchmark)[A-Z]\w+`)
 	identifierName = regexp.MustCompile(`^[a-z]+(\.[A-Za-z]\w*){1,2}$`)
+	tunableName    = regexp.MustCompile(`^[A-Z][A-Za-z]+$`)
+	storedKey      = regexp.MustCompile(`^[a-z]/`)
 )
 
 // A page that names what is gone misleads whoever is paged and searches for it.
@@ -227,6 +229,55 @@
 	}
 }
 
+// Operators look tunables up in the documents, and set them by those names.
+func TestDocumentedTunablesExist(t *testing.T) {
+	s := readSource(t)
+	for _, document := range []string{"architecture.md", "design.md", "operations.md", "performance.md"} {
+		checked := 0
+		for _, match := range codeSpan.FindAllStringSubmatch(readDocument(t, document), -1) {
+			name := match[1]
+			if !tunableName.MatchString(name) {
+				continue
+			}
+			checked++
+			if !s.identifiers["tuning."+name] && !s.identifiers["tuning.Tuning."+name] {
+				t.Errorf("%s names a tunable that is gone: %s", document, name)
+			}
+		}
+		if checked == 0 {
+			t.Errorf("%s names no tunable", document)
+		}
+	}
+}
+
+// The table of stored state has every kind of key that internal/records defines.
+func TestStoredKeysAreDocumented(t *testing.T) {
+	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, "internal/records/keys.go"), nil, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text := readDocument(t, "architecture.md")
+	checked := 0
+	ast.Inspect(file, func(node ast.Node) bool {
+		literal, ok := node.(*ast.BasicLit)
+		if !ok || literal.Kind != token.STRING {
+			return true
+		}
+		key, err := strconv.Unquote(literal.Value)
+		if err != nil || !storedKey.MatchString(key) {
+			return true
+		}
+		checked++
+		if !strings.Contains(text, "`"+key) {
+			t.Errorf("architecture.md lacks the stored key %s", key)
+		}
+		return true
+	})
+	if checked == 0 {
+		t.Error("internal/records/keys.go has no key")
+	}
+}
+
 // Whoever reads the log looks a line up in operations.md: each one of level info or error
 // stands there, and none that is gone.
 func TestLogMessagesAreDocumented(t *testing.T) {
