--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -303,23 +303,3 @@
 		c.signalChange()
 	}
 }
-
-// featureLevel returns the cluster's feature level as far as this node knows it.
-func (c *clusterCache) featureLevel() records.FeatureLevel {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.level
-}
-
-func (c *clusterCache) partitionOwner(partition int) ownership {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.partitions[partition]
-}
-
-func (c *clusterCache) machine(id string) (machineEntry, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	entry, ok := c.machines[id]
-	return entry, ok
-}
--- /dev/null
+++ b/internal/controller/cluster_queries.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"maps"
+	"slices"
+
+	"ambersill/internal/records"
+)
+
+// The queries below return what the cluster cache holds at present, which may be outdated
+// when the caller uses it.
+
+// featureLevel returns the cluster's feature level as far as this node knows it.
+func (c *clusterCache) featureLevel() records.FeatureLevel {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.level
+}
+
+func (c *clusterCache) partitionOwner(partition int) ownership {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.partitions[partition]
+}
+
+func (c *clusterCache) machine(id string) (machineEntry, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	entry, ok := c.machines[id]
+	return entry, ok
+}
+
+// recordedMachines returns the machines of all groups, and their IDs in order.
+func (c *clusterCache) recordedMachines() (ids []string, machines map[string]machineEntry) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	machines = maps.Clone(c.machines)
+	return slices.Sorted(maps.Keys(machines)), machines
+}
+
+// recordedRentals returns the rentals without an answer in the order of their recording.
+func (c *clusterCache) recordedRentals() []recordedRental {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	rentals := make([]recordedRental, 0, len(c.rentals))
+	for name, entry := range c.rentals {
+		rentals = append(rentals, recordedRental{name, entry})
+	}
+	slices.SortFunc(rentals, recordedRental.compare)
+	return rentals
+}
+
+// hasRentals reports whether there are rentals without an answer.
+func (c *clusterCache) hasRentals() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.rentals) > 0
+}
+
+// hasFleet reports whether there is any machine, or a rental that may bring one.
+func (c *clusterCache) hasFleet() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.machines)+len(c.rentals) > 0
+}
+
+// leadership returns the owner of the leader's key. It returns false while the copy is
+// being loaded.
+func (c *clusterCache) leadership() (owner ownership, loaded bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader, c.loaded
+}
+
+// caughtUpTo reports whether all changes up to a revision are in the copy.
+func (c *clusterCache) caughtUpTo(revision uint64) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.revision >= revision
+}
--- a/internal/controller/command_slots.go
+++ b/internal/controller/command_slots.go
@@ -16,7 +16,7 @@
 // occupies it until the request times out, so that without a limit a zone that falls silent
 // would take all sockets, that of the lease's renewal included.
 //
-// A machine that has not executed its last request is in back-off: it is tried again after a
+// A machine that has not executed its last request is in back-off: the next is sent after a
 // wait that doubles each time, and all such machines share half of the slots, so that those
 // that answer never wait for them.
 type commandSlots struct {
@@ -51,7 +51,7 @@
 	shortest, longest time.Duration
 }
 
-// newCommandSlots returns slots for a share of the given number of sockets.
+// newCommandSlots returns slots for a fraction of the given number of sockets.
 func newCommandSlots(sockets int) *commandSlots {
 	return &commandSlots{
 		limit:    max(minCommandSlots, int(float64(sockets)*tuning.OrderShare)),
@@ -80,7 +80,7 @@
 }
 
 // release frees the slot of a machine's request. A machine that has not executed the request
-// is left alone for a while.
+// is put into back-off, or stays in it for longer.
 func (s *commandSlots) release(machine string, executed bool, now time.Time, limits backoffLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +97,7 @@
 	s.backoff[machine] = commandBackoff{until: now.Add(wait), wait: wait}
 }
 
-// resetBackoff lets a machine that has sent a heartbeat be tried at once. It still counts as
+// resetBackoff ends the wait of a machine that has sent a heartbeat. It still counts as
 // in back-off until it executes a request.
 func (s *commandSlots) resetBackoff(machine string) {
 	s.mu.Lock()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -50,8 +50,7 @@
 	// announcementSlots is a semaphore for announcements of cancellations.
 	announcementSlots chan struct{}
 
-	// mu guards the fields below. It may be locked while cluster.mu is held, but not the
-	// other way round.
+	// mu guards the fields below. It is never held together with cluster.mu.
 	mu           sync.Mutex
 	machineTypes []wire.MachineType // the cloud's catalog; empty until it is read
 	owned        map[int]*ownedPartition
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -19,11 +19,11 @@
 	// which its rate limits let the next few requests through.
 	commitRetryDelay = 100 * time.Millisecond
 	// refreshRetryDelay is the wait before a key is read again after an error. Nothing can
-	// be committed until it is read, and a store in trouble must not be flooded.
+	// be committed until it is read, and a failing store must not be overloaded.
 	refreshRetryDelay = 300 * time.Millisecond
 )
 
-// commitOutcome is what became of a commit, as far as its answer tells.
+// commitOutcome is the outcome of a commit, as far as its response shows it.
 type commitOutcome int
 
 const (
@@ -96,7 +96,7 @@
 }
 
 // commitBatch commits a batch and applies the outcome to the partition. Unless the batch is
-// applied, it returns only when the next one may be tried.
+// applied, it returns only when the next one may be committed.
 func (o *ownedPartition) commitBatch(ctx context.Context, batch *scheduler.Batch) commitOutcome {
 	revision, err := o.controller.store.Commit(ctx, batch.Txn)
 	outcome := outcomeOf(err)
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -10,13 +10,13 @@
 )
 
 // fencingInterval is the wait between two rounds over the machines that have not shown the
-// owner's fencing token yet: a small part of a lease, so that rounds do not add up.
+// owner's fencing token yet: a small fraction of a lease, since a machine may need several.
 const fencingInterval = 200 * time.Millisecond
 
 // fenceMachines raises the fencing token of every machine with work of a former owner, and
-// goes on until all have shown it. Waiting for their next heartbeats would not do: workers
-// that report to a former owner, which is cut off and does not know that it was replaced,
-// learn of this owner in no other way.
+// repeats this until all have shown it. Waiting for their next heartbeats is not enough:
+// workers that send them to a former owner, which is partitioned away and does not know that
+// it was replaced, cannot learn of this owner in any other way.
 func (o *ownedPartition) fenceMachines(ctx context.Context) {
 	var lookup addressLookup
 	for ctx.Err() == nil {
@@ -57,7 +57,7 @@
 }
 
 // fenceMachine raises one machine's fencing token, and reports whether the worker has
-// carried the request out. The response is reconciled like a heartbeat.
+// executed the request. The response is reconciled like a heartbeat.
 func (o *ownedPartition) fenceMachine(ctx context.Context, id, address string) (executed bool) {
 	o.mu.Lock()
 	request, ok := o.partition.FencingRequest(id)
@@ -65,7 +65,7 @@
 	if !ok {
 		return false
 	}
-	// A machine that is up answers in milliseconds; this one must not hold up the rest.
+	// A machine that is up answers in milliseconds; others must not occupy slots for long.
 	ctx, cancel := context.WithTimeout(ctx, tuning.TakeoverTimeout)
 	defer cancel()
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -44,7 +44,7 @@
 }
 
 // evictOne removes any record; f.mu must be held. Which one does not matter: it is read
-// again if it is asked for.
+// again at the next query for it.
 func (f *finalJobCache) evictOne() {
 	for id := range f.jobs {
 		delete(f.jobs, id)
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -27,7 +27,7 @@
 
 // forwarder forwards workers' heartbeats to one peer, in batches.
 type forwarder struct {
-	// peer has a connection of its own, which no other call can hold up.
+	// peer has a connection of its own, which no other call can delay.
 	peer  *peerrpc.Peer
 	queue chan forwardRequest
 	// done is closed when nothing is forwarded any more. It is set before run and forward
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -10,11 +10,11 @@
 
 const (
 	// healthyContactFactor is the multiple of FreshS up to which a node stays healthy
-	// without contact to the key-value store: half as long again as it takes requests for, so
-	// that one slow answer changes nothing.
+	// without contact to the key-value store: half as long again as it accepts requests, so
+	// that one slow response changes nothing.
 	healthyContactFactor = 1.5
-	// peerContactTimeout bounds the question for a peer's contact, within a health check
-	// whose sender does not wait for long.
+	// peerContactTimeout bounds the call that asks a peer for its contact, within a health
+	// check whose sender does not wait for long.
 	peerContactTimeout = 400 * time.Millisecond
 )
 
@@ -36,10 +36,9 @@
 	fresh     bool // the key-value store has served the peer within FreshS
 }
 
-// noPeerInContact reports whether no other node has contact to the key-value store either.
-// Without contact to that nor to any other node, it is this node that is cut off, as far
-// as anybody can tell, so that the result is false then. A node without peers has nobody
-// to compare itself with; its result is true.
+// noPeerInContact reports whether no other node has contact to the key-value store either. It
+// is false if no peer can be reached: then this node itself is probably partitioned away. It
+// is true for a node without peers, which cannot tell an outage from a network partition.
 func (c *Controller) noPeerInContact() bool {
 	contacts := make(chan peerContact, len(c.peers))
 	for _, peer := range c.peers {
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -10,11 +10,12 @@
 
 const (
 	// redirectGrace is how long a worker may report to a node that it is not assigned to
-	// before it is redirected. It may have come because it cannot reach its assigned node,
-	// and have lost most of its lease on the way.
+	// before it is redirected. It may have changed nodes because it cannot reach the assigned
+	// one, and have used up most of its lease in doing so.
 	redirectGrace = 30 * time.Second
-	// minForwarders is the number of other live nodes from which on the owner of a partition
-	// is assigned no machines of it. A single other node could be overloaded like the owner.
+	// minForwarders is the least number of other live nodes with which the owner of a
+	// partition is assigned no machines of it. A single other node could be overloaded just
+	// like the owner.
 	minForwarders = 2
 )
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"sort"
 	"time"
 
 	"ambersill/internal/autoscaler"
@@ -16,13 +15,13 @@
 )
 
 const (
-	// leadershipInterval is the time between two looks at whether leadership is free: a
+	// leadershipInterval is the time between two checks whether leadership is free: a
 	// failover may take that much longer.
 	leadershipInterval = 300 * time.Millisecond
 	// leaderInterval is the time between two steps of the leader; rentals wait that much
 	// longer at most.
 	leaderInterval = 250 * time.Millisecond
-	// cacheInterval is the time between two looks at whether the cache has caught up.
+	// cacheInterval is the time between two checks whether the cache has caught up.
 	cacheInterval = 50 * time.Millisecond
 )
 
@@ -37,17 +36,16 @@
 
 // leadIfFree claims leadership unless another node has it, and returns when it is lost.
 func (c *Controller) leadIfFree(ctx context.Context) {
-	c.cluster.mu.Lock()
-	current, loaded := c.cluster.leader, c.cluster.loaded
-	c.cluster.mu.Unlock()
+	current, loaded := c.cluster.leadership()
 	leaseID := c.currentLease()
 	free := current.node == "" || current.node == c.settings.Node
 	if !loaded || leaseID == 0 || !free {
 		return
 	}
-	expected := uint64(0)
+	var expected uint64
 	if current.node != "" {
-		expected = current.revision // of an earlier process of this node, surely gone
+		// The key is from an earlier process of this node, which has surely ended.
+		expected = current.revision
 	}
 	revision, err := c.claimKey(ctx, records.LeaderKey, expected, leaseID)
 	if err != nil {
@@ -77,7 +75,7 @@
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return revision, err
 	}
-	// It may have been carried out: the key shows whether it was.
+	// The commit may have been executed: the key shows whether it was.
 	item, getErr := c.store.Get(ctx, key)
 	if getErr != nil || item.LeaseID != leaseID {
 		return 0, err
@@ -120,10 +118,8 @@
 
 // isLeader reports whether the leader's key still shows this term.
 func (l *leader) isLeader() bool {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	return cluster.leader.revision == l.revision && l.controller.currentLease() == l.leaseID
+	current, _ := l.controller.cluster.leadership()
+	return current.revision == l.revision && l.controller.currentLease() == l.leaseID
 }
 
 // mayCallCloud reports whether no other node can lead by now. Calls to the cloud have no
@@ -133,10 +129,7 @@
 
 // cacheCaughtUp reports whether the cache holds all that was written before this term.
 func (l *leader) cacheCaughtUp() bool {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	return cluster.revision >= l.revision
+	return l.controller.cluster.caughtUpTo(l.revision)
 }
 
 // run leads until leadership is lost or the context ends.
@@ -145,7 +138,8 @@
 	l.waitForCache(ctx)
 	for ctx.Err() == nil && l.isLeader() {
 		// A leader without contact may have a successor: its calls would use up the
-		// successor's rate limit at the cloud, and return machines that this counts on.
+		// successor's rate limit at the cloud, and return machines that the successor
+		// needs.
 		if l.controller.checkContact() == nil && l.mayCallCloud() {
 			l.step(ctx, time.Now())
 		}
@@ -162,7 +156,8 @@
 	}
 }
 
-// step does what is due.
+// step lists the machines, reads the summaries and sizes the fleet, each when it is due, and
+// calls the cloud for the recorded rentals.
 func (l *leader) step(ctx context.Context, now time.Time) {
 	tunables := l.controller.tuning
 	if now.Sub(l.lastListing) >= tuning.Seconds(tunables.ListS) {
@@ -173,7 +168,7 @@
 	if now.Sub(l.lastSummaries) >= tuning.Seconds(tunables.SummaryS) {
 		l.lastSummaries = now
 		l.readSummaries(ctx)
-		// Returns depend on summaries and listings only, and look at every machine.
+		// Returns depend on summaries and listings only, and check every machine.
 		l.returnMachines(ctx)
 		l.raiseLevel(ctx)
 		l.divideGroups(ctx)
@@ -193,17 +188,3 @@
 func (l *leader) commit(ctx context.Context, compares []wire.Compare, writes []wire.Write) error {
 	return l.controller.commitFenced(ctx, l.fence(), compares, writes)
 }
-
-// machines returns the recorded machines, and their IDs in order.
-func (l *leader) machines() (ids []string, machines map[string]machineEntry) {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	machines = make(map[string]machineEntry, len(cluster.machines))
-	for id, entry := range cluster.machines {
-		machines[id] = entry
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	return ids, machines
-}
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -32,14 +32,20 @@
 		return
 	}
 	l.recordListing(list, time.Now())
-	if l.hasPendingRentals() {
+	if l.controller.cluster.hasRentals() {
 		// Machines without a record may be theirs.
 		return
 	}
-	_, machines := l.machines()
-	if !l.adoptMachines(ctx, list, machines) {
-		return
+	_, machines := l.controller.cluster.recordedMachines()
+	if l.adoptMachines(ctx, list, machines) {
+		l.returnUnrecordedFailed(ctx, list, machines)
 	}
+}
+
+// returnUnrecordedFailed returns the listed machines that have failed and have no record.
+func (l *leader) returnUnrecordedFailed(
+	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+) {
 	for _, machine := range list {
 		if _, known := machines[machine.ID]; !known && machine.State == wire.MachineFailed {
 			l.returnToCloud(ctx, []machineReturn{{id: machine.ID, reason: returnFailed}})
@@ -50,13 +56,7 @@
 // recordListing records which machines the cloud lists, and counts how often in a row the
 // others are missing.
 func (l *leader) recordListing(list []wire.CloudMachine, now time.Time) {
-	for id, listing := range l.listings {
-		listing.listed, listing.state = false, ""
-		if now.Sub(listing.returnedAt) > returnedStillListed {
-			listing.returnedAt = time.Time{}
-		}
-		l.listings[id] = listing
-	}
+	l.clearListed(now)
 	for _, machine := range list {
 		listing := l.listings[machine.ID]
 		listing.listed, listing.everListed = true, true
@@ -64,7 +64,23 @@
 		l.listings[machine.ID] = listing
 		l.controller.recordAddress(machine.ID, machine.Address)
 	}
-	ids, _ := l.machines()
+	l.countMissed()
+}
+
+// clearListed resets what only the latest list shows.
+func (l *leader) clearListed(now time.Time) {
+	for id, listing := range l.listings {
+		listing.listed, listing.state = false, ""
+		if now.Sub(listing.returnedAt) > returnedStillListed {
+			listing.returnedAt = time.Time{}
+		}
+		l.listings[id] = listing
+	}
+}
+
+// countMissed counts for each recorded machine how many lists in a row lack it.
+func (l *leader) countMissed() {
+	ids, _ := l.controller.cluster.recordedMachines()
 	for _, id := range ids {
 		listing := l.listings[id]
 		if listing.listed || !listing.everListed {
@@ -76,17 +92,9 @@
 	}
 }
 
-// hasPendingRentals reports whether there are rentals without an answer.
-func (l *leader) hasPendingRentals() bool {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	return len(cluster.rentals) > 0
-}
-
 // adoptMachines records listed machines that have no record: rented by a request that was
-// lost or late, or there from the start. Sizing returns them if they are too many. They are
-// added to the given machines; the result is false if some could not be recorded.
+// lost or late, or there from the start. Sizing returns those that are not needed. It adds
+// them to the given machines, and returns false if some could not be recorded.
 func (l *leader) adoptMachines(
 	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
 ) bool {
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -25,7 +25,7 @@
 	returnFailed    returnReason = "failed"           // the cloud says so
 	returnNotListed returnReason = "no longer listed" // taken by the cloud
 	returnUnhealthy returnReason = "faulty or silent" // by its partition's owner
-	returnNeverUp   returnReason = "did not come up"  // within its boot time and some patience
+	returnNeverUp   returnReason = "did not come up"  // within a multiple of its boot time
 )
 
 // machineReturn is a machine to be returned.
@@ -37,7 +37,7 @@
 // returnMachines returns machines that their owners have released, that are lost, or that
 // never came up.
 func (l *leader) returnMachines(ctx context.Context) {
-	ids, machines := l.machines()
+	ids, machines := l.controller.cluster.recordedMachines()
 	check := l.newReturnCheck(time.Now())
 	var returns []machineReturn
 	for _, id := range ids {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -17,7 +17,7 @@
 	// renewalsPerLease is how often a lease is renewed within its duration, so that it
 	// outlasts a renewal or two that fail.
 	renewalsPerLease = 4
-	// membershipInterval bounds the time between two looks at the lease and at partitions
+	// membershipInterval bounds the time between two checks of the lease and of partitions
 	// without an owner when the cluster's keys do not change.
 	membershipInterval = 250 * time.Millisecond
 	// grantRetryDelay is the wait after a lease was not granted.
@@ -35,7 +35,7 @@
 	renewEvery time.Duration
 	// renewedAt is when the last grant or renewal that was answered was requested.
 	renewedAt time.Time
-	// registered is whether the node's record stands under the present lease.
+	// registered is whether the node's record is attached to the current lease.
 	registered bool
 	// contactLost is what was last logged about contact to the key-value store.
 	contactLost bool
@@ -121,7 +121,7 @@
 	}
 }
 
-// waitForChange waits until the cluster's keys change or the next look is due.
+// waitForChange waits until the cluster's keys change or the next check is due.
 func (m *membership) waitForChange(ctx context.Context) {
 	changed := m.controller.cluster.changes()
 	timer := time.NewTimer(min(m.renewEvery, membershipInterval))
@@ -149,7 +149,7 @@
 }
 
 // setLease stores the lease; 0 if there is none. Its duration counts from when the grant or
-// renewal was requested, since the answer does not tell when it was carried out, and less
+// renewal was requested, since the response does not show when it was executed, and less
 // the drift between this clock and the key-value store's.
 func (c *Controller) setLease(leaseID uint64, requestedAt time.Time) {
 	duration := tuning.Seconds(c.tuning.HoldS * (1 - c.tuning.Drift))
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -94,8 +94,7 @@
 	}
 }
 
-// claimedByOther gives the other nodes time to claim a partition, and reports whether one
-// did.
+// claimedByOther waits for the other nodes to claim a partition, and reports whether one did.
 func (c *Controller) claimedByOther(ctx context.Context, partition int) bool {
 	transport.Pause(ctx, overflowClaimDelay)
 	return c.cluster.partitionOwner(partition).node != ""
@@ -163,8 +162,8 @@
 	c.announceClaim(peerrpc.OwnershipClaim{Partition: partition, Revision: revision, Node: c.settings.Node})
 }
 
-// announceClaim tells the other nodes of a claim, which they see in their watches a little
-// later otherwise.
+// announceClaim announces a claim to the other nodes, whose watches deliver it a little
+// later.
 func (c *Controller) announceClaim(claim peerrpc.OwnershipClaim) {
 	for _, peer := range c.peers {
 		go func() { _ = peer.AnnounceClaim(claim, claimAnnouncementTimeout) }()
@@ -179,7 +178,7 @@
 	c.cluster.setPartitionOwner(claim.Partition, ownership{node: claim.Node, revision: claim.Revision})
 }
 
-// ownerChanged releases a partition whose key shows a later claim, whoever made it.
+// ownerChanged releases a partition whose key shows a later claim, of any node.
 func (c *Controller) ownerChanged(partition int, owner ownership) {
 	if owned := c.ownedPartition(partition); owned != nil && owner.revision > owned.revision {
 		c.releasePartition(owned, ownedByReason(owner))
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -46,20 +46,7 @@
 	)
 }
 
-// recordedRentals returns the rentals without an answer in the order of their recording.
-func (l *leader) recordedRentals() []recordedRental {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	defer cluster.mu.Unlock()
-	rentals := make([]recordedRental, 0, len(cluster.rentals))
-	for name, entry := range cluster.rentals {
-		rentals = append(rentals, recordedRental{name, entry})
-	}
-	slices.SortFunc(rentals, recordedRental.compare)
-	return rentals
-}
-
-// maxRentalCount returns how many machines one rental may bring: their groups are recorded
+// maxRentalCount returns how many machines one rental may have: their groups are recorded
 // in one transaction, which deletes the rental's record as well.
 func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
 	limits := l.controller.limits
@@ -81,8 +68,8 @@
 // recordRental records a rental before the cloud is called, so that a later leader can
 // repeat the call under the same name.
 func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, count int) {
-	// The term's revision makes the name unique, whoever leads and however late the
-	// commit is carried out.
+	// The term's revision makes the name unique, whichever node leads and however late
+	// the commit is executed.
 	name := fmt.Sprintf("r-%d-%d", l.revision, l.nextRental)
 	l.nextRental++
 	l.rentals[name] = rentalProgress{recordedThisTerm: true}
@@ -105,7 +92,7 @@
 // finishRentals calls the cloud for each recorded rental, also for those of earlier leaders,
 // and again under the same name until there is an answer.
 func (l *leader) finishRentals(ctx context.Context) {
-	for _, rental := range l.recordedRentals() {
+	for _, rental := range l.controller.cluster.recordedRentals() {
 		last := l.rentals[rental.name].lastAttempt
 		if !last.IsZero() && time.Since(last) < rentalRetry {
 			continue
@@ -154,13 +141,22 @@
 		Spot:        offering.Spot,
 		Count:       rental.record.Count,
 	})
+	if l.handleRentResponse(rental, ids, err) {
+		l.replaceRental(ctx, rental, ids)
+	}
+}
+
+// handleRentResponse updates the back-off of a rental's offering, and reports whether the
+// cloud has answered. Fewer machines than requested mean that its capacity is exhausted.
+func (l *leader) handleRentResponse(rental recordedRental, ids []string, err error) (answered bool) {
+	offering := rental.offering()
 	switch {
 	case errors.Is(err, cloud.ErrNoCapacity):
 		l.backOffOffering(offering)
 		slog.Info("rental refused", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
 	case err != nil:
 		slog.Debug("rental unanswered", "request", rental.name, "err", err)
-		return
+		return false
 	default:
 		slog.Info("rented", "request", rental.name, "type", offering.MachineType, "zone", offering.Zone,
 			"spot", offering.Spot, "asked", rental.record.Count, "got", len(ids))
@@ -170,7 +166,7 @@
 			delete(l.backoffs, offering)
 		}
 	}
-	l.replaceRental(ctx, rental, ids)
+	return true
 }
 
 // replaceRental deletes a rental's record, and writes those of its machines that are not
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -25,11 +25,7 @@
 // needsFirstMachine reports whether tasks wait while there is no machine and no rental, so
 // that sizing the fleet at once spares them the wait for the next regular sizing.
 func (l *leader) needsFirstMachine() bool {
-	cluster := l.controller.cluster
-	cluster.mu.Lock()
-	machines := len(cluster.machines) + len(cluster.rentals)
-	cluster.mu.Unlock()
-	if machines > 0 {
+	if l.controller.cluster.hasFleet() {
 		return false
 	}
 	for _, summary := range l.summaries {
@@ -48,7 +44,7 @@
 		return
 	}
 	now := time.Now()
-	ids, machines := l.machines()
+	ids, machines := l.controller.cluster.recordedMachines()
 	plan := l.autoscaler.Plan(autoscaler.Input{
 		MachineTypes:   types,
 		Machines:       l.sizingMachines(ids, machines),
@@ -91,7 +87,7 @@
 // pendingRentals returns an entry for each machine of the recorded rentals.
 func (l *leader) pendingRentals() []autoscaler.Machine {
 	var pending []autoscaler.Machine
-	for _, rental := range l.recordedRentals() {
+	for _, rental := range l.controller.cluster.recordedRentals() {
 		machine := autoscaler.Machine{Offering: rental.offering(), Partition: rental.record.Partition}
 		for range rental.record.Count {
 			pending = append(pending, machine)
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -51,7 +51,7 @@
 	return changed
 }
 
-// confirm notes that records were written.
+// confirm records what was written.
 func (w *summaryWriter) confirm(written []encodedRecord) {
 	for _, record := range written {
 		w.written[record.key] = record.value
@@ -104,8 +104,8 @@
 	return values
 }
 
-// summaryGap returns the wait after a summary of some changes: summaries may take a share of
-// the store's rate of changes only, since all else is more urgent.
+// summaryGap returns the wait after a summary of some changes: summaries may use only a
+// fraction of the store's rate of changes, since all other writes are more urgent.
 func (c *Controller) summaryGap(changes int) time.Duration {
 	least := tuning.Seconds(c.tuning.SummaryS)
 	return max(least, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
