--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -68,7 +68,16 @@
 func TestCheckRejectsServiceAboveItsTeamsLimit(t *testing.T) {
 	settings := testSettings()
 	for replicas, want := range map[int]error{2: nil, 3: ErrTeamLimitExceeded} {
-		job := wire.Job{ID: "req-1", Team: "limited", Shape: wire.ServiceJob, Priority: "production", Tasks: replicas, CPUs: 4, MemoryGB: 1, Image: "i"}
+		job := wire.Job{
+			ID:       "req-1",
+			Team:     "limited",
+			Shape:    wire.ServiceJob,
+			Priority: "production",
+			Tasks:    replicas,
+			CPUs:     4,
+			MemoryGB: 1,
+			Image:    "i",
+		}
 		if err := Check(&job, settings, testTypes); !errors.Is(err, want) {
 			t.Errorf("%d replicas of 4 CPUs with a limit of 10: %v, want %v", replicas, err, want)
 		}
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -15,8 +15,27 @@
 )
 
 var testTypes = []wire.MachineType{
-	{Name: "cpu", CPUs: 8, MemoryGB: 32, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}},
-	{Name: "gpu", CPUs: 16, GPUs: 4, MemoryGB: 64, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 40, Zones: []string{"a", "b"}},
+	{
+		Name:             "cpu",
+		CPUs:             8,
+		MemoryGB:         32,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      1,
+		HourlySpotPrice:  0.4,
+		BootS:            30,
+		Zones:            []string{"a", "b"},
+	},
+	{
+		Name:             "gpu",
+		CPUs:             16,
+		GPUs:             4,
+		MemoryGB:         64,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      8,
+		HourlySpotPrice:  3,
+		BootS:            40,
+		Zones:            []string{"a", "b"},
+	},
 }
 
 // emptyMachine returns an on-demand machine that runs and has no tasks.
@@ -35,12 +54,25 @@
 		per := rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "tasks in a machine")
 		waiting := rapid.IntRange(0, 20).Draw(t, "waiting")
 		input := Input{MachineTypes: testTypes[1:], Summaries: map[int]records.PartitionSummary{}}
-		summary := records.PartitionSummary{BookedMachines: map[string]float64{"gpu": booked}, BookedOnDemand: map[string]float64{"gpu": booked}}
+		summary := records.PartitionSummary{
+			BookedMachines: map[string]float64{"gpu": booked},
+			BookedOnDemand: map[string]float64{"gpu": booked},
+		}
 		for i := range have {
-			input.Machines = append(input.Machines, Machine{ID: fmt.Sprint(i), Offering: Offering{MachineType: "gpu", Zone: "a", Spot: false}, Running: i >= booting})
+			input.Machines = append(input.Machines, Machine{
+				ID:       fmt.Sprint(i),
+				Offering: Offering{MachineType: "gpu", Zone: "a", Spot: false},
+				Running:  i >= booting,
+			})
 		}
 		if waiting > 0 {
-			summary.Waiting = []records.Demand{{GPUs: 4 / float64(per), CPUs: 1, MemoryGB: 1, Tasks: waiting, EstimatedRunS: 1000}}
+			summary.Waiting = []records.Demand{{
+				GPUs:          4 / float64(per),
+				CPUs:          1,
+				MemoryGB:      1,
+				Tasks:         waiting,
+				EstimatedRunS: 1000,
+			}}
 		}
 		input.Summaries[0] = summary
 		p := New(&tune).Plan(input, time.Unix(0, 0))
@@ -65,7 +97,14 @@
 // for all of it.
 func TestPlanSpreadsGangOverZones(t *testing.T) {
 	tune := tuning.Default()
-	gang := records.Demand{CPUs: 1, MemoryGB: 1, Tasks: 4, Gang: true, MaxPerZone: 2, EstimatedRunS: 60}
+	gang := records.Demand{
+		CPUs:          1,
+		MemoryGB:      1,
+		Tasks:         4,
+		Gang:          true,
+		MaxPerZone:    2,
+		EstimatedRunS: 60,
+	}
 	input := Input{
 		MachineTypes: testTypes,
 		Machines:     []Machine{emptyMachine()},
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -36,11 +36,7 @@
 // A start whose response was lost is repeated. A task that one heartbeat lists and the next
 // does not is lost, and is placed again as a new attempt.
 func TestLostStartIsRepeatedAndLostTaskIsRequeued(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 1, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{} // the response did not arrive
 	if diff := cmp.Diff([]string{"start req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
@@ -51,8 +47,7 @@
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
 		t.Fatalf("a task that was observed is started again under its attempt: %v", got)
 	}
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	if diff := cmp.Diff([]string{"start req-1/0 2"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
@@ -61,11 +56,7 @@
 // A command request that was not answered may be executed later: until the worker has seen
 // a higher token, the task's absence shows nothing.
 func TestUnansweredRequestKeepsItsPlacement(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 1, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(1)
 	if got := harness.MachinesAwaitingCommands(true); len(got) != 1 {
 		t.Fatalf("machines awaiting commands: %v", got)
 	}
@@ -94,16 +85,11 @@
 // A command request that was never sent is sent again, stops included, and raises no token:
 // that takes a write to the key-value store for every machine of a zone that is cut off.
 func TestUnsentRequestIsSentAgain(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 1, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-1")
 	harness.addJob(newArrayJob("req-2", 1, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.Cancel("req-1", harness.now)
 	first, _ := harness.DirectCommands("m-1", true)
 	if len(first.Commands) != 2 || len(harness.MachinesAwaitingCommands(true)) != 0 {
@@ -121,11 +107,7 @@
 
 // A cancelled job's tasks are stopped, and its records are deleted last.
 func TestCancelledJobIsStoppedThenDeleted(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 2, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(2)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-1")
 	harness.Cancel("req-1", harness.now)
@@ -150,19 +132,14 @@
 // A task is cancelled while the request with its start is in flight, which turns out never
 // to have been sent. The placement must not use its capacity and its team's quota forever.
 func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 1, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(1)
 	request, _ := harness.DirectCommands("m-1", true)
 	harness.Cancel("req-1", harness.now)
 	harness.HandleCommandOutcome(request, "m-1", CommandsNotExecuted)
 	for range 3 {
 		harness.sendHeartbeat("m-1")
 		harness.now = harness.now.Add(2 * time.Second)
-		harness.Schedule(harness.now)
-		harness.commitBatches()
+		harness.scheduleAndCommit()
 	}
 	if len(harness.machines.get("m-1").placements) != 0 || harness.jobs["req-1"] != nil {
 		t.Errorf("%d placements left, job known: %v", len(harness.machines.get("m-1").placements), harness.jobs["req-1"] != nil)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -18,8 +18,7 @@
 	job := newArrayJob("req-1", 2, 6)
 	job.Shape = wire.GangJob
 	harness.addJob(job)
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
 	harness.endTask("m-1", "req-1/0", 1, wire.ExitGangMemberLost)
@@ -30,8 +29,7 @@
 	}
 	harness.sendHeartbeat("m-2") // its response stops the task
 	harness.sendHeartbeat("m-2") // reports the exit
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	for _, placement := range harness.jobs["req-1"].placements {
 		if placement.attempt != 2 {
 			t.Fatalf("attempt %d", placement.attempt)
@@ -56,8 +54,7 @@
 	urgent.Priority = "urgent"
 	harness.addJob(urgent)
 	harness.Schedule(harness.now)
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 1 || got[0] != "start req-2/0 1" {
 		t.Fatalf("commands: %v", got)
 	}
@@ -70,6 +67,14 @@
 	}
 }
 
+// setTaskState has a worker report all its tasks in a state from its next heartbeat on.
+func (h *partitionHarness) setTaskState(id string, state wire.TaskState) {
+	for key, status := range h.workerTasks[id] {
+		status.State = state
+		h.workerTasks[id][key] = status
+	}
+}
+
 // A gang whose first task has timed out while another fetches a large image must not
 // be stopped as a whole: the fetch would be aborted, and begin again with the next attempt,
 // forever.
@@ -81,18 +86,11 @@
 	job.Shape = wire.GangJob
 	job.ImageGB = 60
 	harness.addJob(job)
-	setTaskState := func(id string, state wire.TaskState) {
-		for key, status := range harness.workerTasks[id] {
-			status.State = state
-			harness.workerTasks[id][key] = status
-		}
-	}
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
-	setTaskState("m-1", wire.TaskWaitingForGang)
-	setTaskState("m-2", wire.TaskFetching)
+	harness.setTaskState("m-1", wire.TaskWaitingForGang)
+	harness.setTaskState("m-2", wire.TaskFetching)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
 	harness.now = harness.now.Add(35 * time.Second)
@@ -104,16 +102,14 @@
 		t.Fatalf("commands while the image is fetched: %v", got)
 	}
 	harness.addJob(newArrayJob("req-2", 1, 8)) // must not take the reserved machine
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
-	setTaskState("m-2", wire.TaskWaitingForGang)
+	harness.setTaskState("m-2", wire.TaskWaitingForGang)
 	if got := commandTexts(harness.sendHeartbeat("m-2")); len(got) != 1 || !strings.HasPrefix(got[0], "kill") {
 		t.Fatalf("commands to the machine that has its image now: %v", got)
 	}
 	harness.sendHeartbeat("m-2")
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	if placed := len(harness.jobs["req-1"].placements); placed != 2 || harness.jobs["req-1"].highestAttempt != 2 {
 		t.Fatalf("%d tasks placed, attempt %d", placed, harness.jobs["req-1"].highestAttempt)
 	}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -11,16 +11,43 @@
 )
 
 var testTypes = []wire.MachineType{
-	{Name: "cpu", CPUs: 8, MemoryGB: 32, ImageFetchGBPerS: 1, HourlyPrice: 1, HourlySpotPrice: 0.4, BootS: 30, Zones: []string{"a", "b"}},
-	{Name: "gpu", CPUs: 16, GPUs: 4, MemoryGB: 64, ImageFetchGBPerS: 1, HourlyPrice: 8, HourlySpotPrice: 3, BootS: 40, Zones: []string{"a", "b"}},
+	{
+		Name:             "cpu",
+		CPUs:             8,
+		MemoryGB:         32,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      1,
+		HourlySpotPrice:  0.4,
+		BootS:            30,
+		Zones:            []string{"a", "b"},
+	},
+	{
+		Name:             "gpu",
+		CPUs:             16,
+		GPUs:             4,
+		MemoryGB:         64,
+		ImageFetchGBPerS: 1,
+		HourlyPrice:      8,
+		HourlySpotPrice:  3,
+		BootS:            40,
+		Zones:            []string{"a", "b"},
+	},
 }
 
 func testSettings() *config.Settings {
 	settings := &config.Settings{}
-	c := &settings.Cluster
-	c.Teams = []config.Team{{Name: "limited", CPUsMax: 10, GPUsMax: 3}, {Name: "sure", GPUs: 2}, {Name: "free"}}
-	c.Workers.ReportS, c.Workers.LeaseS, c.Workers.CancelS, c.Workers.GangPeerS = 2, 14, 44, 5
-	c.State.ValueKB, c.State.TxnOps = 8, 12
+	cluster := &settings.Cluster
+	cluster.Teams = []config.Team{
+		{Name: "limited", CPUsMax: 10, GPUsMax: 3},
+		{Name: "sure", GPUs: 2},
+		{Name: "free"},
+	}
+	cluster.Workers.ReportS = 2
+	cluster.Workers.LeaseS = 14
+	cluster.Workers.CancelS = 44
+	cluster.Workers.GangPeerS = 5
+	cluster.State.ValueKB = 8
+	cluster.State.TxnOps = 12
 	return settings
 }
 
@@ -47,6 +74,16 @@
 	return harness
 }
 
+// newHarnessWithPlacedJob returns a partition with the machine m-1, on which the tasks of the job
+// req-1, of one CPU each, are placed. The placements are committed, and no start is sent.
+func newHarnessWithPlacedJob(tasks int) *partitionHarness {
+	harness := newPartitionHarness()
+	harness.addMachine("m-1", "cpu", "a", false)
+	harness.addJob(newArrayJob("req-1", tasks, 1))
+	harness.scheduleAndCommit()
+	return harness
+}
+
 // addMachine adds a machine whose worker has acknowledged the partition's fencing token.
 func (h *partitionHarness) addMachine(id, machineType, zone string, spot bool) {
 	h.revision++
@@ -73,6 +110,12 @@
 	}
 }
 
+// scheduleAndCommit runs a scheduling cycle and commits what it has decided.
+func (h *partitionHarness) scheduleAndCommit() {
+	h.Schedule(h.now)
+	h.commitBatches()
+}
+
 // nextHeartbeat returns a worker's next heartbeat, with all its tasks.
 func (h *partitionHarness) nextHeartbeat(id string) *wire.Heartbeat {
 	h.sequences[id]++
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -136,8 +136,7 @@
 	job := newArrayJob("req-1", 1, 1)
 	job.AllowSpot = true
 	harness.addJob(job)
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.now = harness.now.Add(20 * time.Second)
 	harness.Schedule(harness.now)
@@ -253,8 +252,7 @@
 	harness.now = harness.now.Add(14500 * time.Millisecond)
 	refusal := newHeartbeat(2, 50, machine.token.current)
 	harness.HandleCommandResponse(refusal, harness.now)
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	if request, ok := harness.DirectCommands("m-1", true); ok && request.Incarnation != 1 {
 		t.Errorf("commands in incarnation %d, of which no heartbeat has arrived", request.Incarnation)
 	}
@@ -273,15 +271,10 @@
 // A heartbeat in which nothing has changed, the most frequent request, asks for no
 // scheduling cycle and costs few allocations however many tasks the machine has.
 func TestUnchangedHeartbeatIsCheap(t *testing.T) {
-	harness := newPartitionHarness()
-	harness.addMachine("m-1", "cpu", "a", false)
-	harness.addJob(newArrayJob("req-1", 8, 1))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness := newHarnessWithPlacedJob(8)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-1")
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	if harness.NeedsScheduling() {
 		t.Error("scheduling is needed after a cycle that left nothing to do")
 	}
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -34,8 +34,7 @@
 			submitted++
 		}
 		harness.now = harness.now.Add(100 * time.Millisecond)
-		harness.Schedule(harness.now)
-		harness.commitBatches()
+		harness.scheduleAndCommit()
 		for i, machine := range harness.machines.all() {
 			if (i+cycle)%20 == 0 {
 				harness.completeTasks(machine.ID)
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -191,8 +191,7 @@
 		harness := newPartitionHarness()
 		harness.addMachine("m-1", "gpu", "a", false)
 		harness.addJob(wholeMachineJob("req-1", "x"))
-		harness.Schedule(harness.now)
-		harness.commitBatches()
+		harness.scheduleAndCommit()
 		harness.sendHeartbeat("m-1")
 		harness.addJob(wholeMachineJob("req-2", "y"))
 		harness.now = harness.now.Add(c.headStart)
@@ -218,8 +217,7 @@
 	}
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	for range 2 {
-		harness.Schedule(harness.now)
-		harness.commitBatches()
+		harness.scheduleAndCommit()
 		for _, placement := range sortedPlacements(harness.jobs["req-1"]) {
 			id := placement.machine.ID
 			harness.sendHeartbeat(id)
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -38,8 +38,7 @@
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newServiceJob("req-1", 1, 6))
-	harness.Schedule(harness.now)
-	harness.commitBatches()
+	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1") // started
 	harness.sendHeartbeat("m-1") // shown as running
 	if got := harness.sendTerminationNotice("m-1"); len(got) != 0 {
@@ -71,6 +70,23 @@
 	}
 }
 
+// commitMeasuring commits all changes to the key-value store, and returns the size in bytes of
+// the largest record.
+func (h *partitionHarness) commitMeasuring() int {
+	largest := 0
+	for {
+		batch := h.PrepareBatch()
+		if batch.Empty() {
+			return largest
+		}
+		for _, write := range batch.Txn.Writes {
+			largest = max(largest, encodedBytesOrZero(write.Value))
+		}
+		h.revision++
+		h.ConfirmBatch(batch, h.revision)
+	}
+}
+
 // A service that runs for long, and whose replicas end thousands of times, takes no more
 // memory and no larger records than at first.
 func TestLongLivedServiceStaysSmall(t *testing.T) {
@@ -82,17 +98,7 @@
 	largest := 0
 	for range 2000 {
 		harness.Schedule(harness.now)
-		for {
-			batch := harness.PrepareBatch()
-			if batch.Empty() {
-				break
-			}
-			for _, w := range batch.Txn.Writes {
-				largest = max(largest, encodedBytesOrZero(w.Value))
-			}
-			harness.revision++
-			harness.ConfirmBatch(batch, harness.revision)
-		}
+		largest = max(largest, harness.commitMeasuring())
 		harness.sendHeartbeat("m-1")
 		harness.sendHeartbeat("m-1")
 		for _, key := range sortedTaskAttempts(harness.machines.get("m-1").placements) {
