--- /dev/null
+++ b/internal/emulator/connection.go
@@ -0,0 +1,109 @@
+package emulator
+
+import (
+	"bytes"
+	"net"
+	"sync"
+	"time"
+)
+
+const (
+	// maxBuffered is how many writes a connection's buffer has capacity for.
+	maxBuffered = 1024
+	// flushLimit is how long a closed connection's buffer may take to be read.
+	flushLimit = 5 * time.Second
+)
+
+// connection is one end of a connection. Writes wait in a buffer, as in a kernel's, so that
+// the writer goes on while the other end is frozen.
+type connection struct {
+	net.Conn
+	dialer, acceptor *Host // the hosts of both ends
+	local            *Host // the host of this end
+	outgoing         chan []byte
+	closed           chan struct{}
+	once             sync.Once // closes closed
+}
+
+// newConnection returns the end at the local host, which is the dialer or the acceptor.
+func newConnection(pipe net.Conn, dialer, acceptor, local *Host) *connection {
+	c := &connection{
+		Conn:     pipe,
+		dialer:   dialer,
+		acceptor: acceptor,
+		local:    local,
+		outgoing: make(chan []byte, maxBuffered),
+		closed:   make(chan struct{}),
+	}
+	go c.deliver()
+	return c
+}
+
+// deliver sends what is written, and after Close what is left of it. Sending takes the
+// processor of the host.
+func (c *connection) deliver() {
+	defer func() { _ = c.Conn.Close() }()
+	closed := c.closed
+	isClosed := false
+	for !isClosed || len(c.outgoing) > 0 {
+		select {
+		case message := <-c.outgoing:
+			c.local.useProcessor()
+			if _, err := c.Conn.Write(message); err != nil {
+				return
+			}
+		case <-closed:
+			isClosed = true
+			closed = nil // blocks from now on, so that only messages are received
+		}
+	}
+}
+
+// Read receives a message, which takes the processor of the host.
+func (c *connection) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.local.useProcessor()
+	return n, err
+}
+
+// Write puts a message into the buffer.
+func (c *connection) Write(b []byte) (int, error) {
+	select {
+	case <-c.closed:
+		return 0, net.ErrClosed
+	default:
+	}
+	select {
+	case c.outgoing <- bytes.Clone(b):
+		return len(b), nil
+	case <-c.closed:
+		return 0, net.ErrClosed
+	}
+}
+
+// RemoteAddr names the host at the other end.
+func (c *connection) RemoteAddr() net.Addr {
+	if c.local == c.dialer {
+		return memoryAddr(c.acceptor.name)
+	}
+	return memoryAddr(c.dialer.name)
+}
+
+// Close closes the connection; the other end can read what is buffered for a while.
+func (c *connection) Close() error {
+	c.dialer.network.mu.Lock()
+	delete(c.dialer.connections, c)
+	delete(c.acceptor.connections, c)
+	c.dialer.network.mu.Unlock()
+	c.once.Do(func() {
+		close(c.closed)
+		time.AfterFunc(flushLimit, func() { _ = c.Conn.Close() })
+	})
+	return nil
+}
+
+// reset closes the connection, and drops what is buffered.
+func (c *connection) reset() {
+	_ = c.Close()
+	_ = c.Conn.Close()
+}
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -1,7 +1,6 @@
 package emulator
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"net"
@@ -9,259 +8,237 @@
 	"time"
 )
 
-// Network is a network in memory. Hosts on it can be switched off, and pairs of
-// them cut apart.
+// dialLatency is how long a connection takes to be set up.
+const dialLatency = time.Millisecond
+
+var (
+	errRefused      = errors.New("connection refused")
+	errAddressInUse = errors.New("address in use")
+	// errCut is returned for a link that is cut, and not passed on to dialers.
+	errCut = errors.New("link is cut")
+)
+
+// Network is a network in memory. Hosts on it can be switched off, and pairs of them cut off
+// from each other.
 type Network struct {
 	mu        sync.Mutex
-	listeners map[string]*listener
-	hosts     map[string]*Host
-	cuts      map[[2]string]bool
-	// messageCost is the processor time that a message takes on a host.
+	listeners map[string]*listener // by address
+	hosts     map[string]*Host     // by name
+	cuts      map[link]bool        // both directions of each pair
+	// messageCost is the processor time that a message takes on a host, by name.
 	messageCost map[string]time.Duration
 }
 
-// NewNetwork makes an empty network.
+// link is one direction between two hosts.
+type link struct{ from, to string }
+
+// NewNetwork returns an empty network.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: map[string]*listener{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{},
+		listeners:   map[string]*listener{},
+		hosts:       map[string]*Host{},
+		cuts:        map[link]bool{},
 		messageCost: map[string]time.Duration{},
 	}
 }
 
 // Host is one machine's access to the network; it implements transport.Net.
 type Host struct {
-	network *Network
-	name    string
-	off     bool
-	conns   map[*conn]bool
-	// processor holds a place for the message that is being worked on.
+	network     *Network
+	name        string
+	off         bool
+	connections map[*connection]bool // their ends here and at the other host
+	// processor is full while the host's processor works on a message.
 	processor chan struct{}
 }
 
-type listener struct {
-	host *Host
-	addr string
-	in   chan net.Conn
-	done chan struct{}
-	once sync.Once
-}
-
-// conn is one end of a connection. What is written waits in a buffer, as in a kernel's, so
-// that a writer goes on while the other end stands still.
-type conn struct {
-	net.Conn
-	a, b   *Host
-	local  *Host
-	remote string // host at the other end
-	out    chan []byte
-	done   chan struct{} // closed by Close
-	once   sync.Once
-}
-
-// maxBuffered is how many writes wait in a connection's buffer.
-const maxBuffered = 1024
-
-// flushLimit is how long a closed connection's buffer may take to be read.
-const flushLimit = 5 * time.Second
-
-func newConn(end net.Conn, a, b, local, remote *Host) *conn {
-	c := &conn{Conn: end, a: a, b: b, local: local, remote: remote.name, out: make(chan []byte, maxBuffered), done: make(chan struct{})}
-	go c.deliver()
-	return c
-}
-
-// deliver hands on what is written, and after Close what is left of it. Sending takes the
-// processor of the host.
-func (c *conn) deliver() {
-	defer func() { _ = c.Conn.Close() }()
-	for closed := false; !closed || len(c.out) > 0; {
-		select {
-		case b := <-c.out:
-			c.local.useProcessor()
-			if _, err := c.Conn.Write(b); err != nil {
-				return
-			}
-		case <-c.closing(closed):
-			closed = true
-		}
+// Host adds a machine to the network. It replaces one of the same name.
+func (n *Network) Host(name string) *Host {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	host := &Host{
+		network:     n,
+		name:        name,
+		connections: map[*connection]bool{},
+		processor:   make(chan struct{}, 1),
 	}
+	n.hosts[name] = host
+	return host
 }
 
-// closing is closed with the connection; nil, on which nothing is received, once that is known.
-func (c *conn) closing(known bool) <-chan struct{} {
-	if known {
-		return nil
+// Cut cuts two hosts off from each other, or restores their link. Their connections are reset,
+// and new ones hang until the dialer gives up.
+func (n *Network) Cut(a, b string, cut bool) {
+	for _, c := range n.setCut(a, b, cut) {
+		c.reset()
 	}
-	return c.done
-}
-
-// Read receives a message, which takes the processor of the host.
-func (c *conn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.local.useProcessor()
-	return n, err
 }
 
-// Write puts a message into the buffer.
-func (c *conn) Write(b []byte) (int, error) {
-	select {
-	case <-c.done:
-		return 0, net.ErrClosed
-	default:
+// setCut cuts or restores a link, and returns the connections that are to be reset.
+func (n *Network) setCut(a, b string, cut bool) []*connection {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cuts[link{from: a, to: b}] = cut
+	n.cuts[link{from: b, to: a}] = cut
+	host := n.hosts[a]
+	if !cut || host == nil {
+		return nil
 	}
-	select {
-	case c.out <- bytes.Clone(b):
-		return len(b), nil
-	case <-c.done:
-		return 0, net.ErrClosed
+	var connections []*connection
+	for c := range host.connections {
+		if c.dialer.name == b || c.acceptor.name == b {
+			connections = append(connections, c)
+		}
 	}
+	return connections
 }
 
-// RemoteAddr names the host at the other end.
-func (c *conn) RemoteAddr() net.Addr { return addr(c.remote) }
-
-var errRefused = errors.New("connection refused")
-
-// Host adds a machine to the network.
-func (f *Network) Host(name string) *Host {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	h := &Host{network: f, name: name, conns: map[*conn]bool{}, processor: make(chan struct{}, 1)}
-	f.hosts[name] = h
-	return h
+// Shutdown resets all of the host's connections. It accepts and dials no more.
+func (h *Host) Shutdown() {
+	for _, c := range h.switchOff() {
+		c.reset()
+	}
 }
 
-// Shutdown ends all of the host's connections and takes no more.
-func (h *Host) Shutdown() {
+// switchOff closes the host's listeners, and returns the connections that are to be reset.
+func (h *Host) switchOff() []*connection {
 	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
 	h.off = true
-	var all []*conn
-	for c := range h.conns {
-		all = append(all, c)
+	var connections []*connection
+	for c := range h.connections {
+		connections = append(connections, c)
 	}
-	for a, l := range h.network.listeners {
+	for address, l := range h.network.listeners {
 		if l.host == h {
-			delete(h.network.listeners, a)
-			l.once.Do(func() { close(l.done) })
-		}
-	}
-	h.network.mu.Unlock()
-	for _, c := range all {
-		c.reset()
-	}
-}
-
-// Cut parts two hosts, or joins them again. Their connections are reset, and
-// new ones hang until they are given up.
-func (f *Network) Cut(a, b string, cut bool) {
-	f.mu.Lock()
-	var all []*conn
-	f.cuts[[2]string{a, b}], f.cuts[[2]string{b, a}] = cut, cut
-	if h := f.hosts[a]; cut && h != nil {
-		for c := range h.conns {
-			if c.a.name == b || c.b.name == b {
-				all = append(all, c)
-			}
+			delete(h.network.listeners, address)
+			l.stopAccepting()
 		}
 	}
-	f.mu.Unlock()
-	for _, c := range all {
-		c.reset()
-	}
-}
-
-func (c *conn) Close() error {
-	c.a.network.mu.Lock()
-	delete(c.a.conns, c)
-	delete(c.b.conns, c)
-	c.a.network.mu.Unlock()
-	c.once.Do(func() {
-		close(c.done)
-		time.AfterFunc(flushLimit, func() { _ = c.Conn.Close() })
-	})
-	return nil
-}
-
-// reset closes the connection, and drops what is under way.
-func (c *conn) reset() {
-	_ = c.Close()
-	_ = c.Conn.Close()
+	return connections
 }
 
 // Dial connects to an address.
-func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	t := time.NewTimer(time.Millisecond)
-	defer t.Stop()
+func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
+	latency := time.NewTimer(dialLatency)
+	defer latency.Stop()
 	select {
-	case <-t.C:
+	case <-latency.C:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	h.network.mu.Lock()
-	l := h.network.listeners[addr]
-	if h.off || l == nil {
-		h.network.mu.Unlock()
-		return nil, errRefused
-	}
-	if h.network.cuts[[2]string{h.name, l.host.name}] {
-		h.network.mu.Unlock()
+	dialed, err := h.connect(address)
+	if errors.Is(err, errCut) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	x, y := net.Pipe()
-	cx, cy := newConn(x, h, l.host, h, l.host), newConn(y, h, l.host, l.host, h)
-	for _, c := range []*conn{cx, cy} {
-		h.conns[c], l.host.conns[c] = true, true
+	if err != nil {
+		return nil, err
 	}
-	h.network.mu.Unlock()
 	select {
-	case l.in <- cy:
-		return cx, nil
-	case <-l.done:
+	case dialed.listener.incoming <- dialed.acceptorEnd:
+		return dialed.dialerEnd, nil
+	case <-dialed.listener.done:
 	case <-ctx.Done():
 	}
-	cx.reset()
-	cy.reset()
+	dialed.dialerEnd.reset()
+	dialed.acceptorEnd.reset()
 	return nil, errRefused
 }
 
-// Listen takes connections at an address.
-func (h *Host) Listen(_ context.Context, addr string) (net.Listener, error) {
+// dialedConnection is a connection that is not accepted yet.
+type dialedConnection struct {
+	listener               *listener
+	dialerEnd, acceptorEnd *connection
+}
+
+// connect makes a connection to the listener at an address, unless the link to its host is cut.
+func (h *Host) connect(address string) (*dialedConnection, error) {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	l := h.network.listeners[address]
+	if h.off || l == nil {
+		return nil, errRefused
+	}
+	if h.network.cuts[link{from: h.name, to: l.host.name}] {
+		return nil, errCut
+	}
+	dialerPipe, acceptorPipe := net.Pipe()
+	dialed := &dialedConnection{
+		listener:    l,
+		dialerEnd:   newConnection(dialerPipe, h, l.host, h),
+		acceptorEnd: newConnection(acceptorPipe, h, l.host, l.host),
+	}
+	for _, end := range []*connection{dialed.dialerEnd, dialed.acceptorEnd} {
+		h.connections[end] = true
+		l.host.connections[end] = true
+	}
+	return dialed, nil
+}
+
+// Listen accepts connections at an address.
+func (h *Host) Listen(_ context.Context, address string) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	if h.off {
 		return nil, errRefused
 	}
-	if h.network.listeners[addr] != nil {
-		return nil, errors.New("address in use")
+	if h.network.listeners[address] != nil {
+		return nil, errAddressInUse
+	}
+	l := &listener{
+		host:     h,
+		address:  address,
+		incoming: make(chan net.Conn),
+		done:     make(chan struct{}),
 	}
-	l := &listener{host: h, addr: addr, in: make(chan net.Conn), done: make(chan struct{})}
-	h.network.listeners[addr] = l
+	h.network.listeners[address] = l
 	return l, nil
 }
 
+// listener accepts the connections that are dialed to an address.
+type listener struct {
+	host     *Host
+	address  string
+	incoming chan net.Conn
+	done     chan struct{} // closed when no more connections are accepted
+	once     sync.Once     // closes done
+}
+
+// Accept returns the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.in:
+	case c := <-l.incoming:
 		return c, nil
 	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
+// Close frees the address.
 func (l *listener) Close() error {
-	l.host.network.mu.Lock()
-	if l.host.network.listeners[l.addr] == l {
-		delete(l.host.network.listeners, l.addr)
+	network := l.host.network
+	network.mu.Lock()
+	if network.listeners[l.address] == l {
+		delete(network.listeners, l.address)
 	}
-	l.host.network.mu.Unlock()
-	l.once.Do(func() { close(l.done) })
+	network.mu.Unlock()
+	l.stopAccepting()
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.addr) }
+func (l *listener) stopAccepting() {
+	l.once.Do(func() { close(l.done) })
+}
+
+// Addr returns the address that the listener accepts connections at.
+func (l *listener) Addr() net.Addr { return memoryAddr(l.address) }
+
+// memoryAddr is the address of a listener, or the name of a host, as a net.Addr.
+type memoryAddr string
 
-type addr string
+// Network returns the name of the kind of network.
+func (memoryAddr) Network() string { return "memory" }
 
-func (addr) Network() string  { return "memory" }
-func (a addr) String() string { return string(a) }
+// String returns the address.
+func (a memoryAddr) String() string { return string(a) }
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -5,43 +5,47 @@
 	"time"
 )
 
-// A host has one processor. Whatever is sent or received takes a turn of it, so that a
-// host that computes slowly falls behind, and one that stands still sends and receives
-// nothing. What its process computes between two messages is not slowed.
+// A host has one processor. Each message sent or received occupies it in turn, so that a host
+// with a slow processor falls behind, and a frozen one sends and receives nothing. What its
+// process computes between two messages is not slowed.
 
 // SlowDown has every message that the named host sends or receives take the given time,
 // one after the other, also when the host is started anew; 0 ends it.
-func (f *Network) SlowDown(name string, cost time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.messageCost[name] = cost
+func (n *Network) SlowDown(name string, cost time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.messageCost[name] = cost
 }
 
-// Freeze has the named host send and receive nothing for a while, or until the context
-// ends. One that is started anew meanwhile is not concerned.
-func (f *Network) Freeze(ctx context.Context, name string, d time.Duration) {
-	f.mu.Lock()
-	h := f.hosts[name]
-	f.mu.Unlock()
-	if h == nil {
+// Freeze has the named host send and receive nothing for a while, or until the context ends.
+// A host that is started anew meanwhile is not affected.
+func (n *Network) Freeze(ctx context.Context, name string, duration time.Duration) {
+	n.mu.Lock()
+	host := n.hosts[name]
+	n.mu.Unlock()
+	if host == nil {
 		return
 	}
-	h.processor <- struct{}{}
+	host.acquireProcessor()
+	defer host.releaseProcessor()
 	select {
-	case <-time.After(d):
+	case <-time.After(duration):
 	case <-ctx.Done():
 	}
-	<-h.processor
 }
 
-// useProcessor takes the processor for one message.
+// useProcessor occupies the processor for one message.
 func (h *Host) useProcessor() {
 	h.network.mu.Lock()
 	cost := h.network.messageCost[h.name]
 	h.network.mu.Unlock()
-	h.processor <- struct{}{}
+	h.acquireProcessor()
+	defer h.releaseProcessor()
 	if cost > 0 {
 		time.Sleep(cost)
 	}
-	<-h.processor
 }
+
+func (h *Host) acquireProcessor() { h.processor <- struct{}{} }
+
+func (h *Host) releaseProcessor() { <-h.processor }
