--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -149,12 +149,20 @@
 	}
 }
 
+// healthResponse is the answer to a health check of a node that can take requests.
+type healthResponse struct {
+	State string `cbor:"state"`
+}
+
+// healthyState is the only state that a health check reports.
+const healthyState = "ok"
+
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
 	if !h.service.Healthy() {
 		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not ready"})
 		return
 	}
-	h.send(w, http.StatusOK, map[string]string{"state": "ok"})
+	h.send(w, http.StatusOK, healthResponse{State: healthyState})
 }
 
 // readBody reads a request's body. If that fails, it answers the request and returns false.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -1,6 +1,7 @@
 package api
 
 import (
+	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -22,6 +23,93 @@
 	return wire.JobStatus{}, s.err
 }
 
+// nodeService answers heartbeats and health checks; the handler calls nothing else.
+type nodeService struct {
+	Service
+	result  HeartbeatResult
+	healthy bool
+}
+
+func (s nodeService) Heartbeat(*wire.Heartbeat) HeartbeatResult { return s.result }
+
+func (s nodeService) Healthy() bool { return s.healthy }
+
+func TestHeartbeatResultsBecomeResponses(t *testing.T) {
+	response := wire.HeartbeatResponse{FencingToken: 7, Commands: []wire.Command{}}
+	tests := []struct {
+		name   string
+		result HeartbeatResult
+		status int
+		body   any
+	}{
+		{
+			name:   "accepted",
+			result: HeartbeatResult{Accepted: true, Response: response},
+			status: http.StatusOK,
+			body:   response,
+		},
+		{
+			name:   "redirected",
+			result: HeartbeatResult{RedirectTo: "node-1"},
+			status: http.StatusMisdirectedRequest,
+			body:   wire.Redirect{Node: "node-1"},
+		},
+		{
+			name:   "refused",
+			result: HeartbeatResult{},
+			status: http.StatusServiceUnavailable,
+			body:   wire.ErrorResponse{Error: "not in charge"},
+		},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			body := encode(t, wire.Heartbeat{Machine: "m-1"})
+			request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/agent/beat", bytes.NewReader(body))
+			checkResponse(t, nodeService{result: test.result}, request, test.status, test.body)
+		})
+	}
+}
+
+func TestHealthCheckResponses(t *testing.T) {
+	tests := []struct {
+		name    string
+		healthy bool
+		status  int
+		body    any
+	}{
+		{"healthy", true, http.StatusOK, map[string]string{"state": "ok"}},
+		{"unhealthy", false, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not ready"}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/up", nil)
+			checkResponse(t, nodeService{healthy: test.healthy}, request, test.status, test.body)
+		})
+	}
+}
+
+// checkResponse checks the status code and the exact body of a service's response.
+func checkResponse(t *testing.T, service Service, request *http.Request, status int, body any) {
+	t.Helper()
+	response := httptest.NewRecorder()
+	Handler(service, 7, time.Second).ServeHTTP(response, request)
+	if response.Code != status {
+		t.Errorf("answered %d, want %d", response.Code, status)
+	}
+	if want := encode(t, body); !bytes.Equal(response.Body.Bytes(), want) {
+		t.Errorf("body is %x, want %x", response.Body.Bytes(), want)
+	}
+}
+
+func encode(t *testing.T, message any) []byte {
+	t.Helper()
+	body, err := wire.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return body
+}
+
 func TestErrorsBecomeResponses(t *testing.T) {
 	final := &StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	tests := []struct {
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -85,12 +85,7 @@
 	if verdict != scheduler.HeartbeatAccepted {
 		slog.Debug("heartbeat not accepted",
 			"machine", heartbeat.Machine, "verdict", verdict.String(), "token", heartbeat.FencingToken)
-		if verdict == scheduler.HeartbeatSuperseded && !knowledge.startsTasks {
-			// Another owner has reached the worker, and this node cannot learn that in
-			// any other way: it must not keep other machines from that owner. Releasing
-			// takes the controller's lock, which must not be taken under o.mu.
-			go o.controller.releasePartition(o, releasedSuperseded)
-		}
+		o.releaseIfSuperseded(verdict, knowledge)
 		return peerrpc.HeartbeatResult{Response: response}
 	}
 	o.controller.commandSlots.resetBackoff(heartbeat.Machine)
@@ -101,3 +96,15 @@
 	}
 	return peerrpc.HeartbeatResult{Accepted: true, Response: response}
 }
+
+// releaseIfSuperseded releases the partition if another owner has reached a worker, and this
+// node cannot learn that in any other way: it must not keep other machines from that owner.
+func (o *ownedPartition) releaseIfSuperseded(
+	verdict scheduler.HeartbeatVerdict, knowledge cancellationKnowledge,
+) {
+	if verdict != scheduler.HeartbeatSuperseded || knowledge.startsTasks {
+		return
+	}
+	// Releasing takes the controller's lock, which must not be taken under o.mu.
+	go o.controller.releasePartition(o, releasedSuperseded)
+}
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -93,8 +93,9 @@
 }
 
 // adoptMachines records listed machines that have no record: rented by a request that was
-// lost or late, or there from the start. Sizing returns those that are not needed. It adds
-// them to the given machines, and returns false if some could not be recorded.
+// lost or late, or there from the start. Sizing returns those that are not needed.
+// adoptMachines adds them to the given machines, and returns false if some could not be
+// recorded.
 func (l *leader) adoptMachines(
 	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
 ) bool {
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -123,6 +123,11 @@
 		return
 	}
 	logReturns(returns)
+	l.deleteReturned(ctx, ids)
+}
+
+// deleteReturned deletes the records of machines that the cloud has taken back.
+func (l *leader) deleteReturned(ctx context.Context, ids []string) {
 	changes := map[string]*records.MachineRecord{}
 	for _, id := range ids {
 		listing := l.listings[id]
