--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -21,7 +21,7 @@
 	ErrGangCannotBeSpread = errors.New("the gang can't be spread")
 )
 
-// minSpreadZones: zones that a gang needs at least to be spread.
+// minSpreadZones is the number of zones that a gang needs at least to be spread.
 const minSpreadZones = 2
 
 // PrimaryMachineType returns the index, in the catalog's order, of the first machine type
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -43,57 +43,89 @@
 	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Running: true}
 }
 
-// Plan agrees with the two terms written down plainly, for alike tasks of one machine type.
+// gpuFleet is a fleet of GPU machines with work that takes parts of them.
+type gpuFleet struct {
+	machines        int
+	booting         int // of the machines
+	booked          float64
+	tasksPerMachine int
+	waitingTasks    int
+}
+
+// drawGPUFleet returns any small fleet.
+func drawGPUFleet(t *rapid.T) gpuFleet {
+	machines := rapid.IntRange(0, 6).Draw(t, "machines")
+	booting := rapid.IntRange(0, machines).Draw(t, "booting")
+	return gpuFleet{
+		machines:        machines,
+		booting:         booting,
+		booked:          rapid.Float64Range(0, float64(machines-booting)).Draw(t, "booked"),
+		tasksPerMachine: rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "tasks in a machine"),
+		waitingTasks:    rapid.IntRange(0, 20).Draw(t, "waiting"),
+	}
+}
+
+// input returns the fleet as the leader passes it to the autoscaler.
+func (f gpuFleet) input() Input {
+	summary := records.PartitionSummary{
+		BookedMachines: map[string]float64{"gpu": f.booked},
+		BookedOnDemand: map[string]float64{"gpu": f.booked},
+	}
+	if f.waitingTasks > 0 {
+		summary.Waiting = []records.Demand{{
+			GPUs:          4 / float64(f.tasksPerMachine),
+			CPUs:          1,
+			MemoryGB:      1,
+			Tasks:         f.waitingTasks,
+			EstimatedRunS: 1000,
+		}}
+	}
+	input := Input{
+		MachineTypes: testTypes[1:],
+		Summaries:    map[int]records.PartitionSummary{0: summary},
+	}
+	for i := range f.machines {
+		input.Machines = append(input.Machines, Machine{
+			ID:       fmt.Sprint(i),
+			Offering: Offering{MachineType: "gpu", Zone: "a", Spot: false},
+			Running:  i >= f.booting,
+		})
+	}
+	return input
+}
+
+// target returns the number of machines to aim at by the two terms of the formula.
+func (f gpuFleet) target(inFlightTarget float64) int {
+	target := int(math.Ceil(f.booked/inFlightTarget - 1e-6))
+	neededByQueue := (f.waitingTasks + f.tasksPerMachine - 1) / f.tasksPerMachine
+	if missing := neededByQueue - f.booting; missing > 0 {
+		target = max(target, f.machines+missing)
+	}
+	return target
+}
+
+// Plan agrees with the two terms of the formula, for equal tasks of one machine type.
 func TestPlanMatchesNaiveFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tune := tuning.Default()
-		tune.InFlightTarget = rapid.SampledFrom([]float64{0.8, 1}).Draw(t, "target")
-		have := rapid.IntRange(0, 6).Draw(t, "machines")
-		booting := rapid.IntRange(0, have).Draw(t, "booting")
-		booked := rapid.Float64Range(0, float64(have-booting)).Draw(t, "booked")
-		per := rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "tasks in a machine")
-		waiting := rapid.IntRange(0, 20).Draw(t, "waiting")
-		input := Input{MachineTypes: testTypes[1:], Summaries: map[int]records.PartitionSummary{}}
-		summary := records.PartitionSummary{
-			BookedMachines: map[string]float64{"gpu": booked},
-			BookedOnDemand: map[string]float64{"gpu": booked},
-		}
-		for i := range have {
-			input.Machines = append(input.Machines, Machine{
-				ID:       fmt.Sprint(i),
-				Offering: Offering{MachineType: "gpu", Zone: "a", Spot: false},
-				Running:  i >= booting,
-			})
-		}
-		if waiting > 0 {
-			summary.Waiting = []records.Demand{{
-				GPUs:          4 / float64(per),
-				CPUs:          1,
-				MemoryGB:      1,
-				Tasks:         waiting,
-				EstimatedRunS: 1000,
-			}}
-		}
-		input.Summaries[0] = summary
-		p := New(&tune).Plan(input, time.Unix(0, 0))
-		want := int(math.Ceil(booked/tune.InFlightTarget - 1e-6))
-		if short := (waiting+per-1)/per - booting; short > 0 {
-			want = max(want, have+short)
-		}
-		if p.TargetMachines["gpu"] != want {
-			t.Fatalf("target %d, want %d", p.TargetMachines["gpu"], want)
+		tunables := tuning.Default()
+		tunables.InFlightTarget = rapid.SampledFrom([]float64{0.8, 1}).Draw(t, "target")
+		fleet := drawGPUFleet(t)
+		plan := New(&tunables).Plan(fleet.input(), time.Unix(0, 0))
+		want := fleet.target(tunables.InFlightTarget)
+		if plan.TargetMachines["gpu"] != want {
+			t.Fatalf("target %d, want %d", plan.TargetMachines["gpu"], want)
 		}
 		rented := 0
-		for _, r := range p.Rentals {
-			rented += r.Count
+		for _, rental := range plan.Rentals {
+			rented += rental.Count
 		}
-		if rented != max(0, want-have) {
-			t.Fatalf("%d rented with %d there for a target of %d", rented, have, want)
+		if rented != max(0, want-fleet.machines) {
+			t.Fatalf("%d rented with %d there for a target of %d", rented, fleet.machines, want)
 		}
 	})
 }
 
-// A gang that must be spread over zones waited for ever when one machine had the capacity
+// A gang that must be spread over zones waited forever when one machine had the capacity
 // for all of it.
 func TestPlanSpreadsGangOverZones(t *testing.T) {
 	tune := tuning.Default()
@@ -146,7 +178,7 @@
 	return sizer.Plan(input, start.Add(tuning.Seconds(tune.GiveBackS)))
 }
 
-// On-demand machines are dearer than spot machines and are returned first, except as many
+// On-demand machines cost more than spot machines and are returned first, except as many
 // as the jobs need that may not use spot machines.
 func TestScaleInReturnsOnDemandMachinesFirst(t *testing.T) {
 	onDemand := Offering{MachineType: "cpu", Zone: "a"}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,4 +1,4 @@
-// Package quota keeps what each team has allocated against its guarantee and its limit.
+// Package quota compares what each team has allocated with its guarantee and its limit.
 package quota
 
 import (
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -219,11 +219,12 @@
 
 // The outcomes of a command request.
 const (
-	// CommandsExecuted: the worker confirmed the request.
+	// CommandsExecuted means that the worker confirmed the request.
 	CommandsExecuted CommandOutcome = iota
-	// CommandsNotExecuted: the worker refused the request, or it was never sent.
+	// CommandsNotExecuted means that the worker refused the request, or it was never sent.
 	CommandsNotExecuted
-	// CommandsUnknown: no response arrived, so the request may be executed at any time.
+	// CommandsUnknown means that no response arrived, so the request may be executed at any
+	// time.
 	CommandsUnknown
 )
 
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -11,15 +11,15 @@
 
 // Parameters of compaction.
 const (
-	// compactionRingShare: a chunk is due once the ring is within this fraction of its length
-	// of overwriting a change that the chunk's record lacks.
+	// compactionRingShare divides the ring's length: a chunk is due once the ring is within this
+	// fraction of overwriting a change that the chunk's record lacks.
 	compactionRingShare = 4
-	// compactionBatches: it is due within this many full batches at the latest. With small
-	// values a batch writes many journal records, and the ring could otherwise overwrite a
-	// change between two batches.
+	// compactionBatches is the number of full batches before such an overwrite at which a chunk
+	// is due at the latest. With small values a batch writes many journal records, and the ring
+	// could otherwise overwrite a change between two batches.
 	compactionBatches = 2
-	// compactionWriteShare: compaction uses this fraction of a batch while the journal can be
-	// appended to, so that neither blocks the other.
+	// compactionWriteShare divides a batch: compaction uses this fraction of it while the
+	// journal can be appended to, so that neither blocks the other.
 	compactionWriteShare = 2
 )
 
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -17,7 +17,7 @@
 	// accepts no work: enough for its tasks to leave and the leader to return it.
 	drainReservationCycles = 3
 	// minRemainingFactor is the multiple of a move's time, image fetch and checkpoint, that a
-	// task must still have to run for the move to pay off.
+	// task must still have to run for the move to be worth it.
 	minRemainingFactor = 2
 )
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -24,7 +24,7 @@
 // CPUs and memory that belong to the free GPUs of a machine.
 const gpuShareStarveFactor = 2
 
-// teamQueue holds a team's jobs with tasks to place, the first in turn first.
+// teamQueue is the queue of a team's jobs with tasks to place, by precedence.
 type teamQueue struct {
 	team *quota.Team
 	jobs []*Job
@@ -207,8 +207,7 @@
 	return !j.IsGang() && len(j.placements) > 0
 }
 
-// placeableJobs returns the jobs with tasks that may be placed by now, the first in turn
-// first.
+// placeableJobs returns the jobs with tasks that may be placed by now, by precedence.
 func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
 	var placeable []*Job
 	for _, job := range jobs {
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// bookedPrecision: the summary states booked machines in thousandths, which keeps
-	// the record small and equal sums equal.
+	// bookedPrecision is the number of steps in a booked machine to which a summary rounds,
+	// which keeps the record small and equal sums equal.
 	bookedPrecision = 1000
 	// maxWaitingBytes bounds the waiting tasks in a summary, since the leader reads it every
 	// second. Those that are placed first are included.
@@ -160,7 +160,8 @@
 	l.demands = append(l.demands, demand)
 }
 
-// unplacedDemand returns the tasks that wait unplaced, the first in turn as far as they fit.
+// unplacedDemand returns the demand of the tasks that are not placed, by precedence, as far as it
+// fits a summary.
 func (p *Partition) unplacedDemand(now time.Time) []records.Demand {
 	list := demandList{remainingBytes: maxWaitingBytes, indexByKey: map[demandKey]int{}}
 	for _, queue := range p.buildQueues(now) {
