--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -50,9 +50,8 @@
 	}
 	cluster.submit(idleArrayJob(50, 1200, 1, 40), 80*time.Second)
 	for n := range 6 {
-		gang := newArrayJob(100+n, 8, 16, 40, asGang, inOneZone, withPriority("urgent"), withGPUs(4),
-			withMemory(64), withImage("big", 2), withCheckpoints(15, 3))
-		gang.AllowSpot = true
+		gang := newArrayJob(100+n, 8, 16, 40, asGang, inOneZone, allowSpot, withPriority("urgent"),
+			withGPUs(4), withMemory(64), withImage("big", 2), withCheckpoints(15, 3))
 		cluster.submit(gang, 0)
 	}
 }
--- a/internal/controller/simulated_jobs_test.go
+++ b/internal/controller/simulated_jobs_test.go
@@ -51,6 +51,9 @@
 	job.AllowSpot = true
 }
 
+// allowSpot has the job run on spot instances too.
+func allowSpot(job *wire.Job) { job.AllowSpot = true }
+
 func withTeam(team string) jobOption {
 	return func(job *wire.Job) { job.Team = team }
 }
--- a/internal/controller/slow_controllers_test.go
+++ b/internal/controller/slow_controllers_test.go
@@ -1,3 +1,5 @@
+// Scenarios of controllers that get no processor time, or too little.
+
 package controller
 
 import (
@@ -7,32 +9,18 @@
 	"ambersill/internal/emulator"
 )
 
-// expectOwnerChange expects that the partition had another owner by the given time.
-func expectOwnerChange(by time.Duration) func(cluster *simulatedCluster) {
-	return func(cluster *simulatedCluster) {
-		time.Sleep(30 * second)
-		_, before := cluster.partitionOwner()
-		time.Sleep(by - 30*second)
-		if _, after := cluster.partitionOwner(); after == before {
-			cluster.t.Error("the scenario did not come about: the partition has its former owner")
-		}
-	}
-}
-
-// A controller that is given no processor time for seconds wakes up with its timers, its
-// lease and what it was about to send as they were, while another owns the partition.
+// A controller that gets no processor time for seconds continues with its timers, its lease and
+// its unsent requests as they were, while another owns the partition.
 func TestFrozenControllers(t *testing.T) {
-	owner, others := []int{emulator.Owner}, []int{emulator.Others}
-	still := func(at, length time.Duration, nodes []int) emulator.Fault {
-		return emulator.Fault{At: at, For: length, Kind: emulator.NodeFrozen, Nodes: nodes}
+	frozen := func(at, length time.Duration, nodes []int) emulator.Fault {
+		return nodeFault(emulator.NodeFrozen, at, length, nodes)
 	}
-	manyStalls := func() (out []emulator.Fault) {
-		for i := range 8 {
-			out = append(out, still(time.Duration(30+9*i)*second, time.Duration(1+i)*second, owner))
-		}
-		return out
+	var frozenAgainAndAgain []emulator.Fault
+	for i := range 8 {
+		at := time.Duration(30+9*i) * second
+		length := time.Duration(1+i) * second
+		frozenAgainAndAgain = append(frozenAgainAndAgain, frozen(at, length, ownerNode))
 	}
-	crash := emulator.Fault{At: 66 * second, Kind: emulator.ControllerCrash, Nodes: owner, Wait: 2 * second}
 	runScenarios(t, []faultScenario{
 		{
 			name:        "the owner beyond its lease, jobs are cancelled",
@@ -40,19 +28,19 @@
 			submit:      submitLongJobs(10),
 			check:       expectStarts(20),
 			observe:     expectOwnerChange(71 * second),
-			minInjected: map[emulator.FaultKind]int{emulator.NodeFrozen: 1, emulator.CancelRunningJobs: 4},
-			script: []emulator.Fault{
-				still(60*second, 12*second, owner),
-				{At: 67 * second, Kind: emulator.CancelRunningJobs, Count: 4},
-			},
+			minInjected: faultCounts{emulator.NodeFrozen: 1, emulator.CancelRunningJobs: 4},
+			script:      []emulator.Fault{frozen(60*second, 12*second, ownerNode), cancelFault(67*second, 4)},
 		},
 		{
-			name:        "the owner, and the next one ends",
+			name:        "the owner, and the next one crashes",
 			seed:        101,
 			submit:      submitLongAndShortJobs(10, 6, 30),
 			observe:     expectOwnerChange(80 * second),
-			minInjected: map[emulator.FaultKind]int{emulator.NodeFrozen: 1, emulator.ControllerCrash: 1},
-			script:      []emulator.Fault{still(58*second, 25*second, owner), crash},
+			minInjected: faultCounts{emulator.NodeFrozen: 1, emulator.ControllerCrash: 1},
+			script: []emulator.Fault{
+				frozen(58*second, 25*second, ownerNode),
+				crashFault(66*second, ownerNode, 2*second),
+			},
 		},
 		{
 			name:        "the owner of short tasks, again and again",
@@ -60,72 +48,62 @@
 			submit:      submitJobStream(120, 2, 4, second, 8),
 			observe:     expectOwnerChange(120 * second),
 			check:       expectNoRepeatedAttempts,
-			minInjected: map[emulator.FaultKind]int{emulator.NodeFrozen: 8},
-			script:      manyStalls(),
+			minInjected: faultCounts{emulator.NodeFrozen: 8},
+			script:      frozenAgainAndAgain,
 		},
 		{
-			name:        "the nodes that forward reports",
+			name:        "the nodes that forward heartbeats",
 			seed:        103,
 			submit:      submitLongJobs(10),
 			check:       expectStarts(20),
-			minInjected: map[emulator.FaultKind]int{emulator.NodeFrozen: 2},
-			script:      []emulator.Fault{still(60*second, 9*second, others)},
+			minInjected: faultCounts{emulator.NodeFrozen: 2},
+			script:      []emulator.Fault{frozen(60*second, 9*second, otherNodes)},
 		},
 		{
 			name:        "all, longer than the workers' leases",
 			seed:        104,
 			submit:      submitLongJobs(10),
-			minInjected: map[emulator.FaultKind]int{emulator.NodeFrozen: 3},
-			script:      []emulator.Fault{still(60*second, 20*second, []int{0, 1, 2})},
+			minInjected: faultCounts{emulator.NodeFrozen: 3},
+			script:      []emulator.Fault{frozen(60*second, 20*second, allNodes)},
 		},
 	})
 }
 
-// Controllers that compute slowly are behind with reports, users and their own leases, also
-// while the partition changes hands; no rule may be broken for it.
+// Controllers that compute slowly are late with heartbeats, users and their own leases, also
+// during a failover of the partition; no rule may be broken for it.
 func TestSlowControllers(t *testing.T) {
-	slow := func(cost time.Duration, nodes ...int) emulator.Fault {
-		return emulator.Fault{
-			At:    30 * second,
-			For:   80 * second,
-			Kind:  emulator.SlowProcessor,
-			Wait:  cost,
-			Nodes: nodes,
-		}
-	}
-	crash := emulator.Fault{
-		At:    60 * second,
-		Kind:  emulator.ControllerCrash,
-		Nodes: []int{emulator.Owner},
-		Wait:  2 * second,
+	slow := func(cost time.Duration, nodes []int) emulator.Fault {
+		fault := nodeFault(emulator.SlowProcessor, 30*second, 80*second, nodes)
+		fault.Wait = cost
+		return fault
 	}
-	all := crash
-	all.Nodes = []int{0, 1, 2}
-	cancels := emulator.Fault{At: 61 * second, Kind: emulator.CancelRunningJobs, Count: 10}
+	crash := crashFault(60*second, ownerNode, 2*second)
+	crashAll := crashFault(60*second, allNodes, 2*second)
+	cancels := cancelFault(61*second, 10)
 	runScenarios(t, []faultScenario{
 		{
-			name:        "the owner, which ends",
+			name:        "the owner, which crashes",
 			seed:        110,
 			submit:      submitJobStream(90, 2, 4, second, 15),
 			observe:     expectOwnerChange(80 * second),
-			minInjected: map[emulator.FaultKind]int{emulator.SlowProcessor: 1, emulator.ControllerCrash: 1},
-			script:      []emulator.Fault{slow(20*time.Millisecond, emulator.Owner), crash, cancels},
+			minInjected: faultCounts{emulator.SlowProcessor: 1, emulator.ControllerCrash: 1},
+			script:      []emulator.Fault{slow(20*time.Millisecond, ownerNode), crash, cancels},
 		},
 		{
-			name:        "all, and the owner ends",
+			name:        "all, and the owner crashes",
 			seed:        111,
 			submit:      submitJobStream(90, 2, 4, second, 15),
 			observe:     expectOwnerChange(80 * second),
-			minInjected: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 1},
-			script:      []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), crash, cancels},
+			minInjected: faultCounts{emulator.SlowProcessor: 3, emulator.ControllerCrash: 1},
+			script:      []emulator.Fault{slow(10*time.Millisecond, allNodes), crash, cancels},
 		},
 		{
-			name:        "all, and all end",
+			name:        "all, and all crash",
 			seed:        112,
 			submit:      submitLongAndShortJobs(10, 6, 30),
 			observe:     expectOwnerChange(80 * second),
-			minInjected: map[emulator.FaultKind]int{emulator.SlowProcessor: 3, emulator.ControllerCrash: 3},
-			script:      []emulator.Fault{slow(10*time.Millisecond, 0, 1, 2), all, cancels},
+			minInjected: faultCounts{emulator.SlowProcessor: 3, emulator.ControllerCrash: 3},
+			script:      []emulator.Fault{slow(10*time.Millisecond, allNodes), crashAll, cancels},
 		},
 	})
 }
