--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -82,11 +82,7 @@
 		if sequence, ok := oldest[chunk.job]; !ok || chunk.oldestUncompacted < sequence {
 			oldest[chunk.job] = chunk.oldestUncompacted
 		}
-		for _, piece := range chunk.splitOff {
-			if !piece.hasRecord() && !b.partition.journal.uncompactedChunks[piece] {
-				due = append(due, piece)
-			}
-		}
+		due = append(due, b.unwrittenPieces(chunk)...)
 	}
 	slices.SortFunc(due, func(x, y *chunk) int {
 		if x.job == y.job {
@@ -97,6 +93,18 @@
 	return due
 }
 
+// unwrittenPieces returns the chunks that were split off from a chunk and have neither a record
+// nor journaled changes that make them due themselves.
+func (b *batchBuilder) unwrittenPieces(origin *chunk) []*chunk {
+	var pieces []*chunk
+	for _, piece := range origin.splitOff {
+		if !piece.hasRecord() && !b.partition.journal.uncompactedChunks[piece] {
+			pieces = append(pieces, piece)
+		}
+	}
+	return pieces
+}
+
 // compactionDue reports whether the ring will soon overwrite a change that an uncompacted
 // chunk's record lacks.
 func (b *batchBuilder) compactionDue(chunk *chunk) bool {
