--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -13,7 +13,7 @@
 
 // ownership is the owner of a partition, or the leader.
 type ownership struct {
-	node     string // empty if nobody owns it
+	node     string // empty without an owner
 	revision uint64 // of the key, or of its deletion
 }
 
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -15,6 +15,8 @@
 // returned; it must not be adopted then.
 const returnedStillListed = 2 * time.Minute
 
+const millisecondsPerSecond = 1000
+
 // machineListing is what the leader knows of a machine from the cloud's lists.
 type machineListing struct {
 	listed     bool      // in the latest list
@@ -138,7 +140,7 @@
 		Zone:        machine.Zone,
 		Spot:        machine.Spot,
 		Partition:   partition,
-		CreatedAtMS: now.UnixMilli() - int64(machine.AgeS*1000),
+		CreatedAtMS: now.UnixMilli() - int64(machine.AgeS*millisecondsPerSecond),
 	}
 }
 
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -7,9 +7,13 @@
 	"slices"
 
 	"ambersill/internal/records"
+	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
+// bytesPerKB converts the limits of the settings.
+const bytesPerKB = 1024
+
 // groupEntry is the cached record of a group of machines.
 type groupEntry struct {
 	record   records.MachineGroupRecord
@@ -148,11 +152,15 @@
 // that none is divided for being large as long as there may be such programs.
 func (c *Controller) groupLimit() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
-		return int(c.settings.Cluster.State.ValueKB * 1024)
+		return int(c.settings.Cluster.State.ValueKB * bytesPerKB)
 	}
-	return int(c.limits.ValueKB * 1024)
+	return int(c.limits.ValueKB * bytesPerKB)
 }
 
+// groupsPerTxn returns how many groups of up to the given number of bytes may be written in
+// one transaction without making it too large; one may always be written.
+func groupsPerTxn(groupBytes int) int { return max(1, tuning.TxnBytes/groupBytes) }
+
 // sortEvents sorts events so that they can be applied one after the other: by revision, and
 // the pieces of a divided group, whose names are higher, before the rest of it. Otherwise
 // the machines of the pieces would be missing in between, and be taken for removed.
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -5,7 +5,6 @@
 	"log/slog"
 
 	"ambersill/internal/records"
-	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
 )
 
@@ -58,7 +57,7 @@
 	ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord,
 ) error {
 	limit := c.groupLimit()
-	maxWrites := min(c.limits.TxnOps, max(1, tuning.TxnBytes/limit))
+	maxWrites := min(c.limits.TxnOps, groupsPerTxn(limit))
 	var next groupChange
 	for _, change := range c.cluster.groupChanges(changes, limit) {
 		if len(next.writes) > 0 && len(next.writes)+len(change.writes) > maxWrites {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -41,7 +41,7 @@
 	contactLost bool
 }
 
-// runMembership keeps the node's lease and claims partitions that nobody owns.
+// runMembership keeps the node's lease and claims partitions without an owner.
 func (c *Controller) runMembership(ctx context.Context) error {
 	m := &membership{
 		controller: c,
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -26,7 +26,7 @@
 	recordedThisTerm bool
 }
 
-// recordedRental is a rental whose record still stands.
+// recordedRental is a rental whose record exists, since the cloud has not answered it.
 type recordedRental struct {
 	name string
 	rentalEntry
@@ -50,7 +50,7 @@
 // in one transaction, which deletes the rental's record as well.
 func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
 	limits := l.controller.limits
-	groups := min(limits.TxnOps-1, max(1, tuning.TxnBytes/int(limits.ValueKB*1024)))
+	groups := min(limits.TxnOps-1, groupsPerTxn(int(limits.ValueKB*bytesPerKB)))
 	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
 }
 
@@ -116,7 +116,7 @@
 	return !called && progress.recordedThisTerm && l.backoffs[rental.offering()].active(time.Now())
 }
 
-// dropRental deletes the record of a rental that nobody has called the cloud for.
+// dropRental deletes the record of a rental for which the cloud was never called.
 func (l *leader) dropRental(ctx context.Context, rental recordedRental) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
