--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"ambersill/internal/api"
-	"ambersill/internal/emulator"
 	"ambersill/internal/records"
 	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
@@ -28,7 +27,7 @@
 		groupRevision = 5  // of the machine's record
 		chunkRevision = 20
 	)
-	cluster := &simulatedCluster{nodes: []emulator.Node{{Name: "node-0", Addr: "10.0.0.1:8080"}}}
+	cluster := &simulatedCluster{nodes: simulatedNodes(1)}
 	c = New(cluster.settings(0), tuning.Default(), nil)
 	machine := records.MachineRecord{MachineType: "big", Zone: "a"}
 	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{fixtureMachine: machine}}
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -115,6 +115,7 @@
 		ctx:          ctx,
 		random:       rand.New(rand.NewPCG(seed, clusterStream)),
 		tuning:       tuning.Default(),
+		nodes:        simulatedNodes(controllerCount),
 		network:      emulator.NewNetwork(),
 		store:        emulator.NewKeyValueStore(),
 		noTeamLimits: seed%3 == 2,
@@ -122,12 +123,6 @@
 		cancelFuncs:  map[string]func(){},
 		finalPhases:  map[string]wire.JobPhase{},
 	}
-	for i := range controllerCount {
-		cluster.nodes = append(cluster.nodes, emulator.Node{
-			Name: fmt.Sprintf("node-%d", i),
-			Addr: fmt.Sprintf("10.0.0.%d:8080", i+1),
-		})
-	}
 	cluster.simulation = cluster.newSimulation()
 	cluster.cloud = cluster.newCloud()
 	cluster.store.Changed = cluster.checkStoreChange
@@ -138,6 +133,18 @@
 	return cluster
 }
 
+// simulatedNodes returns the names and public addresses of nodes.
+func simulatedNodes(count int) []emulator.Node {
+	var nodes []emulator.Node
+	for i := range count {
+		nodes = append(nodes, emulator.Node{
+			Name: fmt.Sprintf("node-%d", i),
+			Addr: fmt.Sprintf("10.0.0.%d:8080", i+1),
+		})
+	}
+	return nodes
+}
+
 // newSimulation returns the emulated workers and users, and the checker of the rules.
 func (cluster *simulatedCluster) newSimulation() *emulator.Simulation {
 	machineTypes := map[string]wire.MachineType{}
