--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -361,24 +361,35 @@
 // hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
 // all of a gang (one that must be spread is left out).
 func (w *Simulation) hasCapacityFor(job *wire.Job, up []*Worker) bool {
+	if job.IsGang() && job.SpreadZones {
+		return false
+	}
 	tasks := 1
 	if job.IsGang() {
 		tasks = job.Tasks
-		if job.SpreadZones {
-			return false
-		}
 	}
-	cpus, gpus := job.CPUs*float64(tasks), job.GPUs*float64(tasks)
+	cpus, gpus := usageWith(job, tasks, up)
+	return !w.overLimit(job.Team, cpus, gpus) && machinesFit(job, tasks, up)
+}
+
+// usageWith returns what a job's team would use with that many more of the job's tasks.
+func usageWith(job *wire.Job, tasks int, up []*Worker) (cpus, gpus float64) {
+	cpus = job.CPUs * float64(tasks)
+	gpus = job.GPUs * float64(tasks)
 	for _, k := range up {
 		for _, t := range k.tasks {
 			if t.job.Team == job.Team && t.state != wire.TaskExited {
-				cpus, gpus = cpus+t.job.CPUs, gpus+t.job.GPUs
+				cpus += t.job.CPUs
+				gpus += t.job.GPUs
 			}
 		}
 	}
-	if w.overLimit(job.Team, cpus, gpus) {
-		return false
-	}
+	return cpus, gpus
+}
+
+// machinesFit reports whether that many of a job's tasks fit on machines, of a single zone if
+// the job asks for that.
+func machinesFit(job *wire.Job, tasks int, up []*Worker) bool {
 	fitting := map[string]int{} // tasks that fit, by zone where all must be in one
 	for _, k := range up {
 		if !k.canRun(job) {
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -15,7 +15,7 @@
 )
 
 // connection is one end of a connection. Writes wait in a buffer, as in a kernel's, so that
-// the writer goes on while the other end is frozen.
+// the writer continues while the other end is frozen.
 type connection struct {
 	net.Conn
 	dialer, acceptor *Host // the hosts of both ends
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -31,7 +31,7 @@
 }
 
 // handleCommands executes a request's commands and responds, unless the machine can't: one
-// that hangs executes them when it goes on.
+// that hangs executes them when the hang ends.
 func (k *Worker) handleCommands(ctx context.Context, w http.ResponseWriter, request *wire.CommandRequest) {
 	k.simulation.mu.Lock()
 	defer k.simulation.mu.Unlock()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -103,7 +103,7 @@
 	case k.inboundCut:
 		k.nodeIndex++
 	case k.hung:
-		// What came meanwhile waits; the response is too old when the machine goes on.
+		// The response is not read before the hang ends, and too old by then.
 	case e.status == http.StatusOK:
 		k.acceptResponse(e)
 		// A quarter early, so that delays do not make a heartbeat late.
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -66,7 +66,7 @@
 }
 
 // after runs f for a task after a while, unless it has exited; a hanging
-// machine's timers wait until it goes on.
+// machine's timers wait until the hang ends.
 func (k *Worker) after(t *task, d time.Duration, f func()) {
 	if t.timer != nil {
 		t.timer.Stop()
