--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"errors"
 	"net/http"
 	"slices"
 	"testing"
@@ -68,7 +69,8 @@
 	handler := cloud.Handler()
 	func() {
 		defer func() {
-			if recovered := recover(); recovered != http.ErrAbortHandler {
+			recovered := recover()
+			if err, ok := recovered.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
 				t.Errorf("a lost response recovers as %v", recovered)
 			}
 		}()
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -108,13 +108,34 @@
 	// by then.
 	fault.Nodes = f.resolveNodes(fault.Nodes)
 	switch fault.Kind {
+	case StoreRefusesNode, StoreOutage, StoreSlow, WatchesStalled, ListsRefused, LateCommits, LostResponses:
+		f.injectStoreFault(ctx, fault)
+	case MachineHang, MachineInboundCut, MachineOutboundCut, DelayedCommands, MachineLost:
+		f.injectMachineFault(ctx, fault)
 	case ControllerCrash:
 		f.crashControllers(ctx, fault)
 	case SlowProcessor:
 		f.slowProcessors(ctx, fault)
 	case NodeFrozen:
 		f.freezeNodes(ctx, fault)
+	case LateHeartbeats:
+		f.copyHeartbeatsLate(ctx, fault)
+	case HeartbeatsForNextOwner:
+		f.replayToNextOwner(ctx, fault)
+	case SlowLinks:
+		f.delay(ctx, fault, f.Simulation.SetLinkDelay)
+	case NodeIsolated, PeersCut, WorkersCut, CloudCut, ZoneCut:
+		f.cutLinks(ctx, fault)
+	case CancelRunningJobs:
+		f.countInjected(fault.Kind, f.Cancel(fault.Count))
+	default:
+		panic(unknownFault(fault.Kind))
+	}
+}
 
+// injectStoreFault injects a fault of the key-value store.
+func (f *FaultInjector) injectStoreFault(ctx context.Context, fault Fault) {
+	switch fault.Kind {
 	case StoreRefusesNode:
 		f.refuseNodes(ctx, fault)
 	case StoreOutage:
@@ -129,14 +150,14 @@
 		f.executeCommitsLate(ctx, fault)
 	case LostResponses:
 		f.loseResponses(ctx, fault)
+	default:
+		panic(unknownFault(fault.Kind))
+	}
+}
 
-	case LateHeartbeats:
-		f.copyHeartbeatsLate(ctx, fault)
-	case HeartbeatsForNextOwner:
-		f.replayToNextOwner(ctx, fault)
-	case SlowLinks:
-		f.delay(ctx, fault, f.Simulation.SetLinkDelay)
-
+// injectMachineFault injects a fault of machines.
+func (f *FaultInjector) injectMachineFault(ctx context.Context, fault Fault) {
+	switch fault.Kind {
 	case MachineHang:
 		f.hangMachines(fault)
 	case MachineInboundCut:
@@ -147,17 +168,14 @@
 		f.delayCommands(ctx, fault)
 	case MachineLost:
 		f.loseMachines(fault)
-
-	case NodeIsolated, PeersCut, WorkersCut, CloudCut, ZoneCut:
-		f.cutLinks(ctx, fault)
-
-	case CancelRunningJobs:
-		f.countInjected(fault.Kind, f.Cancel(fault.Count))
 	default:
-		panic(fmt.Sprintf("emulator: no fault is called %q", fault.Kind))
+		panic(unknownFault(fault.Kind))
 	}
 }
 
+// unknownFault is what an injector panics with: the kinds are constants of this package.
+func unknownFault(kind FaultKind) string { return fmt.Sprintf("emulator: no fault is called %q", kind) }
+
 // resolveNodes returns the nodes that a fault names, with Owner and Others resolved.
 func (f *FaultInjector) resolveNodes(named []int) []int {
 	var nodes []int
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := httptest.NewRequest(method, target, bytes.NewReader(encoded))
+	r := httptest.NewRequestWithContext(t.Context(), method, target, bytes.NewReader(encoded))
 	r.RemoteAddr = testHost
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, r)
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -106,7 +106,7 @@
 		// The response is not read before the hang ends, and too old by then.
 	case e.status == http.StatusOK:
 		k.acceptResponse(e)
-		// A quarter early, so that delays do not make a heartbeat late.
+		// The protocol has workers send heartbeats up to a quarter early or late.
 		return k.simulation.HeartbeatInterval * 3 / 4
 	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != k.nodeIndex%len(k.simulation.Nodes):
 		k.nodeIndex = redirected
