--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -4,10 +4,9 @@
 	"context"
 	"errors"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
 
+	"ambersill/internal/servertest"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
@@ -15,16 +14,7 @@
 // newTestClient returns a client of a cloud that answers every request alike.
 func newTestClient(t *testing.T, status int, message any) *Client {
 	t.Helper()
-	body, err := wire.Marshal(message)
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(status)
-		_, _ = w.Write(body)
-	}))
-	t.Cleanup(server.Close)
-	client := New(transport.TCP{}, strings.TrimPrefix(server.URL, "http://"), 100)
+	client := New(transport.TCP{}, servertest.Start(t, status, message), 100)
 	t.Cleanup(client.http.CloseIdleConnections)
 	return client
 }
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -11,9 +11,6 @@
 	"ambersill/internal/wire"
 )
 
-// bytesPerKB converts the limits of the settings.
-const bytesPerKB = 1024
-
 // groupEntry is the cached record of a group of machines.
 type groupEntry struct {
 	record   records.MachineGroupRecord
@@ -152,9 +149,9 @@
 // that none is divided for being large as long as there may be such programs.
 func (c *Controller) groupLimit() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
-		return int(c.settings.Cluster.State.ValueKB * bytesPerKB)
+		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
 	}
-	return int(c.limits.ValueKB * bytesPerKB)
+	return records.ValueBytes(c.limits.ValueKB)
 }
 
 // groupsPerTxn returns how many groups of up to the given number of bytes may be written in
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -50,7 +50,7 @@
 // in one transaction, which deletes the rental's record as well.
 func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
 	limits := l.controller.limits
-	groups := min(limits.TxnOps-1, groupsPerTxn(int(limits.ValueKB*bytesPerKB)))
+	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
 	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
 }
 
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -4,11 +4,10 @@
 	"context"
 	"errors"
 	"net/http"
-	"net/http/httptest"
-	"strings"
 	"testing"
 	"time"
 
+	"ambersill/internal/servertest"
 	"ambersill/internal/transport"
 	"ambersill/internal/wire"
 )
@@ -18,18 +17,9 @@
 // newTestClient returns a client of a store that answers every request alike.
 func newTestClient(t *testing.T, status int, message any) *Client {
 	t.Helper()
-	body, err := wire.Marshal(message)
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(status)
-		_, _ = w.Write(body)
-	}))
-	t.Cleanup(server.Close)
 	client := New(Options{
 		Net:       transport.TCP{},
-		Addr:      strings.TrimPrefix(server.URL, "http://"),
+		Addr:      servertest.Start(t, status, message),
 		Timeout:   time.Second,
 		ReadRate:  100,
 		WriteRate: 100,
