--- a/internal/core/layout.go
+++ b/internal/core/layout.go
@@ -15,36 +15,36 @@
 // SizedChunks on each record says which tasks it holds, so that a chunk whose record
 // would outgrow a value can be split, and a change of the setting moves nothing.
 
-// firstChunk is the name of the chunk that holds a job's description.
-const firstChunk = "0"
+// firstChunkName is the name of the chunk that holds a job's description.
+const firstChunkName = "0"
 
 // FirstChunkKey is the key of the chunk that holds a job's description.
-func FirstChunkKey(part int, id string) string { return ChunkKey(part, id, firstChunk) }
+func FirstChunkKey(part int, id string) string { return ChunkKey(part, id, firstChunkName) }
 
 // IsFirstChunk tells whether a chunk's name is that of a job's first one.
-func IsFirstChunk(name string) bool { return name == firstChunk }
+func IsFirstChunk(name string) bool { return name == firstChunkName }
 
-// ChunkTasks is how many tasks a chunk of the first format holds.
-func ChunkTasks(s *config.Settings) int {
-	return max(1, int(s.Cluster.State.ValueKB*1024)/tuning.TaskBytes)
+// TasksPerChunk is how many tasks a chunk of the first format holds.
+func TasksPerChunk(settings *config.Settings) int {
+	return max(1, int(settings.Cluster.State.ValueKB*1024)/tuning.TaskBytes)
 }
 
 // chunkKey is the key of a chunk's record.
-func (p *Partition) chunkKey(c *chunk) string { return ChunkKey(p.Index, c.job.ID, c.name) }
+func (p *Partition) chunkKey(chunk *chunk) string { return ChunkKey(p.Index, chunk.job.ID, chunk.name) }
 
 // newChunk makes a chunk without a record.
-func (p *Partition) newChunk(j *Job, from, to int, sized bool) *chunk {
-	c := &chunk{job: j, index: from / p.perChunk, from: from, to: to, sized: sized}
+func (p *Partition) newChunk(job *Job, from, to int, sized bool) *chunk {
+	c := &chunk{job: job, index: from / p.tasksPerChunk, from: from, to: to, explicitRange: sized}
 	c.name = strconv.Itoa(c.index)
 	if sized && from > 0 {
-		c.name = sizedName(from)
+		c.name = ExplicitChunkName(from)
 	}
 	return c
 }
 
-// sizedName is the name of a chunk that begins at a task; it is no number, so that it is
+// ExplicitChunkName is the name of a chunk that begins at a task; it is no number, so that it is
 // never that of a chunk of the first format.
-func sizedName(from int) string { return "t" + strconv.Itoa(from) }
+func ExplicitChunkName(from int) string { return "t" + strconv.Itoa(from) }
 
 // extent is a range of tasks with the record that tells of them, if any.
 type extent struct {
@@ -53,35 +53,35 @@
 }
 
 // extentOf tells which tasks a record holds.
-func (p *Partition) extentOf(j *Job, r *LoadedChunk) (extent, bool) {
-	if r.Record.To > 0 {
-		e := extent{r.Record.From, min(r.Record.To, j.Tasks), r}
+func (p *Partition) extentOf(job *Job, loaded *LoadedChunk) (extent, bool) {
+	if loaded.Record.To > 0 {
+		e := extent{loaded.Record.From, min(loaded.Record.To, job.Tasks), loaded}
 		return e, e.from >= 0 && e.from < e.to
 	}
-	index, err := strconv.Atoi(r.Name)
-	if err != nil || index < 0 || index >= (j.Tasks+p.perChunk-1)/p.perChunk {
+	index, err := strconv.Atoi(loaded.Name)
+	if err != nil || index < 0 || index >= (job.Tasks+p.tasksPerChunk-1)/p.tasksPerChunk {
 		return extent{}, false
 	}
-	from := index * p.perChunk
-	return extent{from, min(from+p.perChunk, j.Tasks), r}, true
+	from := index * p.tasksPerChunk
+	return extent{from, min(from+p.tasksPerChunk, job.Tasks), loaded}, true
 }
 
 // extents divides a job's tasks by the records that tell of them. Where two do, the one
 // that begins later was split off from the other, and counts.
-func (p *Partition) extents(j *Job, records []*LoadedChunk) []extent {
+func (p *Partition) extents(job *Job, records []*LoadedChunk) []extent {
 	var known []extent
-	for _, r := range records {
-		if e, ok := p.extentOf(j, r); ok {
-			known = append(known, e)
+	for _, loaded := range records {
+		if extent, ok := p.extentOf(job, loaded); ok {
+			known = append(known, extent)
 		}
 	}
 	sort.Slice(known, func(a, b int) bool { return known[a].from < known[b].from })
 	var all []extent
-	for _, c := range j.chunks {
-		all = append(all, extent{c.from, c.to, nil})
+	for _, chunk := range job.chunks {
+		all = append(all, extent{chunk.from, chunk.to, nil})
 	}
-	for _, e := range known {
-		all = overlay(all, e)
+	for _, extent := range known {
+		all = overlay(all, extent)
 	}
 	return all
 }
@@ -108,52 +108,52 @@
 	return out
 }
 
-// layOut gives a job the chunks that its records show, and returns their states.
-func (p *Partition) layOut(j *Job, records []*LoadedChunk, states map[*chunk]*replay) {
-	sized := p.level >= SizedChunks || slices.ContainsFunc(records, func(r *LoadedChunk) bool { return r.Record.To > 0 })
+// layOutChunks gives a job the chunks that its records show, and returns their states.
+func (p *Partition) layOutChunks(job *Job, records []*LoadedChunk, states map[*chunk]*replayState) {
+	sized := p.featureLevel >= FeatureExplicitChunks || slices.ContainsFunc(records, func(loaded *LoadedChunk) bool { return loaded.Record.To > 0 })
 	heads := map[*LoadedChunk]*chunk{}
 	var chunks []*chunk
-	for _, e := range p.extents(j, records) {
-		c := p.newChunk(j, e.from, e.to, sized)
-		if r := e.record; r != nil {
-			if head := heads[r]; head == nil {
-				c.name, c.stamp, c.ranged = r.Name, r.Stamp, r.Record.To > 0
-				c.sized = c.ranged
-				heads[r] = c
+	for _, extent := range p.extents(job, records) {
+		chunk := p.newChunk(job, extent.from, extent.to, sized)
+		if loaded := extent.record; loaded != nil {
+			if head := heads[loaded]; head == nil {
+				chunk.name, chunk.revision, chunk.storedExplicitRange = loaded.Name, loaded.Revision, loaded.Record.To > 0
+				chunk.explicitRange = chunk.storedExplicitRange
+				heads[loaded] = chunk
 			} else {
 				// The record still tells of these tasks as well: they were to be split
 				// off, and their own record has not been written.
-				c.name, c.sized = sizedName(e.from), true
-				c.head = head
-				head.parts = append(head.parts, c)
+				chunk.name, chunk.explicitRange = ExplicitChunkName(extent.from), true
+				chunk.splitFrom = head
+				head.splitOff = append(head.splitOff, chunk)
 			}
-			states[c] = newReplay(&r.Record, e.from, e.to)
+			states[chunk] = newReplay(&loaded.Record, extent.from, extent.to)
 		}
-		chunks = append(chunks, c)
+		chunks = append(chunks, chunk)
 	}
-	j.chunks = chunks
+	job.chunks = chunks
 }
 
-// mayWrite tells whether a chunk's record may be written: all that was split off from it
+// splitsWritten tells whether a chunk's record may be written: all that was split off from it
 // must have records, since its own tells of their tasks as long as they have none.
-func (c *chunk) mayWrite() bool {
-	return !slices.ContainsFunc(c.parts, func(part *chunk) bool { return part.stamp == 0 })
+func (c *chunk) splitsWritten() bool {
+	return !slices.ContainsFunc(c.splitOff, func(piece *chunk) bool { return piece.revision == 0 })
 }
 
-// split divides a chunk into pieces whose records fit a value. The chunk keeps the first
+// splitChunk divides a chunk into pieces whose records fit a value. The chunk keeps the first
 // of them, and its name; the others are returned.
-func (p *Partition) split(c *chunk) []*chunk {
+func (p *Partition) splitChunk(c *chunk) []*chunk {
 	limit := p.valueBytes()
 	var cuts []int
-	size := chunkBytes
+	size := ChunkOverheadBytes
 	if c.from == 0 {
-		size += descriptionBytes(c.job.Job)
+		size += JobDescriptionBytes(c.job.Job)
 	}
 	for t := c.from; t < c.to; t++ {
 		n := c.taskBytes(t)
 		if size+n > limit && t > c.from {
 			cuts = append(cuts, t)
-			size = chunkBytes
+			size = ChunkOverheadBytes
 		}
 		size += n
 	}
@@ -162,7 +162,7 @@
 	}
 	at := slices.Index(c.job.chunks, c)
 	end := c.to
-	c.to, c.sized = cuts[0], true
+	c.to, c.explicitRange = cuts[0], true
 	var pieces []*chunk
 	for i, from := range cuts {
 		to := end
@@ -171,63 +171,63 @@
 		}
 		pieces = append(pieces, p.splitOff(c, from, to))
 	}
-	c.recount()
-	p.clean(c)
+	c.recountCommitted()
+	p.clearDirty(c)
 	c.job.chunks = slices.Insert(c.job.chunks, at+1, pieces...)
 	return pieces
 }
 
 // splitOff makes a chunk of some tasks of another.
 func (p *Partition) splitOff(c *chunk, from, to int) *chunk {
-	piece := &chunk{job: c.job, name: sizedName(from), index: c.index, from: from, to: to, sized: true,
-		version: c.version, committed: c.committed, since: c.since, oldest: c.oldest, touched: map[int]int{}}
+	piece := &chunk{job: c.job, name: ExplicitChunkName(from), index: c.index, from: from, to: to, explicitRange: true,
+		changeVersion: c.changeVersion, committedVersion: c.committedVersion, dirtySince: c.dirtySince, oldestUncompacted: c.oldestUncompacted, dirtyTasks: map[int]int{}}
 	switch {
-	case c.stamp != 0:
-		piece.head = c
-	case c.head != nil:
-		piece.head = c.head
+	case c.revision != 0:
+		piece.splitFrom = c
+	case c.splitFrom != nil:
+		piece.splitFrom = c.splitFrom
 	}
-	if piece.head != nil {
-		piece.head.parts = append(piece.head.parts, piece)
+	if piece.splitFrom != nil {
+		piece.splitFrom.splitOff = append(piece.splitFrom.splitOff, piece)
 	}
-	for t, version := range c.touched {
+	for t, version := range c.dirtyTasks {
 		if t >= from && t < to {
-			piece.touched[t] = version
-			delete(c.touched, t)
+			piece.dirtyTasks[t] = version
+			delete(c.dirtyTasks, t)
 		}
 	}
-	piece.recount()
-	if len(piece.touched) > 0 {
-		p.dirty[piece] = true
+	piece.recountCommitted()
+	if len(piece.dirtyTasks) > 0 {
+		p.dirtyChunks[piece] = true
 	}
-	if piece.oldest > 0 {
-		p.unfolded[piece] = true
+	if piece.oldestUncompacted > 0 {
+		p.uncompactedChunks[piece] = true
 	}
 	return piece
 }
 
-// recount finds the version up to which all changes are recorded.
-func (c *chunk) recount() {
-	c.committed = c.version
-	for _, v := range c.touched {
-		c.committed = min(c.committed, v-1)
+// recountCommitted finds the version up to which all changes are recorded.
+func (c *chunk) recountCommitted() {
+	c.committedVersion = c.changeVersion
+	for _, v := range c.dirtyTasks {
+		c.committedVersion = min(c.committedVersion, v-1)
 	}
 }
 
-// clean takes a chunk off the list of those with changes to record if it has none.
-func (p *Partition) clean(c *chunk) {
-	if len(c.touched) == 0 {
-		delete(p.dirty, c)
+// clearDirty takes a chunk off the list of those with changes to record if it has none.
+func (p *Partition) clearDirty(chunk *chunk) {
+	if len(chunk.dirtyTasks) == 0 {
+		delete(p.dirtyChunks, chunk)
 	}
 }
 
 // taskBytes is what a task may take of its chunk's record.
 func (c *chunk) taskBytes(task int) int {
-	if c.job.tasks[task] == done {
-		return rangeBytes
+	if c.job.taskStates[task] == taskDone {
+		return RangeBytes
 	}
-	if pl := c.job.placed[task]; pl != nil {
-		return max(pl.live().bytes(), usualTaskBytes)
+	if placement := c.job.placements[task]; placement != nil {
+		return max(placement.record().SizeBound(), usualTaskBytes)
 	}
 	return usualTaskBytes
 }
@@ -235,9 +235,9 @@
 // usualTaskBytes is what a placement mostly takes; one that waits will take as much.
 const usualTaskBytes = 32
 
-// LowerLimits halves what the next commits may hold, after the state service has found
+// ReduceLimits halves what the next commits may hold, after the state service has found
 // one invalid: its limits are lower than the settings say.
-func (p *Partition) LowerLimits() {
+func (p *Partition) ReduceLimits() {
 	p.limits.ValueKB = max(p.limits.ValueKB/2, leastValueKB)
 	p.limits.TxnOps = max(p.limits.TxnOps/2, leastTxnOps)
 }
@@ -252,20 +252,20 @@
 // valueBytes is the size of the largest value that may be written.
 func (p *Partition) valueBytes() int { return int(p.limits.ValueKB * 1024) }
 
-// outdated finds a record to be written anew for the sake of its format: one of the first
+// outdatedChunk finds a record to be written anew for the sake of its format: one of the first
 // format, or one that a chunk which was split off still lacks.
-func (p *Partition) outdated() *chunk {
+func (p *Partition) outdatedChunk() *chunk {
 	for _, id := range sortedKeys(p.jobs) {
-		j := p.jobs[id]
-		if j.final || j.dropping() {
+		job := p.jobs[id]
+		if job.finalized || job.recordsDue() {
 			continue
 		}
-		for i := len(j.chunks) - 1; i >= 0; i-- {
-			c := j.chunks[i]
-			old := c.stamp != 0 && !c.ranged
-			lacking := c.stamp == 0 && c.head != nil
-			if (old && c.mayWrite()) || lacking {
-				return c
+		for i := len(job.chunks) - 1; i >= 0; i-- {
+			chunk := job.chunks[i]
+			old := chunk.revision != 0 && !chunk.storedExplicitRange
+			lacking := chunk.revision == 0 && chunk.splitFrom != nil
+			if (old && chunk.splitsWritten()) || lacking {
+				return chunk
 			}
 		}
 	}
@@ -274,42 +274,42 @@
 
 // writeChunk adds a chunk's record to a batch of at most so many changes. One that would
 // outgrow a value is split first, and the pieces are written before it.
-func (p *Partition) writeChunk(b *Batch, size *int, most int, c *chunk) {
-	if p.level >= SizedChunks {
-		c.sized = true
-		if rec := c.record(); rec.bytes() > p.valueBytes() {
-			for _, piece := range slices.Backward(p.split(c)) {
-				p.writeChunk(b, size, most, piece)
+func (p *Partition) writeChunk(batch *Batch, size *int, most int, chunk *chunk) {
+	if p.featureLevel >= FeatureExplicitChunks {
+		chunk.explicitRange = true
+		if record := chunk.record(); record.SizeBound() > p.valueBytes() {
+			for _, piece := range slices.Backward(p.splitChunk(chunk)) {
+				p.writeChunk(batch, size, most, piece)
 			}
 		}
 	}
-	if len(b.Txn.Then) >= most || !c.mayWriteWith(b) {
+	if len(batch.Txn.Writes) >= most || !chunk.splitsWrittenBy(batch) {
 		return
 	}
-	rec := c.record()
-	rec.Seq = p.seq
-	n := rec.bytes()
+	record := chunk.record()
+	record.JournalSequence = p.journalSequence
+	n := record.SizeBound()
 	if *size > 0 && *size+n > tuning.TxnBytes {
 		return
 	}
 	*size += n
-	key := p.chunkKey(c)
-	b.Txn.If = append(b.Txn.If, wire.Cond{Key: key, Revision: c.stamp})
-	b.Txn.Then = append(b.Txn.Then, wire.Write{Put: key, Value: rec})
-	b.folds = append(b.folds, foldWrite{c, c.version, c.sized})
+	key := p.chunkKey(chunk)
+	batch.Txn.Compares = append(batch.Txn.Compares, wire.Compare{Key: key, Revision: chunk.revision})
+	batch.Txn.Writes = append(batch.Txn.Writes, wire.Write{Put: key, Value: record})
+	batch.chunkWrites = append(batch.chunkWrites, chunkWrite{chunk, chunk.changeVersion, chunk.explicitRange})
 }
 
-// mayWriteWith is mayWrite, with the records of a batch taken as written.
-func (c *chunk) mayWriteWith(b *Batch) bool {
-	for _, part := range c.parts {
-		if part.stamp == 0 && !b.folding(part) {
+// splitsWrittenBy is mayWrite, with the records of a batch taken as written.
+func (c *chunk) splitsWrittenBy(batch *Batch) bool {
+	for _, piece := range c.splitOff {
+		if piece.revision == 0 && !batch.writesChunk(piece) {
 			return false
 		}
 	}
 	return true
 }
 
-// folding tells whether a batch writes a chunk's record.
-func (b *Batch) folding(c *chunk) bool {
-	return slices.ContainsFunc(b.folds, func(f foldWrite) bool { return f.c == c })
+// writesChunk tells whether a batch writes a chunk's record.
+func (b *Batch) writesChunk(chunk *chunk) bool {
+	return slices.ContainsFunc(b.chunkWrites, func(f chunkWrite) bool { return f.chunk == chunk })
 }
--- a/internal/core/level.go
+++ b/internal/core/level.go
@@ -7,12 +7,12 @@
 
 // The feature levels.
 const (
-	// FirstFormat: chunks are laid out by a setting.
-	FirstFormat FeatureLevel = iota
-	// SizedChunks: chunks' records say which tasks they hold, and may be split.
-	SizedChunks
-	// CurrentLevel is the highest that this program knows.
-	CurrentLevel = SizedChunks
+	// FeatureInitialFormat: chunks are laid out by a setting.
+	FeatureInitialFormat FeatureLevel = iota
+	// FeatureExplicitChunks: chunks' records say which tasks they hold, and may be split.
+	FeatureExplicitChunks
+	// CurrentFeatureLevel is the highest that this program knows.
+	CurrentFeatureLevel = FeatureExplicitChunks
 )
 
 // NodeRecord is what a live controller says of itself. Programs of the first format leave
@@ -28,7 +28,7 @@
 }
 
 // Level is the cluster's feature level as far as the partition was told.
-func (p *Partition) Level() FeatureLevel { return p.level }
+func (p *Partition) Level() FeatureLevel { return p.featureLevel }
 
 // SetLevel tells the cluster's feature level.
-func (p *Partition) SetLevel(level FeatureLevel) { p.level = max(p.level, level) }
+func (p *Partition) SetLevel(level FeatureLevel) { p.featureLevel = max(p.featureLevel, level) }
--- a/internal/core/load.go
+++ b/internal/core/load.go
@@ -9,166 +9,166 @@
 
 // LoadedChunk is a chunk's record as its key shows it.
 type LoadedChunk struct {
-	Job    string
-	Name   string
-	Stamp  uint64
-	Record ChunkRecord
+	JobID    string
+	Name     string
+	Revision uint64
+	Record   ChunkRecord
 }
 
-// LoadedSlot is a journal record as its key shows it.
-type LoadedSlot struct {
-	Stamp  uint64
-	Record JournalRecord
+// LoadedJournalRecord is a journal record as its key shows it.
+type LoadedJournalRecord struct {
+	Revision uint64
+	Record   JournalRecord
 }
 
-// Load takes in all records of the part after a takeover. The machines must be
+// Restore takes in all records of the part after a takeover. The machines must be
 // known already.
-func (p *Partition) Load(chunks []LoadedChunk, journal []LoadedSlot) {
+func (p *Partition) Restore(chunks []LoadedChunk, journal []LoadedJournalRecord) {
 	records := map[string][]*LoadedChunk{}
 	for i := range chunks {
-		c := &chunks[i]
-		if IsFirstChunk(c.Name) && c.Record.Job != nil {
-			j := p.AddJob(c.Record.Job, time.UnixMilli(c.Record.At), c.Stamp)
-			if c.Record.JobStamp > 0 {
-				j.Stamp = c.Record.JobStamp
+		loaded := &chunks[i]
+		if IsFirstChunk(loaded.Name) && loaded.Record.Job != nil {
+			job := p.AddJob(loaded.Record.Job, time.UnixMilli(loaded.Record.SubmittedAtMS), loaded.Revision)
+			if loaded.Record.JobRevision > 0 {
+				job.Revision = loaded.Record.JobRevision
 			}
 		}
-		records[c.Job] = append(records[c.Job], c)
-		p.seq = max(p.seq, c.Record.Seq)
+		records[loaded.JobID] = append(records[loaded.JobID], loaded)
+		p.journalSequence = max(p.journalSequence, loaded.Record.JournalSequence)
 	}
-	states := map[*chunk]*replay{}
+	states := map[*chunk]*replayState{}
 	for _, id := range sortedKeys(p.jobs) {
-		p.layOut(p.jobs[id], records[id], states)
+		p.layOutChunks(p.jobs[id], records[id], states)
 	}
-	sort.Slice(journal, func(a, b int) bool { return journal[a].Record.Seq < journal[b].Record.Seq })
+	sort.Slice(journal, func(a, b int) bool { return journal[a].Record.Sequence < journal[b].Record.Sequence })
 	for _, s := range journal {
-		p.seq = max(p.seq, s.Record.Seq)
-		p.slots[p.slot(s.Record.Seq)] = s.Stamp
+		p.journalSequence = max(p.journalSequence, s.Record.Sequence)
+		p.slotRevisions[p.journalSlot(s.Record.Sequence)] = s.Revision
 		for i := range s.Record.Entries {
-			e := &s.Record.Entries[i]
-			if j := p.jobs[e.Job]; j != nil { // else it is over: its records are gone
-				j.replay(s.Record.Seq, e, states)
+			entry := &s.Record.Entries[i]
+			if job := p.jobs[entry.Job]; job != nil { // else it is over: its records are gone
+				job.applyEntry(s.Record.Sequence, entry, states)
 			}
 		}
 	}
 	for _, id := range sortedKeys(p.jobs) {
-		for _, c := range p.jobs[id].chunks {
-			if r := states[c]; r != nil {
-				p.restore(c, r)
+		for _, chunk := range p.jobs[id].chunks {
+			if state := states[chunk]; state != nil {
+				p.restoreChunk(chunk, state)
 			}
 		}
 	}
-	for _, j := range p.jobs {
-		if j.Shape == wire.Gang && j.done > 0 {
+	for _, job := range p.jobs {
+		if job.Shape == wire.GangJob && job.doneTasks > 0 {
 			// Its records may have been on the way when the last owner ended. The tasks
 			// complete together, and what is left of it could never be placed again.
-			p.finishGang(j)
+			p.finishGang(job)
 		}
-		j.broken = j.Shape == wire.Gang && j.done == 0 && len(j.placed) > 0 && len(j.placed) < j.Tasks
+		job.gangBroken = job.Shape == wire.GangJob && job.doneTasks == 0 && len(job.placements) > 0 && len(job.placements) < job.Tasks
 	}
 }
 
-// replay is a chunk's state while journal entries are applied to it.
-type replay struct {
-	seq  uint64 // the newest journal record whose changes are all in the chunk's record
-	try  uint64
-	done map[int]bool
-	live map[int]LiveRecord
+// replayState is a chunk's state while journal entries are applied to it.
+type replayState struct {
+	sequence uint64 // the newest journal record whose changes are all in the chunk's record
+	attempt  uint64
+	done     map[int]bool
+	live     map[int]PlacementRecord
 }
 
 // newReplay is the state of a range of tasks as a record shows it.
-func newReplay(c *ChunkRecord, from, to int) *replay {
-	r := &replay{seq: c.Seq, try: c.Try, done: map[int]bool{}, live: map[int]LiveRecord{}}
-	eachIn(c.Done, func(t int) {
+func newReplay(record *ChunkRecord, from, to int) *replayState {
+	state := &replayState{sequence: record.JournalSequence, attempt: record.HighestAttempt, done: map[int]bool{}, live: map[int]PlacementRecord{}}
+	ForEachInRanges(record.DoneRanges, func(t int) {
 		if t >= from && t < to {
-			r.done[t] = true
+			state.done[t] = true
 		}
 	})
-	for _, l := range c.Live {
-		if l.Task >= from && l.Task < to {
-			r.live[l.Task] = l
+	for _, placed := range record.Placements {
+		if placed.Task >= from && placed.Task < to {
+			state.live[placed.Task] = placed
 		}
 	}
-	return r
+	return state
 }
 
-// replay applies a journal entry to the chunks whose records lack it.
-func (j *Job) replay(seq uint64, e *JournalEntry, states map[*chunk]*replay) {
-	j.try = max(j.try, e.Try)
-	lacking := func(task int) *replay {
+// applyEntry applies a journal entry to the chunks whose records lack it.
+func (j *Job) applyEntry(seq uint64, entry *JournalEntry, states map[*chunk]*replayState) {
+	j.highestAttempt = max(j.highestAttempt, entry.HighestAttempt)
+	lacking := func(task int) *replayState {
 		if task < 0 || task >= j.Tasks {
 			return nil
 		}
-		c := j.chunkOf(task)
-		r := states[c]
-		if r == nil {
-			r = newReplay(&ChunkRecord{}, c.from, c.to)
-			states[c] = r
+		chunk := j.chunkOf(task)
+		state := states[chunk]
+		if state == nil {
+			state = newReplay(&ChunkRecord{}, chunk.from, chunk.to)
+			states[chunk] = state
 		}
-		if seq <= r.seq {
+		if seq <= state.sequence {
 			return nil
 		}
-		if c.oldest == 0 {
-			c.oldest = seq
+		if chunk.oldestUncompacted == 0 {
+			chunk.oldestUncompacted = seq
 		}
-		return r
+		return state
 	}
-	eachIn(e.Done, func(t int) {
-		if r := lacking(t); r != nil {
-			r.done[t] = true
-			delete(r.live, t)
+	ForEachInRanges(entry.DoneRanges, func(t int) {
+		if state := lacking(t); state != nil {
+			state.done[t] = true
+			delete(state.live, t)
 		}
 	})
-	eachIn(e.Free, func(t int) {
-		if r := lacking(t); r != nil {
-			delete(r.live, t)
+	ForEachInRanges(entry.WaitingRanges, func(t int) {
+		if state := lacking(t); state != nil {
+			delete(state.live, t)
 		}
 	})
-	for _, l := range e.Live {
-		if r := lacking(l.Task); r != nil {
-			r.live[l.Task] = l
+	for _, placed := range entry.Placements {
+		if state := lacking(placed.Task); state != nil {
+			state.live[placed.Task] = placed
 		}
 	}
 }
 
-// restore takes in a chunk's state as its record and the journal show it.
-func (p *Partition) restore(c *chunk, r *replay) {
-	j := c.job
-	if c.oldest > 0 {
-		p.unfolded[c] = true
+// restoreChunk takes in a chunk's state as its record and the journal show it.
+func (p *Partition) restoreChunk(chunk *chunk, state *replayState) {
+	job := chunk.job
+	if chunk.oldestUncompacted > 0 {
+		p.uncompactedChunks[chunk] = true
 	}
-	j.try = max(j.try, r.try)
-	for t := c.from; t < c.to; t++ {
-		if r.done[t] {
-			j.tasks[t] = done
-			j.waiting--
-			j.done++
+	job.highestAttempt = max(job.highestAttempt, state.attempt)
+	for t := chunk.from; t < chunk.to; t++ {
+		if state.done[t] {
+			job.taskStates[t] = taskDone
+			job.waitingTasks--
+			job.doneTasks++
 			continue
 		}
-		l, live := r.live[t]
+		placed, live := state.live[t]
 		if !live {
 			continue
 		}
-		m := p.machines[l.Machine]
-		if m == nil {
+		machine := p.machines[placed.Machine]
+		if machine == nil {
 			// The machine's record goes only after its return was answered
 			// with 200, so nothing of it can be live.
-			p.touch(c, t)
+			p.markDirty(chunk, t)
 			continue
 		}
 		// An earlier owner's start counts as sent and seen: it is never
 		// repeated, since it may have been cleared.
-		p.attach(&Placement{job: j, task: t, try: l.Try, machine: m, session: l.Session, sent: true, seen: true})
+		p.attach(&Placement{job: job, task: t, attempt: placed.Attempt, machine: machine, incarnation: placed.Incarnation, startSent: true, observed: true})
 	}
 }
 
-// maxSpan bounds a range read from a record, so that a damaged one does no harm.
-const maxSpan = 1 << 17
+// maxRangeLength bounds a range read from a record, so that a damaged one does no harm.
+const maxRangeLength = 1 << 17
 
-// eachIn visits the tasks of flattened ranges.
-func eachIn(r []int, f func(int)) {
+// ForEachInRanges visits the tasks of flattened ranges.
+func ForEachInRanges(r []int, f func(int)) {
 	for i := 0; i+1 < len(r); i += 2 {
-		for t := r[i]; t < r[i+1] && t-r[i] < maxSpan; t++ {
+		for t := r[i]; t < r[i+1] && t-r[i] < maxRangeLength; t++ {
 			f(t)
 		}
 	}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -7,39 +7,39 @@
 	"ambersill/internal/wire"
 )
 
-// TakeoverOrder is an empty order, which raises a machine's token, so that an earlier
+// FencingRequest is an empty order, which raises a machine's token, so that an earlier
 // owner's commands can no longer take effect.
-func (p *Partition) TakeoverOrder(id string) (wire.Orders, bool) {
-	m := p.machines[id]
-	if m == nil || m.Rec.Free {
-		return wire.Orders{}, false
+func (p *Partition) FencingRequest(id string) (wire.CommandRequest, bool) {
+	machine := p.machines[id]
+	if machine == nil || machine.Record.Released {
+		return wire.CommandRequest{}, false
 	}
-	return wire.Orders{Token: m.token, Session: m.session, Commands: []wire.Command{}}, true
+	return wire.CommandRequest{FencingToken: machine.fencingToken, Incarnation: machine.incarnation, Commands: []wire.Command{}}, true
 }
 
-// Unheard lists the machines with work of an earlier owner that have not shown the
+// MachinesNotFenced lists the machines with work of an earlier owner that have not shown the
 // present token yet.
-func (p *Partition) Unheard() []string {
+func (p *Partition) MachinesNotFenced() []string {
 	var out []string
-	for _, id := range p.order {
-		if m := p.machines[id]; !m.acked && !m.spoken && len(m.places) > 0 {
+	for _, id := range p.machineIDs {
+		if machine := p.machines[id]; !machine.tokenAcknowledged && !machine.everAcknowledged && len(machine.placements) > 0 {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Urgent lists machines that should hear orders before their next report. fresh: as with
+// MachinesAwaitingCommands lists machines that should hear orders before their next report. fresh: as with
 // Report; without, only stops of cancelled jobs are orders.
-func (p *Partition) Urgent(fresh bool) []string {
+func (p *Partition) MachinesAwaitingCommands(fresh bool) []string {
 	var out []string
-	for _, id := range p.order {
-		m := p.machines[id]
-		if !m.acked || m.leaseExpired || m.ordering || m.unconfirmed {
+	for _, id := range p.machineIDs {
+		machine := p.machines[id]
+		if !machine.tokenAcknowledged || machine.leaseExpired || machine.commandInFlight || machine.commandUnconfirmed {
 			continue
 		}
-		for _, pl := range m.places {
-			if pl.stops(fresh) || (fresh && !pl.sent && !m.notice && p.startable(pl)) {
+		for _, placement := range machine.placements {
+			if placement.stopUnsent(fresh) || (fresh && !placement.startSent && !machine.terminationNotice && p.startable(placement)) {
 				out = append(out, id)
 				break
 			}
@@ -48,92 +48,92 @@
 	return out
 }
 
-// stops tells whether the placement's stop is still to be ordered.
-func (pl *Placement) stops(fresh bool) bool {
-	return pl.kill != nil && !pl.kill.told && (fresh || pl.job.Cancelled)
+// stopUnsent tells whether the placement's stop is still to be ordered.
+func (pl *Placement) stopUnsent(fresh bool) bool {
+	return pl.stopRequest != nil && !pl.stopRequest.sent && (fresh || pl.job.Cancelled)
 }
 
 // startable tells whether a placement's start may leave: only after it is committed.
-func (p *Partition) startable(pl *Placement) bool {
-	return !pl.seen && pl.kill == nil && !pl.over && !pl.job.Cancelled &&
-		pl.session == pl.machine.session && pl.chunk().committed >= pl.version
+func (p *Partition) startable(placement *Placement) bool {
+	return !placement.observed && placement.stopRequest == nil && !placement.gangDone && !placement.job.Cancelled &&
+		placement.incarnation == placement.machine.incarnation && placement.chunk().committedVersion >= placement.chunkVersion
 }
 
-// startables are the machine's placements whose starts may leave, in order.
-func (p *Partition) startables(m *Machine) []attempt {
-	for _, pl := range m.places {
-		if p.startable(pl) {
-			return slices.DeleteFunc(sortedAttempts(m.places), func(k attempt) bool { return !p.startable(m.places[k]) })
+// startableTasks are the machine's placements whose starts may leave, in order.
+func (p *Partition) startableTasks(machine *Machine) []taskAttempt {
+	for _, placement := range machine.placements {
+		if p.startable(placement) {
+			return slices.DeleteFunc(sortedTaskAttempts(machine.placements), func(key taskAttempt) bool { return !p.startable(machine.placements[key]) })
 		}
 	}
 	return nil
 }
 
-// Orders gives the starts and stops to send straight to a machine. Until the
+// DirectCommands gives the starts and stops to send straight to a machine. Until the
 // order is answered nothing else starts or is cleared there: a copy that is held
 // back on the way could start a task once more after it was cleared.
-func (p *Partition) Orders(id string, fresh bool) (wire.Orders, bool) {
-	m := p.machines[id]
-	if m == nil || m.ordering || m.unconfirmed || !m.acked {
-		return wire.Orders{}, false
+func (p *Partition) DirectCommands(id string, fresh bool) (wire.CommandRequest, bool) {
+	machine := p.machines[id]
+	if machine == nil || machine.commandInFlight || machine.commandUnconfirmed || !machine.tokenAcknowledged {
+		return wire.CommandRequest{}, false
 	}
-	o := wire.Orders{Token: m.token, Session: m.session}
-	for _, k := range sortedAttempts(m.places) {
+	o := wire.CommandRequest{FencingToken: machine.fencingToken, Incarnation: machine.incarnation}
+	for _, key := range sortedTaskAttempts(machine.placements) {
 		if len(o.Commands) >= tuning.MaxCommands {
 			break
 		}
-		pl := m.places[k]
+		placement := machine.placements[key]
 		switch {
-		case pl.stops(fresh):
-			pl.kill.told = true
-			o.Commands = append(o.Commands, wire.Command{Op: wire.Stop, Task: k.task, Attempt: k.try, Grace: pl.kill.grace})
-		case fresh && !pl.sent && !m.notice && p.startable(pl):
+		case placement.stopUnsent(fresh):
+			placement.stopRequest.sent = true
+			o.Commands = append(o.Commands, wire.Command{Op: wire.StopTask, Task: key.task, Attempt: key.attempt, GracePeriodS: placement.stopRequest.gracePeriodS})
+		case fresh && !placement.startSent && !machine.terminationNotice && p.startable(placement):
 			// A start sent in the answer to a report is repeated only there.
-			pl.sent, pl.sentSeq, pl.direct = true, m.reported, m.token
-			o.Commands = append(o.Commands, wire.Command{Op: wire.Start, Task: k.task, Attempt: k.try})
-			m.ordering = true
+			placement.startSent, placement.startSequence, placement.directToken = true, machine.heartbeatSequence, machine.fencingToken
+			o.Commands = append(o.Commands, wire.Command{Op: wire.StartTask, Task: key.task, Attempt: key.attempt})
+			machine.commandInFlight = true
 		}
 	}
 	return o, len(o.Commands) > 0
 }
 
-// OrderOutcome is what became of an order.
-type OrderOutcome int
+// CommandOutcome is what became of an order.
+type CommandOutcome int
 
 // The outcomes of an order.
 const (
-	OrderExecuted OrderOutcome = iota
-	OrderDropped               // refused by the worker, or never left
-	OrderUnknown
+	CommandsExecuted    CommandOutcome = iota
+	CommandsNotExecuted                // refused by the worker, or never left
+	CommandsUnknown
 )
 
-// Ordered notes what became of an order. Without an answer its starts may
+// HandleCommandOutcome notes what became of an order. Without an answer its starts may
 // still be carried out as long as token and session match, so the token has to
 // be raised before anything is concluded from the tasks' absence.
-func (p *Partition) Ordered(o wire.Orders, id string, outcome OrderOutcome) {
-	m := p.machines[id]
-	if m == nil {
+func (p *Partition) HandleCommandOutcome(o wire.CommandRequest, id string, outcome CommandOutcome) {
+	machine := p.machines[id]
+	if machine == nil {
 		return
 	}
 	for _, c := range o.Commands {
-		pl := m.places[attempt{c.Task, c.Attempt}]
+		placement := machine.placements[taskAttempt{c.Task, c.Attempt}]
 		switch {
-		case pl == nil:
-		case c.Op == wire.Stop && outcome == OrderDropped && pl.kill != nil:
-			pl.kill.told = false
-		case c.Op != wire.Start || !m.ordering:
-		case outcome == OrderExecuted:
-			pl.seen = true
-		case outcome == OrderDropped:
+		case placement == nil:
+		case c.Op == wire.StopTask && outcome == CommandsNotExecuted && placement.stopRequest != nil:
+			placement.stopRequest.sent = false
+		case c.Op != wire.StartTask || !machine.commandInFlight:
+		case outcome == CommandsExecuted:
+			placement.observed = true
+		case outcome == CommandsNotExecuted:
 			// One that is to be stopped by now is not sent again; the next report shows
 			// that it is not there. Taken as not sent, nothing would ever free it.
-			pl.sent, pl.direct = pl.kill != nil, 0
+			placement.startSent, placement.directToken = placement.stopRequest != nil, 0
 		default:
-			m.unconfirmed, m.unconfirmedToken = true, m.token
+			machine.commandUnconfirmed, machine.unconfirmedToken = true, machine.fencingToken
 		}
 	}
-	if m.ordering {
-		m.ordering = false
-		p.room++
+	if machine.commandInFlight {
+		machine.commandInFlight = false
+		p.capacityVersion++
 	}
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -8,81 +8,81 @@
 	"ambersill/internal/wire"
 )
 
-// preemptFor stops work of lower rank, or what another team runs beyond its
+// preempt stops work of lower rank, or what another team runs beyond its
 // guarantee, for a job that finds no room.
-func (p *Partition) preemptFor(j *Job, n int, now time.Time) {
-	if now.Sub(j.preempted) < tuning.Seconds(p.t.PreemptGapS) {
+func (p *Partition) preempt(job *Job, n int, now time.Time) {
+	if now.Sub(job.lastPreemption) < tuning.Seconds(p.tuning.PreemptGapS) {
 		return
 	}
-	if !p.mayOutrank(j) || now.Sub(j.searched) < tuning.Seconds(p.t.SearchGapS) {
+	if !p.mayPreempt(job) || now.Sub(job.lastPreemptionSearch) < tuning.Seconds(p.tuning.SearchGapS) {
 		return
 	}
-	j.searched = now
-	where := p.fit(j, n, now, p.all(), func(m *Machine) Room { return p.freeFor(j, m) })
-	if len(where) == 0 || (j.Shape == wire.Gang && len(where) < n) {
+	job.lastPreemptionSearch = now
+	where := p.findMachines(job, n, now, p.allMachines(), func(machine *Machine) Vector { return p.resourcesAfterPreemption(job, machine) })
+	if len(where) == 0 || (job.Shape == wire.GangJob && len(where) < n) {
 		return
 	}
 	want := map[*Machine]int{}
-	for _, m := range where {
-		want[m]++
+	for _, machine := range where {
+		want[machine]++
 	}
-	j.preempted, j.held = now, true
-	for _, m := range where {
-		if tasks, ok := want[m]; ok {
-			delete(want, m)
-			p.makeRoom(j, m, tasks, now)
+	job.lastPreemption, job.awaitingPreemption = now, true
+	for _, machine := range where {
+		if tasks, ok := want[machine]; ok {
+			delete(want, machine)
+			p.preemptOnMachine(job, machine, tasks, now)
 		}
 	}
 }
 
-// freeFor is a machine's room for a job with all that yields to it gone.
-func (p *Partition) freeFor(j *Job, m *Machine) Room {
-	room := m.free()
-	for _, pl := range m.places {
-		if p.yields(pl, j) {
-			room = room.add(need(pl.job.Job))
+// resourcesAfterPreemption is a machine's room for a job with all that yields to it gone.
+func (p *Partition) resourcesAfterPreemption(job *Job, machine *Machine) Vector {
+	room := machine.free()
+	for _, placement := range machine.placements {
+		if p.preemptible(placement, job) {
+			room = room.Add(OfJob(placement.job.Job))
 		}
 	}
 	return room
 }
 
-// makeRoom stops as much on a machine as some tasks of a job take, and keeps the room.
-func (p *Partition) makeRoom(j *Job, m *Machine, tasks int, now time.Time) {
-	goal := need(j.Job).times(tasks)
-	room := m.free()
-	for _, pl := range m.places {
-		if pl.kill != nil {
-			room = room.add(need(pl.job.Job))
+// preemptOnMachine stops as much on a machine as some tasks of a job take, and keeps the room.
+func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
+	goal := OfJob(job.Job).Scale(tasks)
+	room := machine.free()
+	for _, placement := range machine.placements {
+		if placement.stopRequest != nil {
+			room = room.Add(OfJob(placement.job.Job))
 		}
 	}
 	grace := 0.0
-	for _, pl := range p.victims(j, m, now) {
-		if room.holds(goal) {
+	for _, placement := range p.victims(job, machine, now) {
+		if room.Contains(goal) {
 			break
 		}
-		if pl.kill != nil {
+		if placement.stopRequest != nil {
 			continue
 		}
-		room = room.add(need(pl.job.Job))
-		if pl.job.placed[pl.task] != pl {
+		room = room.Add(OfJob(placement.job.Job))
+		if placement.job.placements[placement.task] != placement {
 			continue // its gang was stopped with a mate before it, and it had not left yet
 		}
-		grace = max(grace, pl.job.Save)
+		grace = max(grace, placement.job.CheckpointSaveS)
 		p.Preempted++
-		p.stopWhole(pl, now)
+		p.stopGracefully(placement, now)
 	}
-	m.reserved = j.ID
-	m.resUntil = now.Add(tuning.Seconds(grace + p.t.GraceS + 3*p.s.Cluster.Workers.ReportS))
+	machine.reservedFor = job.ID
+	machine.reservedUntil = now.Add(tuning.Seconds(grace + p.tuning.GraceS + 3*p.settings.Cluster.Workers.ReportS))
 }
 
 // victims lists what yields to a job on a machine, in the order in which it is stopped. A
 // start that is stopped at once does not count, so settled tasks that can save go first; of
 // the others those that have run the least lose the least.
-func (p *Partition) victims(j *Job, m *Machine, now time.Time) []*Placement {
+func (p *Partition) victims(job *Job, machine *Machine, now time.Time) []*Placement {
 	var out []*Placement
-	for _, k := range sortedAttempts(m.places) {
-		if pl := m.places[k]; p.yields(pl, j) {
-			out = append(out, pl)
+	for _, key := range sortedTaskAttempts(machine.placements) {
+		if placement := machine.placements[key]; p.preemptible(placement, job) {
+			out = append(out, placement)
 		}
 	}
 	sort.SliceStable(out, func(a, b int) bool {
@@ -90,27 +90,27 @@
 		if x != y {
 			return x
 		}
-		return out[a].began.After(out[b].began)
+		return out[a].runningSince.After(out[b].runningSince)
 	})
 	return out
 }
 
 // settled tells whether a task has run long enough for its start to count, and
 // loses little when it is stopped.
-func (p *Partition) settled(pl *Placement, now time.Time) bool {
-	return pl.job.Checkpoint > 0 && !pl.began.IsZero() && now.Sub(pl.began) > tuning.Seconds(p.t.SettledS)
+func (p *Partition) settled(placement *Placement, now time.Time) bool {
+	return placement.job.CheckpointIntervalS > 0 && !placement.runningSince.IsZero() && now.Sub(placement.runningSince) > tuning.Seconds(p.tuning.SettledS)
 }
 
-func (p *Partition) mayOutrank(j *Job) bool { return j.covered || j.Rank.Level() > 0 }
+func (p *Partition) mayPreempt(job *Job) bool { return job.withinGuarantee || job.Priority.Value() > 0 }
 
-// yields tells whether a placement may be stopped for a job.
-func (p *Partition) yields(pl *Placement, j *Job) bool {
-	o := pl.job
-	if o == j || pl.over || pl.shielded && (pl.began.IsZero() || p.now.Sub(pl.began) < tuning.Seconds(p.t.SettledS)) {
+// preemptible tells whether a placement may be stopped for a job.
+func (p *Partition) preemptible(placement *Placement, job *Job) bool {
+	other := placement.job
+	if other == job || placement.gangDone || placement.preemptionProtected && (placement.runningSince.IsZero() || p.cycleTime.Sub(placement.runningSince) < tuning.Seconds(p.tuning.SettledS)) {
 		return false
 	}
-	if o.Rank.Level() < j.Rank.Level() {
-		return !(o.covered && !j.covered)
+	if other.Priority.Value() < job.Priority.Value() {
+		return !(other.withinGuarantee && !job.withinGuarantee)
 	}
-	return j.covered && !o.covered && o.Team != j.Team
+	return job.withinGuarantee && !other.withinGuarantee && other.Team != job.Team
 }
--- a/internal/core/queue.go
+++ b/internal/core/queue.go
@@ -10,35 +10,35 @@
 )
 
 type queue struct {
-	team *team
+	team *Team
 	jobs []*Job
 }
 
-// load is how much a team uses, by its guarantee where it has one.
-func (q *queue) load() float64 {
-	t := q.team
+// fairShareRatio is how much a team uses, by its guarantee where it has one.
+func (q *queue) fairShareRatio() float64 {
+	team := q.team
 	l := 0.0
-	if t.GPUs > 0 {
-		l = max(l, t.used.GPUs/t.GPUs)
+	if team.GPUs > 0 {
+		l = max(l, team.Allocated.GPUs/team.GPUs)
 	} else {
-		l = max(l, t.used.GPUs/8)
+		l = max(l, team.Allocated.GPUs/8)
 	}
-	if t.CPUs > 0 {
-		l = max(l, t.used.CPUs/t.CPUs)
-	} else if t.GPUs == 0 {
-		l = max(l, t.used.CPUs/64)
+	if team.CPUs > 0 {
+		l = max(l, team.Allocated.CPUs/team.CPUs)
+	} else if team.GPUs == 0 {
+		l = max(l, team.Allocated.CPUs/64)
 	}
 	return l
 }
 
-func (p *Partition) before(q, o *queue) bool {
-	a, b := q.jobs[0], o.jobs[0]
+func (p *Partition) servedBefore(queue, other *queue) bool {
+	a, b := queue.jobs[0], other.jobs[0]
 	if d := urgency(a, b); d != 0 {
 		return d > 0
 	}
 	// Shares are compared in steps, since even shares to the last bit would have
 	// all teams' jobs end late together.
-	if x, y := math.Floor(q.load()/p.t.LoadStep), math.Floor(o.load()/p.t.LoadStep); x != y && !a.aged {
+	if x, y := math.Floor(queue.fairShareRatio()/p.tuning.LoadStep), math.Floor(other.fairShareRatio()/p.tuning.LoadStep); x != y && !a.starved {
 		return x < y
 	}
 	return p.earlier(a, b)
@@ -57,75 +57,75 @@
 		}
 		return -1
 	}
-	if d := first(a.overdue, b.overdue); d != 0 {
+	if d := first(a.startOverdue, b.startOverdue); d != 0 {
 		return d
 	}
-	if d := first(a.covered, b.covered); d != 0 && !a.overdue {
+	if d := first(a.withinGuarantee, b.withinGuarantee); d != 0 && !a.startOverdue {
 		return d
 	}
-	if d := a.Rank.Level() - b.Rank.Level(); d != 0 && !a.overdue {
+	if d := a.Priority.Value() - b.Priority.Value(); d != 0 && !a.startOverdue {
 		return d
 	}
-	return first(a.aged, b.aged)
+	return first(a.starved, b.starved)
 }
 
-// due is when a job's turn is. Without a deadline, little work comes before much:
+// turnAt is when a job's turn is. Without a deadline, little work comes before much:
 // that gets the most jobs over in good time, and age still wins in the end.
-func (p *Partition) due(j *Job) time.Time {
+func (p *Partition) turnAt(job *Job) time.Time {
 	switch {
-	case isService(j.Job):
-		return j.At
-	case j.Deadline > 0:
-		return j.At.Add(tuning.Seconds(j.Deadline - j.Estimate))
+	case isService(job.Job):
+		return job.SubmittedAt
+	case job.DeadlineS > 0:
+		return job.SubmittedAt.Add(tuning.Seconds(job.DeadlineS - job.EstimatedRunS))
 	}
-	work := (float64(j.Tasks-j.done)*j.Estimate + j.fetchS) * max(j.CPUs, 1)
-	return j.At.Add(tuning.Seconds(p.t.WorkWeight * work))
+	work := (float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.imageFetchS) * max(job.CPUs, 1)
+	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
 
 func (p *Partition) earlier(a, b *Job) bool {
-	if a.aged && b.aged && !a.At.Equal(b.At) {
-		return a.At.Before(b.At)
+	if a.starved && b.starved && !a.SubmittedAt.Equal(b.SubmittedAt) {
+		return a.SubmittedAt.Before(b.SubmittedAt)
 	}
-	if x, y := p.due(a), p.due(b); !x.Equal(y) {
+	if x, y := p.turnAt(a), p.turnAt(b); !x.Equal(y) {
 		return x.Before(y)
 	}
 	return a.ID < b.ID
 }
 
-// queues sorts the jobs with waiting tasks by team.
-func (p *Partition) queues(now time.Time) []*queue {
+// buildQueues sorts the jobs with waiting tasks by team.
+func (p *Partition) buildQueues(now time.Time) []*queue {
 	all := map[string][]*Job{}
-	for _, j := range p.jobs {
-		if !j.Cancelled && j.done < j.Tasks {
-			all[j.Team] = append(all[j.Team], j)
+	for _, job := range p.jobs {
+		if !job.Cancelled && job.doneTasks < job.Tasks {
+			all[job.Team] = append(all[job.Team], job)
 		}
 	}
 	var out []*queue
 	for _, name := range sortedKeys(all) {
 		jobs := all[name]
-		t := p.team(name)
+		team := p.team(name)
 		sort.Slice(jobs, func(a, b int) bool {
-			if !jobs[a].At.Equal(jobs[b].At) {
-				return jobs[a].At.Before(jobs[b].At)
+			if !jobs[a].SubmittedAt.Equal(jobs[b].SubmittedAt) {
+				return jobs[a].SubmittedAt.Before(jobs[b].SubmittedAt)
 			}
 			return jobs[a].ID < jobs[b].ID
 		})
-		var sum Room
-		for _, j := range jobs {
-			sum = sum.add(need(j.Job).times(j.Tasks - j.done))
-			j.covered = t.covers(sum)
-			begun := j.started || j.done > 0 || (j.Shape != wire.Gang && len(j.placed) > 0)
-			j.aged = !begun && now.Sub(j.At) > tuning.Seconds(p.t.StarveS)
-			j.overdue = !begun && now.Sub(j.At) > tuning.Seconds(p.t.OverdueS)
-			j.forced = !begun && now.Sub(j.At) > tuning.Seconds(p.t.ForceS)
-			j.old = now.Sub(j.At) > tuning.Seconds(2*p.t.StarveS)
-			j.plain = j.GPUs == 0 && p.plain(j.Job)
+		var sum Vector
+		for _, job := range jobs {
+			sum = sum.Add(OfJob(job.Job).Scale(job.Tasks - job.doneTasks))
+			job.withinGuarantee = team.WithinGuarantee(sum)
+			begun := job.seenRunning || job.doneTasks > 0 || (job.Shape != wire.GangJob && len(job.placements) > 0)
+			job.starved = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.StarveS)
+			job.startOverdue = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.OverdueS)
+			job.startForced = !begun && now.Sub(job.SubmittedAt) > tuning.Seconds(p.tuning.ForceS)
+			job.ignoresGPUShare = now.Sub(job.SubmittedAt) > tuning.Seconds(2*p.tuning.StarveS)
+			job.cpuOnlyTypeFits = job.GPUs == 0 && p.cpuOnlyTypeFits(job.Job)
 		}
-		q := &queue{team: t}
-		for _, j := range jobs {
-			if j.waiting > 0 && !j.broken && !now.Before(j.retryAt) {
-				j.fetchS = p.leastFetch(j)
-				q.jobs = append(q.jobs, j)
+		q := &queue{team: team}
+		for _, job := range jobs {
+			if job.waitingTasks > 0 && !job.gangBroken && !now.Before(job.retryAt) {
+				job.imageFetchS = p.shortestImageFetch(job)
+				q.jobs = append(q.jobs, job)
 			}
 		}
 		sort.SliceStable(q.jobs, func(a, b int) bool {
--- a/internal/core/room.go
+++ b/internal/core/room.go
@@ -6,32 +6,36 @@
 	"ambersill/internal/wire"
 )
 
-// eps absorbs rounding where amounts are added and taken away again.
-const eps = 1e-6
+// Epsilon absorbs rounding where amounts are added and taken away again.
+const Epsilon = 1e-6
 
-// Room is an amount of a machine.
-type Room struct{ CPUs, GPUs, RAM float64 }
+// Vector is an amount of a machine.
+type Vector struct{ CPUs, GPUs, MemoryGB float64 }
 
-func (r Room) add(o Room) Room { return Room{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.RAM + o.RAM} }
+func (r Vector) Add(o Vector) Vector {
+	return Vector{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemoryGB + o.MemoryGB}
+}
 
-func (r Room) sub(o Room) Room { return Room{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.RAM - o.RAM} }
+func (r Vector) Sub(o Vector) Vector {
+	return Vector{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemoryGB - o.MemoryGB}
+}
 
-func (r Room) times(n int) Room {
+func (r Vector) Scale(n int) Vector {
 	f := float64(n)
-	return Room{r.CPUs * f, r.GPUs * f, r.RAM * f}
+	return Vector{r.CPUs * f, r.GPUs * f, r.MemoryGB * f}
 }
 
-// holds tells whether o fits into r.
-func (r Room) holds(o Room) bool {
-	return o.CPUs <= r.CPUs+eps && o.GPUs <= r.GPUs+eps && o.RAM <= r.RAM+eps
+// Contains tells whether o fits into r.
+func (r Vector) Contains(o Vector) bool {
+	return o.CPUs <= r.CPUs+Epsilon && o.GPUs <= r.GPUs+Epsilon && o.MemoryGB <= r.MemoryGB+Epsilon
 }
 
-// count is how many of o fit into r.
-func (r Room) count(o Room) int {
+// CountOf is how many of o fit into r.
+func (r Vector) CountOf(o Vector) int {
 	n := math.Inf(1)
-	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.RAM, o.RAM}} {
-		if p[1] > eps {
-			n = math.Min(n, math.Floor((p[0]+eps)/p[1]))
+	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.MemoryGB, o.MemoryGB}} {
+		if p[1] > Epsilon {
+			n = math.Min(n, math.Floor((p[0]+Epsilon)/p[1]))
 		}
 	}
 	if math.IsInf(n, 1) {
@@ -40,17 +44,19 @@
 	return max(0, int(n))
 }
 
-// share is how much of a machine of size r o takes: its scarcest dimension.
-func (r Room) share(o Room) float64 {
+// DominantShare is how much of a machine of size r o takes: its scarcest dimension.
+func (r Vector) DominantShare(o Vector) float64 {
 	s := 0.0
-	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.RAM, o.RAM}} {
-		if p[0] > eps {
+	for _, p := range [][2]float64{{r.CPUs, o.CPUs}, {r.GPUs, o.GPUs}, {r.MemoryGB, o.MemoryGB}} {
+		if p[0] > Epsilon {
 			s = math.Max(s, p[1]/p[0])
 		}
 	}
 	return s
 }
 
-func need(j *wire.Job) Room { return Room{j.CPUs, j.GPUs, j.RAM} }
+func OfJob(job *wire.Job) Vector { return Vector{job.CPUs, job.GPUs, job.MemoryGB} }
 
-func size(t wire.MachineType) Room { return Room{t.CPUs, t.GPUs, t.RAM} }
+func OfMachineType(machineType wire.MachineType) Vector {
+	return Vector{machineType.CPUs, machineType.GPUs, machineType.MemoryGB}
+}
--- a/internal/core/state.go
+++ b/internal/core/state.go
@@ -11,200 +11,200 @@
 
 // Partition holds the jobs and machines of one part. Its caller serialises calls.
 type Partition struct {
-	Index    int
-	Stamp    uint64 // of the part's ownership: the fence of all its writes
-	s        *config.Settings
-	t        *tuning.Tuning
-	types    map[string]wire.MachineType
-	jobs     map[string]*Job
-	machines map[string]*Machine
-	teams    map[string]*team
-	room     int // counts changes of free room
-	passed   int // room as the last pass left it
-	perChunk int
+	Index            int
+	Revision         uint64 // of the part's ownership: the fence of all its writes
+	settings         *config.Settings
+	tuning           *tuning.Tuning
+	machineTypes     map[string]wire.MachineType
+	jobs             map[string]*Job
+	machines         map[string]*Machine
+	teams            map[string]*Team
+	capacityVersion  int // counts changes of free room
+	scheduledVersion int // room as the last pass left it
+	tasksPerChunk    int
 	// limits are those that all that is written keeps to; level is the cluster's
 	// feature level.
-	limits    config.StateLimits
-	level     FeatureLevel
-	converted time.Time // last rewrite of a record for the sake of its format
-	// ending are jobs that are over but whose records still stand.
-	ending []*Job
-	order  []string        // machine names, sorted
-	roomy  []*Machine      // those that could take work when the pass began
-	marks  map[string]bool // jobs marked as cancelled, by the last listing
-	// over are jobs that ended here, so that a late word of their submission does not
+	limits         config.StateLimits
+	featureLevel   FeatureLevel
+	lastConversion time.Time // last rewrite of a record for the sake of its format
+	// finishedJobs are jobs that are over but whose records still stand.
+	finishedJobs    []*Job
+	machineIDs      []string        // machine names, sorted
+	candidates      []*Machine      // those that could take work when the pass began
+	cancelledJobIDs map[string]bool // jobs marked as cancelled, by the last listing
+	// tombstones are jobs that ended here, so that a late word of their submission does not
 	// revive them; overBefore those of before, once there were many.
-	over, overBefore map[string]bool
+	tombstones, olderTombstones map[string]bool
 	// The journal: the last number given out, the stamps of its keys, the chunks
 	// with changes to record and those whose records lack some of it.
-	seq      uint64
-	slots    []uint64
-	dirty    map[*chunk]bool
-	unfolded map[*chunk]bool
-	touches  int
-	now      time.Time // of the pass under way
+	journalSequence   uint64
+	slotRevisions     []uint64
+	dirtyChunks       map[*chunk]bool
+	uncompactedChunks map[*chunk]bool
+	dirtyCount        int
+	cycleTime         time.Time // of the pass under way
 	// stats for the log line
-	Started, Finished, Requeued, Preempted, Moved int
-	Journaled, Folded, Gathered, Incomplete       int
-	consolidated                                  time.Time
+	Started, Finished, Requeued, Preempted, Moved               int
+	JournalRecords, Compactions, GangReservations, GangTimeouts int
+	lastConsolidation                                           time.Time
 }
 
 // NewPartition makes an empty part owned under the given stamp.
-func NewPartition(index int, stamp uint64, s *config.Settings, t *tuning.Tuning) *Partition {
-	p := &Partition{Index: index, Stamp: stamp, s: s, t: t, types: map[string]wire.MachineType{}, jobs: map[string]*Job{},
-		machines: map[string]*Machine{}, teams: map[string]*team{}, over: map[string]bool{}, dirty: map[*chunk]bool{}, unfolded: map[*chunk]bool{}, slots: make([]uint64, tuning.JournalSlots),
-		perChunk: ChunkTasks(s), limits: s.WriteLimits()}
-	for _, c := range s.Cluster.Teams {
-		p.teams[c.Name] = &team{Team: c}
+func NewPartition(index int, stamp uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
+	p := &Partition{Index: index, Revision: stamp, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
+		machines: map[string]*Machine{}, teams: map[string]*Team{}, tombstones: map[string]bool{}, dirtyChunks: map[*chunk]bool{}, uncompactedChunks: map[*chunk]bool{}, slotRevisions: make([]uint64, tuning.JournalSlots),
+		tasksPerChunk: TasksPerChunk(settings), limits: settings.WriteLimits()}
+	for _, c := range settings.Cluster.Teams {
+		p.teams[c.Name] = &Team{Team: c}
 	}
 	return p
 }
 
-// SetTypes tells the machine types.
-func (p *Partition) SetTypes(types []wire.MachineType) {
-	for _, t := range types {
-		p.types[t.Name] = t
+// SetMachineTypes tells the machine types.
+func (p *Partition) SetMachineTypes(types []wire.MachineType) {
+	for _, machineType := range types {
+		p.machineTypes[machineType.Name] = machineType
 	}
 }
 
-func (p *Partition) team(name string) *team {
-	t := p.teams[name]
-	if t == nil {
+func (p *Partition) team(name string) *Team {
+	team := p.teams[name]
+	if team == nil {
 		// A team that the settings no longer name keeps its accepted jobs.
-		t = &team{Team: config.Team{Name: name}}
-		p.teams[name] = t
+		team = &Team{Team: config.Team{Name: name}}
+		p.teams[name] = team
 	}
-	return t
+	return team
 }
 
 // AddJob takes in a new job, or one read from its records, with the stamp at
 // which both its record and its first chunk were created. Known jobs are left alone.
-func (p *Partition) AddJob(d *wire.Job, at time.Time, stamp uint64) *Job {
-	if j := p.jobs[d.ID]; j != nil {
-		if stamp > j.Stamp {
-			j.Stamp = stamp
+func (p *Partition) AddJob(description *wire.Job, at time.Time, stamp uint64) *Job {
+	if job := p.jobs[description.ID]; job != nil {
+		if stamp > job.Revision {
+			job.Revision = stamp
 		}
-		return j
+		return job
 	}
-	if p.over[d.ID] || p.overBefore[d.ID] {
+	if p.tombstones[description.ID] || p.olderTombstones[description.ID] {
 		return nil
 	}
-	j := &Job{Job: d, At: at, Stamp: stamp, Cancelled: p.marks[d.ID], tasks: make([]taskState, d.Tasks), waiting: d.Tasks,
-		placed: map[int]*Placement{}, noRoom: -1}
-	for from := 0; from < d.Tasks; from += p.perChunk {
-		j.chunks = append(j.chunks, p.newChunk(j, from, min(from+p.perChunk, d.Tasks), p.level >= SizedChunks))
+	job := &Job{Job: description, SubmittedAt: at, Revision: stamp, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
+		placements: map[int]*Placement{}, noCapacityVersion: -1}
+	for from := 0; from < description.Tasks; from += p.tasksPerChunk {
+		job.chunks = append(job.chunks, p.newChunk(job, from, min(from+p.tasksPerChunk, description.Tasks), p.featureLevel >= FeatureExplicitChunks))
 	}
-	j.chunks[0].stamp, j.chunks[0].ranged = stamp, p.level >= SizedChunks
-	p.jobs[d.ID] = j
-	return j
+	job.chunks[0].revision, job.chunks[0].storedExplicitRange = stamp, p.featureLevel >= FeatureExplicitChunks
+	p.jobs[description.ID] = job
+	return job
 }
 
-func (p *Partition) attach(pl *Placement) {
-	j, m := pl.job, pl.machine
-	j.tasks[pl.task] = live
-	j.waiting--
-	j.placed[pl.task] = pl
-	m.places[attempt{wire.TaskName(j.ID, pl.task), pl.try}] = pl
-	m.used = m.used.add(need(j.Job))
-	p.team(j.Team).used = p.team(j.Team).used.add(need(j.Job))
-	m.images[j.Image] = time.Time{}
+func (p *Partition) attach(placement *Placement) {
+	job, machine := placement.job, placement.machine
+	job.taskStates[placement.task] = taskPlaced
+	job.waitingTasks--
+	job.placements[placement.task] = placement
+	machine.placements[taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt}] = placement
+	machine.allocated = machine.allocated.Add(OfJob(job.Job))
+	p.team(job.Team).Allocated = p.team(job.Team).Allocated.Add(OfJob(job.Job))
+	machine.cachedImages[job.Image] = time.Time{}
 }
 
 // detach frees a placement's room once it can no longer be in effect.
-func (p *Partition) detach(pl *Placement) {
-	j, m := pl.job, pl.machine
-	if j.placed[pl.task] != pl {
+func (p *Partition) detach(placement *Placement) {
+	job, machine := placement.job, placement.machine
+	if job.placements[placement.task] != placement {
 		return
 	}
-	delete(j.placed, pl.task)
-	delete(m.places, attempt{wire.TaskName(j.ID, pl.task), pl.try})
-	m.used = m.used.sub(need(j.Job))
-	if len(m.places) == 0 {
-		m.used = Room{}
+	delete(job.placements, placement.task)
+	delete(machine.placements, taskAttempt{wire.TaskName(job.ID, placement.task), placement.attempt})
+	machine.allocated = machine.allocated.Sub(OfJob(job.Job))
+	if len(machine.placements) == 0 {
+		machine.allocated = Vector{}
 	}
-	if !pl.fetched && !m.fetches(j.Image) {
-		delete(m.images, j.Image) // the fetch is given up when no task waits for it
+	if !placement.imageFetched && !machine.wantsImage(job.Image) {
+		delete(machine.cachedImages, job.Image) // the fetch is given up when no task waits for it
 	}
-	t := p.team(j.Team)
-	t.used = t.used.sub(need(j.Job))
-	if j.tasks[pl.task] == live {
-		j.tasks[pl.task] = waiting
-		j.waiting++
+	team := p.team(job.Team)
+	team.Allocated = team.Allocated.Sub(OfJob(job.Job))
+	if job.taskStates[placement.task] == taskPlaced {
+		job.taskStates[placement.task] = taskWaiting
+		job.waitingTasks++
 		p.Requeued++
-		j.noRoom = -1
+		job.noCapacityVersion = -1
 	}
-	p.touch(pl.chunk(), pl.task)
-	p.room++
+	p.markDirty(placement.chunk(), placement.task)
+	p.capacityVersion++
 }
 
-// incomplete handles a task of a gang that has waited in vain for the others. Those
+// gangTimedOut handles a task of a gang that has waited in vain for the others. Those
 // that still fetch their image go on until they have it, and the machines are kept
 // for the gang, so that its next attempt starts at once. Stopped, they would have
 // to fetch again while the first one waits in vain again, and so for ever.
-func (p *Partition) incomplete(pl *Placement, now time.Time) {
-	j := pl.job
-	p.keep(pl, now)
-	p.detach(pl)
-	j.broken = len(j.placed) > 0
-	for _, o := range placements(j) {
-		if o.state != wire.Fetching || o.kill != nil {
-			p.keep(o, now)
-			p.stop(o, 0, now)
+func (p *Partition) gangTimedOut(placement *Placement, now time.Time) {
+	job := placement.job
+	p.holdMachineForGang(placement, now)
+	p.detach(placement)
+	job.gangBroken = len(job.placements) > 0
+	for _, other := range sortedPlacements(job) {
+		if other.state != wire.TaskFetching || other.stopRequest != nil {
+			p.holdMachineForGang(other, now)
+			p.requestStop(other, 0, now)
 		}
 	}
 }
 
-// keep holds a machine for the next attempt of a gang that fetches.
-func (p *Partition) keep(pl *Placement, now time.Time) {
-	m, j := pl.machine, pl.job
+// holdMachineForGang holds a machine for the next attempt of a gang that fetches.
+func (p *Partition) holdMachineForGang(placement *Placement, now time.Time) {
+	machine, job := placement.machine, placement.job
 	wait := 0.0
-	for _, o := range j.placed {
-		if o.machine.typ.FetchRate > 0 && !o.fetched {
-			wait = max(wait, 2*j.ImageGB/o.machine.typ.FetchRate)
+	for _, other := range job.placements {
+		if other.machine.machineType.ImageFetchGBPerS > 0 && !other.imageFetched {
+			wait = max(wait, 2*job.ImageGB/other.machine.machineType.ImageFetchGBPerS)
 		}
 	}
-	m.reserved, m.resUntil = j.ID, now.Add(tuning.Seconds(wait+3*p.s.Cluster.Workers.ReportS))
+	machine.reservedFor, machine.reservedUntil = job.ID, now.Add(tuning.Seconds(wait+3*p.settings.Cluster.Workers.ReportS))
 }
 
 // requeue frees a placement that ended without a result, and breaks its gang up.
-func (p *Partition) requeue(pl *Placement, now time.Time) {
-	j := pl.job
-	p.detach(pl)
-	if j.Shape != wire.Gang || pl.over {
+func (p *Partition) requeue(placement *Placement, now time.Time) {
+	job := placement.job
+	p.detach(placement)
+	if job.Shape != wire.GangJob || placement.gangDone {
 		return
 	}
-	if len(j.placed) == 0 {
-		j.broken = false
+	if len(job.placements) == 0 {
+		job.gangBroken = false
 		return
 	}
-	j.broken = true
-	for _, o := range j.placed {
-		p.stop(o, 0, now)
+	job.gangBroken = true
+	for _, other := range job.placements {
+		p.requestStop(other, 0, now)
 	}
 }
 
-// stop orders a placement's end. One that was never sent ends at once.
-func (p *Partition) stop(pl *Placement, grace float64, now time.Time) {
-	if !pl.sent {
-		p.detach(pl)
-		if j := pl.job; j.Shape == wire.Gang && len(j.placed) == 0 {
-			j.broken = false
+// requestStop orders a placement's end. One that was never sent ends at once.
+func (p *Partition) requestStop(placement *Placement, grace float64, now time.Time) {
+	if !placement.startSent {
+		p.detach(placement)
+		if job := placement.job; job.Shape == wire.GangJob && len(job.placements) == 0 {
+			job.gangBroken = false
 		}
 		return
 	}
-	if pl.kill == nil || grace < pl.kill.grace {
-		pl.kill = &killOrder{grace: grace, at: now}
+	if placement.stopRequest == nil || grace < placement.stopRequest.gracePeriodS {
+		placement.stopRequest = &stopRequest{gracePeriodS: grace, requestedAt: now}
 	}
 }
 
-// Marked takes in a listing of the jobs that are marked as cancelled, and tells whether
+// SetCancelledJobs takes in a listing of the jobs that are marked as cancelled, and tells whether
 // one of them was news. A job that is marked before its submission is known, as when
 // the watch is behind, is cancelled from the start.
-func (p *Partition) Marked(ids []string, now time.Time) bool {
+func (p *Partition) SetCancelledJobs(ids []string, now time.Time) bool {
 	some := false
-	p.marks = make(map[string]bool, len(ids))
+	p.cancelledJobIDs = make(map[string]bool, len(ids))
 	for _, id := range ids {
-		p.marks[id] = true
+		p.cancelledJobIDs[id] = true
 		some = some || (p.jobs[id] != nil && !p.jobs[id].Cancelled)
 		p.Cancel(id, now)
 	}
@@ -213,56 +213,56 @@
 
 // Cancel stops a job whose cancellation is committed.
 func (p *Partition) Cancel(id string, now time.Time) {
-	j := p.jobs[id]
-	if j == nil || j.Cancelled {
+	job := p.jobs[id]
+	if job == nil || job.Cancelled {
 		return
 	}
-	j.Cancelled = true
-	for _, pl := range placements(j) {
-		p.stop(pl, 0, now)
+	job.Cancelled = true
+	for _, placement := range sortedPlacements(job) {
+		p.requestStop(placement, 0, now)
 	}
 }
 
-// placements lists a job's placements in the order of its tasks.
-func placements(j *Job) []*Placement {
-	out := make([]*Placement, 0, len(j.placed))
-	for _, pl := range j.placed {
-		out = append(out, pl)
+// sortedPlacements lists a job's placements in the order of its tasks.
+func sortedPlacements(job *Job) []*Placement {
+	out := make([]*Placement, 0, len(job.placements))
+	for _, placement := range job.placements {
+		out = append(out, placement)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].task < out[b].task })
 	return out
 }
 
-func sortedAttempts(m map[attempt]*Placement) []attempt {
-	out := make([]attempt, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+func sortedTaskAttempts(m map[taskAttempt]*Placement) []taskAttempt {
+	out := make([]taskAttempt, 0, len(m))
+	for key := range m {
+		out = append(out, key)
 	}
 	sort.Slice(out, func(a, b int) bool {
 		if out[a].task != out[b].task {
 			return out[a].task < out[b].task
 		}
-		return out[a].try < out[b].try
+		return out[a].attempt < out[b].attempt
 	})
 	return out
 }
 
-// View counts a job's tasks for display.
-func (p *Partition) View(id string) (doneTasks, running int, ok bool) {
-	j := p.jobs[id]
-	if j == nil {
+// JobCounts counts a job's tasks for display.
+func (p *Partition) JobCounts(id string) (doneTasks, running int, ok bool) {
+	job := p.jobs[id]
+	if job == nil {
 		return 0, 0, false
 	}
-	for _, pl := range j.placed {
-		if pl.state == wire.RunningTask || pl.state == wire.Saving {
+	for _, placement := range job.placements {
+		if placement.state == wire.TaskRunning || placement.state == wire.TaskSaving {
 			running++
 		}
 	}
-	return j.done, running, true
+	return job.doneTasks, running, true
 }
 
-// Jobs is how many jobs are not over.
-func (p *Partition) Jobs() int { return len(p.jobs) }
+// JobCount is how many jobs are not over.
+func (p *Partition) JobCount() int { return len(p.jobs) }
 
 // MachineIDs lists the part's machines.
-func (p *Partition) MachineIDs() []string { return p.order }
+func (p *Partition) MachineIDs() []string { return p.machineIDs }
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -6,47 +6,47 @@
 	"ambersill/internal/tuning"
 )
 
-// Sweep handles what passes with time alone: silent machines, and starts whose
+// ExpireLeases handles what passes with time alone: silent machines, and starts whose
 // order is withdrawn.
-func (p *Partition) Sweep(now time.Time) {
-	lease := tuning.Seconds(p.s.Cluster.Workers.LeaseS*(1+p.t.Drift) + p.t.MarginS)
-	for _, id := range p.order {
-		m := p.machines[id]
+func (p *Partition) ExpireLeases(now time.Time) {
+	lease := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
+	for _, id := range p.machineIDs {
+		machine := p.machines[id]
 		// Only an owner that has itself spoken with the worker under its token
 		// knows when the lease was last renewed; after a takeover the
 		// machine's return must be confirmed instead.
-		if !m.spoken || m.leaseExpired || now.Sub(m.answered) <= lease {
+		if !machine.everAcknowledged || machine.leaseExpired || now.Sub(machine.lastAnswered) <= lease {
 			continue
 		}
-		m.leaseExpired, m.leaseExpiredAt = true, now
-		p.room++
-		for _, k := range sortedAttempts(m.places) {
-			if pl := m.places[k]; pl != nil {
-				p.requeue(pl, now)
+		machine.leaseExpired, machine.leaseExpiredAt = true, now
+		p.capacityVersion++
+		for _, key := range sortedTaskAttempts(machine.placements) {
+			if placement := machine.placements[key]; placement != nil {
+				p.requeue(placement, now)
 			}
 		}
 	}
 	// A start that was sent but never seen, and is to be stopped, is gone once
 	// a newer report does not show it. An answer to an order would not do: the
 	// start may be under way in the answer to a report.
-	for _, id := range p.order {
-		m := p.machines[id]
-		if m.ordering || m.unconfirmed || !m.acked {
+	for _, id := range p.machineIDs {
+		machine := p.machines[id]
+		if machine.commandInFlight || machine.commandUnconfirmed || !machine.tokenAcknowledged {
 			continue
 		}
-		gone := func(pl *Placement) bool {
-			return pl != nil && pl.kill != nil && !pl.seen && pl.sent && pl.session == m.session && m.reported > pl.sentSeq
+		gone := func(placement *Placement) bool {
+			return placement != nil && placement.stopRequest != nil && !placement.observed && placement.startSent && placement.incarnation == machine.incarnation && machine.heartbeatSequence > placement.startSequence
 		}
 		some := false
-		for _, pl := range m.places {
-			some = some || gone(pl)
+		for _, placement := range machine.placements {
+			some = some || gone(placement)
 		}
 		if !some {
 			continue
 		}
-		for _, k := range sortedAttempts(m.places) {
-			if pl := m.places[k]; gone(pl) {
-				p.requeue(pl, now)
+		for _, key := range sortedTaskAttempts(machine.placements) {
+			if placement := machine.placements[key]; gone(placement) {
+				p.requeue(placement, now)
 			}
 		}
 	}
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -77,7 +77,7 @@
 
 // ForwardHeartbeats has the peer answer heartbeats as the owner of their machines'
 // partitions. The results are in the order of the heartbeats.
-func (p *Peer) ForwardHeartbeats(heartbeats []*wire.Report, timeout time.Duration) ([]HeartbeatResult, error) {
+func (p *Peer) ForwardHeartbeats(heartbeats []*wire.Heartbeat, timeout time.Duration) ([]HeartbeatResult, error) {
 	batch := ReportBatch{Reports: make([]WorkerReport, len(heartbeats))}
 	for i, heartbeat := range heartbeats {
 		batch.Reports[i] = newWorkerReport(heartbeat)
--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -101,17 +101,17 @@
 }
 
 // newWorkerReport encodes a heartbeat.
-func newWorkerReport(r *wire.Report) WorkerReport {
+func newWorkerReport(r *wire.Heartbeat) WorkerReport {
 	message := Report{
 		Machine: r.Machine,
-		Addr:    r.Addr,
-		Type:    r.Type,
+		Addr:    r.Address,
+		Type:    r.MachineType,
 		Zone:    r.Zone,
 		Spot:    r.Spot,
-		Session: r.Session,
-		Seq:     r.Seq,
-		Token:   r.Token,
-		Notice:  r.Notice,
+		Session: r.Incarnation,
+		Seq:     r.Sequence,
+		Token:   r.FencingToken,
+		Notice:  r.TerminationNoticeS,
 	}
 	if r.Tasks != nil {
 		message.Tasks = make([]TaskReport, len(r.Tasks))
@@ -121,65 +121,65 @@
 			Task:    t.Task,
 			Attempt: t.Attempt,
 			State:   string(t.State),
-			Cause:   string(t.Cause),
-			Saved:   t.Saved,
+			Cause:   string(t.ExitCause),
+			Saved:   t.CheckpointSaved,
 		}
 	}
-	return WorkerReport{Report: message, Notice: r.Notice != nil}
+	return WorkerReport{Report: message, Notice: r.TerminationNoticeS != nil}
 }
 
 // heartbeat decodes a heartbeat, and restores what the encoding loses.
-func (w *WorkerReport) heartbeat() *wire.Report {
+func (w *WorkerReport) heartbeat() *wire.Heartbeat {
 	message := &w.Report
-	r := &wire.Report{
-		Machine: message.Machine,
-		Addr:    message.Addr,
-		Type:    message.Type,
-		Zone:    message.Zone,
-		Spot:    message.Spot,
-		Session: message.Session,
-		Seq:     message.Seq,
-		Token:   message.Token,
-		Notice:  message.Notice,
+	r := &wire.Heartbeat{
+		Machine:            message.Machine,
+		Address:            message.Addr,
+		MachineType:        message.Type,
+		Zone:               message.Zone,
+		Spot:               message.Spot,
+		Incarnation:        message.Session,
+		Sequence:           message.Seq,
+		FencingToken:       message.Token,
+		TerminationNoticeS: message.Notice,
 	}
-	if w.Notice && r.Notice == nil {
-		r.Notice = new(float64)
+	if w.Notice && r.TerminationNoticeS == nil {
+		r.TerminationNoticeS = new(float64)
 	}
 	if message.Tasks != nil {
-		r.Tasks = make([]wire.TaskReport, len(message.Tasks))
+		r.Tasks = make([]wire.TaskStatus, len(message.Tasks))
 	}
 	for i, t := range message.Tasks {
-		r.Tasks[i] = wire.TaskReport{
-			Task:    t.Task,
-			Attempt: t.Attempt,
-			State:   wire.TaskState(t.State),
-			Cause:   wire.Cause(t.Cause),
-			Saved:   t.Saved,
+		r.Tasks[i] = wire.TaskStatus{
+			Task:            t.Task,
+			Attempt:         t.Attempt,
+			State:           wire.TaskState(t.State),
+			ExitCause:       wire.ExitCause(t.Cause),
+			CheckpointSaved: t.Saved,
 		}
 	}
 	return r
 }
 
 // newReportReply encodes a response.
-func newReportReply(r wire.ReportReply) ReportReply {
-	message := ReportReply{Token: r.Token}
+func newReportReply(r wire.HeartbeatResponse) ReportReply {
+	message := ReportReply{Token: r.FencingToken}
 	if r.Commands != nil {
 		message.Commands = make([]Command, len(r.Commands))
 	}
 	for i, c := range r.Commands {
-		message.Commands[i] = Command{Op: string(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.Grace}
+		message.Commands[i] = Command{Op: string(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.GracePeriodS}
 	}
 	return message
 }
 
 // response decodes a response.
-func (r *ReportReply) response() wire.ReportReply {
-	out := wire.ReportReply{Token: r.Token}
+func (r *ReportReply) response() wire.HeartbeatResponse {
+	out := wire.HeartbeatResponse{FencingToken: r.Token}
 	if r.Commands != nil {
 		out.Commands = make([]wire.Command, len(r.Commands))
 	}
 	for i, c := range r.Commands {
-		out.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.Grace}
+		out.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.Grace}
 	}
 	return out
 }
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -39,7 +39,7 @@
 // worker must not be answered with success.
 type HeartbeatResult struct {
 	Accepted bool
-	Response wire.ReportReply
+	Response wire.HeartbeatResponse
 }
 
 // Handler answers the calls of other controllers.
@@ -54,7 +54,7 @@
 	SinceContact() time.Duration
 	// OwnedHeartbeat answers a heartbeat that reached another node, as the owner of the
 	// machine's partition.
-	OwnedHeartbeat(heartbeat *wire.Report) HeartbeatResult
+	OwnedHeartbeat(heartbeat *wire.Heartbeat) HeartbeatResult
 }
 
 // Service holds the methods that net/rpc offers to other controllers. They are named, and
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -252,7 +252,7 @@
 		}
 		s.mu.Unlock()
 		if !served {
-			reply(w, http.StatusServiceUnavailable, wire.Problem{Error: "trouble"})
+			reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 			return
 		}
 		answered := &late{ResponseWriter: w, status: http.StatusOK}
@@ -302,12 +302,12 @@
 }
 
 func read(w http.ResponseWriter, r *http.Request, v any) bool {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err == nil {
 		err = wire.Unmarshal(b, v)
 	}
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 	}
 	return err == nil
 }
@@ -319,10 +319,10 @@
 	rev := s.rev
 	s.mu.Unlock()
 	if !ok {
-		reply(w, http.StatusNotFound, wire.TxnReply{Revision: rev})
+		reply(w, http.StatusNotFound, wire.TxnResponse{Revision: rev})
 		return
 	}
-	reply(w, http.StatusOK, wire.Item{Key: key, Value: e.value, Revision: e.stamp, Lease: e.hold})
+	reply(w, http.StatusOK, wire.KeyValue{Key: key, Value: e.value, Revision: e.stamp, LeaseID: e.hold})
 }
 
 func (s *State) list(w http.ResponseWriter, r *http.Request) {
@@ -334,7 +334,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.noLists {
-		reply(w, http.StatusTooManyRequests, wire.Problem{Error: "too many requests"})
+		reply(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many requests"})
 		return
 	}
 	var keys []string
@@ -344,21 +344,21 @@
 		}
 	}
 	sort.Strings(keys)
-	p := wire.Page{Items: []wire.Item{}, Revision: s.rev}
+	p := wire.KeyValuePage{Items: []wire.KeyValue{}, Revision: s.rev}
 	if len(keys) > most {
 		keys, p.More = keys[:most], true
 	}
 	s.listed += len(keys)
 	for _, k := range keys {
 		e := s.items[k]
-		p.Items = append(p.Items, wire.Item{Key: k, Value: e.value, Revision: e.stamp, Lease: e.hold})
+		p.Items = append(p.Items, wire.KeyValue{Key: k, Value: e.value, Revision: e.stamp, LeaseID: e.hold})
 	}
 	reply(w, http.StatusOK, p)
 }
 
 // rawTxn keeps the values encoded.
 type rawTxn struct {
-	If   []wire.Cond `cbor:"when"`
+	If   []wire.Compare `cbor:"when"`
 	Then []struct {
 		Put    string   `cbor:"put"`
 		Value  wire.Raw `cbor:"value"`
@@ -374,15 +374,15 @@
 	}
 	fault, wait := NoFault, time.Duration(0)
 	if s.Faults != nil {
-		plain := wire.Txn{If: t.If}
+		plain := wire.Txn{Compares: t.If}
 		for _, o := range t.Then {
-			plain.Then = append(plain.Then, wire.Write{Put: o.Put, Delete: o.Delete})
+			plain.Writes = append(plain.Writes, wire.Write{Put: o.Put, Delete: o.Delete})
 		}
 		fault, wait = s.Faults(r.RemoteAddr, &plain)
 	}
 	switch fault {
 	case Refuse:
-		reply(w, http.StatusServiceUnavailable, wire.Problem{Error: "trouble"})
+		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 	case LostReply:
 		s.apply(&t)
 		panic(http.ErrAbortHandler)
@@ -402,16 +402,16 @@
 	if s.limits != nil {
 		if why := s.limits.exceeded(t); why != "" {
 			s.invalid = append(s.invalid, why)
-			return http.StatusBadRequest, wire.Problem{Error: why}
+			return http.StatusBadRequest, wire.ErrorResponse{Error: why}
 		}
 		if !s.limits.changes.AllowN(time.Now(), len(t.Then)) {
-			return http.StatusTooManyRequests, wire.Problem{Error: "too many changes"}
+			return http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many changes"}
 		}
 	}
 	for _, o := range t.Then {
 		if o.Put != "" && o.Hold != 0 {
 			if _, ok := s.holds[o.Hold]; !ok {
-				return http.StatusBadRequest, wire.Problem{Error: "no such lease"}
+				return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 			}
 		}
 	}
@@ -422,7 +422,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnReply{Failed: failed, Revision: s.rev}
+		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.rev}
 	}
 	if len(t.Then) > 0 {
 		s.rev++
@@ -442,7 +442,7 @@
 		}
 		s.wake()
 	}
-	return http.StatusOK, wire.TxnReply{Revision: s.rev}
+	return http.StatusOK, wire.TxnResponse{Revision: s.rev}
 }
 
 func (s *State) grant(w http.ResponseWriter, r *http.Request) {
@@ -453,10 +453,10 @@
 	s.mu.Lock()
 	s.nextID++
 	id := s.nextID
-	life := time.Duration(q.LifeMS) * time.Millisecond
+	life := time.Duration(q.TTLMS) * time.Millisecond
 	s.holds[id] = hold{life: life, ends: time.Now().Add(life)}
 	s.mu.Unlock()
-	reply(w, http.StatusOK, wire.LeaseReply{Lease: id})
+	reply(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 }
 
 func (s *State) holdID(r *http.Request) uint64 {
@@ -473,12 +473,12 @@
 	id := s.holdID(r)
 	h, ok := s.holds[id]
 	if !ok {
-		reply(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		return
 	}
 	h.ends = time.Now().Add(h.life)
 	s.holds[id] = h
-	reply(w, http.StatusOK, wire.LeaseReply{Lease: id})
+	reply(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 }
 
 func (s *State) end(w http.ResponseWriter, r *http.Request) {
@@ -493,7 +493,7 @@
 	prefix := q.Get("prefix")
 	since, err := strconv.ParseUint(q.Get("since"), 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.Problem{Error: "since"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "since"})
 		return
 	}
 	ms, _ := strconv.Atoi(q.Get("waitMs"))
@@ -505,10 +505,10 @@
 		s.expire()
 		if s.rev > since && len(s.log) >= keptChanges && s.log[0].stamp > since+1 {
 			s.mu.Unlock()
-			reply(w, http.StatusGone, wire.Problem{Error: "too old"})
+			reply(w, http.StatusGone, wire.ErrorResponse{Error: "too old"})
 			return
 		}
-		out := wire.WatchReply{Revision: s.rev, Events: []wire.Event{}}
+		out := wire.WatchResponse{Revision: s.rev, Events: []wire.Event{}}
 		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].stamp > since })
 		for _, c := range s.log[i:] {
 			if !strings.HasPrefix(c.key, prefix) {
--- a/internal/standin/trouble.go
+++ b/internal/standin/trouble.go
@@ -104,7 +104,7 @@
 	mu    sync.Mutex
 	met   map[Kind]int
 	write func(from string) (Fault, time.Duration) // of commits, while some are late or unanswered
-	copyR func(r *wire.Report, send func(Node))
+	copyR func(r *wire.Heartbeat, send func(Node))
 	wg    sync.WaitGroup
 }
 
@@ -143,7 +143,7 @@
 		}
 		return f(from)
 	}
-	s.World.Copies = func(r *wire.Report, send func(Node)) {
+	s.World.Copies = func(r *wire.Heartbeat, send func(Node)) {
 		s.mu.Lock()
 		f := s.copyR
 		s.mu.Unlock()
@@ -270,7 +270,7 @@
 		})
 	case LateReports:
 		s.mu.Lock()
-		s.copyR = func(_ *wire.Report, send func(Node)) {
+		s.copyR = func(_ *wire.Heartbeat, send func(Node)) {
 			if s.float() >= t.Share {
 				return
 			}
@@ -346,7 +346,7 @@
 	_, stamp := s.Owner()
 	kept := map[string]func(Node){}
 	s.mu.Lock()
-	s.copyR = func(r *wire.Report, send func(Node)) {
+	s.copyR = func(r *wire.Heartbeat, send func(Node)) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if kept[r.Machine] == nil {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -146,7 +146,7 @@
 			transport.Discard(resp)
 			return nil
 		}
-		if err := wire.ReadReply(resp.Body, out); err != nil {
+		if err := wire.ReadResponse(resp.Body, out); err != nil {
 			return fmt.Errorf("%w: %v", ErrUnknown, err)
 		}
 		return nil
@@ -157,14 +157,14 @@
 		transport.Discard(resp)
 		return ErrCompacted
 	case http.StatusConflict:
-		var r wire.TxnReply
-		if err := wire.ReadReply(resp.Body, &r); err != nil {
+		var r wire.TxnResponse
+		if err := wire.ReadResponse(resp.Body, &r); err != nil {
 			return fmt.Errorf("%w: %v", ErrUnknown, err)
 		}
 		return &Conflict{Keys: r.Failed}
 	default:
-		var p wire.Problem
-		_ = wire.ReadReply(resp.Body, &p)
+		var p wire.ErrorResponse
+		_ = wire.ReadResponse(resp.Body, &p)
 		if p.Error == "no such lease" {
 			return ErrNoLease
 		}
@@ -182,8 +182,8 @@
 }
 
 // Get reads one key.
-func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
-	var it wire.Item
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
+	var it wire.KeyValue
 	if err := c.wait(ctx, c.reads, 1); err != nil {
 		return it, err
 	}
@@ -201,25 +201,25 @@
 
 // List reads all keys with a prefix. The revision is that of the first page: a
 // watch from there misses nothing.
-func (c *Client) List(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
+func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, c.reads)
 }
 
 // ListAtOnce is List without the budget, for the few reads that must not wait behind
 // users' questions.
-func (c *Client) ListAtOnce(ctx context.Context, prefix string) ([]wire.Item, uint64, error) {
+func (c *Client) ListAtOnce(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, rate.NewLimiter(rate.Inf, 0))
 }
 
-func (c *Client) list(ctx context.Context, prefix string, budget *rate.Limiter) ([]wire.Item, uint64, error) {
-	var all []wire.Item
+func (c *Client) list(ctx context.Context, prefix string, budget *rate.Limiter) ([]wire.KeyValue, uint64, error) {
+	var all []wire.KeyValue
 	var rev uint64
 	since := ""
 	for {
 		if err := c.wait(ctx, budget, 1); err != nil {
 			return nil, 0, err
 		}
-		var p wire.Page
+		var p wire.KeyValuePage
 		q := "/store?prefix=" + url.QueryEscape(prefix) + "&most=1000"
 		if since != "" {
 			q += "&since=" + url.QueryEscape(since)
@@ -243,7 +243,7 @@
 	if err := c.wait(ctx, c.reads, 1); err != nil {
 		return 0, err
 	}
-	if n := len(t.Then); n > 0 {
+	if n := len(t.Writes); n > 0 {
 		if err := c.wait(ctx, c.writes, n); err != nil {
 			return 0, err
 		}
@@ -255,7 +255,7 @@
 // the budget, but waited for only if that is overdrawn by more than a moment's worth. It
 // is for what users wait for.
 func (c *Client) CommitFirst(ctx context.Context, t wire.Txn) (uint64, error) {
-	if n := len(t.Then); n > 0 {
+	if n := len(t.Writes); n > 0 {
 		r := c.writes.ReserveN(time.Now(), n)
 		if !r.OK() || r.Delay() > maxOverdraft {
 			r.Cancel()
@@ -270,10 +270,10 @@
 const maxOverdraft = time.Second
 
 func (c *Client) commit(ctx context.Context, t wire.Txn) (uint64, error) {
-	if t.If == nil {
-		t.If = []wire.Cond{}
+	if t.Compares == nil {
+		t.Compares = []wire.Compare{}
 	}
-	var r wire.TxnReply
+	var r wire.TxnResponse
 	if err := c.call(ctx, http.MethodPost, "/commit", t, &r); err != nil {
 		return 0, err
 	}
@@ -291,9 +291,9 @@
 // GrantLease makes a lease. Leases are never kept back by the budget: without them
 // everything else is lost.
 func (c *Client) GrantLease(ctx context.Context, life time.Duration) (uint64, error) {
-	var r wire.LeaseReply
-	err := c.call(ctx, http.MethodPost, "/holds", wire.LeaseRequest{LifeMS: life.Milliseconds()}, &r)
-	return r.Lease, err
+	var r wire.LeaseResponse
+	err := c.call(ctx, http.MethodPost, "/holds", wire.LeaseRequest{TTLMS: life.Milliseconds()}, &r)
+	return r.LeaseID, err
 }
 
 // RenewLease renews a lease.
@@ -307,8 +307,8 @@
 }
 
 // Watch waits for changes under a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.WatchReply, error) {
-	var r wire.WatchReply
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.WatchResponse, error) {
+	var r wire.WatchResponse
 	if err := c.wait(ctx, c.reads, 1); err != nil {
 		return r, err
 	}
--- a/internal/wire/outside.go
+++ b/internal/wire/outside.go
@@ -2,16 +2,16 @@
 
 // MachineType is one entry of the cloud's catalog.
 type MachineType struct {
-	Name      string   `cbor:"sku"`
-	CPUs      float64  `cbor:"cores"`
-	GPUs      float64  `cbor:"gpus"`
-	RAM       float64  `cbor:"ramGb"`
-	CacheGB   float64  `cbor:"localGb"`
-	FetchRate float64  `cbor:"pullGbPerS"`
-	Price     float64  `cbor:"hourly"`
-	SpotPrice float64  `cbor:"marketPrice"`
-	BootS     float64  `cbor:"bootS"`
-	Zones     []string `cbor:"fields"`
+	Name             string   `cbor:"sku"`
+	CPUs             float64  `cbor:"cores"`
+	GPUs             float64  `cbor:"gpus"`
+	MemoryGB         float64  `cbor:"ramGb"`
+	ImageCacheGB     float64  `cbor:"localGb"`
+	ImageFetchGBPerS float64  `cbor:"pullGbPerS"`
+	HourlyPrice      float64  `cbor:"hourly"`
+	HourlySpotPrice  float64  `cbor:"marketPrice"`
+	BootS            float64  `cbor:"bootS"`
+	Zones            []string `cbor:"fields"`
 }
 
 // Catalog lists the machine types.
@@ -21,34 +21,34 @@
 
 // RentRequest asks the cloud for machines.
 type RentRequest struct {
-	Request string `cbor:"hire"`
-	Type    string `cbor:"breed"`
-	Zone    string `cbor:"field"`
-	Spot    bool   `cbor:"windfall"`
-	Count   int    `cbor:"count"`
+	RequestID   string `cbor:"hire"`
+	MachineType string `cbor:"breed"`
+	Zone        string `cbor:"field"`
+	Spot        bool   `cbor:"windfall"`
+	Count       int    `cbor:"count"`
 }
 
-// MachineNames is a list of machines, rented or to be returned.
-type MachineNames struct {
+// MachineIDs is a list of machines, rented or to be returned.
+type MachineIDs struct {
 	Machines []string `cbor:"hearths"`
 }
 
 // The states of a machine in the cloud's list.
 const (
-	Booting = "starting"
-	Up      = "running"
-	Failed  = "failed"
+	MachineStarting = "starting"
+	MachineRunning  = "running"
+	MachineFailed   = "failed"
 )
 
 // CloudMachine is one row of the cloud's list.
 type CloudMachine struct {
-	ID    string  `cbor:"uid"`
-	Addr  string  `cbor:"address"`
-	Type  string  `cbor:"breed"`
-	Zone  string  `cbor:"field"`
-	Spot  bool    `cbor:"windfall"`
-	State string  `cbor:"phase"`
-	Age   float64 `cbor:"ageS"`
+	ID          string  `cbor:"uid"`
+	Address     string  `cbor:"address"`
+	MachineType string  `cbor:"breed"`
+	Zone        string  `cbor:"field"`
+	Spot        bool    `cbor:"windfall"`
+	State       string  `cbor:"phase"`
+	AgeS        float64 `cbor:"ageS"`
 }
 
 // MachinePage is a page of the cloud's list.
@@ -57,55 +57,55 @@
 	More     bool           `cbor:"hasNext"`
 }
 
-// Item is a key with its value in the state service.
-type Item struct {
+// KeyValue is a key with its value in the state service.
+type KeyValue struct {
 	Key      string `cbor:"key"`
 	Value    Raw    `cbor:"value"`
 	Revision uint64 `cbor:"stamp"`
-	Lease    uint64 `cbor:"hold,omitempty"`
+	LeaseID  uint64 `cbor:"hold,omitempty"`
 }
 
-// Page is a page of keys; Missing reads of single keys carry only Revision.
-type Page struct {
-	Items    []Item `cbor:"rows"`
-	More     bool   `cbor:"hasNext"`
-	Revision uint64 `cbor:"ledgerMark"`
+// KeyValuePage is a page of keys; Missing reads of single keys carry only Revision.
+type KeyValuePage struct {
+	Items    []KeyValue `cbor:"rows"`
+	More     bool       `cbor:"hasNext"`
+	Revision uint64     `cbor:"ledgerMark"`
 }
 
-// Cond demands that a key still has a version; 0: that it does not exist.
-type Cond struct {
+// Compare demands that a key still has a version; 0: that it does not exist.
+type Compare struct {
 	Key      string `cbor:"key"`
 	Revision uint64 `cbor:"stamp"`
 }
 
 // Write puts or deletes one key.
 type Write struct {
-	Put    string `cbor:"put,omitempty"`
-	Value  any    `cbor:"value,omitempty"`
-	Lease  uint64 `cbor:"hold,omitempty"`
-	Delete string `cbor:"delete,omitempty"`
+	Put     string `cbor:"put,omitempty"`
+	Value   any    `cbor:"value,omitempty"`
+	LeaseID uint64 `cbor:"hold,omitempty"`
+	Delete  string `cbor:"delete,omitempty"`
 }
 
 // Txn is an atomic change of the state service.
 type Txn struct {
-	If   []Cond  `cbor:"when"`
-	Then []Write `cbor:"then"`
+	Compares []Compare `cbor:"when"`
+	Writes   []Write   `cbor:"then"`
 }
 
-// TxnReply answers a transaction.
-type TxnReply struct {
+// TxnResponse answers a transaction.
+type TxnResponse struct {
 	Revision uint64   `cbor:"ledgerMark"`
 	Failed   []string `cbor:"failed"`
 }
 
 // LeaseRequest asks for a lease; LeaseReply names it.
 type LeaseRequest struct {
-	LifeMS int64 `cbor:"lifeMs"`
+	TTLMS int64 `cbor:"lifeMs"`
 }
 
-// LeaseReply names a lease.
-type LeaseReply struct {
-	Lease uint64 `cbor:"hold"`
+// LeaseResponse names a lease.
+type LeaseResponse struct {
+	LeaseID uint64 `cbor:"hold"`
 }
 
 // Event is one change of a key.
@@ -116,13 +116,13 @@
 	Revision uint64 `cbor:"stamp"`
 }
 
-// WatchReply holds the changes since a revision.
-type WatchReply struct {
+// WatchResponse holds the changes since a revision.
+type WatchResponse struct {
 	Revision uint64  `cbor:"ledgerMark"`
 	Events   []Event `cbor:"news"`
 }
 
-// Problem is the body of a refusal.
-type Problem struct {
+// ErrorResponse is the body of a refusal.
+type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -10,49 +10,49 @@
 
 // The states of a task on its machine.
 const (
-	Fetching    TaskState = "fetching"
-	WaitingGang TaskState = "gathering"
-	RunningTask TaskState = "running"
-	Saving      TaskState = "saving"
-	Exited      TaskState = "ended"
+	TaskFetching       TaskState = "fetching"
+	TaskWaitingForGang TaskState = "gathering"
+	TaskRunning        TaskState = "running"
+	TaskSaving         TaskState = "saving"
+	TaskExited         TaskState = "ended"
 )
 
-// Cause tells why a task exited.
-type Cause string
+// ExitCause tells why a task exited.
+type ExitCause string
 
 // The causes of an exit that decide what happens next.
 const (
-	CauseDone       Cause = "done"
-	CauseStopped    Cause = "halted"
-	CausePeers      Cause = "mates_gone"
-	CauseIncomplete Cause = "incomplete"
-	CauseError      Cause = "error"
-	CauseNoRoom     Cause = "full"
-	CauseBusy       Cause = "busy"
-	CauseUnknown    Cause = "unknown"
+	ExitDone                  ExitCause = "done"
+	ExitStopped               ExitCause = "halted"
+	ExitGangMemberLost        ExitCause = "mates_gone"
+	ExitGangIncomplete        ExitCause = "incomplete"
+	ExitError                 ExitCause = "error"
+	ExitInsufficientResources ExitCause = "full"
+	ExitTaskPresent           ExitCause = "busy"
+	ExitTaskUnknown           ExitCause = "unknown"
 )
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string    `cbor:"piece"`
-	Attempt uint64    `cbor:"try"`
-	State   TaskState `cbor:"phase"`
-	Cause   Cause     `cbor:"cause,omitempty"`
-	Saved   bool      `cbor:"stored,omitempty"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task            string    `cbor:"piece"`
+	Attempt         uint64    `cbor:"try"`
+	State           TaskState `cbor:"phase"`
+	ExitCause       ExitCause `cbor:"cause,omitempty"`
+	CheckpointSaved bool      `cbor:"stored,omitempty"`
 }
 
-// Report is what a worker says of its machine.
-type Report struct {
-	Machine string       `cbor:"hearth"`
-	Addr    string       `cbor:"address"`
-	Type    string       `cbor:"breed"`
-	Zone    string       `cbor:"field"`
-	Spot    bool         `cbor:"windfall"`
-	Session uint64       `cbor:"tenure"`
-	Seq     uint64       `cbor:"tally"`
-	Token   uint64       `cbor:"mandate"`
-	Notice  *float64     `cbor:"warningS"`
-	Tasks   []TaskReport `cbor:"pieces"`
+// Heartbeat is what a worker says of its machine.
+type Heartbeat struct {
+	Machine            string       `cbor:"hearth"`
+	Address            string       `cbor:"address"`
+	MachineType        string       `cbor:"breed"`
+	Zone               string       `cbor:"field"`
+	Spot               bool         `cbor:"windfall"`
+	Incarnation        uint64       `cbor:"tenure"`
+	Sequence           uint64       `cbor:"tally"`
+	FencingToken       uint64       `cbor:"mandate"`
+	TerminationNoticeS *float64     `cbor:"warningS"`
+	Tasks              []TaskStatus `cbor:"pieces"`
 }
 
 // Op is what a command asks for.
@@ -60,30 +60,30 @@
 
 // The commands.
 const (
-	Start  Op = "start"
-	Stop   Op = "kill"
-	Forget Op = "clear"
+	StartTask  Op = "start"
+	StopTask   Op = "kill"
+	ForgetTask Op = "clear"
 )
 
 // Command is one order to a worker.
 type Command struct {
-	Op      Op      `cbor:"verb"`
-	Task    string  `cbor:"piece"`
-	Attempt uint64  `cbor:"try"`
-	Grace   float64 `cbor:"mercyS"`
+	Op           Op      `cbor:"verb"`
+	Task         string  `cbor:"piece"`
+	Attempt      uint64  `cbor:"try"`
+	GracePeriodS float64 `cbor:"mercyS"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
-	Token    uint64    `cbor:"mandate"`
-	Commands []Command `cbor:"bids"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `cbor:"mandate"`
+	Commands     []Command `cbor:"bids"`
 }
 
-// Orders are commands sent straight to a worker.
-type Orders struct {
-	Token    uint64    `cbor:"mandate"`
-	Session  uint64    `cbor:"tenure"`
-	Commands []Command `cbor:"bids"`
+// CommandRequest are commands sent straight to a worker.
+type CommandRequest struct {
+	FencingToken uint64    `cbor:"mandate"`
+	Incarnation  uint64    `cbor:"tenure"`
+	Commands     []Command `cbor:"bids"`
 }
 
 // Redirect names the node that a worker should report to.
@@ -94,8 +94,8 @@
 // TaskName is the protocol's name of a task of a job.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask takes a task's name apart; ok is false if it is none.
-func SplitTask(name string) (job string, index int, ok bool) {
+// ParseTaskName takes a task's name apart; ok is false if it is none.
+func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, n, found := strings.Cut(name, "/")
 	if !found {
 		return "", 0, false
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -31,7 +31,7 @@
 
 // Order sends orders. executed is true only if the worker carried them out; on
 // an error but ErrNotSent they may still be, for as long as token and session match.
-func (c *Client) Order(ctx context.Context, addr string, o wire.Orders) (r *wire.Report, executed bool, err error) {
+func (c *Client) Order(ctx context.Context, addr string, o wire.CommandRequest) (r *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var connected atomic.Bool
@@ -47,8 +47,8 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, false, fmt.Errorf("worker: status %d", resp.StatusCode)
 	}
-	var rep wire.Report
-	if err := wire.ReadReply(resp.Body, &rep); err != nil {
+	var rep wire.Heartbeat
+	if err := wire.ReadResponse(resp.Body, &rep); err != nil {
 		return nil, false, err
 	}
 	return &rep, resp.StatusCode == http.StatusOK, nil
