--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -19,18 +19,18 @@
 	Job(ctx context.Context, id string) (wire.JobStatus, error)
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
 	// Report answers a worker; if not ok, node names whom it should report to.
-	Report(r *wire.Heartbeat) (reply wire.HeartbeatResponse, node string, ok bool)
+	Heartbeat(r *wire.Heartbeat) (reply wire.HeartbeatResponse, node string, ok bool)
 	Healthy() bool
 }
 
-// Refusal is an error with a final answer for the user. Any other error means
+// StatusError is an error with a final answer for the user. Any other error means
 // that the user should come back.
-type Refusal struct {
+type StatusError struct {
 	Status int
 	Reason string
 }
 
-func (r *Refusal) Error() string { return r.Reason }
+func (r *StatusError) Error() string { return r.Reason }
 
 type server struct {
 	service Service
@@ -74,7 +74,7 @@
 }
 
 func (h *server) fail(w http.ResponseWriter, err error) {
-	var r *Refusal
+	var r *StatusError
 	if errors.As(err, &r) {
 		h.send(w, r.Status, wire.ErrorResponse{Error: r.Reason})
 		return
@@ -134,7 +134,7 @@
 		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "not a report"})
 		return
 	}
-	reply, node, ok := h.service.Report(&rep)
+	reply, node, ok := h.service.Heartbeat(&rep)
 	switch {
 	case ok:
 		h.send(w, http.StatusOK, reply)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -13,8 +13,8 @@
 // cancelledJobs names the jobs of a listing of marks.
 func (o *ownedPartition) cancelledJobs(items []wire.KeyValue) []string {
 	ids := make([]string, len(items))
-	for i, it := range items {
-		ids[i] = it.Key[len(records.CancellationPrefix(o.index)):]
+	for i, item := range items {
+		ids[i] = item.Key[len(records.CancellationPrefix(o.index)):]
 	}
 	return ids
 }
@@ -26,7 +26,7 @@
 func (o *ownedPartition) staleness() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return time.Since(o.knownUntil)
+	return time.Since(o.cancellationsReadAt)
 }
 
 // fresh tells whether the news are new enough to start tasks.
@@ -44,10 +44,10 @@
 	}
 }
 
-// followCancellations reads the marks of cancelled jobs again and again. A mark is committed with
+// pollCancellations reads the marks of cancelled jobs again and again. A mark is committed with
 // the cancellation and goes when all of the job is gone, so that a reading shows
 // every cancellation up to when it was asked for.
-func (o *ownedPartition) followCancellations() {
+func (o *ownedPartition) pollCancellations() {
 	gap := tuning.Seconds(o.controller.tuning.NewsS)
 	for o.ctx.Err() == nil {
 		o.logStaleness()
@@ -60,10 +60,10 @@
 		}
 		o.mu.Lock()
 		some := o.partition.SetCancelledJobs(o.cancelledJobs(items), time.Now())
-		o.knownUntil = asked
+		o.cancellationsReadAt = asked
 		o.mu.Unlock()
 		if some {
-			o.poke()
+			o.wakeUp()
 		}
 		transport.Pause(o.ctx, gap-time.Since(asked))
 	}
@@ -75,6 +75,6 @@
 	defer o.mu.Unlock()
 	if o.partition != nil {
 		o.partition.Cancel(id, time.Now())
-		o.poke()
+		o.wakeUp()
 	}
 }
--- a/internal/controller/cluster.go
+++ b/internal/controller/cluster.go
@@ -16,73 +16,73 @@
 	"ambersill/internal/wire"
 )
 
-type owner struct {
+type ownership struct {
 	node  string
-	stamp uint64
+	revision uint64
 }
 
 type machineEntry struct {
-	rec   records.MachineRecord
+	record   records.MachineRecord
 	group string
-	stamp uint64 // of the group
+	revision uint64 // of the group
 }
 
 // nodeEntry is what a live node says of itself.
 type nodeEntry struct {
-	level records.FeatureLevel
-	stamp uint64
+	featureLevel records.FeatureLevel
+	revision uint64
 }
 
 type rentalEntry struct {
-	rec   records.RentalRecord
-	stamp uint64
+	record   records.RentalRecord
+	revision uint64
 }
 
-// cluster is a copy of the cluster's keys, kept by a watch. It lags, so that
+// clusterCache is a copy of the cluster's keys, kept by a watch. It lags, so that
 // decisions based on it are only ever committed under the stamps it shows.
-type cluster struct {
+type clusterCache struct {
 	mu         sync.Mutex
 	loaded     bool
-	lead       owner
-	partitions map[int]owner
+	leader       ownership
+	partitions map[int]ownership
 	nodes      map[string]nodeEntry
 	level      records.FeatureLevel
 	groups     map[string]groupEntry
 	machines   map[string]machineEntry
 	rentals    map[string]rentalEntry
-	seen       uint64        // all changes up to this revision are in the copy
+	revision       uint64        // all changes up to this revision are in the copy
 	changed    chan struct{} // closed and replaced at every change
-	onChange   func(machine string, e machineEntry, gone bool)
-	onOwner    func(part int, o owner)
+	onMachine   func(machine string, entry machineEntry, gone bool)
+	onOwner    func(partition int, owner ownership)
 	onLevel    func(level records.FeatureLevel)
 }
 
-func newCluster() *cluster {
-	return &cluster{partitions: map[int]owner{}, nodes: map[string]nodeEntry{}, groups: map[string]groupEntry{}, machines: map[string]machineEntry{},
+func newClusterCache() *clusterCache {
+	return &clusterCache{partitions: map[int]ownership{}, nodes: map[string]nodeEntry{}, groups: map[string]groupEntry{}, machines: map[string]machineEntry{},
 		rentals: map[string]rentalEntry{}, changed: make(chan struct{})}
 }
 
-func (c *cluster) wait() <-chan struct{} {
+func (c *clusterCache) changes() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
 // apply takes in one key; gone: it was deleted at that stamp.
-func (c *cluster) apply(key string, value wire.Raw, stamp uint64, gone bool) {
+func (c *clusterCache) apply(key string, value wire.Raw, revision uint64, gone bool) {
 	c.mu.Lock()
 	var after func()
 	switch {
 	case key == records.LeaderKey:
-		if stamp >= c.lead.stamp {
-			c.lead = c.owner(value, stamp, gone)
+		if revision >= c.leader.revision {
+			c.leader = c.decodeOwner(value, revision, gone)
 		}
 	case strings.HasPrefix(key, records.PartitionPrefix):
-		if i, err := strconv.Atoi(key[len(records.PartitionPrefix):]); err == nil && stamp >= c.partitions[i].stamp {
-			o := c.owner(value, stamp, gone)
-			c.partitions[i] = o
+		if i, err := strconv.Atoi(key[len(records.PartitionPrefix):]); err == nil && revision >= c.partitions[i].revision {
+			owner := c.decodeOwner(value, revision, gone)
+			c.partitions[i] = owner
 			if c.onOwner != nil {
-				after = func() { c.onOwner(i, o) }
+				after = func() { c.onOwner(i, owner) }
 			}
 		}
 	case strings.HasPrefix(key, records.NodePrefix):
@@ -93,12 +93,12 @@
 			if err := wire.Unmarshal(value, &r); err != nil {
 				slog.Error("record not understood", "key", key, "err", err)
 			}
-			c.nodes[key[len(records.NodePrefix):]] = nodeEntry{r.Level, stamp}
+			c.nodes[key[len(records.NodePrefix):]] = nodeEntry{r.Level, revision}
 		}
 	case key == records.FeatureLevelKey:
 		after = c.applyLevel(value)
 	case strings.HasPrefix(key, records.MachinePrefix):
-		after = c.applyGroup(key[len(records.MachinePrefix):], value, stamp, gone)
+		after = c.applyGroup(key[len(records.MachinePrefix):], value, revision, gone)
 	case strings.HasPrefix(key, records.RentalPrefix):
 		id := key[len(records.RentalPrefix):]
 		if gone {
@@ -107,7 +107,7 @@
 		}
 		var r records.RentalRecord
 		if wire.Unmarshal(value, &r) == nil {
-			c.rentals[id] = rentalEntry{r, stamp}
+			c.rentals[id] = rentalEntry{r, revision}
 		}
 	}
 	close(c.changed)
@@ -119,7 +119,7 @@
 }
 
 // applyLevel takes in the feature level, which never goes down.
-func (c *cluster) applyLevel(value wire.Raw) func() {
+func (c *clusterCache) applyLevel(value wire.Raw) func() {
 	var r records.LevelRecord
 	if wire.Unmarshal(value, &r) != nil || r.Level <= c.level {
 		return nil
@@ -132,39 +132,39 @@
 }
 
 // featureLevel is the cluster's feature level as far as this node knows.
-func (c *cluster) featureLevel() records.FeatureLevel {
+func (c *clusterCache) featureLevel() records.FeatureLevel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.level
 }
 
-func (c *cluster) owner(value wire.Raw, stamp uint64, gone bool) owner {
+func (c *clusterCache) decodeOwner(value wire.Raw, revision uint64, gone bool) ownership {
 	if gone {
-		return owner{stamp: stamp}
+		return ownership{revision: revision}
 	}
 	var r records.OwnerRecord
 	if wire.Unmarshal(value, &r) != nil {
-		return owner{stamp: stamp}
+		return ownership{revision: revision}
 	}
-	return owner{node: r.Node, stamp: stamp}
+	return ownership{node: r.Node, revision: revision}
 }
 
-// reset replaces the copy by a fresh listing.
-func (c *cluster) reset(items []wire.KeyValue, rev uint64) {
+// replaceAll replaces the copy by a fresh listing.
+func (c *clusterCache) replaceAll(items []wire.KeyValue, revision uint64) {
 	have := map[string]bool{}
 	// The highest names first, as in inOrder.
-	for _, it := range slices.Backward(items) {
-		have[it.Key] = true
-		c.apply(it.Key, it.Value, it.Revision, false)
+	for _, item := range slices.Backward(items) {
+		have[item.Key] = true
+		c.apply(item.Key, item.Value, item.Revision, false)
 	}
 	c.mu.Lock()
 	var gone []string
-	for i, o := range c.partitions {
-		if k := records.PartitionKey(i); !have[k] && o.node != "" {
+	for i, owner := range c.partitions {
+		if k := records.PartitionKey(i); !have[k] && owner.node != "" {
 			gone = append(gone, k)
 		}
 	}
-	if c.lead.node != "" && !have[records.LeaderKey] {
+	if c.leader.node != "" && !have[records.LeaderKey] {
 		gone = append(gone, records.LeaderKey)
 	}
 	for n := range c.nodes {
@@ -173,7 +173,7 @@
 		}
 	}
 	for n, e := range c.groups {
-		if !have[records.MachinePrefix+n] && e.stamp <= rev {
+		if !have[records.MachinePrefix+n] && e.revision <= revision {
 			gone = append(gone, records.MachinePrefix+n)
 		}
 	}
@@ -184,47 +184,47 @@
 	}
 	c.mu.Unlock()
 	for _, k := range gone {
-		c.apply(k, nil, rev, true)
+		c.apply(k, nil, revision, true)
 	}
 	c.mu.Lock()
 	c.loaded = true
 	c.mu.Unlock()
-	c.caughtUp(rev)
+	c.advanceTo(revision)
 }
 
-// caughtUp notes that all changes up to a revision are in the copy.
-func (c *cluster) caughtUp(rev uint64) {
+// advanceTo notes that all changes up to a revision are in the copy.
+func (c *clusterCache) advanceTo(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if rev > c.seen {
-		c.seen = rev
+	if revision > c.revision {
+		c.revision = revision
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
 }
 
-// watchWait is how long one watch stays open.
-const watchWait = 20 * time.Second
+// watchTimeout is how long one watch stays open.
+const watchTimeout = 20 * time.Second
 
-// follow lists a prefix and then follows its changes until the context ends; upTo is
+// watchPrefix lists a prefix and then follows its changes until the context ends; upTo is
 // told the revision up to which all have been passed on.
-func follow(ctx context.Context, st *kvstore.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
+func watchPrefix(ctx context.Context, store *kvstore.Client, prefix string, list func([]wire.KeyValue, uint64), event func(wire.Event), upTo func(uint64)) {
 	for ctx.Err() == nil {
-		items, rev, err := st.List(ctx, prefix)
+		items, revision, err := store.List(ctx, prefix)
 		if err != nil {
 			slog.Debug("listing failed", "prefix", prefix, "err", err)
 			transport.Pause(ctx, 500*time.Millisecond)
 			continue
 		}
-		list(items, rev)
-		followFrom(ctx, st, prefix, rev, event, upTo)
+		list(items, revision)
+		watchPrefixFrom(ctx, store, prefix, revision, event, upTo)
 	}
 }
 
-// followFrom follows a prefix's changes; it returns when they are no longer kept.
-func followFrom(ctx context.Context, st *kvstore.Client, prefix string, rev uint64, event func(wire.Event), upTo func(uint64)) {
+// watchPrefixFrom follows a prefix's changes; it returns when they are no longer kept.
+func watchPrefixFrom(ctx context.Context, store *kvstore.Client, prefix string, revision uint64, event func(wire.Event), upTo func(uint64)) {
 	for ctx.Err() == nil {
-		r, err := st.Watch(ctx, prefix, rev, watchWait)
+		r, err := store.Watch(ctx, prefix, revision, watchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			return
@@ -233,23 +233,23 @@
 			transport.Pause(ctx, 300*time.Millisecond)
 			continue
 		}
-		for _, e := range inOrder(r.Events) {
+		for _, e := range sortEvents(r.Events) {
 			event(e)
 		}
-		rev = max(rev, r.Revision)
-		upTo(rev)
+		revision = max(revision, r.Revision)
+		upTo(revision)
 	}
 }
 
-func (c *cluster) snapshotOwner(part int) owner {
+func (c *clusterCache) partitionOwner(partition int) ownership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.partitions[part]
+	return c.partitions[partition]
 }
 
-func (c *cluster) machine(id string) (machineEntry, bool) {
+func (c *clusterCache) machine(id string) (machineEntry, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e, ok := c.machines[id]
-	return e, ok
+	entry, ok := c.machines[id]
+	return entry, ok
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,53 +29,53 @@
 	store      *kvstore.Client
 	cloud      *cloud.Client
 	workers    *worker.Client
-	orders     *orders
-	cluster    *cluster
+	commandSlots     *commandSlots
+	cluster    *clusterCache
 	peers      map[string]*peerrpc.Peer
 	partitions int
 	// limits are those of the state service that all that is written keeps to.
 	limits config.StateLimits
-	// announced is the feature level that this node says it knows.
-	announced records.FeatureLevel
+	// supportedLevel is the feature level that this node says it knows.
+	supportedLevel records.FeatureLevel
 	// forwarders pass workers' reports on, by the node that they go to.
 	forwarders map[string]*forwarder
-	// telling holds a place for each cancellation that an owner is told of.
-	telling chan struct{}
+	// announcementSlots holds a place for each cancellation that an owner is told of.
+	announcementSlots chan struct{}
 
 	mu         sync.Mutex
-	types      []wire.MachineType
+	machineTypes      []wire.MachineType
 	owned      map[int]*ownedPartition
-	lease      uint64
-	leaseUntil time.Time // until then the lease lasts for sure, whatever becomes of contact
+	leaseID      uint64
+	leaseExpiry time.Time // until then the lease lasts for sure, whatever becomes of contact
 	leading    bool
-	finals     map[string]records.JobRecord
-	addrs      map[string]string // where machines can be reached, by their reports or the list
+	finalJobs     map[string]records.JobRecord
+	addresses      map[string]string // where machines can be reached, by their reports or the list
 	visits     map[string]visit  // workers that report here but are assigned to other nodes, by machine
-	restPart   map[int]time.Time // parts not to be claimed again at once
+	claimBackoff   map[int]time.Time // parts not to be claimed again at once
 }
 
 // New makes a controller that has not started yet.
-func New(s *config.Settings, t tuning.Tuning, n transport.Net) *Controller {
-	st := s.WriteLimits()
+func New(settings *config.Settings, tunables tuning.Tuning, network transport.Net) *Controller {
+	st := settings.WriteLimits()
 	c := &Controller{
-		settings: s, limits: st, announced: records.CurrentFeatureLevel, tuning: t, net: n, cluster: newCluster(), peers: map[string]*peerrpc.Peer{}, partitions: t.Parts,
-		owned: map[int]*ownedPartition{}, finals: map[string]records.JobRecord{}, addrs: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, restPart: map[int]time.Time{},
-		store:   kvstore.New(kvstore.Options{Net: n, Addr: s.Outside.State, Timeout: tuning.Seconds(t.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
-		cloud:   cloud.New(n, s.Outside.Cloud, s.Cluster.Cloud.RPS),
-		workers: worker.New(n, tuning.Seconds(s.Cluster.Workers.ReportS)),
-		orders:  newOrders(s.Cluster.Limits.MaxSockets), telling: make(chan struct{}, maxTellings),
+		settings: settings, limits: st, supportedLevel: records.CurrentFeatureLevel, tuning: tunables, net: network, cluster: newClusterCache(), peers: map[string]*peerrpc.Peer{}, partitions: tunables.Parts,
+		owned: map[int]*ownedPartition{}, finalJobs: map[string]records.JobRecord{}, addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
+		store:   kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
+		cloud:   cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
+		workers: worker.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
+		commandSlots:  newCommandSlots(settings.Cluster.Limits.MaxSockets), announcementSlots: make(chan struct{}, maxAnnouncements),
 	}
 	if c.partitions == 0 {
-		c.partitions = s.Cluster.Count
+		c.partitions = settings.Cluster.Count
 	}
-	for _, m := range s.Members {
-		c.peers[m.Node] = &peerrpc.Peer{Member: m, Net: n}
-		c.forwarders[m.Node] = newForwarder(&peerrpc.Peer{Member: m, Net: n})
+	for _, m := range settings.Members {
+		c.peers[m.Node] = &peerrpc.Peer{Member: m, Net: network}
+		c.forwarders[m.Node] = newForwarder(&peerrpc.Peer{Member: m, Net: network})
 	}
-	c.cluster.onChange = c.machineChanged
+	c.cluster.onMachine = c.machineChanged
 	c.cluster.onOwner = c.ownerChanged
 	c.cluster.onLevel = c.levelRaised
-	c.share()
+	c.updateRateShare()
 	return c
 }
 
@@ -94,29 +94,29 @@
 			}
 		}()
 	}
-	slog.Info("starting", "node", c.settings.Node, "parts", c.partitions, "public_sockets", c.publicSockets(), "orders", c.orders.most)
-	for _, f := range c.forwarders {
-		f.done = ctx.Done()
-		duty("forwarding of reports", f.run)
+	slog.Info("starting", "node", c.settings.Node, "parts", c.partitions, "public_sockets", c.publicSockets(), "orders", c.commandSlots.limit)
+	for _, forwarder := range c.forwarders {
+		forwarder.done = ctx.Done()
+		duty("forwarding of reports", forwarder.run)
 	}
 	duty("users and workers", c.serve)
 	duty("peer calls", func(ctx context.Context) error { return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c) })
 	duty("cluster watch", func(ctx context.Context) error {
-		follow(ctx, c.store, records.ClusterPrefix, c.cluster.reset, func(e wire.Event) {
-			if e.Delete != "" {
-				c.cluster.apply(e.Delete, nil, e.Revision, true)
+		watchPrefix(ctx, c.store, records.ClusterPrefix, c.cluster.replaceAll, func(event wire.Event) {
+			if event.Delete != "" {
+				c.cluster.apply(event.Delete, nil, event.Revision, true)
 			} else {
-				c.cluster.apply(e.Put, e.Value, e.Revision, false)
+				c.cluster.apply(event.Put, event.Value, event.Revision, false)
 			}
-		}, c.cluster.caughtUp)
+		}, c.cluster.advanceTo)
 		return nil
 	})
-	duty("catalog", c.keepCatalog)
-	duty("membership", c.keepMembership)
-	duty("lead", c.keepLead)
-	duty("log", c.keepLog)
+	duty("catalog", c.runCatalog)
+	duty("membership", c.runMembership)
+	duty("lead", c.runLeadership)
+	duty("log", c.runCounters)
 	<-ctx.Done()
-	c.leave()
+	c.releaseLease()
 	wg.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
@@ -124,24 +124,24 @@
 	return nil
 }
 
-// leave gives up all that is held, so that others need not wait for the lease.
-func (c *Controller) leave() {
+// releaseLease gives up all that is held, so that others need not wait for the lease.
+func (c *Controller) releaseLease() {
 	c.mu.Lock()
-	hold := c.lease
-	for _, o := range c.owned {
-		o.cancel()
+	leaseID := c.leaseID
+	for _, owned := range c.owned {
+		owned.cancel()
 	}
 	c.mu.Unlock()
-	if hold != 0 {
+	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), tuning.Seconds(c.tuning.StateTimeoutS))
 		defer cancel()
-		_ = c.store.EndLease(ctx, hold)
+		_ = c.store.EndLease(ctx, leaseID)
 	}
 	slog.Info("stopped", "node", c.settings.Node)
 }
 
-// keepCatalog learns the machine types, and follows their prices.
-func (c *Controller) keepCatalog(ctx context.Context) error {
+// runCatalog learns the machine types, and follows their prices.
+func (c *Controller) runCatalog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		types, err := c.cloud.Catalog(ctx)
 		if err != nil || len(types) == 0 {
@@ -150,7 +150,7 @@
 			continue
 		}
 		c.mu.Lock()
-		c.types = types
+		c.machineTypes = types
 		owned := c.ownedPartitions()
 		c.mu.Unlock()
 		for _, o := range owned {
@@ -168,15 +168,15 @@
 func (c *Controller) catalog() []wire.MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.types
+	return c.machineTypes
 }
 
 // ownedPartitions lists the parts in order; c.mu must be held.
 func (c *Controller) ownedPartitions() []*ownedPartition {
 	out := make([]*ownedPartition, 0, len(c.owned))
 	for i := 0; i < c.partitions; i++ {
-		if o := c.owned[i]; o != nil {
-			out = append(out, o)
+		if owned := c.owned[i]; owned != nil {
+			out = append(out, owned)
 		}
 	}
 	return out
@@ -200,13 +200,13 @@
 	c.mu.Lock()
 	all := c.ownedPartitions()
 	c.mu.Unlock()
-	for _, o := range all {
-		o.mu.Lock()
+	for _, owned := range all {
+		owned.mu.Lock()
 		var counts peerrpc.JobCounts
-		if o.partition != nil {
-			counts.Done, counts.Running, counts.Known = o.partition.JobCounts(jobID)
+		if owned.partition != nil {
+			counts.Done, counts.Running, counts.Known = owned.partition.JobCounts(jobID)
 		}
-		o.mu.Unlock()
+		owned.mu.Unlock()
 		if counts.Known {
 			return counts
 		}
@@ -217,42 +217,42 @@
 // SinceContact is the time since the state service last served this node.
 func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
 
-// learn notes where a machine can be reached. Of machines without a record nothing is
+// recordAddress notes where a machine can be reached. Of machines without a record nothing is
 // kept: the cloud's list goes on to show those that were returned, and what it tells of
 // them would stay for ever.
-func (c *Controller) learn(id, addr string) {
+func (c *Controller) recordAddress(id, addr string) {
 	if _, known := c.cluster.machine(id); !known || addr == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addrs[id] = addr
+	c.addresses[id] = addr
 }
 
-// addr tells where a machine can be reached; "" if that is not known yet.
-func (c *Controller) addr(id string) string {
+// address tells where a machine can be reached; "" if that is not known yet.
+func (c *Controller) address(id string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addrs[id]
+	return c.addresses[id]
 }
 
-func (c *Controller) machineChanged(id string, e machineEntry, gone bool) {
+func (c *Controller) machineChanged(id string, entry machineEntry, gone bool) {
 	c.mu.Lock()
 	all := c.ownedPartitions()
 	if gone {
-		delete(c.addrs, id)
+		delete(c.addresses, id)
 		delete(c.visits, id)
-		c.orders.forget(id)
+		c.commandSlots.forget(id)
 	}
 	c.mu.Unlock()
-	for _, o := range all {
-		o.machineChanged(id, e, gone)
-		o.poke()
+	for _, owned := range all {
+		owned.machineChanged(id, entry, gone)
+		owned.wakeUp()
 	}
 }
 
-// keepLog writes a line of counters now and then.
-func (c *Controller) keepLog(ctx context.Context) error {
+// runCounters writes a line of counters now and then.
+func (c *Controller) runCounters(ctx context.Context) error {
 	for ctx.Err() == nil {
 		transport.Pause(ctx, 30*time.Second)
 		var ms runtime.MemStats
@@ -260,17 +260,17 @@
 		ok, refused, unknown := c.store.Counts()
 		c.mu.Lock()
 		all := c.ownedPartitions()
-		finals := len(c.finals)
+		finals := len(c.finalJobs)
 		c.mu.Unlock()
 		args := []any{"heap_mb", ms.HeapAlloc >> 20, "sys_mb", ms.Sys >> 20, "goroutines", runtime.NumGoroutine(),
 			"state_ok", ok, "state_refused", refused, "state_unknown", unknown, "final_jobs_cached", finals}
-		for _, o := range all {
-			o.mu.Lock()
-			if o.partition != nil {
-				args = append(args, "part", o.index, "jobs", o.partition.JobCount(), "machines", len(o.partition.MachineIDs()), "started", o.partition.Started,
-					"finished", o.partition.Finished, "requeued", o.partition.Requeued, "preempted", o.partition.Preempted, "moved", o.partition.Moved, "gathered", o.partition.GangReservations, "incomplete", o.partition.GangTimeouts, "journaled", o.partition.JournalRecords, "folded", o.partition.Compactions)
+		for _, owned := range all {
+			owned.mu.Lock()
+			if owned.partition != nil {
+				args = append(args, "part", owned.index, "jobs", owned.partition.JobCount(), "machines", len(owned.partition.MachineIDs()), "started", owned.partition.Started,
+					"finished", owned.partition.Finished, "requeued", owned.partition.Requeued, "preempted", owned.partition.Preempted, "moved", owned.partition.Moved, "gathered", owned.partition.GangReservations, "incomplete", owned.partition.GangTimeouts, "journaled", owned.partition.JournalRecords, "folded", owned.partition.Compactions)
 			}
-			o.mu.Unlock()
+			owned.mu.Unlock()
 		}
 		slog.Info("counters", args...)
 	}
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// forwardGap is how long reports are gathered before they are forwarded together. It
+	// forwardBatchDelay is how long reports are gathered before they are forwarded together. It
 	// is little beside the seconds between two reports, and makes one call of several.
-	forwardGap = 50 * time.Millisecond
-	// forwardLimit bounds the call that forwards reports; workers wait 4 s.
-	forwardLimit = 1500 * time.Millisecond
-	// maxForwarded bounds the reports that wait to be forwarded to a node, and those of
+	forwardBatchDelay = 50 * time.Millisecond
+	// forwardTimeout bounds the call that forwards reports; workers wait 4 s.
+	forwardTimeout = 1500 * time.Millisecond
+	// maxForwardBatch bounds the reports that wait to be forwarded to a node, and those of
 	// one call. With more than that the worker is sent to the owner itself.
-	maxForwarded = 256
+	maxForwardBatch = 256
 )
 
 // forwarder passes workers' reports on to one other node, in batches.
 type forwarder struct {
 	// peer is a connection of its own, which no other call can hold up.
 	peer  *peerrpc.Peer
-	queue chan forwarded
+	queue chan forwardRequest
 	done  <-chan struct{}
 }
 
-// forwarded is a report on its way; its answer is sent once.
-type forwarded struct {
-	report *wire.Heartbeat
+// forwardRequest is a report on its way; its answer is sent once.
+type forwardRequest struct {
+	heartbeat *wire.Heartbeat
 	answer chan forwardAnswer
 }
 
@@ -41,16 +41,16 @@
 }
 
 func newForwarder(peer *peerrpc.Peer) *forwarder {
-	return &forwarder{peer: peer, queue: make(chan forwarded, maxForwarded), done: make(chan struct{})}
+	return &forwarder{peer: peer, queue: make(chan forwardRequest, maxForwardBatch), done: make(chan struct{})}
 }
 
 // forward has the peer answer a report; reached is false if it did not, or if too many
 // reports wait.
-func (f *forwarder) forward(r *wire.Heartbeat) (result peerrpc.HeartbeatResult, reached bool) {
-	if f.peer.Failing(peerRest) {
+func (f *forwarder) forward(heartbeat *wire.Heartbeat) (result peerrpc.HeartbeatResult, reached bool) {
+	if f.peer.Failing(peerBackoff) {
 		return peerrpc.HeartbeatResult{}, false
 	}
-	item := forwarded{report: r, answer: make(chan forwardAnswer, 1)}
+	item := forwardRequest{heartbeat: heartbeat, answer: make(chan forwardAnswer, 1)}
 	select {
 	case f.queue <- item:
 	default:
@@ -67,21 +67,21 @@
 // run forwards what is queued until the context ends.
 func (f *forwarder) run(ctx context.Context) error {
 	for {
-		var first forwarded
+		var first forwardRequest
 		select {
 		case <-ctx.Done():
 			return nil
 		case first = <-f.queue:
 		}
-		transport.Pause(ctx, forwardGap)
-		f.send(f.gather(first))
+		transport.Pause(ctx, forwardBatchDelay)
+		f.send(f.collectBatch(first))
 	}
 }
 
-// gather takes what is queued behind a first report, up to the bound of a call.
-func (f *forwarder) gather(first forwarded) []forwarded {
-	batch := []forwarded{first}
-	for len(batch) < maxForwarded {
+// collectBatch takes what is queued behind a first report, up to the bound of a call.
+func (f *forwarder) collectBatch(first forwardRequest) []forwardRequest {
+	batch := []forwardRequest{first}
+	for len(batch) < maxForwardBatch {
 		select {
 		case item := <-f.queue:
 			batch = append(batch, item)
@@ -93,16 +93,16 @@
 }
 
 // send makes the call for a batch, and hands out the answers.
-func (f *forwarder) send(batch []forwarded) {
+func (f *forwarder) send(batch []forwardRequest) {
 	var results []peerrpc.HeartbeatResult
 	reached := false
-	if !f.peer.Failing(peerRest) {
+	if !f.peer.Failing(peerBackoff) {
 		heartbeats := make([]*wire.Heartbeat, len(batch))
 		for i, item := range batch {
-			heartbeats[i] = item.report
+			heartbeats[i] = item.heartbeat
 		}
 		var err error
-		results, err = f.peer.ForwardHeartbeats(heartbeats, forwardLimit)
+		results, err = f.peer.ForwardHeartbeats(heartbeats, forwardTimeout)
 		reached = err == nil
 		if err != nil {
 			slog.Debug("reports not forwarded", "node", f.peer.Node, "count", len(batch), "err", err)
--- a/internal/controller/groups.go
+++ b/internal/controller/groups.go
@@ -11,34 +11,34 @@
 )
 
 type groupEntry struct {
-	rec   records.MachineGroupRecord
-	stamp uint64
+	record   records.MachineGroupRecord
+	revision uint64
 }
 
 // applyGroup takes in a group of machines, and returns what is to be told of them.
-func (c *cluster) applyGroup(name string, value wire.Raw, stamp uint64, gone bool) func() {
+func (c *clusterCache) applyGroup(name string, value wire.Raw, revision uint64, gone bool) func() {
 	old := c.groups[name]
-	if stamp < old.stamp {
+	if revision < old.revision {
 		return nil
 	}
-	var g records.MachineGroupRecord
+	var group records.MachineGroupRecord
 	if !gone {
 		var err error
-		if g, err = records.DecodeMachineGroup(name, value, stamp); err != nil {
+		if group, err = records.DecodeMachineGroup(name, value, revision); err != nil {
 			slog.Error("record not understood", "key", records.MachinePrefix+name, "err", err)
 			return nil
 		}
 	}
 	changed, lost := map[string]machineEntry{}, []string{}
-	for id, r := range g.Machines {
-		e := machineEntry{rec: r, group: name, stamp: stamp}
-		if c.machines[id].rec != r {
-			changed[id] = e
+	for id, record := range group.Machines {
+		entry := machineEntry{record: record, group: name, revision: revision}
+		if c.machines[id].record != record {
+			changed[id] = entry
 		}
-		c.machines[id] = e
+		c.machines[id] = entry
 	}
-	for id := range old.rec.Machines {
-		if _, ok := g.Machines[id]; !ok && c.machines[id].group == name {
+	for id := range old.record.Machines {
+		if _, ok := group.Machines[id]; !ok && c.machines[id].group == name {
 			delete(c.machines, id)
 			lost = append(lost, id)
 		}
@@ -46,17 +46,17 @@
 	if gone {
 		delete(c.groups, name)
 	} else {
-		c.groups[name] = groupEntry{g, stamp}
+		c.groups[name] = groupEntry{group, revision}
 	}
-	if c.onChange == nil {
+	if c.onMachine == nil {
 		return nil
 	}
 	return func() {
-		for id, e := range changed {
-			c.onChange(id, e, false)
+		for id, entry := range changed {
+			c.onMachine(id, entry, false)
 		}
 		for _, id := range lost {
-			c.onChange(id, machineEntry{}, true)
+			c.onMachine(id, machineEntry{}, true)
 		}
 	}
 }
@@ -68,46 +68,46 @@
 	then  []wire.Write
 }
 
-// regroup builds the writes that change machines' records; nil removes one. Groups
+// groupChanges builds the writes that change machines' records; nil removes one. Groups
 // that are not in the copy any more are left out. No group is larger than the limit.
-func (c *cluster) regroup(changes map[string]*records.MachineRecord, limit int) []groupChange {
+func (c *clusterCache) groupChanges(changes map[string]*records.MachineRecord, limit int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := map[string]records.MachineGroupRecord{}
 	var order []string
 	for _, id := range slices.Sorted(maps.Keys(changes)) {
-		e, ok := c.machines[id]
+		entry, ok := c.machines[id]
 		if !ok {
 			continue
 		}
-		g, ok := next[e.group]
+		group, ok := next[entry.group]
 		if !ok {
-			g.Machines = maps.Clone(c.groups[e.group].rec.Machines)
-			next[e.group] = g
-			order = append(order, e.group)
+			group.Machines = maps.Clone(c.groups[entry.group].record.Machines)
+			next[entry.group] = group
+			order = append(order, entry.group)
 		}
-		if r := changes[id]; r != nil {
-			g.Machines[id] = *r
+		if record := changes[id]; record != nil {
+			group.Machines[id] = *record
 		} else {
-			delete(g.Machines, id)
+			delete(group.Machines, id)
 		}
 	}
 	var out []groupChange
 	for _, name := range order {
-		out = append(out, changeGroup(name, c.groups[name].stamp, next[name], limit))
+		out = append(out, changeGroup(name, c.groups[name].revision, next[name], limit))
 	}
 	return out
 }
 
 // changeGroup builds the writes of one group.
-func changeGroup(name string, stamp uint64, g records.MachineGroupRecord, limit int) groupChange {
+func changeGroup(name string, revision uint64, group records.MachineGroupRecord, limit int) groupChange {
 	key := records.MachinePrefix + name
-	change := groupChange{conds: []wire.Compare{{Key: key, Revision: stamp}}}
-	if len(g.Machines) == 0 {
+	change := groupChange{conds: []wire.Compare{{Key: key, Revision: revision}}}
+	if len(group.Machines) == 0 {
 		change.then = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := g.Split(limit)
+	pieces := group.Split(limit)
 	for _, piece := range pieces[1:] {
 		cond, put := newGroup(piece)
 		change.conds, change.then = append(change.conds, cond), append(change.then, put)
@@ -126,10 +126,10 @@
 	return int(c.limits.ValueKB * 1024)
 }
 
-// inOrder sorts changes so that they can be taken in one after the other: by revision, and
+// sortEvents sorts changes so that they can be taken in one after the other: by revision, and
 // the pieces of a divided group, whose names are higher, before the rest of it. Else the
 // machines of the pieces would be missing in between, and be taken for gone.
-func inOrder(events []wire.Event) []wire.Event {
+func sortEvents(events []wire.Event) []wire.Event {
 	out := slices.Clone(events)
 	slices.SortStableFunc(out, func(a, b wire.Event) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(b.Put+b.Delete, a.Put+a.Delete))
@@ -138,19 +138,19 @@
 }
 
 // newGroup is the write of a new group, named after its first machine.
-func newGroup(g records.MachineGroupRecord) (wire.Compare, wire.Write) {
-	key := records.MachinePrefix + slices.Min(slices.Sorted(maps.Keys(g.Machines)))
-	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: g}
+func newGroup(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
+	key := records.MachinePrefix + slices.Min(slices.Sorted(maps.Keys(group.Machines)))
+	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: group}
 }
 
 // oversized names a machine of each group that outgrows the limit.
-func (c *cluster) oversized(limit int) []string {
+func (c *clusterCache) oversized(limit int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
-		if g := c.groups[name].rec; g.SizeBound() > limit {
-			out = append(out, slices.Min(slices.Sorted(maps.Keys(g.Machines))))
+		if group := c.groups[name].record; group.SizeBound() > limit {
+			out = append(out, slices.Min(slices.Sorted(maps.Keys(group.Machines))))
 		}
 	}
 	return out
--- a/internal/controller/inventory.go
+++ b/internal/controller/inventory.go
@@ -13,48 +13,48 @@
 	"ambersill/internal/wire"
 )
 
-// readList compares the cloud's list with the records.
-func (l *leader) readList(ctx context.Context) {
+// readListing compares the cloud's list with the records.
+func (l *leader) readListing(ctx context.Context) {
 	list, err := l.controller.cloud.List(ctx)
 	if err != nil {
 		slog.Debug("machines not listed", "err", err)
 		return
 	}
-	l.noteListed(list, time.Now())
-	if l.rentalsAreOpen() {
+	l.recordListing(list, time.Now())
+	if l.hasPendingRentals() {
 		// Machines that nobody expected may be theirs.
 		return
 	}
-	_, recs := l.machines()
-	if !l.takeIn(ctx, list, recs) {
+	_, machines := l.machines()
+	if !l.adoptMachines(ctx, list, machines) {
 		return
 	}
-	for _, m := range list {
-		if _, ok := recs[m.ID]; !ok && m.State == wire.MachineFailed {
-			l.giveUp(ctx, []string{m.ID}, map[string][]string{"failed": {m.ID}})
+	for _, machine := range list {
+		if _, ok := machines[machine.ID]; !ok && machine.State == wire.MachineFailed {
+			l.returnToCloud(ctx, []string{machine.ID}, map[string][]string{"failed": {machine.ID}})
 		}
 	}
 }
 
-// noteListed notes which machines the cloud lists, and counts those that are missing.
-func (l *leader) noteListed(list []wire.CloudMachine, now time.Time) {
+// recordListing notes which machines the cloud lists, and counts those that are missing.
+func (l *leader) recordListing(list []wire.CloudMachine, now time.Time) {
 	l.listed = map[string]wire.CloudMachine{}
-	for _, m := range list {
-		l.listed[m.ID] = m
-		l.seen[m.ID] = true
-		l.controller.learn(m.ID, m.Address)
+	for _, machine := range list {
+		l.listed[machine.ID] = machine
+		l.everListed[machine.ID] = true
+		l.controller.recordAddress(machine.ID, machine.Address)
 	}
 	ids, _ := l.machines()
 	for _, id := range ids {
-		if _, ok := l.listed[id]; ok || !l.seen[id] {
-			l.absent[id] = 0
+		if _, ok := l.listed[id]; ok || !l.everListed[id] {
+			l.missedListings[id] = 0
 			continue
 		}
-		l.absent[id]++
+		l.missedListings[id]++
 	}
-	for id, at := range l.gone {
+	for id, at := range l.returnedAt {
 		if now.Sub(at) > returnedListed {
-			delete(l.gone, id)
+			delete(l.returnedAt, id)
 		}
 	}
 }
@@ -62,42 +62,42 @@
 // returnedListed is how long the list may go on to show a machine that was returned.
 const returnedListed = 2 * time.Minute
 
-// rentalsAreOpen tells whether there are rentals without an answer.
-func (l *leader) rentalsAreOpen() bool {
+// hasPendingRentals tells whether there are rentals without an answer.
+func (l *leader) hasPendingRentals() bool {
 	l.controller.cluster.mu.Lock()
 	defer l.controller.cluster.mu.Unlock()
 	return len(l.controller.cluster.rentals) > 0
 }
 
-// takeIn records machines that nobody expected: rented late, by a lost request, or there
+// adoptMachines records machines that nobody expected: rented late, by a lost request, or there
 // from the start. Sizing gives them back if they are too many. They are added to recs; the
 // result is false if some could not be recorded.
-func (l *leader) takeIn(ctx context.Context, list []wire.CloudMachine, recs map[string]machineEntry) bool {
+func (l *leader) adoptMachines(ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry) bool {
 	now := time.Now()
 	groups := map[autoscaler.Offering][]string{}
 	taken := map[string]records.MachineRecord{}
-	for _, m := range list {
-		_, known := recs[m.ID]
-		_, returned := l.gone[m.ID]
-		if known || returned || m.State == wire.MachineFailed {
+	for _, machine := range list {
+		_, known := machines[machine.ID]
+		_, returned := l.returnedAt[machine.ID]
+		if known || returned || machine.State == wire.MachineFailed {
 			continue
 		}
-		rec := records.MachineRecord{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Partition: l.partFor(recs),
-			CreatedAtMS: now.UnixMilli() - int64(m.AgeS*1000)}
-		recs[m.ID] = machineEntry{rec: rec}
-		taken[m.ID] = rec
-		k := autoscaler.Offering{MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot}
-		groups[k] = append(groups[k], m.ID)
-	}
-	for k, ids := range groups {
-		for part := range slices.Chunk(ids, records.MachinesPerGroup(l.controller.limits.ValueKB, k.MachineType, k.Zone)) {
+		record := records.MachineRecord{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Partition: l.smallestPartition(machines),
+			CreatedAtMS: now.UnixMilli() - int64(machine.AgeS*1000)}
+		machines[machine.ID] = machineEntry{record: record}
+		taken[machine.ID] = record
+		offering := autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
+		groups[offering] = append(groups[offering], machine.ID)
+	}
+	for offering, ids := range groups {
+		for part := range slices.Chunk(ids, records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)) {
 			cond, put := newGroup(groupOf(part, taken))
-			rev, err := l.commit(ctx, []wire.Compare{cond}, []wire.Write{put})
+			revision, err := l.commit(ctx, []wire.Compare{cond}, []wire.Write{put})
 			if err != nil {
 				slog.Debug("machines not taken in", "err", err)
 				return false
 			}
-			l.controller.cluster.apply(put.Put, must(wire.Marshal(put.Value)), rev, false)
+			l.controller.cluster.apply(put.Put, must(wire.Marshal(put.Value)), revision, false)
 			slog.Info("machines taken in", "count", len(part))
 		}
 	}
@@ -106,19 +106,19 @@
 
 // groupOf joins the records of some machines.
 func groupOf(ids []string, recs map[string]records.MachineRecord) records.MachineGroupRecord {
-	g := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
+	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for _, id := range ids {
-		g.Machines[id] = recs[id]
+		group.Machines[id] = recs[id]
 	}
-	return g
+	return group
 }
 
-// partFor spreads machines taken in over the parts.
-func (l *leader) partFor(recs map[string]machineEntry) int {
+// smallestPartition spreads machines taken in over the parts.
+func (l *leader) smallestPartition(machines map[string]machineEntry) int {
 	count := make([]int, l.controller.partitions)
-	for _, e := range recs {
-		if e.rec.Partition < len(count) {
-			count[e.rec.Partition]++
+	for _, entry := range machines {
+		if entry.record.Partition < len(count) {
+			count[entry.record.Partition]++
 		}
 	}
 	best := 0
@@ -130,15 +130,15 @@
 	return best
 }
 
-// giveBack returns machines that their owners have let go, that are lost, or
+// returnMachines returns machines that their owners have let go, that are lost, or
 // that never came up.
-func (l *leader) giveBack(ctx context.Context) {
-	ids, recs := l.machines()
+func (l *leader) returnMachines(ctx context.Context) {
+	ids, machines := l.machines()
 	now := time.Now()
-	notes := l.notes()
+	notes := l.machineDigests()
 	boot := map[string]float64{}
-	for _, t := range l.controller.catalog() {
-		boot[t.Name] = t.BootS
+	for _, machineType := range l.controller.catalog() {
+		boot[machineType.Name] = machineType.BootS
 	}
 	// A list may be older than the one before by as much as it lags, so a machine
 	// can be missing from some although it is there.
@@ -146,20 +146,20 @@
 	var back []string
 	why := map[string][]string{}
 	for _, id := range ids {
-		e := recs[id]
-		m, listed := l.listed[id]
-		late := now.Sub(time.UnixMilli(e.rec.CreatedAtMS)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[e.rec.MachineType]+l.controller.settings.Cluster.Cloud.ListLagS)
+		entry := machines[id]
+		machine, listed := l.listed[id]
+		late := now.Sub(time.UnixMilli(entry.record.CreatedAtMS)) > tuning.Seconds(l.controller.tuning.BootPatience*boot[entry.record.MachineType]+l.controller.settings.Cluster.Cloud.ListLagS)
 		reason := ""
 		switch {
-		case e.rec.Desired == records.DesiredReturned && e.rec.Released:
+		case entry.record.Desired == records.DesiredReturned && entry.record.Released:
 			reason = "let go"
-		case listed && m.State == wire.MachineFailed:
+		case listed && machine.State == wire.MachineFailed:
 			reason = "failed"
-		case l.absent[id] >= gone:
+		case l.missedListings[id] >= gone:
 			reason = "no longer listed"
 		case notes[id]&records.DigestUnhealthy != 0:
 			reason = "faulty or silent"
-		case late && notes[id]&records.DigestReporting == 0 && !(listed && m.State == wire.MachineRunning):
+		case late && notes[id]&records.DigestReporting == 0 && !(listed && machine.State == wire.MachineRunning):
 			reason = "did not come up"
 		}
 		if reason != "" && len(back) < tuning.MaxReturn {
@@ -168,14 +168,14 @@
 		}
 	}
 	if len(back) > 0 {
-		l.giveUp(ctx, back, why)
+		l.returnToCloud(ctx, back, why)
 	}
 }
 
-// giveUp returns machines; once that is answered, they and all on them are
+// returnToCloud returns machines; once that is answered, they and all on them are
 // gone, and only then do their records go.
-func (l *leader) giveUp(ctx context.Context, ids []string, why map[string][]string) {
-	if !l.holdsLease() {
+func (l *leader) returnToCloud(ctx context.Context, ids []string, why map[string][]string) {
+	if !l.mayCallCloud() {
 		return
 	}
 	if err := l.controller.cloud.Return(ctx, ids); err != nil {
@@ -187,14 +187,14 @@
 	}
 	changes := map[string]*records.MachineRecord{}
 	for _, id := range ids {
-		l.gone[id] = time.Now()
-		if e, ok := l.controller.cluster.machine(id); ok {
+		l.returnedAt[id] = time.Now()
+		if entry, ok := l.controller.cluster.machine(id); ok {
 			// There is room again for its like.
-			delete(l.refused, autoscaler.Offering{MachineType: e.rec.MachineType, Zone: e.rec.Zone, Spot: e.rec.Spot})
+			delete(l.refused, autoscaler.Offering{MachineType: entry.record.MachineType, Zone: entry.record.Zone, Spot: entry.record.Spot})
 			changes[id] = nil
 		}
 	}
-	if err := l.controller.rewrite(ctx, l.fence(), changes); err != nil {
+	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
 		slog.Debug("records of returned machines still stand", "err", err)
 	}
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -8,44 +8,44 @@
 	"ambersill/internal/wire"
 )
 
-// followJobs learns of submissions and cancellations.
-func (o *ownedPartition) followJobs(rev uint64) {
-	o.watchJobs(rev)
+// watchJobs learns of submissions and cancellations.
+func (o *ownedPartition) watchJobs(revision uint64) {
+	o.watchJobsFrom(revision)
 	for o.ctx.Err() == nil {
 		// Too far behind: what was missed stands in the part's records.
-		rev, err := o.reread()
+		revision, err := o.relist()
 		if err != nil {
 			transport.Pause(o.ctx, 500*time.Millisecond)
 			continue
 		}
-		o.watchJobs(rev)
+		o.watchJobsFrom(revision)
 	}
 }
 
-func (o *ownedPartition) watchJobs(rev uint64) {
-	followFrom(o.ctx, o.controller.store, "j/", rev, func(e wire.Event) {
-		if e.Put == "" {
+func (o *ownedPartition) watchJobsFrom(revision uint64) {
+	watchPrefixFrom(o.ctx, o.controller.store, "j/", revision, func(event wire.Event) {
+		if event.Put == "" {
 			return
 		}
-		var r records.JobRecord
-		if err := wire.Unmarshal(e.Value, &r); err != nil || r.Job == nil || r.Partition != o.index {
+		var record records.JobRecord
+		if err := wire.Unmarshal(event.Value, &record); err != nil || record.Job == nil || record.Partition != o.index {
 			return
 		}
 		o.mu.Lock()
-		switch r.Phase {
+		switch record.Phase {
 		case wire.JobQueued:
-			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), e.Revision)
+			o.partition.AddJob(record.Job, time.UnixMilli(record.SubmittedAtMS), event.Revision)
 		case wire.JobCancelled:
-			o.partition.Cancel(r.Job.ID, time.Now())
+			o.partition.Cancel(record.Job.ID, time.Now())
 		}
 		o.mu.Unlock()
-		o.poke()
+		o.wakeUp()
 	}, func(uint64) {})
 }
 
-// reread takes in jobs and cancellations that the watch has missed.
-func (o *ownedPartition) reread() (uint64, error) {
-	_, rev, err := o.controller.store.List(o.ctx, records.PartitionKey(o.index))
+// relist takes in jobs and cancellations that the watch has missed.
+func (o *ownedPartition) relist() (uint64, error) {
+	_, revision, err := o.controller.store.List(o.ctx, records.PartitionKey(o.index))
 	if err != nil {
 		return 0, err
 	}
@@ -53,18 +53,18 @@
 	if err != nil {
 		return 0, err
 	}
-	marks, _, err := o.controller.store.List(o.ctx, records.CancellationPrefix(o.index))
+	cancellations, _, err := o.controller.store.List(o.ctx, records.CancellationPrefix(o.index))
 	if err != nil {
 		return 0, err
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, it := range chunks {
+	for _, item := range chunks {
 		var r records.ChunkRecord
-		if _, name, ok := records.ParseChunkKey(it.Key); ok && records.IsFirstChunk(name) && wire.Unmarshal(it.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
-			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), it.Revision)
+		if _, name, ok := records.ParseChunkKey(item.Key); ok && records.IsFirstChunk(name) && wire.Unmarshal(item.Value, &r) == nil && r.Job != nil && r.JobRevision == 0 {
+			o.partition.AddJob(r.Job, time.UnixMilli(r.SubmittedAtMS), item.Revision)
 		}
 	}
-	o.partition.SetCancelledJobs(o.cancelledJobs(marks), time.Now())
-	return rev, nil
+	o.partition.SetCancelledJobs(o.cancelledJobs(cancellations), time.Now())
+	return revision, nil
 }
--- a/internal/controller/level.go
+++ b/internal/controller/level.go
@@ -35,25 +35,25 @@
 	}
 	conds = conds[:min(len(conds), l.maxConditions())]
 	put := wire.Write{Put: records.FeatureLevelKey, Value: records.LevelRecord{Level: records.CurrentFeatureLevel}}
-	rev, err := l.commit(ctx, conds, []wire.Write{put})
+	revision, err := l.commit(ctx, conds, []wire.Write{put})
 	if err != nil {
 		slog.Debug("feature level not raised", "err", err)
 		return
 	}
-	l.controller.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(put.Value)), rev, false)
+	l.controller.cluster.apply(records.FeatureLevelKey, must(wire.Marshal(put.Value)), revision, false)
 }
 
-// rereadLevel reads the feature level: a copy that is behind must not keep a partition in
+// refreshFeatureLevel reads the feature level: a copy that is behind must not keep a partition in
 // formats that are too large by now.
-func (c *Controller) rereadLevel(ctx context.Context) error {
-	it, err := c.store.Get(ctx, records.FeatureLevelKey)
+func (c *Controller) refreshFeatureLevel(ctx context.Context) error {
+	item, err := c.store.Get(ctx, records.FeatureLevelKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	c.cluster.apply(records.FeatureLevelKey, it.Value, it.Revision, false)
+	c.cluster.apply(records.FeatureLevelKey, item.Value, item.Revision, false)
 	return nil
 }
 
@@ -76,7 +76,7 @@
 
 // readyFor tells whether the level is lower than the given one and all nodes named live
 // and know it, and returns the conditions under which that still holds.
-func (c *cluster) readyFor(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
+func (c *clusterCache) readyFor(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.level >= level {
@@ -85,10 +85,10 @@
 	var conds []wire.Compare
 	for _, name := range names {
 		n, live := c.nodes[name]
-		if !live || n.level < level {
+		if !live || n.featureLevel < level {
 			return nil, false
 		}
-		conds = append(conds, wire.Compare{Key: records.NodePrefix + name, Revision: n.stamp})
+		conds = append(conds, wire.Compare{Key: records.NodePrefix + name, Revision: n.revision})
 	}
 	return conds, true
 }
@@ -104,8 +104,8 @@
 	if !ok {
 		return
 	}
-	changes := map[string]*records.MachineRecord{ids[0]: &entry.rec}
-	if err := l.controller.rewrite(ctx, l.fence(), changes); err != nil {
+	changes := map[string]*records.MachineRecord{ids[0]: &entry.record}
+	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
 		slog.Debug("group of machines not divided", "err", err)
 	}
 }
--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -23,7 +23,7 @@
 // load reads the partition. It runs after the claim, whose revision fences the last
 // owner: nothing of it can be committed any more, so what is read here is whole.
 func (o *ownedPartition) load() (uint64, error) {
-	if err := o.controller.rereadLevel(o.ctx); err != nil {
+	if err := o.controller.refreshFeatureLevel(o.ctx); err != nil {
 		return 0, err
 	}
 	records, err := o.listRecords()
@@ -31,17 +31,17 @@
 		return 0, err
 	}
 	now := time.Now()
-	p := scheduler.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
-	p.SetMachineTypes(o.controller.catalog())
-	p.SetLevel(o.controller.cluster.featureLevel())
-	if err := loadMachines(p, records.machines, now); err != nil {
+	partition := scheduler.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
+	partition.SetMachineTypes(o.controller.catalog())
+	partition.SetLevel(o.controller.cluster.featureLevel())
+	if err := loadMachines(partition, records.machines, now); err != nil {
 		return 0, err
 	}
-	p.Restore(decodeChunks(records.chunks), decodeJournal(records.journal))
-	p.SetCancelledJobs(o.cancelledJobs(records.cancellations), now)
-	o.publish(p, records.askedAt)
-	slog.Info("part read", "part", o.index, "jobs", p.JobCount(), "machines", len(p.MachineIDs()))
-	o.poke()
+	partition.Restore(decodeChunks(records.chunks), decodeJournal(records.journal))
+	partition.SetCancelledJobs(o.cancelledJobs(records.cancellations), now)
+	o.publish(partition, records.askedAt)
+	slog.Info("part read", "part", o.index, "jobs", partition.JobCount(), "machines", len(partition.MachineIDs()))
+	o.wakeUp()
 	return records.revision, nil
 }
 
@@ -65,14 +65,14 @@
 }
 
 // loadMachines gives the partition its machines.
-func loadMachines(p *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
-	for _, it := range groups {
-		g, err := records.DecodeMachineGroup(it.Key[len(records.MachinePrefix):], it.Value, it.Revision)
+func loadMachines(partition *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
+	for _, item := range groups {
+		group, err := records.DecodeMachineGroup(item.Key[len(records.MachinePrefix):], item.Value, item.Revision)
 		if err != nil {
 			return err
 		}
-		for id, r := range g.Machines {
-			p.SetMachine(id, r, it.Revision, now)
+		for id, record := range group.Machines {
+			partition.SetMachine(id, record, item.Revision, now)
 		}
 	}
 	return nil
@@ -81,14 +81,14 @@
 // decodeChunks decodes the chunks of jobs' tasks; what is not understood is left out.
 func decodeChunks(items []wire.KeyValue) []records.LoadedChunk {
 	var all []records.LoadedChunk
-	for _, it := range items {
-		id, name, ok := records.ParseChunkKey(it.Key)
+	for _, item := range items {
+		id, name, ok := records.ParseChunkKey(item.Key)
 		var r records.ChunkRecord
-		if err := wire.Unmarshal(it.Value, &r); err != nil || !ok {
-			slog.Error("record not understood", "key", it.Key, "err", err)
+		if err := wire.Unmarshal(item.Value, &r); err != nil || !ok {
+			slog.Error("record not understood", "key", item.Key, "err", err)
 			continue
 		}
-		all = append(all, records.LoadedChunk{JobID: id, Name: name, Revision: it.Revision, Record: r})
+		all = append(all, records.LoadedChunk{JobID: id, Name: name, Revision: item.Revision, Record: r})
 	}
 	return all
 }
@@ -96,26 +96,26 @@
 // decodeJournal decodes the journal; what is not understood is left out.
 func decodeJournal(items []wire.KeyValue) []records.LoadedJournalRecord {
 	var all []records.LoadedJournalRecord
-	for _, it := range items {
+	for _, item := range items {
 		var r records.JournalRecord
-		if err := wire.Unmarshal(it.Value, &r); err != nil {
-			slog.Error("record not understood", "key", it.Key, "err", err)
+		if err := wire.Unmarshal(item.Value, &r); err != nil {
+			slog.Error("record not understood", "key", item.Key, "err", err)
 			continue
 		}
-		all = append(all, records.LoadedJournalRecord{Revision: it.Revision, Record: r})
+		all = append(all, records.LoadedJournalRecord{Revision: item.Revision, Record: r})
 	}
 	return all
 }
 
 // publish has the partition answer reports from now on, with the changes of machines that
 // came while it was read.
-func (o *ownedPartition) publish(p *scheduler.Partition, knownUntil time.Time) {
+func (o *ownedPartition) publish(partition *scheduler.Partition, knownUntil time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.partition, o.knownUntil = p, knownUntil
+	o.partition, o.cancellationsReadAt = partition, knownUntil
 	o.partition.SetLevel(o.controller.cluster.featureLevel()) // also if it was raised meanwhile
-	for _, id := range slices.Sorted(maps.Keys(o.early)) {
-		o.apply(id, o.early[id].e, o.early[id].gone)
+	for _, id := range slices.Sorted(maps.Keys(o.pendingChanges)) {
+		o.applyMachine(id, o.pendingChanges[id].entry, o.pendingChanges[id].gone)
 	}
-	o.early = nil
+	o.pendingChanges = nil
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -14,11 +14,11 @@
 	"ambersill/internal/wire"
 )
 
-// share sets this node's part of the state service's limits: an equal base for
+// updateRateShare sets this node's part of the state service's limits: an equal base for
 // users' requests, and the rest by the parts it owns. The leader may use more in
 // the moments when it records many rentals: at its base share alone, those of a
 // fleet that starts from nothing took 13 s on a service of 25 changes a second.
-func (c *Controller) share() {
+func (c *Controller) updateRateShare() {
 	st := c.limits
 	n := float64(c.settings.Cluster.Count)
 	c.mu.Lock()
@@ -31,8 +31,8 @@
 	c.store.SetShare(st.RPS*f, st.WriteRPS*f)
 }
 
-// keepMembership keeps the node's lease, and claims parts that nobody owns.
-func (c *Controller) keepMembership(ctx context.Context) error {
+// runMembership keeps the node's lease, and claims parts that nobody owns.
+func (c *Controller) runMembership(ctx context.Context) error {
 	every := tuning.Seconds(c.tuning.HoldS / 4)
 	var extended time.Time // when the last renewal that was answered was sent
 	away, entered := false, false
@@ -41,7 +41,7 @@
 			away = !away
 			slog.Info("contact to the state service", "lost", away, "since_s", d.Seconds())
 		}
-		if c.lease == 0 {
+		if c.leaseID == 0 {
 			asked := time.Now()
 			h, err := c.store.GrantLease(ctx, tuning.Seconds(c.tuning.HoldS))
 			if err != nil {
@@ -52,21 +52,21 @@
 			c.setLease(h, asked)
 		}
 		if !entered {
-			entered = c.enter(ctx)
+			entered = c.registerNode(ctx)
 		}
 		if time.Since(extended) >= every {
 			asked := time.Now()
-			err := c.store.RenewLease(ctx, c.lease)
+			err := c.store.RenewLease(ctx, c.leaseID)
 			switch {
 			case err == nil:
 				extended = asked
-				c.setLease(c.lease, asked)
+				c.setLease(c.leaseID, asked)
 			case errors.Is(err, kvstore.ErrNotFound):
 				// The hold ran out: whatever was attached to it is gone, and others
 				// may own it by now.
-				slog.Info("lease lost", "lease", c.lease)
+				slog.Info("lease lost", "lease", c.leaseID)
 				c.setLease(0, asked)
-				c.loseAll()
+				c.releaseAllPartitions()
 				continue
 			default:
 				slog.Debug("lease not renewed", "err", err)
@@ -75,7 +75,7 @@
 			}
 		}
 		c.claimPartitions(ctx)
-		wait := c.cluster.wait()
+		wait := c.cluster.changes()
 		t := time.NewTimer(min(every, 250*time.Millisecond))
 		select {
 		case <-ctx.Done():
@@ -87,10 +87,10 @@
 	return nil
 }
 
-// enter writes what this node says of itself under its lease. Without an answer it is
+// registerNode writes what this node says of itself under its lease. Without an answer it is
 // written again, which changes nothing.
-func (c *Controller) enter(ctx context.Context) bool {
-	record := records.NodeRecord{Node: c.settings.Node, Level: c.announced}
+func (c *Controller) registerNode(ctx context.Context) bool {
+	record := records.NodeRecord{Node: c.settings.Node, Level: c.supportedLevel}
 	put := wire.Write{Put: records.NodePrefix + c.settings.Node, Value: record, LeaseID: c.currentLease()}
 	_, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{put}})
 	if err != nil {
@@ -103,21 +103,21 @@
 // was asked for.
 func (c *Controller) setLease(h uint64, asked time.Time) {
 	c.mu.Lock()
-	c.lease, c.leaseUntil = h, asked.Add(tuning.Seconds(c.tuning.HoldS*(1-c.tuning.Drift)))
+	c.leaseID, c.leaseExpiry = h, asked.Add(tuning.Seconds(c.tuning.HoldS*(1-c.tuning.Drift)))
 	c.mu.Unlock()
 }
 
-// holdsLease tells whether nothing under the given lease can be another's by now.
-func (c *Controller) holdsLease(hold uint64) bool {
+// leaseHeld tells whether nothing under the given lease can be another's by now.
+func (c *Controller) leaseHeld(leaseID uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lease == hold && time.Now().Before(c.leaseUntil)
+	return c.leaseID == leaseID && time.Now().Before(c.leaseExpiry)
 }
 
 func (c *Controller) currentLease() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.lease
+	return c.leaseID
 }
 
 // claimPartitions takes parts without an owner: those that fall to this node at
@@ -128,7 +128,7 @@
 	}
 	c.cluster.mu.Lock()
 	loaded := c.cluster.loaded
-	owners := map[int]owner{}
+	owners := map[int]ownership{}
 	counts := map[string]int{}
 	for i := 0; i < c.partitions; i++ {
 		owners[i] = c.cluster.partitions[i]
@@ -140,18 +140,18 @@
 		return
 	}
 	for i := 0; i < c.partitions; i++ {
-		o := owners[i]
+		owner := owners[i]
 		mine := c.ownedPartition(i)
-		if o.node == c.settings.Node && mine == nil {
+		if owner.node == c.settings.Node && mine == nil {
 			// Left by an earlier process of this node, which is gone for sure.
-			c.claim(ctx, i, o.stamp, false)
+			c.claim(ctx, i, owner.revision, false)
 			continue
 		}
-		if o.node != "" || mine != nil {
+		if owner.node != "" || mine != nil {
 			continue
 		}
 		c.mu.Lock()
-		rest := c.restPart[i]
+		rest := c.claimBackoff[i]
 		c.mu.Unlock()
 		if time.Now().Before(rest) {
 			continue
@@ -159,7 +159,7 @@
 		fair := (c.partitions + max(nodes, 1) - 1) / max(nodes, 1)
 		if counts[c.settings.Node] >= fair {
 			transport.Pause(ctx, time.Second)
-			if c.cluster.snapshotOwner(i).node != "" {
+			if c.cluster.partitionOwner(i).node != "" {
 				continue
 			}
 		}
@@ -168,82 +168,82 @@
 	}
 }
 
-func (c *Controller) claim(ctx context.Context, part int, stamp uint64, fresh bool) {
-	hold := c.currentLease()
-	if hold == 0 {
+func (c *Controller) claim(ctx context.Context, partition int, revision uint64, fresh bool) {
+	leaseID := c.currentLease()
+	if leaseID == 0 {
 		return
 	}
-	key := records.PartitionKey(part)
-	rev, err := c.store.Commit(ctx, wire.Txn{
-		Compares: []wire.Compare{{Key: key, Revision: stamp}},
-		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: hold}},
+	key := records.PartitionKey(partition)
+	revision, err := c.store.Commit(ctx, wire.Txn{
+		Compares: []wire.Compare{{Key: key, Revision: revision}},
+		Writes:   []wire.Write{{Put: key, Value: records.OwnerRecord{Node: c.settings.Node}, LeaseID: leaseID}},
 	})
 	if errors.Is(err, kvstore.ErrUnknown) {
 		// It may have been carried out: the key tells.
-		it, gerr := c.store.Get(ctx, key)
-		if gerr != nil || it.LeaseID != hold {
+		item, gerr := c.store.Get(ctx, key)
+		if gerr != nil || item.LeaseID != leaseID {
 			return
 		}
-		rev, err = it.Revision, nil
+		revision, err = item.Revision, nil
 	}
 	if err != nil {
-		slog.Debug("part not claimed", "part", part, "err", err)
+		slog.Debug("part not claimed", "part", partition, "err", err)
 		if !fresh {
 			// The copy may lag behind; look again.
-			if it, gerr := c.store.Get(ctx, key); gerr == nil {
-				c.cluster.apply(key, it.Value, it.Revision, false)
+			if item, gerr := c.store.Get(ctx, key); gerr == nil {
+				c.cluster.apply(key, item.Value, item.Revision, false)
 			}
 		}
 		return
 	}
-	slog.Info("part claimed", "part", part, "stamp", rev)
-	o := c.newOwned(ctx, part, rev)
+	slog.Info("part claimed", "part", partition, "stamp", revision)
+	owned := c.newOwnedPartition(ctx, partition, revision)
 	c.mu.Lock()
-	c.owned[part] = o
+	c.owned[partition] = owned
 	c.mu.Unlock()
-	c.share()
-	c.cluster.apply(key, must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node})), rev, false)
-	if w := c.cluster.snapshotOwner(part); w.stamp > rev {
+	c.updateRateShare()
+	c.cluster.apply(key, must(wire.Marshal(records.OwnerRecord{Node: c.settings.Node})), revision, false)
+	if owner := c.cluster.partitionOwner(partition); owner.revision > revision {
 		// The hold ran out on the way, and the news of the next owner came before the
 		// answer: nothing would drop the part that was not there yet.
-		c.lose(o, "owned by "+w.node)
+		c.releasePartition(owned, "owned by "+owner.node)
 		return
 	}
-	go o.run()
-	for _, p := range c.peers {
+	go owned.run()
+	for _, peer := range c.peers {
 		go func() {
-			_ = p.AnnounceClaim(peerrpc.OwnershipClaim{Partition: part, Revision: rev, Node: c.settings.Node}, 2*time.Second)
+			_ = peer.AnnounceClaim(peerrpc.OwnershipClaim{Partition: partition, Revision: revision, Node: c.settings.Node}, 2*time.Second)
 		}()
 	}
 }
 
-// lose drops a part that this node no longer owns.
-func (c *Controller) lose(o *ownedPartition, why string) {
+// releasePartition drops a part that this node no longer owns.
+func (c *Controller) releasePartition(owned *ownedPartition, why string) {
 	c.mu.Lock()
-	if c.owned[o.index] != o {
+	if c.owned[owned.index] != owned {
 		c.mu.Unlock()
 		return
 	}
-	delete(c.owned, o.index)
+	delete(c.owned, owned.index)
 	c.mu.Unlock()
-	o.cancel()
-	c.share()
-	slog.Info("part given up", "part", o.index, "why", why)
+	owned.cancel()
+	c.updateRateShare()
+	slog.Info("part given up", "part", owned.index, "why", why)
 }
 
-func (c *Controller) loseAll() {
+func (c *Controller) releaseAllPartitions() {
 	c.mu.Lock()
 	all := c.ownedPartitions()
 	c.mu.Unlock()
-	for _, o := range all {
-		c.lose(o, "lease lost")
+	for _, owned := range all {
+		c.releasePartition(owned, "lease lost")
 	}
 }
 
 // ownerChanged drops a part whose key shows another owner, or another claim.
-func (c *Controller) ownerChanged(part int, w owner) {
-	if o := c.ownedPartition(part); o != nil && w.stamp > o.revision {
-		c.lose(o, "owned by "+w.node)
+func (c *Controller) ownerChanged(partition int, owner ownership) {
+	if owned := c.ownedPartition(partition); owned != nil && owner.revision > owned.revision {
+		c.releasePartition(owned, "owned by "+owner.node)
 	}
 }
 
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -11,55 +11,55 @@
 	"ambersill/internal/worker"
 )
 
-// orders bounds what is sent straight to workers. Each order is a socket, and a worker
+// commandSlots bounds what is sent straight to workers. Each order is a socket, and a worker
 // that does not answer holds one until it times out, so that without a bound a zone
 // that falls silent would take them all, the lease's renewal included.
-type orders struct {
+type commandSlots struct {
 	mu    sync.Mutex
-	most  int
-	under map[string]*underway // machines that one is under way to
+	limit  int
+	inFlight map[string]*inFlightCommand // machines that one is under way to
 	// A machine that has not carried the last one out is tried again after a while,
 	// each time twice as long, and all such machines share half of the room, so that
 	// those that answer are never behind them.
-	backoff map[string]pause
-	slow    int // under way to machines in rest
+	backoff map[string]commandBackoff
+	inFlightBackedOff    int // under way to machines in rest
 }
 
-type underway struct{ slow, gone bool }
+type inFlightCommand struct{ backedOff, gone bool }
 
-type pause struct {
+type commandBackoff struct {
 	until time.Time
 	wait  time.Duration
 }
 
-func newOrders(sockets int) *orders {
-	return &orders{most: max(2, int(float64(sockets)*tuning.OrderShare)), under: map[string]*underway{}, backoff: map[string]pause{}}
+func newCommandSlots(sockets int) *commandSlots {
+	return &commandSlots{limit: max(2, int(float64(sockets)*tuning.OrderShare)), inFlight: map[string]*inFlightCommand{}, backoff: map[string]commandBackoff{}}
 }
 
-// begin takes room for an order to a machine; false: not now.
-func (q *orders) begin(id string, now time.Time) bool {
+// acquire takes room for an order to a machine; false: not now.
+func (q *commandSlots) acquire(id string, now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r, slow := q.backoff[id]
-	if q.under[id] != nil || len(q.under) >= q.most || (slow && (now.Before(r.until) || q.slow >= q.most/2)) {
+	if q.inFlight[id] != nil || len(q.inFlight) >= q.limit || (slow && (now.Before(r.until) || q.inFlightBackedOff >= q.limit/2)) {
 		return false
 	}
-	q.under[id] = &underway{slow: slow}
+	q.inFlight[id] = &inFlightCommand{backedOff: slow}
 	if slow {
-		q.slow++
+		q.inFlightBackedOff++
 	}
 	return true
 }
 
-// end gives the room back, and notes whether the order was carried out; least and most
+// release gives the room back, and notes whether the order was carried out; least and most
 // bound how long the machine is left alone if not.
-func (q *orders) end(id string, executed bool, now time.Time, least, most time.Duration) {
+func (q *commandSlots) release(id string, executed bool, now time.Time, least, most time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	u := q.under[id]
-	delete(q.under, id)
-	if u.slow {
-		q.slow--
+	u := q.inFlight[id]
+	delete(q.inFlight, id)
+	if u.backedOff {
+		q.inFlightBackedOff--
 	}
 	if executed || u.gone {
 		delete(q.backoff, id)
@@ -71,53 +71,53 @@
 	q.backoff[id] = r
 }
 
-// heard notes that a machine reports, so that it may be tried at once.
-func (q *orders) heard(id string) {
+// resetBackoff notes that a machine reports, so that it may be tried at once.
+func (q *commandSlots) resetBackoff(id string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if _, ok := q.backoff[id]; ok && q.under[id] == nil {
-		q.backoff[id] = pause{}
+	if _, ok := q.backoff[id]; ok && q.inFlight[id] == nil {
+		q.backoff[id] = commandBackoff{}
 	}
 }
 
 // forget drops what is known of a machine that is gone.
-func (q *orders) forget(id string) {
+func (q *commandSlots) forget(id string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	delete(q.backoff, id)
-	if u := q.under[id]; u != nil {
+	if u := q.inFlight[id]; u != nil {
 		u.gone = true
 	}
 }
 
-// begin takes room for an order to a machine of this part.
-func (o *ownedPartition) begin(id string) bool { return o.controller.orders.begin(id, time.Now()) }
+// acquireCommandSlot takes room for an order to a machine of this part.
+func (o *ownedPartition) acquireCommandSlot(id string) bool { return o.controller.commandSlots.acquire(id, time.Now()) }
 
-// end gives it back.
-func (o *ownedPartition) end(id string, executed bool) {
+// releaseCommandSlot gives it back.
+func (o *ownedPartition) releaseCommandSlot(id string, executed bool) {
 	w := o.controller.settings.Cluster.Workers
-	o.controller.orders.end(id, executed, time.Now(), tuning.Seconds(w.ReportS), tuning.Seconds(w.LeaseS))
+	o.controller.commandSlots.release(id, executed, time.Now(), tuning.Seconds(w.ReportS), tuning.Seconds(w.LeaseS))
 }
 
-// direct sends starts and stops without waiting for the next report. What finds no
+// sendCommands sends starts and stops without waiting for the next report. What finds no
 // room now goes with a later pass, or in the answer to a report. Without news only the
 // tasks of cancelled jobs are stopped, which is right whoever owns the part by now.
-func (o *ownedPartition) direct() {
+func (o *ownedPartition) sendCommands() {
 	fresh := o.fresh()
 	o.mu.Lock()
 	ids := o.partition.MachinesAwaitingCommands(fresh)
 	o.mu.Unlock()
 	for _, id := range ids {
-		if addr := o.controller.addr(id); addr != "" && o.begin(id) {
-			go o.order(id, addr)
+		if addr := o.controller.address(id); addr != "" && o.acquireCommandSlot(id) {
+			go o.sendCommandsTo(id, addr)
 		}
 	}
 }
 
-// order sends a machine its starts and stops.
-func (o *ownedPartition) order(id, addr string) {
+// sendCommandsTo sends a machine its starts and stops.
+func (o *ownedPartition) sendCommandsTo(id, addr string) {
 	outcome := scheduler.CommandsExecuted
-	defer func() { o.end(id, outcome == scheduler.CommandsExecuted) }()
+	defer func() { o.releaseCommandSlot(id, outcome == scheduler.CommandsExecuted) }()
 	fresh := o.fresh()
 	o.mu.Lock()
 	ord, ok := o.partition.DirectCommands(id, fresh)
@@ -125,7 +125,7 @@
 	if !ok {
 		return
 	}
-	r, executed, err := o.controller.workers.Order(o.ctx, addr, ord)
+	heartbeat, executed, err := o.controller.workers.Order(o.ctx, addr, ord)
 	outcome = scheduler.CommandsUnknown
 	switch {
 	case executed:
@@ -139,8 +139,8 @@
 	o.mu.Lock()
 	o.partition.HandleCommandOutcome(ord, id, outcome)
 	if err == nil {
-		o.partition.HandleCommandResponse(r, time.Now())
+		o.partition.HandleCommandResponse(heartbeat, time.Now())
 	}
 	o.mu.Unlock()
-	o.poke()
+	o.wakeUp()
 }
--- a/internal/controller/report.go
+++ b/internal/controller/report.go
@@ -18,42 +18,42 @@
 // on small processors. Machines are spread over the nodes by a hash of their names.
 
 const (
-	// stayFor is how long a worker that has come to a node reports there before it is
+	// redirectGrace is how long a worker that has come to a node reports there before it is
 	// sent to the node it is assigned to. It may have come because it cannot reach that
 	// one, and have lost most of its lease on the way.
-	stayFor = 30 * time.Second
-	// peerRest is how long nothing is forwarded to a node that did not answer.
-	peerRest = 2 * time.Second
+	redirectGrace = 30 * time.Second
+	// peerBackoff is how long nothing is forwarded to a node that did not answer.
+	peerBackoff = 2 * time.Second
 )
 
 // visit is the state of a worker that reports to a node it is not assigned to.
 type visit struct {
-	last  time.Time // its newest report here
-	until time.Time // it may stay until then
-	sent  bool      // it was sent to its assigned node then
+	lastHeartbeat  time.Time // its newest report here
+	redirectAt time.Time // it may stay until then
+	redirected  bool      // it was sent to its assigned node then
 }
 
-// Report answers a worker, or names the node to which it should report.
-func (c *Controller) Report(r *wire.Heartbeat) (wire.HeartbeatResponse, string, bool) {
-	entry, known := c.cluster.machine(r.Machine)
+// Heartbeat answers a worker, or names the node to which it should report.
+func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) (wire.HeartbeatResponse, string, bool) {
+	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
 		// Not rented yet as far as is known here, or returned: a late copy of a report
 		// must not bring its address back.
 		return wire.HeartbeatResponse{}, "", false
 	}
-	owner := c.cluster.snapshotOwner(entry.rec.Partition).node
-	if node := c.assignedNode(r.Machine, owner); node != c.settings.Node && c.endsVisit(r.Machine, time.Now()) {
+	owner := c.cluster.partitionOwner(entry.record.Partition).node
+	if node := c.assignedNode(heartbeat.Machine, owner); node != c.settings.Node && c.shouldRedirect(heartbeat.Machine, time.Now()) {
 		return wire.HeartbeatResponse{}, node, false
 	}
-	if c.ownedPartition(entry.rec.Partition) != nil {
-		result := c.OwnedHeartbeat(r)
+	if c.ownedPartition(entry.record.Partition) != nil {
+		result := c.OwnedHeartbeat(heartbeat)
 		return result.Response, "", result.Accepted
 	}
-	f := c.forwarders[owner]
-	if f == nil {
+	forwarder := c.forwarders[owner]
+	if forwarder == nil {
 		return wire.HeartbeatResponse{}, "", false
 	}
-	answer, reached := f.forward(r)
+	answer, reached := forwarder.forward(heartbeat)
 	switch {
 	case !reached:
 		// The way to the owner may be open for the worker itself.
@@ -76,7 +76,7 @@
 	}
 	best, highest := "", uint64(0)
 	for node := range c.cluster.nodes {
-		if node == owner && others >= leastForwarders {
+		if node == owner && others >= minForwarders {
 			continue
 		}
 		if rank := rendezvousRank(machine, node); best == "" || rank > highest || (rank == highest && node < best) {
@@ -89,8 +89,8 @@
 	return best
 }
 
-// leastForwarders is how many other nodes must live for the owner to be spared reports.
-const leastForwarders = 2
+// minForwarders is how many other nodes must live for the owner to be spared reports.
+const minForwarders = 2
 
 // rendezvousRank orders the nodes for a machine, the same on every node.
 func rendezvousRank(machine, node string) uint64 {
@@ -98,21 +98,21 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// endsVisit tells whether a worker that reports here, but is assigned to another node, is
+// shouldRedirect tells whether a worker that reports here, but is assigned to another node, is
 // to go there now. One that is back within a lease cannot reach that node, and may stay
 // anew, as when a cut lies between the two but not between the nodes.
-func (c *Controller) endsVisit(machine string, now time.Time) bool {
+func (c *Controller) shouldRedirect(machine string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.visits[machine]
 	ends := false
 	switch {
-	case now.Sub(v.last) > tuning.Seconds(c.settings.Cluster.Workers.LeaseS), v.sent:
-		v = visit{until: now.Add(stayFor)}
-	case !now.Before(v.until):
-		v.sent, ends = true, true
+	case now.Sub(v.lastHeartbeat) > tuning.Seconds(c.settings.Cluster.Workers.LeaseS), v.redirected:
+		v = visit{redirectAt: now.Add(redirectGrace)}
+	case !now.Before(v.redirectAt):
+		v.redirected, ends = true, true
 	}
-	v.last = now
+	v.lastHeartbeat = now
 	c.visits[machine] = v
 	return ends
 }
@@ -126,41 +126,41 @@
 }
 
 // OwnedHeartbeat answers a report as the owner of its machine's partition.
-func (c *Controller) OwnedHeartbeat(r *wire.Heartbeat) peerrpc.HeartbeatResult {
-	e, known := c.cluster.machine(r.Machine)
+func (c *Controller) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
+	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
 		return peerrpc.HeartbeatResult{}
 	}
-	o := c.ownedPartition(e.rec.Partition)
-	if o == nil {
+	owned := c.ownedPartition(entry.record.Partition)
+	if owned == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	c.learn(r.Machine, r.Address)
-	age := o.staleness()
+	c.recordAddress(heartbeat.Machine, heartbeat.Address)
+	age := owned.staleness()
 	if age > c.stalenessLimit() {
 		// Cancellations may have been told elsewhere; the leases must run out.
 		return peerrpc.HeartbeatResult{}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.partition == nil {
+	owned.mu.Lock()
+	defer owned.mu.Unlock()
+	if owned.partition == nil {
 		return peerrpc.HeartbeatResult{}
 	}
 	fresh := age < tuning.Seconds(c.tuning.FreshS)
-	v, reply := o.partition.HandleHeartbeat(r, time.Now(), fresh)
+	v, reply := owned.partition.HandleHeartbeat(heartbeat, time.Now(), fresh)
 	if v != scheduler.HeartbeatAccepted {
-		slog.Debug("report not taken", "machine", r.Machine, "verdict", v, "token", r.FencingToken)
+		slog.Debug("report not taken", "machine", heartbeat.Machine, "verdict", v, "token", heartbeat.FencingToken)
 		if v == scheduler.HeartbeatSuperseded && !fresh {
 			// Another owner has spoken to it, and nobody else can tell this node: it
 			// must not keep other machines from that owner.
-			go c.lose(o, "a worker has seen a higher token")
+			go c.releasePartition(owned, "a worker has seen a higher token")
 		}
 		return peerrpc.HeartbeatResult{Response: reply}
 	}
-	c.orders.heard(r.Machine)
+	c.commandSlots.resetBackoff(heartbeat.Machine)
 	// Most reports change nothing, and on a small processor a pass for each is dear.
-	if o.partition.NeedsScheduling() {
-		o.poke()
+	if owned.partition.NeedsScheduling() {
+		owned.wakeUp()
 	}
 	return peerrpc.HeartbeatResult{Accepted: true, Response: reply}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -50,7 +50,7 @@
 // controller does not need for itself and for orders to workers.
 func (c *Controller) publicSockets() int {
 	const least = 16 // enough for health checks, and to say no
-	return max(c.settings.Cluster.Limits.MaxSockets-tuning.OwnSockets-tuning.IdleOrders-c.orders.most, least)
+	return max(c.settings.Cluster.Limits.MaxSockets-tuning.OwnSockets-tuning.IdleOrders-c.commandSlots.limit, least)
 }
 
 // Healthy tells whether this node can take requests. In an outage that all
@@ -66,9 +66,9 @@
 	limit := 400 * time.Millisecond
 	type view struct{ there, better bool }
 	views := make(chan view, len(c.peers))
-	for _, p := range c.peers {
+	for _, peer := range c.peers {
 		go func() {
-			age, err := p.SinceContact(limit)
+			age, err := peer.SinceContact(limit)
 			views <- view{err == nil, err == nil && age < tuning.Seconds(c.tuning.FreshS)}
 		}()
 	}
@@ -85,136 +85,136 @@
 	return there
 }
 
-// inTouch refuses what takes the state service while that serves this node with
+// checkContact refuses what takes the state service while that serves this node with
 // nothing: a user is told to come back at once, not after a wait.
-func (c *Controller) inTouch() error {
+func (c *Controller) checkContact() error {
 	if d := c.store.SinceContact(); d > tuning.Seconds(c.tuning.FreshS) {
 		return fmt.Errorf("no contact to the state service for %.0f s", d.Seconds())
 	}
 	return nil
 }
 
-// final returns a job whose end this node knows to be committed.
-func (c *Controller) final(id string) (records.JobRecord, bool) {
+// finalJob returns a job whose end this node knows to be committed.
+func (c *Controller) finalJob(id string) (records.JobRecord, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	r, ok := c.finals[id]
-	return r, ok
+	record, ok := c.finalJobs[id]
+	return record, ok
 }
 
-func (c *Controller) remember(r records.JobRecord) {
-	if !r.Phase.Final() {
+func (c *Controller) cacheFinalJob(record records.JobRecord) {
+	if !record.Phase.Final() {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.finals) >= c.tuning.FinalCache {
-		for k := range c.finals {
-			delete(c.finals, k)
+	if len(c.finalJobs) >= c.tuning.FinalCache {
+		for k := range c.finalJobs {
+			delete(c.finalJobs, k)
 			break
 		}
 	}
-	r.Job = &wire.Job{ID: r.Job.ID, Tasks: r.Job.Tasks}
-	c.finals[r.Job.ID] = r
+	record.Job = &wire.Job{ID: record.Job.ID, Tasks: record.Job.Tasks}
+	c.finalJobs[record.Job.ID] = record
 }
 
 // readJob reads a job's record as it stands now.
 func (c *Controller) readJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
-	if r, ok := c.final(id); ok {
-		return r, 0, nil
+	if record, ok := c.finalJob(id); ok {
+		return record, 0, nil
 	}
-	var r records.JobRecord
-	if err := c.inTouch(); err != nil {
-		return r, 0, err
+	var record records.JobRecord
+	if err := c.checkContact(); err != nil {
+		return record, 0, err
 	}
-	it, err := c.store.Get(ctx, records.JobKey(id))
+	item, err := c.store.Get(ctx, records.JobKey(id))
 	if err != nil {
-		return r, 0, err
+		return record, 0, err
 	}
-	if err := wire.Unmarshal(it.Value, &r); err != nil {
-		return r, 0, err
+	if err := wire.Unmarshal(item.Value, &record); err != nil {
+		return record, 0, err
 	}
-	c.remember(r)
-	return r, it.Revision, nil
+	c.cacheFinalJob(record)
+	return record, item.Revision, nil
 }
 
 // partitionOf says which part a job belongs to: its team's where teams have limits
 // or guarantees, so that one owner enforces them alone. Else jobs that compete for
 // the same types of machine share a part, since types that are split among parts
 // strand room.
-func (c *Controller) partitionOf(j *wire.Job) int {
+func (c *Controller) partitionOf(job *wire.Job) int {
 	for _, t := range c.settings.Cluster.Teams {
 		if t.CPUs == 0 && t.CPUsMax == 0 && t.GPUs == 0 && t.GPUsMax == 0 {
 			continue
 		}
 		for i, t := range c.settings.Cluster.Teams {
-			if t.Name == j.Team {
+			if t.Name == job.Team {
 				return i % c.partitions
 			}
 		}
 		return 0
 	}
-	return admission.PrimaryMachineType(j, c.catalog()) % c.partitions
+	return admission.PrimaryMachineType(job, c.catalog()) % c.partitions
 }
 
 // Submit takes a job in.
 func (c *Controller) Submit(ctx context.Context, body []byte) (wire.JobStatus, bool, error) {
-	j, err := wire.ParseJob(body)
+	job, err := wire.ParseJob(body)
 	if err != nil {
-		return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: err.Error()}
+		return wire.JobStatus{}, false, &api.StatusError{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
-	if r, ok := c.final(j.ID); ok {
-		return view(r), false, nil
+	if record, ok := c.finalJob(job.ID); ok {
+		return jobStatus(record), false, nil
 	}
-	if !records.JobFitsRecord(j, c.settings) {
-		return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusBadRequest, Reason: "the description is too long"}
+	if !records.JobFitsRecord(job, c.settings) {
+		return wire.JobStatus{}, false, &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
 	}
 	types := c.catalog()
 	if len(types) == 0 {
 		return wire.JobStatus{}, false, errors.New("machine types not known yet")
 	}
-	if why := admission.InfeasibleReason(j, c.settings, types); why != "" {
+	if why := admission.InfeasibleReason(job, c.settings, types); why != "" {
 		// A job that was accepted before is known, whatever its repeat says.
-		r, _, err := c.readJob(ctx, j.ID)
+		record, _, err := c.readJob(ctx, job.ID)
 		switch {
 		case err == nil:
-			return view(r), false, nil
+			return jobStatus(record), false, nil
 		case errors.Is(err, kvstore.ErrNotFound):
-			return wire.JobStatus{}, false, &api.Refusal{Status: http.StatusUnprocessableEntity, Reason: why}
+			return wire.JobStatus{}, false, &api.StatusError{Status: http.StatusUnprocessableEntity, Reason: why}
 		}
 		return wire.JobStatus{}, false, err
 	}
-	if err := c.inTouch(); err != nil {
+	if err := c.checkContact(); err != nil {
 		return wire.JobStatus{}, false, err
 	}
-	rec := records.JobRecord{Job: j, Phase: wire.JobQueued, Partition: c.partitionOf(j), SubmittedAtMS: time.Now().UnixMilli()}
-	key := records.JobKey(j.ID)
+	record := records.JobRecord{Job: job, Phase: wire.JobQueued, Partition: c.partitionOf(job), SubmittedAtMS: time.Now().UnixMilli()}
+	key := records.JobKey(job.ID)
 	_, err = c.store.CommitFirst(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: 0}},
 		Writes: []wire.Write{
-			{Put: key, Value: rec},
-			{Put: records.FirstChunkKey(rec.Partition, j.ID), Value: records.NewFirstChunk(&rec, c.cluster.featureLevel(), c.settings)},
+			{Put: key, Value: record},
+			{Put: records.FirstChunkKey(record.Partition, job.ID), Value: records.NewFirstChunk(&record, c.cluster.featureLevel(), c.settings)},
 		},
 	})
 	if err == nil {
-		return view(rec), true, nil
+		return jobStatus(record), true, nil
 	}
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) || errors.Is(err, kvstore.ErrUnknown) {
 		// Known already, or perhaps: the record tells.
-		r, _, gerr := c.readJob(ctx, j.ID)
+		record, _, gerr := c.readJob(ctx, job.ID)
 		if gerr == nil {
-			return view(r), false, nil
+			return jobStatus(record), false, nil
 		}
 		err = gerr
 	}
 	return wire.JobStatus{}, false, err
 }
 
-func view(r records.JobRecord) wire.JobStatus {
-	v := wire.JobStatus{ID: r.Job.ID, Phase: r.Phase}
-	if r.Phase == wire.JobDone {
-		v.Done = r.Job.Tasks
+func jobStatus(record records.JobRecord) wire.JobStatus {
+	v := wire.JobStatus{ID: record.Job.ID, Phase: record.Phase}
+	if record.Phase == wire.JobDone {
+		v.Done = record.Job.Tasks
 	}
 	return v
 }
@@ -222,18 +222,18 @@
 // Job answers a query.
 func (c *Controller) Job(ctx context.Context, id string) (wire.JobStatus, error) {
 	if !wire.ValidJobID(id) {
-		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	}
-	r, _, err := c.readJob(ctx, id)
+	record, _, err := c.readJob(ctx, id)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	if err != nil {
 		return wire.JobStatus{}, err
 	}
-	v := view(r)
-	if !r.Phase.Final() {
-		v.Done, v.Running = c.counts(id, r.Partition)
+	v := jobStatus(record)
+	if !record.Phase.Final() {
+		v.Done, v.Running = c.jobCounts(id, record.Partition)
 		if v.Running > 0 {
 			v.Phase = wire.JobRunning
 		}
@@ -241,16 +241,16 @@
 	return v, nil
 }
 
-// counts asks the part's owner for display counts; they are a hint.
-func (c *Controller) counts(id string, part int) (int, int) {
+// jobCounts asks the part's owner for display counts; they are a hint.
+func (c *Controller) jobCounts(id string, partition int) (int, int) {
 	if counts := c.LocalJobCounts(id); counts.Known {
 		return counts.Done, counts.Running
 	}
-	p := c.peers[c.cluster.snapshotOwner(part).node]
-	if p == nil {
+	peer := c.peers[c.cluster.partitionOwner(partition).node]
+	if peer == nil {
 		return 0, 0
 	}
-	counts, err := p.JobCounts(id, 200*time.Millisecond)
+	counts, err := peer.JobCounts(id, 200*time.Millisecond)
 	if err != nil {
 		return 0, 0
 	}
@@ -260,33 +260,33 @@
 // Cancel withdraws a job.
 func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
 	if !wire.ValidJobID(id) {
-		return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+		return wire.JobStatus{}, &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	}
 	for {
-		r, stamp, err := c.readJob(ctx, id)
+		record, revision, err := c.readJob(ctx, id)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			return wire.JobStatus{}, &api.Refusal{Status: http.StatusNotFound, Reason: "no such job"}
+			return wire.JobStatus{}, &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 		}
 		if err != nil {
 			return wire.JobStatus{}, err
 		}
-		if r.Phase.Final() {
-			return view(r), nil
+		if record.Phase.Final() {
+			return jobStatus(record), nil
 		}
-		r.Phase = wire.JobCancelled
+		record.Phase = wire.JobCancelled
 		_, err = c.store.CommitFirst(ctx, wire.Txn{
-			Compares: []wire.Compare{{Key: records.JobKey(id), Revision: stamp}},
+			Compares: []wire.Compare{{Key: records.JobKey(id), Revision: revision}},
 			Writes: []wire.Write{
-				{Put: records.JobKey(id), Value: r},
-				{Put: records.CancellationKey(r.Partition, id), Value: true},
+				{Put: records.JobKey(id), Value: record},
+				{Put: records.CancellationKey(record.Partition, id), Value: true},
 			},
 		})
-		var conflict *kvstore.Conflict
+		var conflict *kvstore.ConflictError
 		switch {
 		case err == nil:
-			c.remember(r)
-			c.tellCancelled(r.Partition, id)
-			return view(r), nil
+			c.cacheFinalJob(record)
+			c.announceCancellation(record.Partition, id)
+			return jobStatus(record), nil
 		case errors.As(err, &conflict), errors.Is(err, kvstore.ErrUnknown):
 			continue // read again: it ended, or the answer was lost
 		default:
@@ -295,29 +295,29 @@
 	}
 }
 
-// maxTellings bounds the cancellations that owners are told of at a time.
-const maxTellings = 32
+// maxAnnouncements bounds the cancellations that owners are told of at a time.
+const maxAnnouncements = 32
 
-// tellCancelled lets the part's owner know of a committed cancellation at once. A hint,
+// announceCancellation lets the part's owner know of a committed cancellation at once. A hint,
 // which spares the job's tasks a second or, where the state service refuses the owner
 // alone, half a minute; nothing relies on it.
-func (c *Controller) tellCancelled(part int, id string) {
-	if o := c.ownedPartition(part); o != nil {
-		o.cancelled(id)
+func (c *Controller) announceCancellation(partition int, id string) {
+	if owned := c.ownedPartition(partition); owned != nil {
+		owned.cancelled(id)
 		return
 	}
-	p := c.peers[c.cluster.snapshotOwner(part).node]
-	if p == nil || p.Failing(peerRest) {
+	peer := c.peers[c.cluster.partitionOwner(partition).node]
+	if peer == nil || peer.Failing(peerBackoff) {
 		return
 	}
 	select {
-	case c.telling <- struct{}{}:
+	case c.announcementSlots <- struct{}{}:
 	default:
 		return
 	}
 	go func() {
-		defer func() { <-c.telling }()
-		if err := p.AnnounceCancellation(peerrpc.JobCancellation{Partition: part, JobID: id}, forwardLimit); err != nil {
+		defer func() { <-c.announcementSlots }()
+		if err := peer.AnnounceCancellation(peerrpc.JobCancellation{Partition: partition, JobID: id}, forwardTimeout); err != nil {
 			slog.Debug("owner not told of a cancellation", "job", id, "err", err)
 		}
 	}()
@@ -325,7 +325,7 @@
 
 // JobCancelled takes in a peer's hint that a job's cancellation is committed.
 func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
-	if o := c.ownedPartition(cancellation.Partition); o != nil {
-		o.cancelled(cancellation.JobID)
+	if owned := c.ownedPartition(cancellation.Partition); owned != nil {
+		owned.cancelled(cancellation.JobID)
 	}
 }
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -104,7 +104,7 @@
 	mu    sync.Mutex
 	met   map[Kind]int
 	write func(from string) (Fault, time.Duration) // of commits, while some are late or unanswered
-	copyR func(r *wire.Heartbeat, send func(Node))
+	copyR func(heartbeat *wire.Heartbeat, send func(Node))
 	wg    sync.WaitGroup
 }
 
@@ -143,12 +143,12 @@
 		}
 		return f(from)
 	}
-	s.World.Copies = func(r *wire.Heartbeat, send func(Node)) {
+	s.World.Copies = func(heartbeat *wire.Heartbeat, send func(Node)) {
 		s.mu.Lock()
 		f := s.copyR
 		s.mu.Unlock()
 		if f != nil {
-			f(r, send)
+			f(heartbeat, send)
 		}
 	}
 }
@@ -346,11 +346,11 @@
 	_, stamp := s.Owner()
 	kept := map[string]func(Node){}
 	s.mu.Lock()
-	s.copyR = func(r *wire.Heartbeat, send func(Node)) {
+	s.copyR = func(heartbeat *wire.Heartbeat, send func(Node)) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if kept[r.Machine] == nil {
-			kept[r.Machine] = send
+		if kept[heartbeat.Machine] == nil {
+			kept[heartbeat.Machine] = send
 		}
 	}
 	s.mu.Unlock()
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -30,11 +30,11 @@
 
 // Follow submits the job, polls it, and returns the phase it ended in; "" if the
 // context ended first or the submission was given up.
-func (u *User) Follow(ctx context.Context, j *wire.Job) wire.JobPhase {
+func (u *User) Follow(ctx context.Context, job *wire.Job) wire.JobPhase {
 	cl := transport.Client(u.Net, 1, 1, time.Second)
 	defer cl.CloseIdleConnections()
-	body := submission(j)
-	u.World.Submitted(j)
+	body := submission(job)
+	u.World.Submitted(job)
 	start := time.Now()
 	for accepted := false; !accepted; {
 		if ctx.Err() != nil || time.Since(start) > time.Minute {
@@ -44,10 +44,10 @@
 		v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
 		switch status {
 		case http.StatusCreated, http.StatusOK:
-			u.told(ctx, j.ID, body, v.Phase, sent)
+			u.told(ctx, job.ID, body, v.Phase, sent)
 			accepted = true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.World.Missing(j.ID, status, sent)
+			u.World.Missing(job.ID, status, sent)
 			return ""
 		default:
 			transport.Pause(ctx, time.Second)
@@ -55,29 +55,29 @@
 	}
 	for ctx.Err() == nil {
 		if u.cancels(start) {
-			u.World.Asked(j.ID)
+			u.World.Asked(job.ID)
 			sent := time.Now()
-			v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+j.ID+"/withdraw", nil, 5*time.Second)
+			v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
 			if status != http.StatusOK {
 				transport.Pause(ctx, time.Second)
 				continue
 			}
-			u.told(ctx, j.ID, body, v.Phase, sent)
+			u.told(ctx, job.ID, body, v.Phase, sent)
 		}
 		sent := time.Now()
-		v, status := u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+j.ID, nil, 2*time.Second)
-		u.take(j.ID, v, status, sent)
+		v, status := u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+job.ID, nil, 2*time.Second)
+		u.take(job.ID, v, status, sent)
 		if status == http.StatusOK && v.Phase.Final() {
-			u.look(ctx, j.ID, body)
+			u.look(ctx, job.ID, body)
 			if u.CancelDone && v.Phase == wire.JobDone {
 				sent := time.Now()
-				v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+j.ID+"/withdraw", nil, 5*time.Second)
-				u.take(j.ID, v, status, sent)
+				v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
+				u.take(job.ID, v, status, sent)
 			}
 			return v.Phase
 		}
 		wake := u.Cancel
-		if u.World.hasAsked(j.ID) {
+		if u.World.hasAsked(job.ID) {
 			wake = nil // closed for good
 		}
 		t := time.NewTimer(5 * time.Second)
@@ -148,7 +148,7 @@
 
 // Odd sends what must be refused for good: a job that fits no machine, one that lacks a
 // field, one of an unknown team.
-func (u *User) Odd(ctx context.Context, j *wire.Job) {
+func (u *User) Odd(ctx context.Context, job *wire.Job) {
 	cl := transport.Client(u.Net, 1, 1, time.Second)
 	defer cl.CloseIdleConnections()
 	for i, change := range []func(m map[string]any){
@@ -156,8 +156,8 @@
 		func(m map[string]any) { delete(m, "pieces") },
 		func(m map[string]any) { m["crew"] = "nobody" },
 	} {
-		body := submission(j)
-		id := fmt.Sprintf("%s%d", j.ID, i)
+		body := submission(job)
+		id := fmt.Sprintf("%s%d", job.ID, i)
 		body["uid"] = id
 		change(body)
 		_, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
@@ -192,8 +192,8 @@
 }
 
 // submission is a job as a user writes it, with null where nothing is asked.
-func submission(j *wire.Job) map[string]any {
-	b, err := wire.Marshal(j)
+func submission(job *wire.Job) map[string]any {
+	b, err := wire.Marshal(job)
 	if err != nil {
 		return nil
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -388,11 +388,11 @@
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	j := k.world.jobs[id]
+	job := k.world.jobs[id]
 	refuse := func(why wire.ExitCause) {
 		k.refused = append(k.refused, &task{name: c.Task, try: c.Attempt, cause: why})
 	}
-	if j == nil || index >= j.Tasks {
+	if job == nil || index >= job.Tasks {
 		refuse(wire.ExitTaskUnknown)
 		return
 	}
@@ -403,7 +403,7 @@
 		}
 		delete(k.tasks, c.Task)
 	}
-	cpus, gpus, ram := j.CPUs, j.GPUs, j.MemoryGB
+	cpus, gpus, ram := job.CPUs, job.GPUs, job.MemoryGB
 	for _, t := range k.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, ram = cpus+t.job.CPUs, gpus+t.job.GPUs, ram+t.job.MemoryGB
@@ -413,14 +413,14 @@
 		refuse(wire.ExitInsufficientResources)
 		return
 	}
-	t := &task{name: c.Task, job: j, index: index, try: c.Attempt, state: wire.TaskFetching}
+	t := &task{name: c.Task, job: job, index: index, try: c.Attempt, state: wire.TaskFetching}
 	k.tasks[c.Task] = t
 	wait := time.Millisecond
-	if !k.images[j.Image] {
-		wait = time.Duration(j.ImageGB / k.typ.ImageFetchGBPerS * float64(time.Second))
+	if !k.images[job.Image] {
+		wait = time.Duration(job.ImageGB / k.typ.ImageFetchGBPerS * float64(time.Second))
 	}
 	k.after(t, wait, func() {
-		k.images[j.Image] = true
+		k.images[job.Image] = true
 		k.world.begin(k, t)
 	})
 }
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -9,10 +9,10 @@
 func JobKey(id string) string { return "j/" + id }
 
 // ChunkPrefix is the prefix of all chunks of a part.
-func ChunkPrefix(part int) string { return "a/" + strconv.Itoa(part) + "/" }
+func ChunkPrefix(partition int) string { return "a/" + strconv.Itoa(partition) + "/" }
 
 // ChunkKey is the key of a chunk of a job.
-func ChunkKey(part int, id, name string) string { return ChunkPrefix(part) + id + "/" + name }
+func ChunkKey(partition int, id, name string) string { return ChunkPrefix(partition) + id + "/" + name }
 
 // ParseChunkKey takes a chunk's key apart.
 func ParseChunkKey(key string) (id, name string, ok bool) {
@@ -24,22 +24,22 @@
 }
 
 // CancellationPrefix is the prefix of the marks of cancelled jobs of a part.
-func CancellationPrefix(part int) string { return "x/" + strconv.Itoa(part) + "/" }
+func CancellationPrefix(partition int) string { return "x/" + strconv.Itoa(partition) + "/" }
 
 // CancellationKey marks a job as cancelled for its part's owner.
-func CancellationKey(part int, id string) string { return CancellationPrefix(part) + id }
+func CancellationKey(partition int, id string) string { return CancellationPrefix(partition) + id }
 
 // PartitionKey is the key that names a part's owner.
-func PartitionKey(part int) string { return "c/p/" + strconv.Itoa(part) }
+func PartitionKey(partition int) string { return "c/p/" + strconv.Itoa(partition) }
 
 // JournalPrefix is the prefix of a part's journal.
-func JournalPrefix(part int) string { return "g/" + strconv.Itoa(part) + "/" }
+func JournalPrefix(partition int) string { return "g/" + strconv.Itoa(partition) + "/" }
 
 // firstChunkName is the name of the chunk that holds a job's description.
 const firstChunkName = "0"
 
 // FirstChunkKey is the key of the chunk that holds a job's description.
-func FirstChunkKey(part int, id string) string { return ChunkKey(part, id, firstChunkName) }
+func FirstChunkKey(partition int, id string) string { return ChunkKey(partition, id, firstChunkName) }
 
 // IsFirstChunk tells whether a chunk's name is that of a job's first one.
 func IsFirstChunk(name string) bool { return name == firstChunkName }
@@ -60,11 +60,11 @@
 	SummaryPrefix   = "s/"
 )
 
-func SummaryKey(part int) string { return SummaryPrefix + strconv.Itoa(part) }
+func SummaryKey(partition int) string { return SummaryPrefix + strconv.Itoa(partition) }
 
 // MachineDigestsKey is the key of one of the records of a part's notes on its machines.
-func MachineDigestsKey(part, i int) string { return SummaryKey(part) + "/" + strconv.Itoa(i) }
+func MachineDigestsKey(partition, i int) string { return SummaryKey(partition) + "/" + strconv.Itoa(i) }
 
 // WaitingKey is the key of one of the records of a part's waiting work, beyond what its
 // summary holds.
-func WaitingKey(part, i int) string { return SummaryKey(part) + "/w" + strconv.Itoa(i) }
+func WaitingKey(partition, i int) string { return SummaryKey(partition) + "/w" + strconv.Itoa(i) }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -31,7 +31,7 @@
 
 // DecodeMachineGroup decodes a group. Versions before groups kept a record for each machine,
 // whose stamp was its token; such a record is read as a group of one.
-func DecodeMachineGroup(id string, value wire.Raw, stamp uint64) (MachineGroupRecord, error) {
+func DecodeMachineGroup(id string, value wire.Raw, revision uint64) (MachineGroupRecord, error) {
 	var group MachineGroupRecord
 	if err := wire.Unmarshal(value, &group); err != nil || group.Machines != nil {
 		return group, err
@@ -40,7 +40,7 @@
 	if err := wire.Unmarshal(value, &m); err != nil {
 		return group, err
 	}
-	m.FencingToken = stamp
+	m.FencingToken = revision
 	group.Machines = map[string]MachineRecord{id: m}
 	return group, nil
 }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -141,9 +141,9 @@
 }
 
 // ConfirmBatch notes that a batch is in the state service.
-func (p *Partition) ConfirmBatch(batch *Batch, rev uint64) {
+func (p *Partition) ConfirmBatch(batch *Batch, revision uint64) {
 	for _, seq := range batch.journalSequences {
-		p.slotRevisions[p.journalSlot(seq)] = rev
+		p.slotRevisions[p.journalSlot(seq)] = revision
 	}
 	p.JournalRecords += len(batch.journalSequences)
 	p.Compactions += len(batch.chunkWrites)
@@ -155,7 +155,7 @@
 		}
 	}
 	for _, w := range batch.chunkWrites {
-		w.chunk.revision, w.chunk.oldestUncompacted = rev, 0
+		w.chunk.revision, w.chunk.oldestUncompacted = revision, 0
 		w.chunk.splitFrom, w.chunk.splitOff = nil, nil
 		w.chunk.storedExplicitRange = w.explicitRange
 		delete(p.uncompactedChunks, w.chunk)
@@ -199,10 +199,10 @@
 // RefreshKey takes in what a re-read found of a key after an unknown outcome or a
 // conflict. All stays marked as changed, so that the next commit rewrites the
 // key under its present stamp, which fences whatever is still under way.
-func (p *Partition) RefreshKey(batch *Batch, key string, stamp uint64, record *records.JobRecord, now time.Time) {
+func (p *Partition) RefreshKey(batch *Batch, key string, revision uint64, record *records.JobRecord, now time.Time) {
 	if batch.endedJob != nil && key == records.JobKey(batch.endedJob.ID) {
 		job := batch.endedJob
-		job.Revision = stamp
+		job.Revision = revision
 		if record == nil {
 			return
 		}
@@ -216,21 +216,21 @@
 	}
 	for _, seq := range batch.journalSequences {
 		if key == p.journalKey(seq) {
-			p.slotRevisions[p.journalSlot(seq)] = stamp
+			p.slotRevisions[p.journalSlot(seq)] = revision
 			return
 		}
 	}
 	for _, w := range batch.chunkWrites {
 		if key == p.chunkKey(w.chunk) {
-			w.chunk.revision = stamp
+			w.chunk.revision = revision
 		}
 	}
 	for _, chunk := range batch.deletedChunks {
 		if key == p.chunkKey(chunk) {
-			chunk.revision = stamp
+			chunk.revision = revision
 		}
 	}
 	if batch.endedJob != nil && key == p.chunkKey(batch.endedJob.chunks[0]) {
-		batch.endedJob.chunks[0].revision = stamp
+		batch.endedJob.chunks[0].revision = revision
 	}
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -68,7 +68,7 @@
 }
 
 // SetMachine takes in a machine's record, new or changed.
-func (p *Partition) SetMachine(id string, record records.MachineRecord, stamp uint64, now time.Time) {
+func (p *Partition) SetMachine(id string, record records.MachineRecord, revision uint64, now time.Time) {
 	if record.Partition != p.Index {
 		if p.machines[id] != nil {
 			p.dropMachine(id, now)
@@ -81,10 +81,10 @@
 			cachedImages: map[string]time.Time{}, failedJobs: map[string]bool{}, assignedAt: now}
 		p.machines[id] = machine
 		p.machineIDs = slices.Sorted(maps.Keys(p.machines))
-	} else if stamp < machine.revision {
+	} else if revision < machine.revision {
 		return
 	}
-	machine.Record, machine.revision = record, stamp
+	machine.Record, machine.revision = record, revision
 	machine.machineType = p.machineTypes[record.MachineType]
 	machine.capacity = resource.OfMachineType(machine.machineType)
 	if tok := max(p.Revision, record.FencingToken); tok > machine.fencingToken {
--- a/internal/scheduler/state.go
+++ b/internal/scheduler/state.go
@@ -53,8 +53,8 @@
 }
 
 // NewPartition makes an empty part owned under the given stamp.
-func NewPartition(index int, stamp uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
-	p := &Partition{Index: index, Revision: stamp, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
+func NewPartition(index int, revision uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
+	p := &Partition{Index: index, Revision: revision, settings: settings, tuning: tunables, machineTypes: map[string]wire.MachineType{}, jobs: map[string]*Job{},
 		machines: map[string]*Machine{}, teams: map[string]*quota.Team{}, tombstones: map[string]bool{}, dirtyChunks: map[*chunk]bool{}, uncompactedChunks: map[*chunk]bool{}, slotRevisions: make([]uint64, tuning.JournalSlots),
 		tasksPerChunk: records.TasksPerChunk(settings), limits: settings.WriteLimits()}
 	for _, c := range settings.Cluster.Teams {
@@ -82,22 +82,22 @@
 
 // AddJob takes in a new job, or one read from its records, with the stamp at
 // which both its record and its first chunk were created. Known jobs are left alone.
-func (p *Partition) AddJob(description *wire.Job, at time.Time, stamp uint64) *Job {
+func (p *Partition) AddJob(description *wire.Job, at time.Time, revision uint64) *Job {
 	if job := p.jobs[description.ID]; job != nil {
-		if stamp > job.Revision {
-			job.Revision = stamp
+		if revision > job.Revision {
+			job.Revision = revision
 		}
 		return job
 	}
 	if p.tombstones[description.ID] || p.olderTombstones[description.ID] {
 		return nil
 	}
-	job := &Job{Job: description, SubmittedAt: at, Revision: stamp, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
+	job := &Job{Job: description, SubmittedAt: at, Revision: revision, Cancelled: p.cancelledJobIDs[description.ID], taskStates: make([]taskState, description.Tasks), waitingTasks: description.Tasks,
 		placements: map[int]*Placement{}, noCapacityVersion: -1}
 	for from := 0; from < description.Tasks; from += p.tasksPerChunk {
 		job.chunks = append(job.chunks, p.newChunk(job, from, min(from+p.tasksPerChunk, description.Tasks), p.featureLevel >= records.FeatureExplicitChunks))
 	}
-	job.chunks[0].revision, job.chunks[0].storedExplicitRange = stamp, p.featureLevel >= records.FeatureExplicitChunks
+	job.chunks[0].revision, job.chunks[0].storedExplicitRange = revision, p.featureLevel >= records.FeatureExplicitChunks
 	p.jobs[description.ID] = job
 	return job
 }
