--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -14,40 +14,40 @@
 
 // Capacity is how many machines of a kind there are.
 type Capacity struct {
-	Type, Zone string
-	Spot       bool
-	Count      int
+	MachineType, Zone string
+	Spot              bool
+	Count             int
 }
 
-type rented struct {
-	m      wire.CloudMachine
-	asked  time.Time
-	worker *Worker
+type instance struct {
+	machine  wire.CloudMachine
+	rentedAt time.Time
+	worker   *Worker
 }
 
 // Cloud is a stand-in for the cloud. Its machines run Workers.
 type Cloud struct {
-	Types    []wire.MachineType
-	Capacity []Capacity
-	Lag      time.Duration
+	MachineTypes []wire.MachineType
+	Capacity     []Capacity
+	Lag          time.Duration
 	// Faults, if set, decides on each rental and return.
-	Faults func() (Fault, time.Duration)
+	Faults func() (RequestFault, time.Duration)
 	// Boot starts a machine's worker once it is up.
 	Boot func(m wire.CloudMachine) *Worker
 	// BootTime of one machine; 0: it never comes up.
 	BootTime func(t wire.MachineType) time.Duration
 	Rand     *rand.Rand
 
-	mu       sync.Mutex
-	next     int
-	machines map[string]*rented
-	hires    map[string][]string
-	refusals int
-	shots    []shot
+	mu        sync.Mutex
+	next      int
+	machines  map[string]*instance
+	rentals   map[string][]string
+	refusals  int
+	snapshots []listSnapshot
 }
 
-// shot is the list as it was at a time; the cloud shows an old one.
-type shot struct {
+// listSnapshot is the list as it was at a time; the cloud shows an old one.
+type listSnapshot struct {
 	at   time.Time
 	list []wire.CloudMachine
 }
@@ -56,20 +56,20 @@
 func (c *Cloud) Handler() http.Handler {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines, c.hires = map[string]*rented{}, map[string][]string{}
+		c.machines, c.rentals = map[string]*instance{}, map[string][]string{}
 	}
 	c.mu.Unlock()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, http.StatusOK, wire.Catalog{Types: c.Types})
+		writeResponse(w, http.StatusOK, wire.Catalog{Types: c.MachineTypes})
 	})
 	mux.HandleFunc("POST /hosts", c.rent)
-	mux.HandleFunc("POST /hosts/return", c.giveBack)
+	mux.HandleFunc("POST /hosts/return", c.returnMachines)
 	mux.HandleFunc("GET /hosts", c.list)
-	return unlocked(mux)
+	return deferResponses(mux)
 }
 
-func (c *Cloud) fault() (Fault, time.Duration) {
+func (c *Cloud) fault() (RequestFault, time.Duration) {
 	if c.Faults == nil {
 		return NoFault, 0
 	}
@@ -78,30 +78,30 @@
 
 func (c *Cloud) rent(w http.ResponseWriter, r *http.Request) {
 	var q wire.RentRequest
-	if !read(w, r, &q) {
+	if !readRequest(w, r, &q) {
 		return
 	}
 	if q.RequestID == "" || q.Count < 1 || q.Count > 50 {
-		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
+		writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed"})
 		return
 	}
 	f, wait := c.fault()
 	switch f {
-	case Refuse:
-		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-	case Late:
+	case RefuseRequest:
+		writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+	case ExecuteLate:
 		time.AfterFunc(wait, func() { c.doRent(q) })
 		panic(http.ErrAbortHandler)
 	default:
 		ids := c.doRent(q)
-		if f == LostReply {
+		if f == LoseResponse {
 			panic(http.ErrAbortHandler)
 		}
 		if ids == nil {
-			reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
+			writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
-		reply(w, http.StatusOK, wire.MachineIDs{Machines: ids})
+		writeResponse(w, http.StatusOK, wire.MachineIDs{Machines: ids})
 	}
 }
 
@@ -115,17 +115,17 @@
 func (c *Cloud) doRent(q wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if ids, ok := c.hires[q.RequestID]; ok {
+	if ids, ok := c.rentals[q.RequestID]; ok {
 		return ids
 	}
 	free := 0
 	for _, k := range c.Capacity {
-		if k.Type == q.MachineType && k.Zone == q.Zone && k.Spot == q.Spot {
+		if k.MachineType == q.MachineType && k.Zone == q.Zone && k.Spot == q.Spot {
 			free += k.Count
 		}
 	}
 	for _, m := range c.machines {
-		if m.m.MachineType == q.MachineType && m.m.Zone == q.Zone && m.m.Spot == q.Spot && m.m.State != wire.MachineFailed {
+		if m.machine.MachineType == q.MachineType && m.machine.Zone == q.Zone && m.machine.Spot == q.Spot && m.machine.State != wire.MachineFailed {
 			free--
 		}
 	}
@@ -139,18 +139,18 @@
 		id := c.add(q.MachineType, q.Zone, q.Spot)
 		ids = append(ids, id)
 	}
-	c.hires[q.RequestID] = ids
+	c.rentals[q.RequestID] = ids
 	return ids
 }
 
 // add rents one machine; mu must be held.
 func (c *Cloud) add(typ, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", c.next)
-	m := &rented{asked: time.Now(), m: wire.CloudMachine{ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+c.next),
+	m := &instance{rentedAt: time.Now(), machine: wire.CloudMachine{ID: id, Address: fmt.Sprintf("127.0.0.1:%d", 20000+c.next),
 		MachineType: typ, Zone: zone, Spot: spot, State: wire.MachineStarting}}
 	c.next++
 	c.machines[id] = m
-	for _, t := range c.Types {
+	for _, t := range c.MachineTypes {
 		if t.Name != typ {
 			continue
 		}
@@ -159,8 +159,8 @@
 				c.mu.Lock()
 				defer c.mu.Unlock()
 				if c.machines[id] == m {
-					m.m.State = wire.MachineRunning
-					m.worker = c.Boot(m.m)
+					m.machine.State = wire.MachineRunning
+					m.worker = c.Boot(m.machine)
 				}
 			})
 		}
@@ -175,24 +175,24 @@
 	return c.add(typ, zone, spot)
 }
 
-func (c *Cloud) giveBack(w http.ResponseWriter, r *http.Request) {
+func (c *Cloud) returnMachines(w http.ResponseWriter, r *http.Request) {
 	var q wire.MachineIDs
-	if !read(w, r, &q) {
+	if !readRequest(w, r, &q) {
 		return
 	}
 	f, wait := c.fault()
 	switch f {
-	case Refuse:
-		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-	case Late:
+	case RefuseRequest:
+		writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+	case ExecuteLate:
 		time.AfterFunc(wait, func() { c.remove(q.Machines) })
 		panic(http.ErrAbortHandler)
 	default:
 		c.remove(q.Machines)
-		if f == LostReply {
+		if f == LoseResponse {
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, http.StatusOK, map[string]bool{})
+		writeResponse(w, http.StatusOK, map[string]bool{})
 	}
 }
 
@@ -206,15 +206,15 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, w := range workers {
-		if w != nil {
-			w.Kill()
+	for _, worker := range workers {
+		if worker != nil {
+			worker.Kill()
 		}
 	}
 }
 
-// Take removes a machine without notice, as the cloud does with spot machines.
-func (c *Cloud) Take(id string) { c.remove([]string{id}) }
+// TakeBack removes a machine without notice, as the cloud does with spot machines.
+func (c *Cloud) TakeBack(id string) { c.remove([]string{id}) }
 
 // Workers lists the machines that are up, by name.
 func (c *Cloud) Workers() []*Worker {
@@ -226,7 +226,7 @@
 			out = append(out, m.worker)
 		}
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].M.ID < out[b].M.ID })
+	sort.Slice(out, func(a, b int) bool { return out[a].Machine.ID < out[b].Machine.ID })
 	return out
 }
 
@@ -235,22 +235,22 @@
 	now := time.Now()
 	var cur []wire.CloudMachine
 	for _, m := range c.machines {
-		x := m.m
-		x.AgeS = now.Sub(m.asked).Seconds()
+		x := m.machine
+		x.AgeS = now.Sub(m.rentedAt).Seconds()
 		cur = append(cur, x)
 	}
 	sort.Slice(cur, func(a, b int) bool { return cur[a].ID < cur[b].ID })
-	c.shots = append(c.shots, shot{now, cur})
+	c.snapshots = append(c.snapshots, listSnapshot{now, cur})
 	// The list shown is the newest one that is at least Lag old, so it can be
 	// as old as the reader is slow.
 	show := []wire.CloudMachine{}
 	keep := 0
-	for i, s := range c.shots {
+	for i, s := range c.snapshots {
 		if now.Sub(s.at) >= c.Lag {
 			show, keep = s.list, i
 		}
 	}
-	c.shots = c.shots[keep:]
+	c.snapshots = c.snapshots[keep:]
 	c.mu.Unlock()
 	since := r.URL.Query().Get("since")
 	most, err := strconv.Atoi(r.URL.Query().Get("most"))
@@ -268,5 +268,5 @@
 		}
 		p.Machines = append(p.Machines, m)
 	}
-	reply(w, http.StatusOK, p)
+	writeResponse(w, http.StatusOK, p)
 }
--- a/internal/emulator/state.go
+++ b/internal/emulator/kvstore.go
@@ -22,38 +22,38 @@
 const keptChanges = 10000
 
 type entry struct {
-	value wire.Raw
-	stamp uint64
-	hold  uint64
+	value    wire.Raw
+	revision uint64
+	leaseID  uint64
 }
 
 type change struct {
-	key   string
-	value wire.Raw
-	gone  bool
-	stamp uint64
+	key      string
+	value    wire.Raw
+	deleted  bool
+	revision uint64
 }
 
-type hold struct {
-	life time.Duration
-	ends time.Time
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// Fault is what becomes of one request to a stand-in.
-type Fault int
+// RequestFault is what becomes of one request to a stand-in.
+type RequestFault int
 
 // The faults.
 const (
-	NoFault   Fault = iota
-	LostReply       // carried out, but not answered
-	Late            // answered by nothing, carried out a while later
-	Refuse          // 503, not carried out
+	NoFault       RequestFault = iota
+	LoseResponse               // carried out, but not answered
+	ExecuteLate                // answered by nothing, carried out a while later
+	RefuseRequest              // 503, not carried out
 )
 
-// State is a stand-in for the state service.
-type State struct {
+// KeyValueStore is a stand-in for the state service.
+type KeyValueStore struct {
 	// Faults, if set, decides on each commit of a host.
-	Faults func(from string, t *wire.Txn) (Fault, time.Duration)
+	Faults func(from string, t *wire.Txn) (RequestFault, time.Duration)
 	// WatchesEnd: a watch whose time is over while its host is served with nothing is
 	// answered that there is no news, though there may be. The protocol's page only says
 	// that watches stay open, so controllers must not take such an answer for contact.
@@ -61,25 +61,25 @@
 	// Changed, if set, is told of each key that is put, with its value before.
 	Changed func(key string, was, now wire.Raw)
 
-	mu      sync.Mutex
-	rev     uint64
-	items   map[string]entry
-	holds   map[uint64]hold
-	nextID  uint64
-	log     []change
-	changed chan struct{}
-	down    bool
-	refused map[string]int // hosts that are refused alone, with what was refused
-	slow    time.Duration  // that answers take
-	stuck   bool           // watches are answered with nothing, while all else is served
-	noLists bool           // listings are refused
-	limits  *limits        // on what is written; nil: none
-	invalid []string       // why requests were answered 400
-	listed  int            // items that listings have held
-}
-
-// Refuse serves a host with nothing, while the others are served; its holds run out.
-func (s *State) Refuse(host string, on bool) {
+	mu             sync.Mutex
+	revision       uint64
+	items          map[string]entry
+	leases         map[uint64]lease
+	nextLeaseID    uint64
+	log            []change
+	changed        chan struct{}
+	down           bool
+	refused        map[string]int // hosts that are refused alone, with what was refused
+	delay          time.Duration  // that answers take
+	watchesStalled bool           // watches are answered with nothing, while all else is served
+	listsRefused   bool           // listings are refused
+	limits         *limits        // on what is written; nil: none
+	invalid        []string       // why requests were answered 400
+	listed         int            // items that listings have held
+}
+
+// RefuseHost serves a host with nothing, while the others are served; its holds run out.
+func (s *KeyValueStore) RefuseHost(host string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !on {
@@ -90,73 +90,73 @@
 }
 
 // Refused counts the requests of a host that have been refused since it was refused alone.
-func (s *State) Refused(host string) int {
+func (s *KeyValueStore) Refused(host string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refused[host]
 }
 
-// Slow has every answer leave late; requests are carried out at once.
-func (s *State) Slow(d time.Duration) {
+// SetDelay has every answer leave late; requests are carried out at once.
+func (s *KeyValueStore) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = d
+	s.delay = d
 }
 
-// Stall has watches wait without an answer, or go on.
-func (s *State) Stall(on bool) {
+// StallWatches has watches wait without an answer, or go on.
+func (s *KeyValueStore) StallWatches(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stuck = on
+	s.watchesStalled = on
 }
 
 // RefuseLists answers listings with 429, as over a limit, while all else is served.
-func (s *State) RefuseLists(on bool) {
+func (s *KeyValueStore) RefuseLists(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noLists = on
+	s.listsRefused = on
 }
 
 // Value reads a key as it stands, whoever is served.
-func (s *State) Value(key string) (wire.Raw, uint64) {
+func (s *KeyValueStore) Value(key string) (wire.Raw, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.items[key].value, s.items[key].stamp
+	return s.items[key].value, s.items[key].revision
 }
 
 // served tells whether a host is served with anything.
-func (s *State) served(host string) bool {
+func (s *KeyValueStore) served(host string) bool {
 	_, refused := s.refused[host]
 	return !s.down && !refused
 }
 
 // Listed counts the items that listings have held so far.
-func (s *State) Listed() int {
+func (s *KeyValueStore) Listed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listed
 }
 
-// NewState makes an empty state service.
-func NewState() *State {
-	return &State{items: map[string]entry{}, holds: map[uint64]hold{}, refused: map[string]int{}, changed: make(chan struct{})}
+// NewKeyValueStore makes an empty state service.
+func NewKeyValueStore() *KeyValueStore {
+	return &KeyValueStore{items: map[string]entry{}, leases: map[uint64]lease{}, refused: map[string]int{}, changed: make(chan struct{})}
 }
 
 // SetDown starts or ends an outage; at its end every hold has its full time again.
-func (s *State) SetDown(down bool) {
+func (s *KeyValueStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down && !down {
-		for id, h := range s.holds {
-			h.ends = time.Now().Add(h.life)
-			s.holds[id] = h
+		for id, h := range s.leases {
+			h.expiresAt = time.Now().Add(h.ttl)
+			s.leases[id] = h
 		}
 	}
 	s.down = down
 }
 
 // Count counts the keys with a prefix.
-func (s *State) Count(prefix string) int {
+func (s *KeyValueStore) Count(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -169,7 +169,7 @@
 }
 
 // Dump lists all keys with their values, for a test's report.
-func (s *State) Dump() string {
+func (s *KeyValueStore) Dump() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var keys []string
@@ -183,29 +183,29 @@
 		if err := wire.Unmarshal(s.items[k].value, &v); err != nil {
 			v = err
 		}
-		fmt.Fprintf(&b, "%s @%d: %v\n", k, s.items[k].stamp, v)
+		fmt.Fprintf(&b, "%s @%d: %v\n", k, s.items[k].revision, v)
 	}
 	return b.String()
 }
 
 // expire ends the holds whose time is over. It must be called with mu held.
-func (s *State) expire() {
+func (s *KeyValueStore) expire() {
 	if s.down {
 		return
 	}
 	now := time.Now()
-	for id, h := range s.holds {
-		if now.After(h.ends) {
-			s.endHold(id)
+	for id, h := range s.leases {
+		if now.After(h.expiresAt) {
+			s.endLease(id)
 		}
 	}
 }
 
-func (s *State) endHold(id uint64) {
-	delete(s.holds, id)
+func (s *KeyValueStore) endLease(id uint64) {
+	delete(s.leases, id)
 	var keys []string
 	for k, e := range s.items {
-		if e.hold == id {
+		if e.leaseID == id {
 			keys = append(keys, k)
 		}
 	}
@@ -213,28 +213,28 @@
 		return
 	}
 	sort.Strings(keys)
-	s.rev++
+	s.revision++
 	for _, k := range keys {
 		delete(s.items, k)
-		s.note(change{key: k, gone: true, stamp: s.rev})
+		s.appendChange(change{key: k, deleted: true, revision: s.revision})
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-func (s *State) note(c change) {
+func (s *KeyValueStore) appendChange(c change) {
 	s.log = append(s.log, c)
 	if len(s.log) > 2*keptChanges {
 		s.log = append([]change(nil), s.log[len(s.log)-keptChanges:]...)
 	}
 }
 
-func (s *State) wake() {
+func (s *KeyValueStore) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Handler serves the protocol.
-func (s *State) Handler() http.Handler {
+func (s *KeyValueStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.get)
 	mux.HandleFunc("GET /store", s.list)
@@ -246,51 +246,51 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.expire()
-		served, slow := s.served(r.RemoteAddr), s.slow
+		served, slow := s.served(r.RemoteAddr), s.delay
 		if _, ok := s.refused[r.RemoteAddr]; ok {
 			s.refused[r.RemoteAddr]++
 		}
 		s.mu.Unlock()
 		if !served {
-			reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+			writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 			return
 		}
-		answered := &late{ResponseWriter: w, status: http.StatusOK}
+		answered := &deferredResponse{ResponseWriter: w, status: http.StatusOK}
 		mux.ServeHTTP(answered, r)
 		if slow > 0 {
 			time.Sleep(slow)
 		}
-		answered.leave()
+		answered.send()
 	})
 }
 
-// late keeps an answer until it may leave: later, or when its handler is done and holds no
+// deferredResponse keeps an answer until it may leave: later, or when its handler is done and holds no
 // lock, since a host that stands still does not take it.
-type late struct {
+type deferredResponse struct {
 	http.ResponseWriter
 	status int
 	body   bytes.Buffer
 }
 
-func (l *late) WriteHeader(status int) { l.status = status }
+func (l *deferredResponse) WriteHeader(status int) { l.status = status }
 
-func (l *late) Write(b []byte) (int, error) { return l.body.Write(b) }
+func (l *deferredResponse) Write(b []byte) (int, error) { return l.body.Write(b) }
 
-func (l *late) leave() {
+func (l *deferredResponse) send() {
 	l.ResponseWriter.WriteHeader(l.status)
 	_, _ = l.ResponseWriter.Write(l.body.Bytes())
 }
 
-// unlocked has a handler's answers leave when it is done.
-func unlocked(h http.Handler) http.Handler {
+// deferResponses has a handler's answers leave when it is done.
+func deferResponses(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answered := &late{ResponseWriter: w, status: http.StatusOK}
+		answered := &deferredResponse{ResponseWriter: w, status: http.StatusOK}
 		h.ServeHTTP(answered, r)
-		answered.leave()
+		answered.send()
 	})
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeResponse(w http.ResponseWriter, status int, v any) {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		status, b = http.StatusInternalServerError, nil
@@ -301,31 +301,31 @@
 	_, _ = w.Write(b)
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+func readRequest(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err == nil {
 		err = wire.Unmarshal(b, v)
 	}
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
+		writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 	}
 	return err == nil
 }
 
-func (s *State) get(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) get(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	key := r.PathValue("key")
 	e, ok := s.items[key]
-	rev := s.rev
+	rev := s.revision
 	s.mu.Unlock()
 	if !ok {
-		reply(w, http.StatusNotFound, wire.TxnResponse{Revision: rev})
+		writeResponse(w, http.StatusNotFound, wire.TxnResponse{Revision: rev})
 		return
 	}
-	reply(w, http.StatusOK, wire.KeyValue{Key: key, Value: e.value, Revision: e.stamp, LeaseID: e.hold})
+	writeResponse(w, http.StatusOK, wire.KeyValue{Key: key, Value: e.value, Revision: e.revision, LeaseID: e.leaseID})
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) list(w http.ResponseWriter, r *http.Request) {
 	prefix, since := r.URL.Query().Get("prefix"), r.URL.Query().Get("since")
 	most, err := strconv.Atoi(r.URL.Query().Get("most"))
 	if err != nil || most < 1 || most > 1000 {
@@ -333,8 +333,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.noLists {
-		reply(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many requests"})
+	if s.listsRefused {
+		writeResponse(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many requests"})
 		return
 	}
 	var keys []string
@@ -344,22 +344,22 @@
 		}
 	}
 	sort.Strings(keys)
-	p := wire.KeyValuePage{Items: []wire.KeyValue{}, Revision: s.rev}
+	p := wire.KeyValuePage{Items: []wire.KeyValue{}, Revision: s.revision}
 	if len(keys) > most {
 		keys, p.More = keys[:most], true
 	}
 	s.listed += len(keys)
 	for _, k := range keys {
 		e := s.items[k]
-		p.Items = append(p.Items, wire.KeyValue{Key: k, Value: e.value, Revision: e.stamp, LeaseID: e.hold})
+		p.Items = append(p.Items, wire.KeyValue{Key: k, Value: e.value, Revision: e.revision, LeaseID: e.leaseID})
 	}
-	reply(w, http.StatusOK, p)
+	writeResponse(w, http.StatusOK, p)
 }
 
 // rawTxn keeps the values encoded.
 type rawTxn struct {
-	If   []wire.Compare `cbor:"when"`
-	Then []struct {
+	Compares []wire.Compare `cbor:"when"`
+	Writes   []struct {
 		Put    string   `cbor:"put"`
 		Value  wire.Raw `cbor:"value"`
 		Hold   uint64   `cbor:"hold"`
@@ -367,35 +367,35 @@
 	} `cbor:"then"`
 }
 
-func (s *State) commit(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) commit(w http.ResponseWriter, r *http.Request) {
 	var t rawTxn
-	if !read(w, r, &t) {
+	if !readRequest(w, r, &t) {
 		return
 	}
 	fault, wait := NoFault, time.Duration(0)
 	if s.Faults != nil {
-		plain := wire.Txn{Compares: t.If}
-		for _, o := range t.Then {
+		plain := wire.Txn{Compares: t.Compares}
+		for _, o := range t.Writes {
 			plain.Writes = append(plain.Writes, wire.Write{Put: o.Put, Delete: o.Delete})
 		}
 		fault, wait = s.Faults(r.RemoteAddr, &plain)
 	}
 	switch fault {
-	case Refuse:
-		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
-	case LostReply:
+	case RefuseRequest:
+		writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+	case LoseResponse:
 		s.apply(&t)
 		panic(http.ErrAbortHandler)
-	case Late:
+	case ExecuteLate:
 		time.AfterFunc(wait, func() { s.apply(&t) })
 		panic(http.ErrAbortHandler)
 	default:
 		status, v := s.apply(&t)
-		reply(w, status, v)
+		writeResponse(w, status, v)
 	}
 }
 
-func (s *State) apply(t *rawTxn) (int, any) {
+func (s *KeyValueStore) apply(t *rawTxn) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -404,62 +404,62 @@
 			s.invalid = append(s.invalid, why)
 			return http.StatusBadRequest, wire.ErrorResponse{Error: why}
 		}
-		if !s.limits.changes.AllowN(time.Now(), len(t.Then)) {
+		if !s.limits.changes.AllowN(time.Now(), len(t.Writes)) {
 			return http.StatusTooManyRequests, wire.ErrorResponse{Error: "too many changes"}
 		}
 	}
-	for _, o := range t.Then {
+	for _, o := range t.Writes {
 		if o.Put != "" && o.Hold != 0 {
-			if _, ok := s.holds[o.Hold]; !ok {
+			if _, ok := s.leases[o.Hold]; !ok {
 				return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 			}
 		}
 	}
 	var failed []string
-	for _, c := range t.If {
-		if s.items[c.Key].stamp != c.Revision {
+	for _, c := range t.Compares {
+		if s.items[c.Key].revision != c.Revision {
 			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.rev}
+		return http.StatusConflict, wire.TxnResponse{Failed: failed, Revision: s.revision}
 	}
-	if len(t.Then) > 0 {
-		s.rev++
-		for _, o := range t.Then {
+	if len(t.Writes) > 0 {
+		s.revision++
+		for _, o := range t.Writes {
 			if o.Put != "" {
 				if s.Changed != nil {
 					s.Changed(o.Put, s.items[o.Put].value, o.Value)
 				}
-				s.items[o.Put] = entry{value: o.Value, stamp: s.rev, hold: o.Hold}
-				s.note(change{key: o.Put, value: o.Value, stamp: s.rev})
+				s.items[o.Put] = entry{value: o.Value, revision: s.revision, leaseID: o.Hold}
+				s.appendChange(change{key: o.Put, value: o.Value, revision: s.revision})
 				continue
 			}
 			if _, ok := s.items[o.Delete]; ok {
 				delete(s.items, o.Delete)
-				s.note(change{key: o.Delete, gone: true, stamp: s.rev})
+				s.appendChange(change{key: o.Delete, deleted: true, revision: s.revision})
 			}
 		}
-		s.wake()
+		s.notifyWatches()
 	}
-	return http.StatusOK, wire.TxnResponse{Revision: s.rev}
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-func (s *State) grant(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) grant(w http.ResponseWriter, r *http.Request) {
 	var q wire.LeaseRequest
-	if !read(w, r, &q) {
+	if !readRequest(w, r, &q) {
 		return
 	}
 	s.mu.Lock()
-	s.nextID++
-	id := s.nextID
+	s.nextLeaseID++
+	id := s.nextLeaseID
 	life := time.Duration(q.TTLMS) * time.Millisecond
-	s.holds[id] = hold{life: life, ends: time.Now().Add(life)}
+	s.leases[id] = lease{ttl: life, expiresAt: time.Now().Add(life)}
 	s.mu.Unlock()
-	reply(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+	writeResponse(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 }
 
-func (s *State) holdID(r *http.Request) uint64 {
+func (s *KeyValueStore) leaseID(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
 		return 0
@@ -467,33 +467,33 @@
 	return id
 }
 
-func (s *State) extend(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) extend(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id := s.holdID(r)
-	h, ok := s.holds[id]
+	id := s.leaseID(r)
+	h, ok := s.leases[id]
 	if !ok {
-		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
+		writeResponse(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		return
 	}
-	h.ends = time.Now().Add(h.life)
-	s.holds[id] = h
-	reply(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
+	h.expiresAt = time.Now().Add(h.ttl)
+	s.leases[id] = h
+	writeResponse(w, http.StatusOK, wire.LeaseResponse{LeaseID: id})
 }
 
-func (s *State) end(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) end(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endHold(s.holdID(r))
-	reply(w, http.StatusOK, map[string]bool{})
+	s.endLease(s.leaseID(r))
+	writeResponse(w, http.StatusOK, map[string]bool{})
 }
 
-func (s *State) watch(w http.ResponseWriter, r *http.Request) {
+func (s *KeyValueStore) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	prefix := q.Get("prefix")
 	since, err := strconv.ParseUint(q.Get("since"), 10, 64)
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "since"})
+		writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: "since"})
 		return
 	}
 	ms, _ := strconv.Atoi(q.Get("waitMs"))
@@ -503,32 +503,32 @@
 	for {
 		s.mu.Lock()
 		s.expire()
-		if s.rev > since && len(s.log) >= keptChanges && s.log[0].stamp > since+1 {
+		if s.revision > since && len(s.log) >= keptChanges && s.log[0].revision > since+1 {
 			s.mu.Unlock()
-			reply(w, http.StatusGone, wire.ErrorResponse{Error: "too old"})
+			writeResponse(w, http.StatusGone, wire.ErrorResponse{Error: "too old"})
 			return
 		}
-		out := wire.WatchResponse{Revision: s.rev, Events: []wire.Event{}}
-		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].stamp > since })
+		out := wire.WatchResponse{Revision: s.revision, Events: []wire.Event{}}
+		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > since })
 		for _, c := range s.log[i:] {
 			if !strings.HasPrefix(c.key, prefix) {
 				continue
 			}
-			e := wire.Event{Put: c.key, Value: c.value, Revision: c.stamp}
-			if c.gone {
-				e = wire.Event{Delete: c.key, Value: wire.Raw{0xf6}, Revision: c.stamp}
+			e := wire.Event{Put: c.key, Value: c.value, Revision: c.revision}
+			if c.deleted {
+				e = wire.Event{Delete: c.key, Value: wire.Raw{0xf6}, Revision: c.revision}
 			}
 			out.Events = append(out.Events, e)
 		}
-		changed, served := s.changed, s.served(r.RemoteAddr) && !s.stuck
+		changed, served := s.changed, s.served(r.RemoteAddr) && !s.watchesStalled
 		s.mu.Unlock()
 		if !served && over && s.WatchesEnd {
 			out.Revision, out.Events = since, []wire.Event{}
-			reply(w, http.StatusOK, out)
+			writeResponse(w, http.StatusOK, out)
 			return
 		}
 		if served && (over || len(out.Events) > 0) {
-			reply(w, http.StatusOK, out)
+			writeResponse(w, http.StatusOK, out)
 			return
 		}
 		// Holds end without a request too, so look again now and then.
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -17,14 +17,14 @@
 }
 
 // Limit sets the limits on what is written from now on; what is stored stays.
-func (s *State) Limit(l config.StateLimits) {
+func (s *KeyValueStore) Limit(l config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = &limits{l, rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS))}
 }
 
 // Invalid lists why requests were answered 400 so far.
-func (s *State) Invalid() []string {
+func (s *KeyValueStore) Invalid() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.invalid...)
@@ -32,13 +32,13 @@
 
 // exceeded tells which limit of size a transaction exceeds; "" if none.
 func (l *limits) exceeded(t *rawTxn) string {
-	if len(t.Then) > l.TxnOps {
-		return fmt.Sprintf("%d changes in a transaction", len(t.Then))
+	if len(t.Writes) > l.TxnOps {
+		return fmt.Sprintf("%d changes in a transaction", len(t.Writes))
 	}
-	if len(t.If) > conditionsPerChange*l.TxnOps {
-		return fmt.Sprintf("%d conditions in a transaction", len(t.If))
+	if len(t.Compares) > conditionsPerChange*l.TxnOps {
+		return fmt.Sprintf("%d conditions in a transaction", len(t.Compares))
 	}
-	for _, w := range t.Then {
+	for _, w := range t.Writes {
 		if n := jsonSize(w.Value); n > int(l.ValueKB*1024) {
 			return fmt.Sprintf("%d bytes in %s", n, w.Put)
 		}
--- a/internal/emulator/fabric.go
+++ b/internal/emulator/network.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Fabric is a network in memory. Hosts on it can be switched off, and pairs of
+// Network is a network in memory. Hosts on it can be switched off, and pairs of
 // them cut apart.
-type Fabric struct {
+type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	hosts     map[string]*Host
@@ -20,18 +20,18 @@
 	messageCost map[string]time.Duration
 }
 
-// NewFabric makes an empty network.
-func NewFabric() *Fabric {
-	return &Fabric{listeners: map[string]*listener{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{},
+// NewNetwork makes an empty network.
+func NewNetwork() *Network {
+	return &Network{listeners: map[string]*listener{}, hosts: map[string]*Host{}, cuts: map[[2]string]bool{},
 		messageCost: map[string]time.Duration{}}
 }
 
 // Host is one machine's access to the network; it implements transport.Net.
 type Host struct {
-	f     *Fabric
-	name  string
-	off   bool
-	conns map[*conn]bool
+	network *Network
+	name    string
+	off     bool
+	conns   map[*conn]bool
 	// processor holds a place for the message that is being worked on.
 	processor chan struct{}
 }
@@ -75,7 +75,7 @@
 	for closed := false; !closed || len(c.out) > 0; {
 		select {
 		case b := <-c.out:
-			c.local.work()
+			c.local.useProcessor()
 			if _, err := c.Conn.Write(b); err != nil {
 				return
 			}
@@ -96,7 +96,7 @@
 // Read receives a message, which takes the processor of the host.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.local.work()
+	c.local.useProcessor()
 	return n, err
 }
 
@@ -121,29 +121,29 @@
 var errRefused = errors.New("connection refused")
 
 // Host adds a machine to the network.
-func (f *Fabric) Host(name string) *Host {
+func (f *Network) Host(name string) *Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h := &Host{f: f, name: name, conns: map[*conn]bool{}, processor: make(chan struct{}, 1)}
+	h := &Host{network: f, name: name, conns: map[*conn]bool{}, processor: make(chan struct{}, 1)}
 	f.hosts[name] = h
 	return h
 }
 
-// Off ends all of the host's connections and takes no more.
-func (h *Host) Off() {
-	h.f.mu.Lock()
+// Shutdown ends all of the host's connections and takes no more.
+func (h *Host) Shutdown() {
+	h.network.mu.Lock()
 	h.off = true
 	var all []*conn
 	for c := range h.conns {
 		all = append(all, c)
 	}
-	for a, l := range h.f.listeners {
+	for a, l := range h.network.listeners {
 		if l.host == h {
-			delete(h.f.listeners, a)
+			delete(h.network.listeners, a)
 			l.once.Do(func() { close(l.done) })
 		}
 	}
-	h.f.mu.Unlock()
+	h.network.mu.Unlock()
 	for _, c := range all {
 		c.reset()
 	}
@@ -151,7 +151,7 @@
 
 // Cut parts two hosts, or joins them again. Their connections are reset, and
 // new ones hang until they are given up.
-func (f *Fabric) Cut(a, b string, cut bool) {
+func (f *Network) Cut(a, b string, cut bool) {
 	f.mu.Lock()
 	var all []*conn
 	f.cuts[[2]string{a, b}], f.cuts[[2]string{b, a}] = cut, cut
@@ -169,10 +169,10 @@
 }
 
 func (c *conn) Close() error {
-	c.a.f.mu.Lock()
+	c.a.network.mu.Lock()
 	delete(c.a.conns, c)
 	delete(c.b.conns, c)
-	c.a.f.mu.Unlock()
+	c.a.network.mu.Unlock()
 	c.once.Do(func() {
 		close(c.done)
 		time.AfterFunc(flushLimit, func() { c.Conn.Close() })
@@ -195,14 +195,14 @@
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	h.f.mu.Lock()
-	l := h.f.listeners[addr]
+	h.network.mu.Lock()
+	l := h.network.listeners[addr]
 	if h.off || l == nil {
-		h.f.mu.Unlock()
+		h.network.mu.Unlock()
 		return nil, errRefused
 	}
-	if h.f.cuts[[2]string{h.name, l.host.name}] {
-		h.f.mu.Unlock()
+	if h.network.cuts[[2]string{h.name, l.host.name}] {
+		h.network.mu.Unlock()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -211,7 +211,7 @@
 	for _, c := range []*conn{cx, cy} {
 		h.conns[c], l.host.conns[c] = true, true
 	}
-	h.f.mu.Unlock()
+	h.network.mu.Unlock()
 	select {
 	case l.in <- cy:
 		return cx, nil
@@ -225,16 +225,16 @@
 
 // Listen takes connections at an address.
 func (h *Host) Listen(_ context.Context, addr string) (net.Listener, error) {
-	h.f.mu.Lock()
-	defer h.f.mu.Unlock()
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
 	if h.off {
 		return nil, errRefused
 	}
-	if h.f.listeners[addr] != nil {
+	if h.network.listeners[addr] != nil {
 		return nil, errors.New("address in use")
 	}
 	l := &listener{host: h, addr: addr, in: make(chan net.Conn), done: make(chan struct{})}
-	h.f.listeners[addr] = l
+	h.network.listeners[addr] = l
 	return l, nil
 }
 
@@ -248,11 +248,11 @@
 }
 
 func (l *listener) Close() error {
-	l.host.f.mu.Lock()
-	if l.host.f.listeners[l.addr] == l {
-		delete(l.host.f.listeners, l.addr)
+	l.host.network.mu.Lock()
+	if l.host.network.listeners[l.addr] == l {
+		delete(l.host.network.listeners, l.addr)
 	}
-	l.host.f.mu.Unlock()
+	l.host.network.mu.Unlock()
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -11,15 +11,15 @@
 
 // SlowDown has every message that the named host sends or receives take the given time,
 // one after the other, also when the host is started anew; 0 ends it.
-func (f *Fabric) SlowDown(name string, cost time.Duration) {
+func (f *Network) SlowDown(name string, cost time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.messageCost[name] = cost
 }
 
-// StandStill has the named host send and receive nothing for a while, or until the context
+// Freeze has the named host send and receive nothing for a while, or until the context
 // ends. One that is started anew meanwhile is not concerned.
-func (f *Fabric) StandStill(ctx context.Context, name string, d time.Duration) {
+func (f *Network) Freeze(ctx context.Context, name string, d time.Duration) {
 	f.mu.Lock()
 	h := f.hosts[name]
 	f.mu.Unlock()
@@ -34,11 +34,11 @@
 	<-h.processor
 }
 
-// work takes the processor for one message.
-func (h *Host) work() {
-	h.f.mu.Lock()
-	cost := h.f.messageCost[h.name]
-	h.f.mu.Unlock()
+// useProcessor takes the processor for one message.
+func (h *Host) useProcessor() {
+	h.network.mu.Lock()
+	cost := h.network.messageCost[h.name]
+	h.network.mu.Unlock()
 	h.processor <- struct{}{}
 	if cost > 0 {
 		time.Sleep(cost)
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -13,28 +13,28 @@
 
 // User submits a job and follows it as the protocol's users do.
 type User struct {
-	World *World
-	Net   transport.Net
+	Simulation *Simulation
+	Net        transport.Net
 	// Pick chooses a node for each request.
 	Pick func() Node
 	// CancelAfter, if above 0, is when the user cancels the job.
 	CancelAfter time.Duration
 	// Cancel, if set, has the user cancel the job when it is closed.
 	Cancel <-chan struct{}
-	// Looks: after each answer that says something new, the user asks all nodes at once
+	// PollsAllNodes: after each answer that says something new, the user asks all nodes at once
 	// and repeats the submission, several times within milliseconds.
-	Looks bool
+	PollsAllNodes bool
 	// CancelDone: a job that is done is cancelled once more, which must change nothing.
 	CancelDone bool
 }
 
-// Follow submits the job, polls it, and returns the phase it ended in; "" if the
+// Run submits the job, polls it, and returns the phase it ended in; "" if the
 // context ended first or the submission was given up.
-func (u *User) Follow(ctx context.Context, job *wire.Job) wire.JobPhase {
+func (u *User) Run(ctx context.Context, job *wire.Job) wire.JobPhase {
 	cl := transport.Client(u.Net, 1, 1, time.Second)
 	defer cl.CloseIdleConnections()
 	body := submission(job)
-	u.World.Submitted(job)
+	u.Simulation.JobSubmitted(job)
 	start := time.Now()
 	for accepted := false; !accepted; {
 		if ctx.Err() != nil || time.Since(start) > time.Minute {
@@ -44,10 +44,10 @@
 		v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
 		switch status {
 		case http.StatusCreated, http.StatusOK:
-			u.told(ctx, job.ID, body, v.Phase, sent)
+			u.recordNewPhase(ctx, job.ID, body, v.Phase, sent)
 			accepted = true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.World.Missing(job.ID, status, sent)
+			u.Simulation.ReportedUnknown(job.ID, status, sent)
 			return ""
 		default:
 			transport.Pause(ctx, time.Second)
@@ -55,29 +55,29 @@
 	}
 	for ctx.Err() == nil {
 		if u.cancels(start) {
-			u.World.Asked(job.ID)
+			u.Simulation.CancelRequested(job.ID)
 			sent := time.Now()
 			v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
 			if status != http.StatusOK {
 				transport.Pause(ctx, time.Second)
 				continue
 			}
-			u.told(ctx, job.ID, body, v.Phase, sent)
+			u.recordNewPhase(ctx, job.ID, body, v.Phase, sent)
 		}
 		sent := time.Now()
 		v, status := u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+job.ID, nil, 2*time.Second)
-		u.take(job.ID, v, status, sent)
+		u.recordAnswer(job.ID, v, status, sent)
 		if status == http.StatusOK && v.Phase.Final() {
-			u.look(ctx, job.ID, body)
+			u.pollAllNodes(ctx, job.ID, body)
 			if u.CancelDone && v.Phase == wire.JobDone {
 				sent := time.Now()
 				v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
-				u.take(job.ID, v, status, sent)
+				u.recordAnswer(job.ID, v, status, sent)
 			}
 			return v.Phase
 		}
 		wake := u.Cancel
-		if u.World.hasAsked(job.ID) {
+		if u.Simulation.isCancelRequested(job.ID) {
 			wake = nil // closed for good
 		}
 		t := time.NewTimer(5 * time.Second)
@@ -101,32 +101,32 @@
 	}
 }
 
-// take notes the answer to a question.
-func (u *User) take(id string, v wire.JobStatus, status int, sent time.Time) {
+// recordAnswer notes the answer to a question.
+func (u *User) recordAnswer(id string, v wire.JobStatus, status int, sent time.Time) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		u.World.Told(id, v.Phase, sent)
+		u.Simulation.PhaseReported(id, v.Phase, sent)
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-		u.World.Missing(id, status, sent)
+		u.Simulation.ReportedUnknown(id, status, sent)
 	default:
-		u.World.Unanswered(id)
+		u.Simulation.PollFailed(id)
 	}
 }
 
-// told notes an answer that says something new, and looks closely then.
-func (u *User) told(ctx context.Context, id string, body any, phase wire.JobPhase, sent time.Time) {
-	u.World.Told(id, phase, sent)
-	u.look(ctx, id, body)
+// recordNewPhase notes an answer that says something new, and looks closely then.
+func (u *User) recordNewPhase(ctx context.Context, id string, body any, phase wire.JobPhase, sent time.Time) {
+	u.Simulation.PhaseReported(id, phase, sent)
+	u.pollAllNodes(ctx, id, body)
 }
 
-// look asks all nodes, and repeats the submission, three times within milliseconds.
-func (u *User) look(ctx context.Context, id string, body any) {
-	if !u.Looks {
+// pollAllNodes asks all nodes, and repeats the submission, three times within milliseconds.
+func (u *User) pollAllNodes(ctx context.Context, id string, body any) {
+	if !u.PollsAllNodes {
 		return
 	}
 	var wg sync.WaitGroup
 	for range 3 {
-		for _, n := range u.World.Nodes {
+		for _, n := range u.Simulation.Nodes {
 			for _, again := range []bool{false, true} {
 				wg.Go(func() {
 					cl := transport.Client(u.Net, 1, 1, time.Second)
@@ -137,7 +137,7 @@
 					}
 					sent := time.Now()
 					v, status := u.send(ctx, cl, n, method, path, b, 2*time.Second)
-					u.take(id, v, status, sent)
+					u.recordAnswer(id, v, status, sent)
 				})
 			}
 		}
@@ -146,9 +146,9 @@
 	wg.Wait()
 }
 
-// Odd sends what must be refused for good: a job that fits no machine, one that lacks a
+// SubmitInvalid sends what must be refused for good: a job that fits no machine, one that lacks a
 // field, one of an unknown team.
-func (u *User) Odd(ctx context.Context, job *wire.Job) {
+func (u *User) SubmitInvalid(ctx context.Context, job *wire.Job) {
 	cl := transport.Client(u.Net, 1, 1, time.Second)
 	defer cl.CloseIdleConnections()
 	for i, change := range []func(m map[string]any){
@@ -162,10 +162,10 @@
 		change(body)
 		_, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
 		if status == http.StatusOK || status == http.StatusCreated {
-			u.World.Accepted(id, status)
+			u.Simulation.AcceptedInvalid(id, status)
 		}
 		if _, status = u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+id, nil, 2*time.Second); status == http.StatusOK {
-			u.World.Accepted(id, status)
+			u.Simulation.AcceptedInvalid(id, status)
 		}
 	}
 }
@@ -174,8 +174,8 @@
 	var v wire.JobStatus
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	u.World.link(ctx)
-	defer u.World.link(ctx)
+	u.Simulation.waitLinkDelay(ctx)
+	defer u.Simulation.waitLinkDelay(ctx)
 	resp, err := transport.Send(ctx, cl, method, "http://"+to.Addr+path, body)
 	if err != nil {
 		return v, 0
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -12,74 +12,74 @@
 
 // task is an attempt at a task on a machine.
 type task struct {
-	name  string
-	job   *wire.Job
-	index int
-	try   uint64
-	state wire.TaskState
-	cause wire.ExitCause
-	saved bool
-	timer *time.Timer
+	name    string
+	job     *wire.Job
+	index   int
+	attempt uint64
+	state   wire.TaskState
+	cause   wire.ExitCause
+	saved   bool
+	timer   *time.Timer
 }
 
 // Worker is a stand-in for the worker of one machine. All workers of a world
 // share its lock, which keeps gangs and the model simple.
 type Worker struct {
-	M     wire.CloudMachine
-	world *World
-	typ   wire.MachineType
+	Machine     wire.CloudMachine
+	simulation  *Simulation
+	machineType wire.MachineType
 
-	tasks   map[string]*task // by task name; one attempt at a time, others are refused
-	refused []*task
-	images  map[string]bool
-	session uint64
-	seq     uint64
-	token   uint64
-	lease   time.Time // when the last answered report was sent
-	notice  *float64
-	dead    bool
-	hung    bool
-	resume  chan struct{}
-	faulty  bool
-	deaf    bool          // its reports leave, but no answer and no order arrives
-	mute    bool          // it reaches no controller, while orders arrive
-	held    time.Duration // by which orders are held up on their way
-	late    int           // orders carried out after they were held up or the machine hung
-	changed chan struct{}
-	node    int
-	cancel  context.CancelFunc
+	tasks              map[string]*task // by task name; one attempt at a time, others are refused
+	refused            []*task
+	images             map[string]bool
+	incarnation        uint64
+	sequence           uint64
+	fencingToken       uint64
+	leaseStart         time.Time // when the last answered report was sent
+	terminationNoticeS *float64
+	dead               bool
+	hung               bool
+	resume             chan struct{}
+	faulty             bool
+	inboundCut         bool          // its reports leave, but no answer and no order arrives
+	outboundCut        bool          // it reaches no controller, while orders arrive
+	commandDelay       time.Duration // by which orders are held up on their way
+	lateCommands       int           // orders carried out after they were held up or the machine hung
+	changed            chan struct{}
+	nodeIndex          int
+	cancel             context.CancelFunc
 }
 
-// Start begins a machine's worker.
-func (w *World) Start(m wire.CloudMachine) *Worker {
+// StartWorker begins a machine's worker.
+func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
 	ctx, cancel := context.WithCancel(w.Ctx)
-	k := &Worker{M: m, world: w, typ: w.Types[m.MachineType], tasks: map[string]*task{}, images: map[string]bool{}, session: 1,
-		lease: time.Now(), resume: make(chan struct{}), changed: make(chan struct{}, 1), cancel: cancel}
-	go k.run(ctx)
-	go k.listen(ctx)
-	return k
+	worker := &Worker{Machine: m, simulation: w, machineType: w.MachineTypes[m.MachineType], tasks: map[string]*task{}, images: map[string]bool{}, incarnation: 1,
+		leaseStart: time.Now(), resume: make(chan struct{}), changed: make(chan struct{}, 1), cancel: cancel}
+	go worker.run(ctx)
+	go worker.listen(ctx)
+	return worker
 }
 
 // Kill ends the machine: it and all that is on it are gone.
 func (k *Worker) Kill() {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
 	k.dead = true
 	k.cancel()
-	k.dropAll()
+	k.dropTasks()
 }
 
 // Hang stops the machine for a while; it goes on where it was.
 func (k *Worker) Hang(d time.Duration) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
 	if k.hung || k.dead {
 		return
 	}
 	k.hung = true
 	time.AfterFunc(d, func() {
-		k.world.mu.Lock()
-		defer k.world.mu.Unlock()
+		k.simulation.mu.Lock()
+		defer k.simulation.mu.Unlock()
 		k.hung = false
 		k.checkLease()
 		close(k.resume)
@@ -94,71 +94,71 @@
 
 // Fail makes every task fail that starts here.
 func (k *Worker) Fail(on bool) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
 	k.faulty = on
 }
 
-// Deafen lets reports out, but no answer and no order in.
-func (k *Worker) Deafen(on bool) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
-	k.deaf = on
+// CutInbound lets reports out, but no answer and no order in.
+func (k *Worker) CutInbound(on bool) {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	k.inboundCut = on
 }
 
-// Silence keeps reports from leaving, while orders arrive.
-func (k *Worker) Silence(on bool) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
-	k.mute = on
+// CutOutbound keeps reports from leaving, while orders arrive.
+func (k *Worker) CutOutbound(on bool) {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	k.outboundCut = on
 }
 
-// HoldOrders has orders that arrive from now on be carried out a while later, also when
+// DelayCommands has orders that arrive from now on be carried out a while later, also when
 // their sender has given up; 0: at once.
-func (k *Worker) HoldOrders(d time.Duration) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
-	k.held = d
+func (k *Worker) DelayCommands(d time.Duration) {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	k.commandDelay = d
 }
 
-// LateOrders counts the orders that arrived while they were held up or the machine hung,
+// LateCommands counts the orders that arrived while they were held up or the machine hung,
 // and had commands.
-func (k *Worker) LateOrders() int {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
-	return k.late
+func (k *Worker) LateCommands() int {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	return k.lateCommands
 }
 
-// Session is the worker's present session.
-func (k *Worker) Session() uint64 {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
-	return k.session
+// Incarnation is the worker's present session.
+func (k *Worker) Incarnation() uint64 {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	return k.incarnation
 }
 
-// Warn gives notice that the machine is taken away after d.
-func (k *Worker) Warn(d time.Duration) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
+// GiveNotice gives notice that the machine is taken away after d.
+func (k *Worker) GiveNotice(d time.Duration) {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
 	s := d.Seconds()
-	k.notice = &s
-	k.poke()
+	k.terminationNoticeS = &s
+	k.notifyChange()
 }
 
-func (k *Worker) poke() {
+func (k *Worker) notifyChange() {
 	select {
 	case k.changed <- struct{}{}:
 	default:
 	}
 }
 
-// dropAll forgets all tasks; the world's lock must be held.
-func (k *Worker) dropAll() {
+// dropTasks forgets all tasks; the world's lock must be held.
+func (k *Worker) dropTasks() {
 	for _, t := range k.tasks {
 		if t.timer != nil {
 			t.timer.Stop()
 		}
-		k.world.off(k, t)
+		k.simulation.removeTask(k, t)
 	}
 	k.tasks = map[string]*task{}
 	k.refused = nil
@@ -167,26 +167,26 @@
 // checkLease ends the session once the lease has run out. A hanging machine's
 // tasks end with it too: it kills them before it does anything else.
 func (k *Worker) checkLease() {
-	if k.dead || time.Since(k.lease) <= k.world.Lease {
+	if k.dead || time.Since(k.leaseStart) <= k.simulation.LeaseDuration {
 		return
 	}
-	k.world.goneAt = k.lease.Add(k.world.Lease)
-	k.dropAll()
-	k.world.goneAt = time.Time{}
-	k.session++
-	k.lease = time.Now()
-	k.poke()
+	k.simulation.removedAt = k.leaseStart.Add(k.simulation.LeaseDuration)
+	k.dropTasks()
+	k.simulation.removedAt = time.Time{}
+	k.incarnation++
+	k.leaseStart = time.Now()
+	k.notifyChange()
 }
 
-func (k *Worker) report() wire.Heartbeat {
-	k.seq++
-	r := wire.Heartbeat{Machine: k.M.ID, Address: k.M.Address, MachineType: k.M.MachineType, Zone: k.M.Zone, Spot: k.M.Spot, Incarnation: k.session,
-		Sequence: k.seq, FencingToken: k.token, TerminationNoticeS: k.notice, Tasks: []wire.TaskStatus{}}
+func (k *Worker) heartbeat() wire.Heartbeat {
+	k.sequence++
+	r := wire.Heartbeat{Machine: k.Machine.ID, Address: k.Machine.Address, MachineType: k.Machine.MachineType, Zone: k.Machine.Zone, Spot: k.Machine.Spot, Incarnation: k.incarnation,
+		Sequence: k.sequence, FencingToken: k.fencingToken, TerminationNoticeS: k.terminationNoticeS, Tasks: []wire.TaskStatus{}}
 	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.try, State: t.state, ExitCause: t.cause, CheckpointSaved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitCause: t.cause, CheckpointSaved: t.saved})
 	}
 	for _, t := range k.refused {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.try, State: wire.TaskExited, ExitCause: t.cause})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: wire.TaskExited, ExitCause: t.cause})
 	}
 	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Task < r.Tasks[b].Task })
 	return r
@@ -194,16 +194,16 @@
 
 // run reports until the machine ends.
 func (k *Worker) run(ctx context.Context) {
-	cl := k.world.client(k.M)
+	cl := k.simulation.client(k.Machine)
 	for ctx.Err() == nil {
-		k.world.mu.Lock()
+		k.simulation.mu.Lock()
 		k.checkLease()
 		resume, hung := k.resume, k.hung
-		rep := k.report()
+		rep := k.heartbeat()
 		sent := time.Now()
-		node := k.world.Nodes[k.node%len(k.world.Nodes)]
-		copies, mute := k.world.Copies, k.mute
-		k.world.mu.Unlock()
+		node := k.simulation.Nodes[k.nodeIndex%len(k.simulation.Nodes)]
+		copies, mute := k.simulation.OnHeartbeat, k.outboundCut
+		k.simulation.mu.Unlock()
 		if hung {
 			select {
 			case <-ctx.Done():
@@ -219,34 +219,34 @@
 		if !mute {
 			if copies != nil {
 				copies(&rep, func(to Node) {
-					k.post(k.world.Ctx, k.world.client(k.M), "http://"+to.Addr+"/agent/beat", rep, &wire.HeartbeatResponse{}, &wire.Redirect{})
+					k.post(k.simulation.Ctx, k.simulation.client(k.Machine), "http://"+to.Addr+"/agent/beat", rep, &wire.HeartbeatResponse{}, &wire.Redirect{})
 				})
 			}
 			status = k.post(ctx, cl, "http://"+node.Addr+"/agent/beat", rep, &ans, &redirect)
 		}
-		k.world.mu.Lock()
+		k.simulation.mu.Lock()
 		switch {
-		case k.deaf:
-			k.node++
+		case k.inboundCut:
+			k.nodeIndex++
 		case k.hung:
 			// What came meanwhile waits; the answer is too old when it goes on.
 		case status == http.StatusOK:
-			next = k.world.Report * 3 / 4
-			if rep.Incarnation == k.session && ans.FencingToken >= k.token && time.Since(sent) <= 4*time.Second {
-				if ans.FencingToken > k.token {
-					k.poke()
+			next = k.simulation.HeartbeatInterval * 3 / 4
+			if rep.Incarnation == k.incarnation && ans.FencingToken >= k.fencingToken && time.Since(sent) <= 4*time.Second {
+				if ans.FencingToken > k.fencingToken {
+					k.notifyChange()
 				}
-				k.token = ans.FencingToken
-				k.lease = sent
+				k.fencingToken = ans.FencingToken
+				k.leaseStart = sent
 				k.execute(ans.Commands)
 			}
-		case status == http.StatusMisdirectedRequest && k.world.node(redirect.Node) >= 0 && k.world.node(redirect.Node) != k.node%len(k.world.Nodes):
-			k.node = k.world.node(redirect.Node)
+		case status == http.StatusMisdirectedRequest && k.simulation.node(redirect.Node) >= 0 && k.simulation.node(redirect.Node) != k.nodeIndex%len(k.simulation.Nodes):
+			k.nodeIndex = k.simulation.node(redirect.Node)
 			next = 100 * time.Millisecond
 		default:
-			k.node++
+			k.nodeIndex++
 		}
-		k.world.mu.Unlock()
+		k.simulation.mu.Unlock()
 		t := time.NewTimer(next)
 		least := time.NewTimer(min(next, 500*time.Millisecond))
 		select {
@@ -266,8 +266,8 @@
 func (k *Worker) post(ctx context.Context, cl *http.Client, url string, body, ok, redirect any) int {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	k.world.link(ctx)
-	defer k.world.link(ctx)
+	k.simulation.waitLinkDelay(ctx)
+	defer k.simulation.waitLinkDelay(ctx)
 	resp, err := transport.Send(ctx, cl, http.MethodPost, url, body)
 	if err != nil {
 		return 0
@@ -287,67 +287,67 @@
 
 // listen takes orders.
 func (k *Worker) listen(ctx context.Context) {
-	l, err := k.world.net(k.M).Listen(ctx, k.M.Address)
+	l, err := k.simulation.net(k.Machine).Listen(ctx, k.Machine.Address)
 	if err != nil {
 		return
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, r *http.Request) {
 		var o wire.CommandRequest
-		if !read(w, r, &o) {
+		if !readRequest(w, r, &o) {
 			return
 		}
-		k.world.link(ctx)
-		k.world.mu.Lock()
-		if k.deaf {
-			k.world.mu.Unlock()
+		k.simulation.waitLinkDelay(ctx)
+		k.simulation.mu.Lock()
+		if k.inboundCut {
+			k.simulation.mu.Unlock()
 			panic(http.ErrAbortHandler)
 		}
-		if len(o.Commands) > 0 && (k.hung || k.held > 0) {
-			k.late++
+		if len(o.Commands) > 0 && (k.hung || k.commandDelay > 0) {
+			k.lateCommands++
 		}
-		if held := k.held; held > 0 {
-			k.world.mu.Unlock()
+		if held := k.commandDelay; held > 0 {
+			k.simulation.mu.Unlock()
 			time.Sleep(held)
-			k.world.mu.Lock()
+			k.simulation.mu.Lock()
 		}
 		for k.hung {
 			// A hanging machine carries the order out when it goes on.
 			resume := k.resume
-			k.world.mu.Unlock()
+			k.simulation.mu.Unlock()
 			select {
 			case <-resume:
 			case <-ctx.Done():
 				return
 			}
-			k.world.mu.Lock()
+			k.simulation.mu.Lock()
 		}
-		defer k.world.mu.Unlock()
+		defer k.simulation.mu.Unlock()
 		if k.dead {
 			return
 		}
 		k.checkLease()
 		status := http.StatusOK
-		if o.FencingToken < k.token || o.Incarnation != k.session {
+		if o.FencingToken < k.fencingToken || o.Incarnation != k.incarnation {
 			status = http.StatusConflict
 		} else {
-			if o.FencingToken > k.token {
-				k.poke()
+			if o.FencingToken > k.fencingToken {
+				k.notifyChange()
 			}
-			k.token = o.FencingToken
+			k.fencingToken = o.FencingToken
 			k.execute(o.Commands)
 		}
-		reply(w, status, k.report())
+		writeResponse(w, status, k.heartbeat())
 	})
-	srv := &http.Server{Handler: unlocked(mux)}
+	srv := &http.Server{Handler: deferResponses(mux)}
 	defer context.AfterFunc(ctx, func() { srv.Close() })()
 	_ = srv.Serve(l)
 }
 
 // Execute carries out a command as if an order had brought it.
 func (k *Worker) Execute(c wire.Command) {
-	k.world.mu.Lock()
-	defer k.world.mu.Unlock()
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
 	k.execute([]wire.Command{c})
 }
 
@@ -359,38 +359,38 @@
 		case wire.StartTask:
 			k.start(c)
 		case wire.StopTask:
-			if t != nil && t.try == c.Attempt && t.state != wire.TaskExited {
+			if t != nil && t.attempt == c.Attempt && t.state != wire.TaskExited {
 				k.stop(t, c.GracePeriodS)
 			}
 		case wire.ForgetTask:
-			if t != nil && t.try == c.Attempt && t.state == wire.TaskExited {
+			if t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
 				delete(k.tasks, c.Task)
 			}
 			for i, r := range k.refused {
-				if r.name == c.Task && r.try == c.Attempt {
+				if r.name == c.Task && r.attempt == c.Attempt {
 					k.refused = append(k.refused[:i:i], k.refused[i+1:]...)
 					break
 				}
 			}
 		}
 	}
-	k.poke()
+	k.notifyChange()
 }
 
 func (k *Worker) start(c wire.Command) {
 	for _, r := range k.refused {
-		if r.name == c.Task && r.try == c.Attempt {
+		if r.name == c.Task && r.attempt == c.Attempt {
 			return
 		}
 	}
 	old := k.tasks[c.Task]
-	if old != nil && old.try == c.Attempt {
+	if old != nil && old.attempt == c.Attempt {
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	job := k.world.jobs[id]
+	job := k.simulation.jobs[id]
 	refuse := func(why wire.ExitCause) {
-		k.refused = append(k.refused, &task{name: c.Task, try: c.Attempt, cause: why})
+		k.refused = append(k.refused, &task{name: c.Task, attempt: c.Attempt, cause: why})
 	}
 	if job == nil || index >= job.Tasks {
 		refuse(wire.ExitTaskUnknown)
@@ -409,19 +409,19 @@
 			cpus, gpus, ram = cpus+t.job.CPUs, gpus+t.job.GPUs, ram+t.job.MemoryGB
 		}
 	}
-	if cpus > k.typ.CPUs+1e-6 || gpus > k.typ.GPUs+1e-6 || ram > k.typ.MemoryGB+1e-6 {
+	if cpus > k.machineType.CPUs+1e-6 || gpus > k.machineType.GPUs+1e-6 || ram > k.machineType.MemoryGB+1e-6 {
 		refuse(wire.ExitInsufficientResources)
 		return
 	}
-	t := &task{name: c.Task, job: job, index: index, try: c.Attempt, state: wire.TaskFetching}
+	t := &task{name: c.Task, job: job, index: index, attempt: c.Attempt, state: wire.TaskFetching}
 	k.tasks[c.Task] = t
 	wait := time.Millisecond
 	if !k.images[job.Image] {
-		wait = time.Duration(job.ImageGB / k.typ.ImageFetchGBPerS * float64(time.Second))
+		wait = time.Duration(job.ImageGB / k.machineType.ImageFetchGBPerS * float64(time.Second))
 	}
 	k.after(t, wait, func() {
 		k.images[job.Image] = true
-		k.world.begin(k, t)
+		k.simulation.startTask(k, t)
 	})
 }
 
@@ -432,13 +432,13 @@
 		t.timer.Stop()
 	}
 	t.timer = time.AfterFunc(d, func() {
-		k.world.mu.Lock()
-		defer k.world.mu.Unlock()
+		k.simulation.mu.Lock()
+		defer k.simulation.mu.Unlock()
 		if k.dead || k.hung || k.tasks[t.name] != t || t.state == wire.TaskExited {
 			return
 		}
 		f()
-		k.poke()
+		k.notifyChange()
 	})
 }
 
@@ -446,9 +446,9 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	k.world.off(k, t)
+	k.simulation.removeTask(k, t)
 	t.state, t.cause, t.saved = wire.TaskExited, why, saved
-	k.poke()
+	k.notifyChange()
 }
 
 func (k *Worker) stop(t *task, grace float64) {
