--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,7 +48,7 @@
 	leaseID      uint64
 	leaseExpiry  time.Time // until then the lease lasts for sure, whatever becomes of contact
 	leading      bool
-	finalJobs    map[string]records.JobRecord
+	finalJobs    *finalJobCache
 	addresses    map[string]string // where machines can be reached, by their reports or the list
 	visits       map[string]visit  // workers that report here but are assigned to other nodes, by machine
 	claimBackoff map[int]time.Time // parts not to be claimed again at once
@@ -59,7 +59,7 @@
 	st := settings.WriteLimits()
 	c := &Controller{
 		settings: settings, limits: st, supportedLevel: records.CurrentFeatureLevel, tuning: tunables, net: network, cluster: newClusterCache(), peers: map[string]*peerrpc.Peer{}, partitions: tunables.Parts,
-		owned: map[int]*ownedPartition{}, finalJobs: map[string]records.JobRecord{}, addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
+		owned: map[int]*ownedPartition{}, finalJobs: newFinalJobCache(tunables.FinalCache), addresses: map[string]string{}, visits: map[string]visit{}, forwarders: map[string]*forwarder{}, claimBackoff: map[int]time.Time{},
 		store:        kvstore.New(kvstore.Options{Net: network, Addr: settings.Outside.State, Timeout: tuning.Seconds(tunables.StateTimeoutS), ReadRate: st.RPS, WriteRate: st.WriteRPS}),
 		cloud:        cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
 		workers:      agentclient.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
@@ -176,6 +176,13 @@
 	return out
 }
 
+// allOwnedPartitions lists the partitions in order.
+func (c *Controller) allOwnedPartitions() []*ownedPartition {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ownedPartitions()
+}
+
 func (c *Controller) ownedPartition(i int) *ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,28 +196,6 @@
 	return v
 }
 
-// LocalJobCounts counts the tasks of a job that this node runs.
-func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
-	c.mu.Lock()
-	all := c.ownedPartitions()
-	c.mu.Unlock()
-	for _, owned := range all {
-		owned.mu.Lock()
-		var counts peerrpc.JobCounts
-		if owned.partition != nil {
-			counts.Done, counts.Running, counts.Known = owned.partition.JobCounts(jobID)
-		}
-		owned.mu.Unlock()
-		if counts.Known {
-			return counts
-		}
-	}
-	return peerrpc.JobCounts{}
-}
-
-// SinceContact is the time since the state service last served this node.
-func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
-
 // recordAddress notes where a machine can be reached. Of machines without a record nothing is
 // kept: the cloud's list goes on to show those that were returned, and what it tells of
 // them would stay for ever.
@@ -254,10 +239,9 @@
 		ok, refused, unknown := c.store.Counts()
 		c.mu.Lock()
 		all := c.ownedPartitions()
-		finals := len(c.finalJobs)
 		c.mu.Unlock()
 		args := []any{"heap_mb", ms.HeapAlloc >> 20, "sys_mb", ms.Sys >> 20, "goroutines", runtime.NumGoroutine(),
-			"state_ok", ok, "state_refused", refused, "state_unknown", unknown, "final_jobs_cached", finals}
+			"state_ok", ok, "state_refused", refused, "state_unknown", unknown, "final_jobs_cached", c.finalJobs.size()}
 		for _, owned := range all {
 			owned.mu.Lock()
 			if owned.partition != nil {
--- /dev/null
+++ b/internal/controller/health.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"fmt"
+	"time"
+
+	"ambersill/internal/peerrpc"
+	"ambersill/internal/tuning"
+)
+
+const (
+	// healthyContactFactor is the multiple of FreshS up to which a node stays healthy
+	// without contact to the state service: half as long again as it takes requests for, so
+	// that one slow answer changes nothing.
+	healthyContactFactor = 1.5
+	// peerContactTimeout bounds the question for a peer's contact, within a health check
+	// whose sender does not wait for long.
+	peerContactTimeout = 400 * time.Millisecond
+)
+
+// Healthy reports whether this node can take requests. In an outage that all nodes share
+// it stays healthy, since no other node would do better.
+func (c *Controller) Healthy() bool {
+	if len(c.catalog()) == 0 {
+		return false
+	}
+	if c.store.SinceContact() < tuning.Seconds(healthyContactFactor*c.tuning.FreshS) {
+		return true
+	}
+	return c.noPeerInContact()
+}
+
+// peerContact is what a peer answers about its contact to the state service.
+type peerContact struct {
+	reachable bool
+	fresh     bool // the state service has served the peer within FreshS
+}
+
+// noPeerInContact reports whether no other node has contact to the state service either.
+// Without contact to that nor to any other node, it is this node that is cut off, as far
+// as anybody can tell, so that the result is false then. A node without peers has nobody
+// to compare itself with; its result is true.
+func (c *Controller) noPeerInContact() bool {
+	contacts := make(chan peerContact, len(c.peers))
+	for _, peer := range c.peers {
+		go func() { contacts <- c.askContact(peer) }()
+	}
+	anyReachable := len(c.peers) == 0
+	for range c.peers {
+		contact := <-contacts
+		if contact.fresh {
+			return false
+		}
+		anyReachable = anyReachable || contact.reachable
+	}
+	return anyReachable
+}
+
+func (c *Controller) askContact(peer *peerrpc.Peer) peerContact {
+	age, err := peer.SinceContact(peerContactTimeout)
+	if err != nil {
+		return peerContact{}
+	}
+	return peerContact{reachable: true, fresh: age < tuning.Seconds(c.tuning.FreshS)}
+}
+
+// SinceContact returns the time since the state service last served this node.
+func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
+
+// NoContactError reports that the state service does not serve this node at present.
+type NoContactError struct {
+	// Since is the time since it last did.
+	Since time.Duration
+}
+
+func (e *NoContactError) Error() string {
+	return fmt.Sprintf("no contact to the state service for %.0f s", e.Since.Seconds())
+}
+
+// checkContact returns a *NoContactError if the state service has not served this node for
+// longer than FreshS. Requests that need that service are refused at once then, rather
+// than after a wait.
+func (c *Controller) checkContact() error {
+	since := c.store.SinceContact()
+	if since > tuning.Seconds(c.tuning.FreshS) {
+		return &NoContactError{Since: since}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controller/jobs.go
@@ -0,0 +1,232 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"ambersill/internal/admission"
+	"ambersill/internal/api"
+	"ambersill/internal/config"
+	"ambersill/internal/kvstore"
+	"ambersill/internal/peerrpc"
+	"ambersill/internal/records"
+	"ambersill/internal/wire"
+)
+
+// jobCountsTimeout bounds the question for a job's counts, which are for display only; the
+// user waits 2 s for all of the query.
+const jobCountsTimeout = 200 * time.Millisecond
+
+var (
+	errNoSuchJob = &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
+	errTooLong   = &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
+	// errNoCatalog is temporary: a controller that has just started reads the catalog first.
+	errNoCatalog = errors.New("machine types not known yet")
+)
+
+// Submit accepts a job. Submitting is idempotent: a job that is known already is answered
+// with its status.
+func (c *Controller) Submit(ctx context.Context, body []byte) (api.Submission, error) {
+	job, err := wire.ParseJob(body)
+	if err != nil {
+		return api.Submission{}, &api.StatusError{Status: http.StatusBadRequest, Reason: err.Error()}
+	}
+	if record, ok := c.finalJobs.get(job.ID); ok {
+		return api.Submission{Job: jobStatus(record)}, nil
+	}
+	if !records.JobFitsRecord(job, c.settings) {
+		return api.Submission{}, errTooLong
+	}
+	types := c.catalog()
+	if len(types) == 0 {
+		return api.Submission{}, errNoCatalog
+	}
+	if infeasible := admission.Check(job, c.settings, types); infeasible != nil {
+		return c.submitInfeasible(ctx, job, infeasible)
+	}
+	if err := c.checkContact(); err != nil {
+		return api.Submission{}, err
+	}
+	return c.createJob(ctx, job)
+}
+
+// submitInfeasible answers the submission of a job that could never run. One that was
+// accepted before, under other settings, is known all the same.
+func (c *Controller) submitInfeasible(ctx context.Context, job *wire.Job, infeasible error) (api.Submission, error) {
+	submission, err := c.knownJob(ctx, job.ID)
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return api.Submission{}, &api.StatusError{Status: http.StatusUnprocessableEntity, Reason: infeasible.Error()}
+	}
+	return submission, err
+}
+
+// createJob commits a job's record and its first chunk, unless the job exists.
+func (c *Controller) createJob(ctx context.Context, job *wire.Job) (api.Submission, error) {
+	record := records.JobRecord{
+		Job:           job,
+		Phase:         wire.JobQueued,
+		Partition:     c.partitionOf(job),
+		SubmittedAtMS: time.Now().UnixMilli(),
+	}
+	jobKey := records.JobKey(job.ID)
+	chunkKey := records.FirstChunkKey(record.Partition, job.ID)
+	chunk := records.NewFirstChunk(&record, c.cluster.featureLevel(), c.settings)
+	_, err := c.store.CommitUrgent(ctx, wire.Txn{
+		Compares: []wire.Compare{{Key: jobKey, Revision: 0}},
+		Writes: []wire.Write{
+			{Put: jobKey, Value: record},
+			{Put: chunkKey, Value: chunk},
+		},
+	})
+	switch {
+	case err == nil:
+		return api.Submission{Job: jobStatus(record), Created: true}, nil
+	case mayBeCommitted(err):
+		return c.knownJob(ctx, job.ID)
+	default:
+		return api.Submission{}, err
+	}
+}
+
+// mayBeCommitted reports whether, after a failed commit, only the record can show the state:
+// another commit came first, or the answer to this one was lost.
+func mayBeCommitted(err error) bool {
+	var conflict *kvstore.ConflictError
+	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
+}
+
+// knownJob answers the submission of a job that exists.
+func (c *Controller) knownJob(ctx context.Context, id string) (api.Submission, error) {
+	record, _, err := c.readJob(ctx, id)
+	if err != nil {
+		return api.Submission{}, err
+	}
+	return api.Submission{Job: jobStatus(record)}, nil
+}
+
+// Job answers a query for a job.
+func (c *Controller) Job(ctx context.Context, id string) (wire.JobStatus, error) {
+	record, _, err := c.findJob(ctx, id)
+	if err != nil {
+		return wire.JobStatus{}, err
+	}
+	status := jobStatus(record)
+	if record.Phase.Final() {
+		return status, nil
+	}
+	counts := c.jobCounts(id, record.Partition)
+	status.Done, status.Running = counts.Done, counts.Running
+	if status.Running > 0 {
+		status.Phase = wire.JobRunning
+	}
+	return status, nil
+}
+
+// findJob reads the record of a job that a user names. Without such a job the error is
+// errNoSuchJob.
+func (c *Controller) findJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
+	if !wire.ValidJobID(id) {
+		return records.JobRecord{}, 0, errNoSuchJob
+	}
+	record, revision, err := c.readJob(ctx, id)
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return records.JobRecord{}, 0, errNoSuchJob
+	}
+	return record, revision, err
+}
+
+// readJob returns a job's current record and its revision, which is 0 for a final job whose
+// record is cached.
+func (c *Controller) readJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
+	if record, ok := c.finalJobs.get(id); ok {
+		return record, 0, nil
+	}
+	if err := c.checkContact(); err != nil {
+		return records.JobRecord{}, 0, err
+	}
+	item, err := c.store.Get(ctx, records.JobKey(id))
+	if err != nil {
+		return records.JobRecord{}, 0, err
+	}
+	var record records.JobRecord
+	if err := wire.Unmarshal(item.Value, &record); err != nil {
+		return records.JobRecord{}, 0, err
+	}
+	c.finalJobs.add(record)
+	return record, item.Revision, nil
+}
+
+// jobStatus returns a job's status as far as its record shows it.
+func jobStatus(record records.JobRecord) wire.JobStatus {
+	status := wire.JobStatus{ID: record.Job.ID, Phase: record.Phase}
+	if record.Phase == wire.JobDone {
+		status.Done = record.Job.Tasks
+	}
+	return status
+}
+
+// jobCounts returns a job's counts as the partition's owner knows them; zero if it does not
+// answer in time. They are for display only.
+func (c *Controller) jobCounts(id string, partition int) peerrpc.JobCounts {
+	if counts := c.LocalJobCounts(id); counts.Known {
+		return counts
+	}
+	peer := c.peers[c.cluster.partitionOwner(partition).node]
+	if peer == nil {
+		return peerrpc.JobCounts{}
+	}
+	counts, err := peer.JobCounts(id, jobCountsTimeout)
+	if err != nil {
+		return peerrpc.JobCounts{}
+	}
+	return counts
+}
+
+// LocalJobCounts counts the tasks of a job that a partition of this node runs.
+func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
+	for _, owned := range c.allOwnedPartitions() {
+		if counts := owned.jobCounts(jobID); counts.Known {
+			return counts
+		}
+	}
+	return peerrpc.JobCounts{}
+}
+
+func (o *ownedPartition) jobCounts(jobID string) peerrpc.JobCounts {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	var counts peerrpc.JobCounts
+	if o.partition != nil {
+		counts.Done, counts.Running, counts.Known = o.partition.JobCounts(jobID)
+	}
+	return counts
+}
+
+// partitionOf returns the partition that a job belongs to: its team's where teams have
+// limits or guarantees, so that one owner enforces them alone. Else jobs that compete for
+// the same machine types share a partition, since capacity of a type that is divided among
+// partitions is stranded.
+func (c *Controller) partitionOf(job *wire.Job) int {
+	teams := c.settings.Cluster.Teams
+	if !anyQuota(teams) {
+		return admission.PrimaryMachineType(job, c.catalog()) % c.partitions
+	}
+	for i, team := range teams {
+		if team.Name == job.Team {
+			return i % c.partitions
+		}
+	}
+	return 0
+}
+
+// anyQuota reports whether any team has a limit or a guarantee.
+func anyQuota(teams []config.Team) bool {
+	for _, team := range teams {
+		if team.CPUs != 0 || team.CPUsMax != 0 || team.GPUs != 0 || team.GPUsMax != 0 {
+			return true
+		}
+	}
+	return false
+}
