--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -28,70 +28,118 @@
 	CancelDone bool
 }
 
-// Run submits the job, polls it, and returns the phase it ended in; "" if the
-// context ended first or the submission was given up.
+const (
+	// submitTimeout and pollTimeout are how long a user waits for an answer.
+	submitTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	// pollInterval is the time between two questions about a job.
+	pollInterval = 5 * time.Second
+	// submitRetryDelay is the pause before a refused submission is repeated, submitLimit how
+	// long it is repeated for.
+	submitRetryDelay = time.Second
+	submitLimit      = time.Minute
+)
+
+// session is a user's work on one job.
+type session struct {
+	*User
+	job    *wire.Job
+	body   any // the submission
+	client *http.Client
+	start  time.Time
+}
+
+// Run submits the job, polls it, and returns the phase it ended in; "" if the context ended
+// first or the submission was given up.
 func (u *User) Run(ctx context.Context, job *wire.Job) wire.JobPhase {
-	cl := transport.Client(u.Net, 1, 1, time.Second)
-	defer cl.CloseIdleConnections()
-	body := submission(job)
+	s := &session{User: u, job: job, body: submission(job), client: transport.Client(u.Net, 1, 1, time.Second), start: time.Now()}
+	defer s.client.CloseIdleConnections()
 	u.Simulation.JobSubmitted(job)
-	start := time.Now()
-	for accepted := false; !accepted; {
-		if ctx.Err() != nil || time.Since(start) > time.Minute {
-			return ""
+	if !s.submit(ctx) {
+		return ""
+	}
+	for ctx.Err() == nil {
+		if u.cancels(s.start) && !s.cancel(ctx) {
+			transport.Pause(ctx, submitRetryDelay)
+			continue
+		}
+		if phase := s.poll(ctx); phase.Final() {
+			return phase
 		}
+		s.waitForPoll(ctx)
+	}
+	return ""
+}
+
+// submit submits the job until it is accepted; false: it was refused or given up.
+func (s *session) submit(ctx context.Context) bool {
+	for ctx.Err() == nil && time.Since(s.start) <= submitLimit {
 		sent := time.Now()
-		v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
+		answer, status := s.send(ctx, s.client, s.Pick(), http.MethodPost, "/work", s.body, submitTimeout)
 		switch status {
 		case http.StatusCreated, http.StatusOK:
-			u.recordNewPhase(ctx, job.ID, body, v.Phase, sent)
-			accepted = true
+			s.recordNewPhase(ctx, s.job.ID, s.body, answer.Phase, sent)
+			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			u.Simulation.ReportedUnknown(job.ID, status, sent)
-			return ""
-		default:
-			transport.Pause(ctx, time.Second)
+			s.Simulation.ReportedUnknown(s.job.ID, status, sent)
+			return false
 		}
+		transport.Pause(ctx, submitRetryDelay)
 	}
-	for ctx.Err() == nil {
-		if u.cancels(start) {
-			u.Simulation.CancelRequested(job.ID)
-			sent := time.Now()
-			v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
-			if status != http.StatusOK {
-				transport.Pause(ctx, time.Second)
-				continue
-			}
-			u.recordNewPhase(ctx, job.ID, body, v.Phase, sent)
-		}
+	return false
+}
+
+// cancel asks for the job's cancellation, and reports whether that was answered.
+func (s *session) cancel(ctx context.Context) bool {
+	s.Simulation.CancelRequested(s.job.ID)
+	sent := time.Now()
+	answer, status := s.withdraw(ctx)
+	if status != http.StatusOK {
+		return false
+	}
+	s.recordNewPhase(ctx, s.job.ID, s.body, answer.Phase, sent)
+	return true
+}
+
+func (s *session) withdraw(ctx context.Context) (wire.JobStatus, int) {
+	return s.send(ctx, s.client, s.Pick(), http.MethodPost, "/work/"+s.job.ID+"/withdraw", nil, submitTimeout)
+}
+
+// poll asks for the job's state once, and returns its phase if that was answered.
+func (s *session) poll(ctx context.Context) wire.JobPhase {
+	sent := time.Now()
+	answer, status := s.send(ctx, s.client, s.Pick(), http.MethodGet, "/work/"+s.job.ID, nil, pollTimeout)
+	s.recordAnswer(s.job.ID, answer, status, sent)
+	if status != http.StatusOK {
+		return ""
+	}
+	if answer.Phase.Final() {
+		s.pollAllNodes(ctx, s.job.ID, s.body)
+	}
+	if s.CancelDone && answer.Phase == wire.JobDone {
 		sent := time.Now()
-		v, status := u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+job.ID, nil, 2*time.Second)
-		u.recordAnswer(job.ID, v, status, sent)
-		if status == http.StatusOK && v.Phase.Final() {
-			u.pollAllNodes(ctx, job.ID, body)
-			if u.CancelDone && v.Phase == wire.JobDone {
-				sent := time.Now()
-				v, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work/"+job.ID+"/withdraw", nil, 5*time.Second)
-				u.recordAnswer(job.ID, v, status, sent)
-			}
-			return v.Phase
-		}
-		wake := u.Cancel
-		if u.Simulation.isCancelRequested(job.ID) {
-			wake = nil // closed for good
-		}
-		t := time.NewTimer(5 * time.Second)
-		select {
-		case <-ctx.Done():
-		case <-wake:
-		case <-t.C:
-		}
-		t.Stop()
+		answer, status := s.withdraw(ctx)
+		s.recordAnswer(s.job.ID, answer, status, sent)
+	}
+	return answer.Phase
+}
+
+// waitForPoll waits until the next question, or until the job is to be cancelled.
+func (s *session) waitForPoll(ctx context.Context) {
+	cancel := s.Cancel
+	if s.Simulation.isCancelRequested(s.job.ID) {
+		cancel = nil // closed for good
+	}
+	timer := time.NewTimer(pollInterval)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-cancel:
+	case <-timer.C:
 	}
-	return ""
 }
 
-// cancels tells whether the user wants the job cancelled by now.
+// cancels reports whether the user wants the job cancelled by now.
 func (u *User) cancels(start time.Time) bool {
 	select {
 	case <-u.Cancel:
@@ -136,7 +184,7 @@
 						method, path, b = http.MethodPost, "/work", body
 					}
 					sent := time.Now()
-					v, status := u.send(ctx, cl, n, method, path, b, 2*time.Second)
+					v, status := u.send(ctx, cl, n, method, path, b, pollTimeout)
 					u.recordAnswer(id, v, status, sent)
 				})
 			}
@@ -160,11 +208,11 @@
 		id := fmt.Sprintf("%s%d", job.ID, i)
 		body["uid"] = id
 		change(body)
-		_, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, 5*time.Second)
+		_, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, submitTimeout)
 		if status == http.StatusOK || status == http.StatusCreated {
 			u.Simulation.AcceptedInvalid(id, status)
 		}
-		if _, status = u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+id, nil, 2*time.Second); status == http.StatusOK {
+		if _, status = u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+id, nil, pollTimeout); status == http.StatusOK {
 			u.Simulation.AcceptedInvalid(id, status)
 		}
 	}
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net/http"
+	"slices"
 	"sort"
 	"time"
 
@@ -192,17 +193,36 @@
 	return r
 }
 
-// run reports until the machine ends.
+const (
+	// responseTimeout is after how long a worker drops the response to a heartbeat.
+	responseTimeout = 4 * time.Second
+	// retryDelay is the pause before the next node is tried.
+	retryDelay = time.Second
+	// redirectDelay is the pause before a redirect is followed.
+	redirectDelay = 100 * time.Millisecond
+	// minHeartbeatGap is the least time between two heartbeats.
+	minHeartbeatGap = 500 * time.Millisecond
+)
+
+// exchange is a heartbeat and what came back.
+type exchange struct {
+	heartbeat wire.Heartbeat
+	sent      time.Time
+	status    int // 0: no answer
+	response  wire.HeartbeatResponse
+	redirect  wire.Redirect
+}
+
+// run sends heartbeats until the machine ends.
 func (k *Worker) run(ctx context.Context) {
-	cl := k.simulation.client(k.Machine)
+	client := k.simulation.client(k.Machine)
 	for ctx.Err() == nil {
 		k.simulation.mu.Lock()
 		k.checkLease()
 		resume, hung := k.resume, k.hung
-		rep := k.heartbeat()
-		sent := time.Now()
+		e := exchange{heartbeat: k.heartbeat(), sent: time.Now()}
 		node := k.simulation.Nodes[k.nodeIndex%len(k.simulation.Nodes)]
-		copies, mute := k.simulation.OnHeartbeat, k.outboundCut
+		cut, onHeartbeat := k.outboundCut, k.simulation.OnHeartbeat
 		k.simulation.mu.Unlock()
 		if hung {
 			select {
@@ -212,59 +232,82 @@
 			}
 			continue
 		}
-		next := time.Second
-		var ans wire.HeartbeatResponse
-		var redirect wire.Redirect
-		status := 0
-		if !mute {
-			if copies != nil {
-				copies(&rep, func(to Node) {
-					k.post(k.simulation.Ctx, k.simulation.client(k.Machine), "http://"+to.Addr+"/agent/beat", rep, &wire.HeartbeatResponse{}, &wire.Redirect{})
-				})
-			}
-			status = k.post(ctx, cl, "http://"+node.Addr+"/agent/beat", rep, &ans, &redirect)
+		if !cut && onHeartbeat != nil {
+			onHeartbeat(&e.heartbeat, k.sendCopy(e.heartbeat))
 		}
-		k.simulation.mu.Lock()
-		switch {
-		case k.inboundCut:
-			k.nodeIndex++
-		case k.hung:
-			// What came meanwhile waits; the answer is too old when it goes on.
-		case status == http.StatusOK:
-			next = k.simulation.HeartbeatInterval * 3 / 4
-			if rep.Incarnation == k.incarnation && ans.FencingToken >= k.fencingToken && time.Since(sent) <= 4*time.Second {
-				if ans.FencingToken > k.fencingToken {
-					k.notifyChange()
-				}
-				k.fencingToken = ans.FencingToken
-				k.leaseStart = sent
-				k.execute(ans.Commands)
-			}
-		case status == http.StatusMisdirectedRequest && k.simulation.node(redirect.Node) >= 0 && k.simulation.node(redirect.Node) != k.nodeIndex%len(k.simulation.Nodes):
-			k.nodeIndex = k.simulation.node(redirect.Node)
-			next = 100 * time.Millisecond
-		default:
-			k.nodeIndex++
+		if !cut {
+			e.status = k.post(ctx, client, heartbeatURL(node), e.heartbeat, &e.response, &e.redirect)
 		}
-		k.simulation.mu.Unlock()
-		t := time.NewTimer(next)
-		least := time.NewTimer(min(next, 500*time.Millisecond))
+		k.pauseBeforeHeartbeat(ctx, k.handleResponse(&e))
+	}
+}
+
+// sendCopy returns a function that sends a copy of a heartbeat to a node.
+func (k *Worker) sendCopy(heartbeat wire.Heartbeat) func(to Node) {
+	return func(to Node) {
+		client := k.simulation.client(k.Machine)
+		k.post(k.simulation.Ctx, client, heartbeatURL(to), heartbeat, &wire.HeartbeatResponse{}, &wire.Redirect{})
+	}
+}
+
+func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
+
+// handleResponse acts on what a heartbeat brought, and returns the time to the next one.
+func (k *Worker) handleResponse(e *exchange) time.Duration {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	redirected := k.simulation.node(e.redirect.Node)
+	switch {
+	case k.inboundCut:
+		k.nodeIndex++
+	case k.hung:
+		// What came meanwhile waits; the response is too old when the machine goes on.
+	case e.status == http.StatusOK:
+		k.acceptResponse(e)
+		return k.simulation.HeartbeatInterval * 3 / 4
+	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != k.nodeIndex%len(k.simulation.Nodes):
+		k.nodeIndex = redirected
+		return redirectDelay
+	default:
+		k.nodeIndex++
+	}
+	return retryDelay
+}
+
+// acceptResponse renews the lease and executes the commands, unless the response is of an
+// earlier incarnation, has a lower token, or is too late.
+func (k *Worker) acceptResponse(e *exchange) {
+	token := e.response.FencingToken
+	if e.heartbeat.Incarnation != k.incarnation || token < k.fencingToken || time.Since(e.sent) > responseTimeout {
+		return
+	}
+	if token > k.fencingToken {
+		k.notifyChange()
+	}
+	k.fencingToken = token
+	k.leaseStart = e.sent
+	k.execute(e.response.Commands)
+}
+
+// pauseBeforeHeartbeat waits for the given time, or after a change for the least gap.
+func (k *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
+	timer := time.NewTimer(next)
+	defer timer.Stop()
+	least := time.NewTimer(min(next, minHeartbeatGap))
+	defer least.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	case <-k.changed:
 		select {
+		case <-least.C:
 		case <-ctx.Done():
-		case <-t.C:
-		case <-k.changed:
-			select {
-			case <-least.C:
-			case <-ctx.Done():
-			}
 		}
-		t.Stop()
-		least.Stop()
 	}
 }
 
 func (k *Worker) post(ctx context.Context, cl *http.Client, url string, body, ok, redirect any) int {
-	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	k.simulation.waitLinkDelay(ctx)
 	defer k.simulation.waitLinkDelay(ctx)
@@ -285,63 +328,78 @@
 	return resp.StatusCode
 }
 
-// listen takes orders.
+// listen takes direct commands.
 func (k *Worker) listen(ctx context.Context) {
-	l, err := k.simulation.net(k.Machine).Listen(ctx, k.Machine.Address)
+	listener, err := k.simulation.net(k.Machine).Listen(ctx, k.Machine.Address)
 	if err != nil {
 		return
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, r *http.Request) {
-		var o wire.CommandRequest
-		if !readRequest(w, r, &o) {
+		var request wire.CommandRequest
+		if !readRequest(w, r, &request) {
 			return
 		}
 		k.simulation.waitLinkDelay(ctx)
-		k.simulation.mu.Lock()
-		if k.inboundCut {
-			k.simulation.mu.Unlock()
-			panic(http.ErrAbortHandler)
-		}
-		if len(o.Commands) > 0 && (k.hung || k.commandDelay > 0) {
-			k.lateCommands++
-		}
-		if held := k.commandDelay; held > 0 {
-			k.simulation.mu.Unlock()
-			time.Sleep(held)
-			k.simulation.mu.Lock()
-		}
-		for k.hung {
-			// A hanging machine carries the order out when it goes on.
-			resume := k.resume
-			k.simulation.mu.Unlock()
-			select {
-			case <-resume:
-			case <-ctx.Done():
-				return
-			}
-			k.simulation.mu.Lock()
+		k.handleCommands(ctx, w, &request)
+	})
+	server := &http.Server{Handler: deferResponses(mux)}
+	stop := context.AfterFunc(ctx, func() { server.Close() })
+	defer stop()
+	_ = server.Serve(listener)
+}
+
+// handleCommands executes a request's commands and responds, unless the machine can't: one
+// that hangs executes them when it goes on.
+func (k *Worker) handleCommands(ctx context.Context, w http.ResponseWriter, request *wire.CommandRequest) {
+	k.simulation.mu.Lock()
+	defer k.simulation.mu.Unlock()
+	if k.inboundCut {
+		panic(http.ErrAbortHandler)
+	}
+	if len(request.Commands) > 0 && (k.hung || k.commandDelay > 0) {
+		k.lateCommands++
+	}
+	if !k.waitUntilCommandsRun(ctx) || k.dead {
+		return
+	}
+	k.checkLease()
+	status := http.StatusOK
+	if request.FencingToken < k.fencingToken || request.Incarnation != k.incarnation {
+		status = http.StatusConflict
+	} else {
+		if request.FencingToken > k.fencingToken {
+			k.notifyChange()
 		}
-		defer k.simulation.mu.Unlock()
-		if k.dead {
-			return
+		k.fencingToken = request.FencingToken
+		k.execute(request.Commands)
+	}
+	writeResponse(w, status, k.heartbeat())
+}
+
+// waitUntilCommandsRun waits out the delay of commands, and a hang; false: the machine ended.
+// The simulation's lock is held before and after, not meanwhile.
+func (k *Worker) waitUntilCommandsRun(ctx context.Context) bool {
+	if delay := k.commandDelay; delay > 0 {
+		k.simulation.mu.Unlock()
+		time.Sleep(delay)
+		k.simulation.mu.Lock()
+	}
+	for k.hung {
+		resume := k.resume
+		k.simulation.mu.Unlock()
+		ended := false
+		select {
+		case <-resume:
+		case <-ctx.Done():
+			ended = true
 		}
-		k.checkLease()
-		status := http.StatusOK
-		if o.FencingToken < k.fencingToken || o.Incarnation != k.incarnation {
-			status = http.StatusConflict
-		} else {
-			if o.FencingToken > k.fencingToken {
-				k.notifyChange()
-			}
-			k.fencingToken = o.FencingToken
-			k.execute(o.Commands)
+		k.simulation.mu.Lock()
+		if ended {
+			return false
 		}
-		writeResponse(w, status, k.heartbeat())
-	})
-	srv := &http.Server{Handler: deferResponses(mux)}
-	defer context.AfterFunc(ctx, func() { srv.Close() })()
-	_ = srv.Serve(l)
+	}
+	return true
 }
 
 // Execute carries out a command as if an order had brought it.
@@ -351,80 +409,93 @@
 	k.execute([]wire.Command{c})
 }
 
-// execute carries commands out; the world's lock must be held.
-func (k *Worker) execute(cs []wire.Command) {
-	for _, c := range cs {
-		t := k.tasks[c.Task]
+// execute carries commands out; the simulation's lock must be held.
+func (k *Worker) execute(commands []wire.Command) {
+	for _, c := range commands {
 		switch c.Op {
 		case wire.StartTask:
 			k.start(c)
 		case wire.StopTask:
-			if t != nil && t.attempt == c.Attempt && t.state != wire.TaskExited {
+			if t := k.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state != wire.TaskExited {
 				k.stop(t, c.GracePeriodS)
 			}
 		case wire.ForgetTask:
-			if t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
-				delete(k.tasks, c.Task)
-			}
-			for i, r := range k.refused {
-				if r.name == c.Task && r.attempt == c.Attempt {
-					k.refused = append(k.refused[:i:i], k.refused[i+1:]...)
-					break
-				}
-			}
+			k.forget(c)
 		}
 	}
 	k.notifyChange()
 }
 
-func (k *Worker) start(c wire.Command) {
-	for _, r := range k.refused {
-		if r.name == c.Task && r.attempt == c.Attempt {
-			return
-		}
+// forget removes an exited task, or a refused start, from the heartbeats.
+func (k *Worker) forget(c wire.Command) {
+	if t := k.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
+		delete(k.tasks, c.Task)
 	}
+	if i := k.refusedStart(c); i >= 0 {
+		k.refused = slices.Delete(slices.Clone(k.refused), i, i+1)
+	}
+}
+
+// refusedStart is the index of the refused start that a command names; -1 if there is none.
+func (k *Worker) refusedStart(c wire.Command) int {
+	return slices.IndexFunc(k.refused, func(t *task) bool { return t.name == c.Task && t.attempt == c.Attempt })
+}
+
+// start starts a task, unless the worker has the attempt already.
+func (k *Worker) start(c wire.Command) {
 	old := k.tasks[c.Task]
-	if old != nil && old.attempt == c.Attempt {
+	if k.refusedStart(c) >= 0 || (old != nil && old.attempt == c.Attempt) {
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
 	job := k.simulation.description(id)
-	refuse := func(why wire.ExitCause) {
-		k.refused = append(k.refused, &task{name: c.Task, attempt: c.Attempt, cause: why})
-	}
 	if job == nil || index >= job.Tasks {
-		refuse(wire.ExitTaskUnknown)
+		k.refuse(c, wire.ExitTaskUnknown)
 		return
 	}
-	if old != nil {
-		if old.state != wire.TaskExited {
-			refuse(wire.ExitTaskPresent)
-			return
-		}
-		delete(k.tasks, c.Task)
-	}
-	cpus, gpus, ram := job.CPUs, job.GPUs, job.MemoryGB
-	for _, t := range k.tasks {
-		if t.state != wire.TaskExited {
-			cpus, gpus, ram = cpus+t.job.CPUs, gpus+t.job.GPUs, ram+t.job.MemoryGB
-		}
+	if old != nil && old.state != wire.TaskExited {
+		k.refuse(c, wire.ExitTaskPresent)
+		return
 	}
-	if cpus > k.machineType.CPUs+1e-6 || gpus > k.machineType.GPUs+1e-6 || ram > k.machineType.MemoryGB+1e-6 {
-		refuse(wire.ExitInsufficientResources)
+	delete(k.tasks, c.Task)
+	if !k.hasResources(job) {
+		k.refuse(c, wire.ExitInsufficientResources)
 		return
 	}
 	t := &task{name: c.Task, job: job, index: index, attempt: c.Attempt, state: wire.TaskFetching}
 	k.tasks[c.Task] = t
-	wait := time.Millisecond
-	if !k.images[job.Image] {
-		wait = time.Duration(job.ImageGB / k.machineType.ImageFetchGBPerS * float64(time.Second))
-	}
-	k.after(t, wait, func() {
+	k.after(t, k.imageFetchTime(job), func() {
 		k.images[job.Image] = true
 		k.simulation.startTask(k, t)
 	})
 }
 
+// refuse reports a start as refused.
+func (k *Worker) refuse(c wire.Command, cause wire.ExitCause) {
+	k.refused = append(k.refused, &task{name: c.Task, attempt: c.Attempt, cause: cause})
+}
+
+// hasResources reports whether another task of a job fits beside those that are here,
+// fetching ones included.
+func (k *Worker) hasResources(job *wire.Job) bool {
+	cpus, gpus, memory := job.CPUs, job.GPUs, job.MemoryGB
+	for _, t := range k.tasks {
+		if t.state != wire.TaskExited {
+			cpus, gpus, memory = cpus+t.job.CPUs, gpus+t.job.GPUs, memory+t.job.MemoryGB
+		}
+	}
+	machine := k.machineType
+	return cpus <= machine.CPUs+rounding && gpus <= machine.GPUs+rounding && memory <= machine.MemoryGB+rounding
+}
+
+// imageFetchTime is how long a job's image takes to be there.
+func (k *Worker) imageFetchTime(job *wire.Job) time.Duration {
+	if k.images[job.Image] {
+		return time.Millisecond
+	}
+	return time.Duration(job.ImageGB / k.machineType.ImageFetchGBPerS * float64(time.Second))
+}
+
 // after runs f for a task after a while, unless it has exited; a hanging
 // machine's timers wait until it goes on.
 func (k *Worker) after(t *task, d time.Duration, f func()) {
