--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -157,8 +157,7 @@
 
 // sendError answers with a StatusError's code and reason, and any other error with 503.
 func (h *handler) sendError(w http.ResponseWriter, err error) {
-	var statusErr *StatusError
-	if errors.As(err, &statusErr) {
+	if statusErr, ok := errors.AsType[*StatusError](err); ok {
 		h.send(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
 		return
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -143,7 +143,7 @@
 		})
 	}
 	<-ctx.Done()
-	c.releaseAll()
+	c.releaseAll(context.WithoutCancel(ctx))
 	running.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
@@ -180,7 +180,7 @@
 
 // releaseAll stops the scheduling of all partitions and revokes the lease, so that other
 // nodes can take over without waiting for its expiry.
-func (c *Controller) releaseAll() {
+func (c *Controller) releaseAll(ctx context.Context) {
 	c.mu.Lock()
 	leaseID := c.leaseID
 	for _, owned := range c.owned {
@@ -188,8 +188,7 @@
 	}
 	c.mu.Unlock()
 	if leaseID != 0 {
-		// The context of Run has ended by now.
-		ctx, cancel := context.WithTimeout(context.Background(), tuning.Seconds(c.tuning.StateTimeoutS))
+		ctx, cancel := context.WithTimeout(ctx, tuning.Seconds(c.tuning.StateTimeoutS))
 		defer cancel()
 		// If it fails, the lease expires.
 		_ = c.store.RevokeLease(ctx, leaseID)
--- /dev/null
+++ b/internal/controller/partition_claims_test.go
@@ -0,0 +1,138 @@
+package controller
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"ambersill/internal/records"
+	"ambersill/internal/wire"
+)
+
+// A group of machines that is written or removed while a partition's records are read, as
+// when leadership and the partition change hands together, must not be missed: the
+// partition once did not know a machine that was up, or kept the tasks of one that was
+// gone, for good.
+func TestMachineChangeWhilePartitionIsRead(t *testing.T) {
+	t.Run("written", func(t *testing.T) { testMachineChangeWhilePartitionIsRead(t, false) })
+	t.Run("removed", func(t *testing.T) { testMachineChangeWhilePartitionIsRead(t, true) })
+}
+
+func testMachineChangeWhilePartitionIsRead(t *testing.T, removed bool) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		test := newChangeDuringReadTest(ctx, t, removed)
+		if removed {
+			test.writeGroupAndItsTask()
+		}
+		test.claimPartition()
+		time.Sleep(3 * time.Second)
+		test.checkMachines()
+		cancel()
+		time.Sleep(time.Minute)
+	})
+}
+
+// changeDuringReadTest is a controller that reads a partition through a proxy of the
+// key-value store. The proxy changes a group of machines after the machines were listed and
+// before all of the partition is read.
+type changeDuringReadTest struct {
+	t       *testing.T
+	ctx     context.Context
+	removed bool // the change removes the group rather than writing it
+	changed bool // the change was made
+
+	controller *Controller
+	other      *Controller // whose connection to the store has no proxy
+	group      records.MachineGroupRecord
+}
+
+const (
+	changedMachine  = "m-1"
+	changedGroupKey = records.MachinePrefix + changedMachine
+	storeProxyAddr  = "10.2.0.9:1"
+)
+
+func newChangeDuringReadTest(ctx context.Context, t *testing.T, removed bool) *changeDuringReadTest {
+	d := newDay(ctx, t, 1)
+	test := &changeDuringReadTest{
+		t:       t,
+		ctx:     ctx,
+		removed: removed,
+		other:   New(d.settings(1), d.tune, d.fabric.Host("node-1")),
+		group: records.MachineGroupRecord{Machines: map[string]records.MachineRecord{
+			changedMachine: {MachineType: "small", Zone: "a"},
+		}},
+	}
+	store := d.state.Handler()
+	d.serve("store-proxy", storeProxyAddr, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("prefix") == records.ChunkPrefix(0) && !test.changed {
+			test.change()
+		}
+		store.ServeHTTP(w, r)
+	}))
+	settings := d.settings(0)
+	settings.Outside.State = storeProxyAddr
+	test.controller = New(settings, d.tune, d.fabric.Host("node-0"))
+	test.controller.machineTypes = dayTypes
+	return test
+}
+
+func (test *changeDuringReadTest) write(write wire.Write) (revision uint64) {
+	test.t.Helper()
+	revision, err := test.other.store.Commit(test.ctx, wire.Txn{Writes: []wire.Write{write}})
+	if err != nil {
+		test.t.Fatal(err)
+	}
+	return revision
+}
+
+func (test *changeDuringReadTest) writeGroup() {
+	revision := test.write(wire.Write{Put: changedGroupKey, Value: test.group})
+	test.controller.cluster.apply(changedGroupKey, must(wire.Marshal(test.group)), revision, false)
+}
+
+func (test *changeDuringReadTest) change() {
+	test.changed = true
+	if !test.removed {
+		test.writeGroup()
+		return
+	}
+	revision := test.write(wire.Write{Delete: changedGroupKey})
+	test.controller.cluster.apply(changedGroupKey, nil, revision, true)
+}
+
+// writeGroupAndItsTask writes the group before the partition is read, and a task that runs
+// on its machine.
+func (test *changeDuringReadTest) writeGroupAndItsTask() {
+	record := records.JobRecord{Job: work(1, 1, 1, 10), Phase: wire.JobQueued, SubmittedAtMS: 1}
+	chunk := records.NewFirstChunk(&record, records.FeatureInitialFormat, test.controller.settings)
+	chunk.Placements = []records.PlacementRecord{{Task: 0, Attempt: 1, Machine: changedMachine, Incarnation: 1}}
+	test.write(wire.Write{Put: records.JobKey(record.Job.ID), Value: record})
+	test.write(wire.Write{Put: records.FirstChunkKey(0, record.Job.ID), Value: chunk})
+	test.writeGroup()
+}
+
+func (test *changeDuringReadTest) claimPartition() {
+	test.t.Helper()
+	leaseID, err := test.controller.store.GrantLease(test.ctx, 4*time.Second)
+	if err != nil {
+		test.t.Fatal(err)
+	}
+	test.controller.setLease(leaseID, time.Now())
+	test.controller.claimUnownedPartition(test.ctx, 0)
+}
+
+// checkMachines checks that the change was made, and that the partition has the machines
+// that the cache has.
+func (test *changeDuringReadTest) checkMachines() {
+	test.t.Helper()
+	owned := test.controller.ownedPartition(0)
+	owned.mu.Lock()
+	defer owned.mu.Unlock()
+	if n := len(owned.partition.MachineIDs()); !test.changed || n != len(test.controller.cluster.machines) {
+		test.t.Errorf("changed %v: the partition has %d machines, the cache %d", test.changed, n, len(test.controller.cluster.machines))
+	}
+}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -39,7 +39,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	stop := context.AfterFunc(ctx, func() { shutDown(server) })
+	stop := context.AfterFunc(ctx, func() { shutDown(context.WithoutCancel(ctx), server) })
 	defer stop()
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -47,10 +47,9 @@
 	return nil
 }
 
-// shutDown lets the requests that are being served complete. It has a context of its own,
-// since that of the server has ended by then.
-func shutDown(server *http.Server) {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+// shutDown lets the requests that are being served complete.
+func shutDown(ctx context.Context, server *http.Server) {
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(ctx)
 }
