--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/wire"
 )
 
-// The rules that the protocol's page states, one function each, named after the rule.
+// The rules that the protocol states have one function each, named after the rule.
 
 // rule is a rule's name, as the protocol has it where it names one.
 type rule string
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -6,6 +6,9 @@
 	"ambersill/internal/wire"
 )
 
+// failureDelay is how long tasks run on a machine that fails them.
+const failureDelay = time.Second
+
 // expireLeases ends the incarnations of machines that hang beyond their leases.
 func (w *Simulation) expireLeases() {
 	busy := map[*Worker]bool{}
@@ -19,7 +22,7 @@
 	}
 }
 
-// startTask puts a task on its machine: its image is there.
+// startTask starts a task on its machine once its image has been fetched.
 func (w *Simulation) startTask(k *Worker, t *task) {
 	w.checkCancelled()
 	w.countStart(t)
@@ -35,7 +38,7 @@
 		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
 	case k.faulty:
 		t.state = wire.TaskRunning
-		k.after(t, time.Second, func() { k.exit(t, wire.ExitError, false) })
+		k.after(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
 		w.joinGang(k, t)
 	case t.job.IsService():
@@ -49,7 +52,7 @@
 	}
 }
 
-// countStart counts a start, and notes when the job's first one was.
+// countStart counts a start, and records when the job's first task started.
 func (w *Simulation) countStart(t *task) {
 	w.starts++
 	attempt := taskAttempt{t.name, t.attempt}
@@ -69,7 +72,7 @@
 // runReplica runs a service's replica until it is stopped, or exits by itself.
 func (w *Simulation) runReplica(k *Worker, t *task) {
 	t.state = wire.TaskRunning
-	t.timer = nil // the fetch's, which must not fire again when the machine goes on
+	t.timer = nil // the fetch's, which must not fire again when a hang ends
 	if w.replicaExit == nil {
 		return
 	}
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -21,8 +21,8 @@
 	CancelAfter time.Duration
 	// Cancel, if set, has the user cancel the job when it is closed.
 	Cancel <-chan struct{}
-	// PollsAllNodes: after each answer that says something new, the user asks all nodes at once
-	// and repeats the submission, several times within milliseconds.
+	// PollsAllNodes: after each answer with a new phase, the user asks all nodes at once and
+	// repeats the submission, several times within milliseconds.
 	PollsAllNodes bool
 	// CancelDone: a job that is done is cancelled once more, which must change nothing.
 	CancelDone bool
@@ -38,6 +38,10 @@
 	// long it is repeated for.
 	submitRetryDelay = time.Second
 	submitLimit      = time.Minute
+	// All nodes are polled several times within milliseconds, so that answers that contradict
+	// each other for a short time are seen.
+	pollRounds        = 3
+	pollRoundInterval = 3 * time.Millisecond
 )
 
 // session is a user's work on one job.
@@ -49,10 +53,20 @@
 	start  time.Time
 }
 
+func (u *User) newClient() *http.Client {
+	return transport.Client(u.Net, 1, 1, time.Second)
+}
+
 // Run submits the job, polls it, and returns the phase it ended in; "" if the context ended
 // first or the submission was given up.
 func (u *User) Run(ctx context.Context, job *wire.Job) wire.JobPhase {
-	s := &session{User: u, job: job, body: submission(job), client: transport.Client(u.Net, 1, 1, time.Second), start: time.Now()}
+	s := &session{
+		User:   u,
+		job:    job,
+		body:   submission(job),
+		client: u.newClient(),
+		start:  time.Now(),
+	}
 	defer s.client.CloseIdleConnections()
 	u.Simulation.JobSubmitted(job)
 	if !s.submit(ctx) {
@@ -150,10 +164,10 @@
 }
 
 // recordAnswer notes the answer to a question.
-func (u *User) recordAnswer(id string, v wire.JobStatus, status int, sent time.Time) {
+func (u *User) recordAnswer(id string, answer wire.JobStatus, status int, sent time.Time) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		u.Simulation.PhaseReported(id, v.Phase, sent)
+		u.Simulation.PhaseReported(id, answer.Phase, sent)
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		u.Simulation.ReportedUnknown(id, status, sent)
 	default:
@@ -161,98 +175,97 @@
 	}
 }
 
-// recordNewPhase notes an answer that says something new, and looks closely then.
+// recordNewPhase notes an answer with a new phase, and polls all nodes then.
 func (u *User) recordNewPhase(ctx context.Context, id string, body any, phase wire.JobPhase, sent time.Time) {
 	u.Simulation.PhaseReported(id, phase, sent)
 	u.pollAllNodes(ctx, id, body)
 }
 
-// pollAllNodes asks all nodes, and repeats the submission, three times within milliseconds.
+// pollAllNodes asks all nodes, and repeats the submission, several times within milliseconds.
 func (u *User) pollAllNodes(ctx context.Context, id string, body any) {
 	if !u.PollsAllNodes {
 		return
 	}
 	var wg sync.WaitGroup
-	for range 3 {
-		for _, n := range u.Simulation.Nodes {
-			for _, again := range []bool{false, true} {
-				wg.Go(func() {
-					cl := transport.Client(u.Net, 1, 1, time.Second)
-					defer cl.CloseIdleConnections()
-					method, path, b := http.MethodGet, "/work/"+id, any(nil)
-					if again {
-						method, path, b = http.MethodPost, "/work", body
-					}
-					sent := time.Now()
-					v, status := u.send(ctx, cl, n, method, path, b, pollTimeout)
-					u.recordAnswer(id, v, status, sent)
-				})
-			}
+	for range pollRounds {
+		for _, node := range u.Simulation.Nodes {
+			wg.Go(func() { u.pollOnce(ctx, node, id, http.MethodGet, "/work/"+id, nil) })
+			wg.Go(func() { u.pollOnce(ctx, node, id, http.MethodPost, "/work", body) })
 		}
-		transport.Pause(ctx, 3*time.Millisecond)
+		transport.Pause(ctx, pollRoundInterval)
 	}
 	wg.Wait()
 }
 
+// pollOnce sends a request about a job on a connection of its own, and notes the answer.
+func (u *User) pollOnce(ctx context.Context, node Node, id, method, path string, body any) {
+	client := u.newClient()
+	defer client.CloseIdleConnections()
+	sent := time.Now()
+	answer, status := u.send(ctx, client, node, method, path, body, pollTimeout)
+	u.recordAnswer(id, answer, status, sent)
+}
+
 // SubmitInvalid sends what must be refused for good: a job that fits no machine, one that lacks a
 // field, one of an unknown team.
 func (u *User) SubmitInvalid(ctx context.Context, job *wire.Job) {
-	cl := transport.Client(u.Net, 1, 1, time.Second)
-	defer cl.CloseIdleConnections()
-	for i, change := range []func(m map[string]any){
-		func(m map[string]any) { m["cores"] = 1e6 },
-		func(m map[string]any) { delete(m, "pieces") },
-		func(m map[string]any) { m["crew"] = "nobody" },
+	client := u.newClient()
+	defer client.CloseIdleConnections()
+	for i, change := range []func(body map[string]any){
+		func(body map[string]any) { body["cores"] = 1e6 },
+		func(body map[string]any) { delete(body, "pieces") },
+		func(body map[string]any) { body["crew"] = "nobody" },
 	} {
 		body := submission(job)
 		id := fmt.Sprintf("%s%d", job.ID, i)
 		body["uid"] = id
 		change(body)
-		_, status := u.send(ctx, cl, u.Pick(), http.MethodPost, "/work", body, submitTimeout)
+		_, status := u.send(ctx, client, u.Pick(), http.MethodPost, "/work", body, submitTimeout)
 		if status == http.StatusOK || status == http.StatusCreated {
 			u.Simulation.AcceptedInvalid(id, status)
 		}
-		if _, status = u.send(ctx, cl, u.Pick(), http.MethodGet, "/work/"+id, nil, pollTimeout); status == http.StatusOK {
+		if _, status = u.send(ctx, client, u.Pick(), http.MethodGet, "/work/"+id, nil, pollTimeout); status == http.StatusOK {
 			u.Simulation.AcceptedInvalid(id, status)
 		}
 	}
 }
 
-func (u *User) send(ctx context.Context, cl *http.Client, to Node, method, path string, body any, limit time.Duration) (wire.JobStatus, int) {
-	var v wire.JobStatus
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// send sends a request, and returns the answer with its status; 0: no answer.
+func (u *User) send(ctx context.Context, client *http.Client, to Node, method, path string, body any, timeout time.Duration) (wire.JobStatus, int) {
+	var answer wire.JobStatus
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	u.Simulation.waitLinkDelay(ctx)
 	defer u.Simulation.waitLinkDelay(ctx)
-	resp, err := transport.Send(ctx, cl, method, "http://"+to.Addr+path, body)
+	resp, err := transport.Send(ctx, client, method, "http://"+to.Addr+path, body)
 	if err != nil {
-		return v, 0
+		return answer, 0
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode > 299 {
+	if resp.StatusCode >= http.StatusMultipleChoices {
 		transport.Discard(resp)
-		return v, resp.StatusCode
+		return answer, resp.StatusCode
 	}
-	if err := wire.ReadResponse(resp.Body, &v); err != nil {
-		return v, 0
+	if err := wire.ReadResponse(resp.Body, &answer); err != nil {
+		return answer, 0
 	}
-	return v, resp.StatusCode
+	return answer, resp.StatusCode
 }
 
 // submission is a job as a user writes it, with null where nothing is asked.
 func submission(job *wire.Job) map[string]any {
-	b, err := wire.Marshal(job)
+	encoded, err := wire.Marshal(job)
 	if err != nil {
 		return nil
 	}
-	m := map[string]any{}
-	if wire.Unmarshal(b, &m) != nil {
+	fields := map[string]any{}
+	if wire.Unmarshal(encoded, &fields) != nil {
 		return nil
 	}
-	for _, k := range []string{"breeds", "field", "dueS"} {
-		if _, ok := m[k]; !ok {
-			m[k] = nil
+	for _, optional := range []string{"breeds", "field", "dueS"} {
+		if _, ok := fields[optional]; !ok {
+			fields[optional] = nil
 		}
 	}
-	return m
+	return fields
 }
