--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -100,7 +100,7 @@
 		"partition", p.partition,
 		"jobs", p.jobs,
 		"machines", p.machines,
-		"started", p.done.Started,
+		"started", p.done.Placed,
 		"finished", p.done.Finished,
 		"requeued", p.done.Requeued,
 		"preempted", p.done.Preempted,
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -146,7 +146,7 @@
 
 // deleteFinishedJobs deletes the records that are left of finished jobs.
 func (b *batchBuilder) deleteFinishedJobs() {
-	for _, job := range b.partition.finishedJobs {
+	for _, job := range b.partition.finalizedJobs {
 		for _, chunk := range job.chunks {
 			if chunk.isLeftover() && b.canWrite(1) {
 				b.deleteChunk(chunk)
--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -46,17 +46,17 @@
 	return resource.TypeAllowed(job.MachineTypes, machine.Record.MachineType)
 }
 
-// machineSuitable reports whether the machine can take work, and may take that of a job in
+// machineUsableBy reports whether the machine can take work, and may take that of a job in
 // particular, its capacity and reservations aside.
-func machineSuitable(job *Job, machine *Machine) bool {
+func machineUsableBy(job *Job, machine *Machine) bool {
 	return machine.usable() && machineAllowed(job.Job, machine) && !job.failures.failedOn(machine.ID)
 }
 
 // findMachines returns machines for up to count tasks of a job among those given, one entry
 // for each task; for a gang in a single zone count of them or none.
-func (p *Partition) findMachines(job *Job, count int, now time.Time, among []*Machine, available capacityFunc) []*Machine {
+func (p *Partition) findMachines(job *Job, count int, now time.Time, candidates []*Machine, available capacityFunc) []*Machine {
 	var eligible []*Machine
-	for _, machine := range among {
+	for _, machine := range candidates {
 		if p.eligible(job, machine, now) && fitsTask(job, machine, available(machine)) {
 			eligible = append(eligible, machine)
 		}
@@ -73,7 +73,7 @@
 // eligible reports whether tasks of a job may be placed on a machine now, its capacity
 // aside.
 func (p *Partition) eligible(job *Job, machine *Machine, now time.Time) bool {
-	if !machineSuitable(job, machine) {
+	if !machineUsableBy(job, machine) {
 		return false
 	}
 	if machine.isReservedForOther(job, now) {
@@ -106,11 +106,11 @@
 // packSingleZone returns machines of the one zone that takes the most tasks, the cheapest
 // among equals. Tasks of earlier attempts that may still run bind the job to their zone.
 func (p *Partition) packSingleZone(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
-	occupied := job.tasksByZone()
+	occupiedZones := job.tasksByZone()
 	byZone := map[string][]*Machine{}
 	for _, machine := range eligible {
 		zone := machine.Record.Zone
-		if len(occupied) == 0 || occupied[zone] > 0 {
+		if len(occupiedZones) == 0 || occupiedZones[zone] > 0 {
 			byZone[zone] = append(byZone[zone], machine)
 		}
 	}
@@ -191,14 +191,14 @@
 	return job.ImageGB / machine.machineType.ImageFetchGBPerS
 }
 
-// shortestImageFetch returns the shortest fetch of a job's image, in seconds, among the
+// shortestImageFetchSeconds returns the shortest fetch of a job's image, in seconds, among the
 // candidates with capacity for a task of it now. A job whose image is cached precedes one
 // that would occupy the machine while it fetches.
-func (p *Partition) shortestImageFetch(job *Job) float64 {
+func (p *Partition) shortestImageFetchSeconds(job *Job) float64 {
 	shortest, found := 0.0, false
 	request := resource.TaskRequest(job.Job)
 	for _, machine := range p.candidates {
-		if !machine.free().Contains(request) || !machineAllowed(job.Job, machine) {
+		if !machine.freeCapacity().Contains(request) || !machineAllowed(job.Job, machine) {
 			continue
 		}
 		if fetch := p.imageFetchSeconds(job, machine); !found || fetch < shortest {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	committed := pl.chunk().committedVersion >= pl.chunkVersion
-	return committed && pl.incarnation == pl.machine.latest.incarnation
+	return committed && pl.incarnation == pl.machine.newestMessage.incarnation
 }
 
 // startableTasks returns the machine's placements whose starts may be sent, in order.
@@ -130,7 +130,7 @@
 // newCommandRequest returns a request that the worker refuses if it has seen a higher token or
 // is in another incarnation.
 func (m *Machine) newCommandRequest() wire.CommandRequest {
-	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
+	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.newestMessage.incarnation}
 }
 
 // MachinesNotFenced lists the machines with tasks of an earlier owner that have not shown
@@ -206,7 +206,7 @@
 		return command, true
 	case fresh && pl.startUnsent():
 		pl.start.sent = true
-		pl.start.heartbeatSequence = pl.machine.latest.heartbeatSequence
+		pl.start.heartbeatSequence = pl.machine.newestMessage.heartbeatSequence
 		pl.start.directToken = pl.machine.token.current
 		pl.machine.command.inFlight = true
 		return newCommand(wire.StartTask, key), true
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -16,19 +16,19 @@
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.Schedule(harness.now)
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 0 {
 		t.Fatalf("commands before the commit: %v", got)
 	}
 	harness.commitBatches()
-	if diff := cmp.Diff([]string{"start req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
+	if diff := cmp.Diff([]string{"start req-1/0 1"}, formatCommands(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
-	harness.endTask("m-1", "req-1/0", 1, wire.ExitDone)
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
+	harness.setTaskExited("m-1", "req-1/0", 1, wire.ExitDone)
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 0 {
 		t.Fatalf("commands before the end is committed: %v", got)
 	}
 	harness.commitBatches()
-	if diff := cmp.Diff([]string{"clear req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
+	if diff := cmp.Diff([]string{"clear req-1/0 1"}, formatCommands(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -39,16 +39,16 @@
 	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{} // the response did not arrive
-	if diff := cmp.Diff([]string{"start req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
+	if diff := cmp.Diff([]string{"start req-1/0 1"}, formatCommands(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
 	harness.sendHeartbeat("m-1")
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{}
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 0 {
 		t.Fatalf("a task that was observed is started again under its attempt: %v", got)
 	}
 	harness.scheduleAndCommit()
-	if diff := cmp.Diff([]string{"start req-1/0 2"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
+	if diff := cmp.Diff([]string{"start req-1/0 2"}, formatCommands(harness.sendHeartbeat("m-1"))); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -64,7 +64,7 @@
 	if !ok || len(request.Commands) != 1 {
 		t.Fatalf("direct commands: %v", request)
 	}
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 0 {
 		t.Fatalf("commands while a request is in flight: %v", got)
 	}
 	harness.HandleCommandOutcome(request, "m-1", CommandsUnknown)
@@ -100,7 +100,7 @@
 		t.Fatalf("machines to refence %v, machines awaiting commands %v", harness.MachinesToRefence(), harness.MachinesAwaitingCommands(true))
 	}
 	again, _ := harness.DirectCommands("m-1", true)
-	if diff := cmp.Diff(commandTexts(first.Commands), commandTexts(again.Commands)); diff != "" {
+	if diff := cmp.Diff(formatCommands(first.Commands), formatCommands(again.Commands)); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -115,7 +115,7 @@
 	if len(harness.jobs) != 1 {
 		t.Fatal("the job is dropped while its tasks are on a machine")
 	}
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 2 {
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 2 {
 		t.Fatalf("commands: %v", got)
 	}
 	harness.sendHeartbeat("m-1")
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -120,10 +120,10 @@
 // that eventually none remains.
 func (b *batchBuilder) convertFormat() {
 	p := b.partition
-	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleTime) || !b.canWrite(1) {
+	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleStartedAt) || !b.canWrite(1) {
 		return
 	}
-	p.conversion.lastRewrite = p.cycleTime
+	p.conversion.lastRewrite = p.cycleStartedAt
 	if chunk := p.outdatedChunk(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
 		b.writeChunk(chunk, b.maxWrites)
 	}
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -18,7 +18,7 @@
 	if batch.endedJob != nil {
 		p.finalizeJob(batch.endedJob)
 	}
-	p.finishedJobs = slices.DeleteFunc(p.finishedJobs, func(job *Job) bool {
+	p.finalizedJobs = slices.DeleteFunc(p.finalizedJobs, func(job *Job) bool {
 		return !slices.ContainsFunc(job.chunks, (*chunk).isLeftover)
 	})
 }
@@ -58,7 +58,7 @@
 	for _, chunk := range job.chunks {
 		p.journal.forget(chunk)
 	}
-	p.finishedJobs = append(p.finishedJobs, job)
+	p.finalizedJobs = append(p.finalizedJobs, job)
 }
 
 // RefreshKey applies what a read of one of a batch's keys found after an unknown outcome or a
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -16,13 +16,13 @@
 	// drainReservationCycles is how many intervals of ConsolidateS a machine that is drained
 	// accepts no work: enough for its tasks to leave and the leader to return it.
 	drainReservationCycles = 3
-	// minRemainingFactor is the multiple of a move's time, image fetch and checkpoint, that a
+	// minRunPerMoveTime is the multiple of a move's time, image fetch and checkpoint, that a
 	// task must still have to run for the move to be worth it.
-	minRemainingFactor = 2
+	minRunPerMoveTime = 2
 )
 
-// price returns what the machine costs per hour.
-func (m *Machine) price() float64 {
+// hourlyPrice returns what the machine costs per hour.
+func (m *Machine) hourlyPrice() float64 {
 	if m.Record.Spot {
 		return m.machineType.HourlySpotPrice
 	}
@@ -33,10 +33,10 @@
 // in use, so that it can be returned: sizing counts allocated capacity, but only an empty
 // machine can be returned. Only work that writes checkpoints is moved.
 func (p *Partition) consolidate(now time.Time) {
-	if now.Sub(p.lastConsolidation) < tuning.Seconds(p.tuning.ConsolidateS) {
+	if now.Sub(p.lastConsolidatedAt) < tuning.Seconds(p.tuning.ConsolidateS) {
 		return
 	}
-	p.lastConsolidation = now
+	p.lastConsolidatedAt = now
 	for _, machine := range p.consolidationCandidates() {
 		if p.canEvacuate(machine, now) {
 			p.drain(machine, now)
@@ -56,7 +56,7 @@
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *Machine) int {
-		if order := cmp.Compare(b.price(), a.price()); order != 0 {
+		if order := cmp.Compare(b.hourlyPrice(), a.hourlyPrice()); order != 0 {
 			return order
 		}
 		return cmp.Compare(a.allocatedShare(), b.allocatedShare())
@@ -103,27 +103,27 @@
 
 // canEvacuate reports whether all work of a machine can be moved, and is worth moving.
 func (p *Partition) canEvacuate(machine *Machine, now time.Time) bool {
-	remaining := map[*Machine]resource.Vector{} // free capacity of the targets chosen so far
+	freeAfterMoves := map[*Machine]resource.Vector{} // free capacity of the targets chosen so far
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		if !p.movable(placement, now) {
 			return false
 		}
-		target := p.evacuationTarget(placement, remaining, now)
+		target := p.evacuationTarget(placement, freeAfterMoves, now)
 		if target == nil {
 			return false
 		}
-		remaining[target] = freeExcept(target, remaining).Sub(resource.TaskRequest(placement.job.Job))
+		freeAfterMoves[target] = freeCapacityAfterMoves(target, freeAfterMoves).Sub(resource.TaskRequest(placement.job.Job))
 	}
 	return true
 }
 
-// freeExcept returns a machine's free capacity without what is planned for it.
-func freeExcept(machine *Machine, remaining map[*Machine]resource.Vector) resource.Vector {
-	if capacity, planned := remaining[machine]; planned {
+// freeCapacityAfterMoves returns a machine's free capacity without what is planned for it.
+func freeCapacityAfterMoves(machine *Machine, freeAfterMoves map[*Machine]resource.Vector) resource.Vector {
+	if capacity, planned := freeAfterMoves[machine]; planned {
 		return capacity
 	}
-	return machine.free()
+	return machine.freeCapacity()
 }
 
 // movable reports whether a placement can be stopped and placed elsewhere at little loss.
@@ -132,13 +132,13 @@
 	if placement.stopRequest != nil || placement.gangDone || !p.settled(placement, now) {
 		return false
 	}
-	isRealGang := job.IsGang() && job.Tasks > 1
-	return !isRealGang && !job.SingleZone && !job.SpreadZones
+	isMultiTaskGang := job.IsGang() && job.Tasks > 1
+	return !isMultiTaskGang && !job.SingleZone && !job.SpreadZones
 }
 
 // evacuationTarget returns the first machine, by ID, that a placement can be moved to; nil if
 // there is none.
-func (p *Partition) evacuationTarget(placement *Placement, remaining map[*Machine]resource.Vector, now time.Time) *Machine {
+func (p *Partition) evacuationTarget(placement *Placement, freeAfterMoves map[*Machine]resource.Vector, now time.Time) *Machine {
 	job := placement.job
 	remainingRunS := job.EstimatedRunS - now.Sub(placement.runningSince).Seconds()
 	for _, target := range p.machines.all() {
@@ -146,10 +146,10 @@
 			continue
 		}
 		moveS := p.imageFetchSeconds(job, target) + job.CheckpointSaveS
-		if remainingRunS < minRemainingFactor*moveS {
+		if remainingRunS < minRunPerMoveTime*moveS {
 			continue
 		}
-		if freeExcept(target, remaining).Contains(resource.TaskRequest(job.Job)) {
+		if freeCapacityAfterMoves(target, freeAfterMoves).Contains(resource.TaskRequest(job.Job)) {
 			return target
 		}
 	}
@@ -162,8 +162,8 @@
 	if target == source || !target.usable() || target.reservedFor != "" || len(target.placements) == 0 {
 		return false
 	}
-	if target.Record.MachineType != source.Record.MachineType || target.price() > source.price() {
+	if target.Record.MachineType != source.Record.MachineType || target.hourlyPrice() > source.hourlyPrice() {
 		return false
 	}
-	return target.price() < source.price() || target.allocatedShare() >= source.allocatedShare()
+	return target.hourlyPrice() < source.hourlyPrice() || target.allocatedShare() >= source.allocatedShare()
 }
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -118,7 +118,7 @@
 		harness.sendHeartbeat(id)
 		for n, key := range sortedTaskAttempts(harness.machines.get(id).placements) {
 			if round < exchangeRounds-1 && (n+i+round)%3 == 0 {
-				harness.endTask(id, key.task, key.attempt, causes[n%len(causes)])
+				harness.setTaskExited(id, key.task, key.attempt, causes[n%len(causes)])
 			}
 		}
 		harness.sendHeartbeat(id)
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -6,15 +6,15 @@
 	"ambersill/internal/tuning"
 )
 
-// jobFailureMachines is the number of machines on which a job must have failed for the
+// minMachinesToBlameJob is the number of machines on which a job must have failed for the
 // cause to be sought in the job rather than in a machine.
-const jobFailureMachines = 2
+const minMachinesToBlameJob = 2
 
 // jobFailures are the failures of a job's tasks, and the back-off that follows from them.
 type jobFailures struct {
-	machines map[string]bool // IDs of the machines where tasks exited with an error
-	backoffS float64
-	retryAt  time.Time // no attempt before then
+	machines  map[string]bool // IDs of the machines where tasks exited with an error
+	backoffS  float64
+	notBefore time.Time // no attempt before then
 }
 
 // record records a failure on a machine.
@@ -45,7 +45,7 @@
 	} else {
 		f.backoffS = min(2*f.backoffS, tunables.ErrorBackoffMaxS)
 	}
-	f.retryAt = now.Add(tuning.Seconds(f.backoffS))
+	f.notBefore = now.Add(tuning.Seconds(f.backoffS))
 }
 
 // recordFailure blames an error on the machine if several jobs fail there, and on the job
@@ -57,7 +57,7 @@
 		machine.quarantined = true
 		p.capacityVersion++
 	}
-	if len(job.failures.machines) >= jobFailureMachines && !job.IsService() {
+	if len(job.failures.machines) >= minMachinesToBlameJob && !job.IsService() {
 		job.failures.backOff(p.tuning, now)
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -23,9 +23,9 @@
 // futureZone is what a zone will have for a gang.
 type futureZone struct {
 	slots []futureSlot
-	// reserved: a machine of the zone is reserved for another job. Only one gang at a time
+	// reservedForOther: a machine of the zone is reservedForOther for another job. Only one gang at a time
 	// gets reservations in a zone, since two could wait for each other.
-	reserved bool
+	reservedForOther bool
 }
 
 // reserveForGang reserves machines for a gang that has waited long, where all the capacity
@@ -36,7 +36,7 @@
 	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
 	}
-	slots := earliestSlots(job, count, p.futureZones(job, now))
+	slots := earliestSlots(job, count, p.forecastZones(job, now))
 	if slots == nil {
 		return
 	}
@@ -60,16 +60,16 @@
 	return z[name]
 }
 
-// futureZones returns the capacity that machines will have for a job.
-func (p *Partition) futureZones(job *Job, now time.Time) futureZones {
+// forecastZones returns the capacity that machines will have for a job.
+func (p *Partition) forecastZones(job *Job, now time.Time) futureZones {
 	zones := futureZones{}
 	for _, machine := range p.machines.all() {
-		if !machineSuitable(job, machine) {
+		if !machineUsableBy(job, machine) {
 			continue
 		}
 		if machine.isReservedForOther(job, now) {
 			if machine.reservedFor != reservedForDrain {
-				zones.zone(machine.Record.Zone).reserved = true
+				zones.zone(machine.Record.Zone).reservedForOther = true
 			}
 			continue
 		}
@@ -88,7 +88,7 @@
 func earliestSlots(job *Job, count int, zones futureZones) []futureSlot {
 	var best []futureSlot
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		if zones[name].reserved {
+		if zones[name].reservedForOther {
 			continue
 		}
 		slots := firstSlots(job, count, zones[name].slots)
@@ -123,7 +123,7 @@
 
 // taskEnd is capacity that a task will release.
 type taskEnd struct {
-	inS     float64 // seconds until then
+	endsInS float64 // seconds until then
 	request resource.Vector
 }
 
@@ -131,7 +131,7 @@
 // one, and so on, if nothing else is placed there.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	request := resource.TaskRequest(job.Job)
-	free := machine.free()
+	free := machine.freeCapacity()
 	var slots []futureSlot
 	addSlots := func(availableInS float64) {
 		for free.Contains(request) && len(slots) < job.Tasks {
@@ -145,7 +145,7 @@
 			break
 		}
 		free = free.Add(end.request)
-		addSlots(end.inS)
+		addSlots(end.endsInS)
 	}
 	return slots
 }
@@ -156,17 +156,17 @@
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		ends = append(ends, taskEnd{
-			inS:     p.remainingSeconds(placement, now),
+			endsInS: p.remainingSeconds(placement, now),
 			request: resource.TaskRequest(placement.job.Job),
 		})
 	}
-	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.inS, b.inS) })
+	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.endsInS, b.endsInS) })
 	return ends
 }
 
 // remainingSeconds returns how long a placement is expected to stay.
 func (p *Partition) remainingSeconds(placement *Placement, now time.Time) float64 {
-	expected := runSeconds(placement.job.Job)
+	expected := expectedRunSeconds(placement.job.Job)
 	if placement.runningSince.IsZero() {
 		return expected + p.imageFetchSeconds(placement.job, placement.machine)
 	}
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -21,7 +21,7 @@
 	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
-	harness.endTask("m-1", "req-1/0", 1, wire.ExitGangMemberLost)
+	harness.setTaskExited("m-1", "req-1/0", 1, wire.ExitGangMemberLost)
 	harness.sendHeartbeat("m-1")
 	harness.Schedule(harness.now)
 	if placed := len(harness.jobs["req-1"].placements); placed != 1 {
@@ -55,10 +55,10 @@
 	harness.addJob(urgent)
 	harness.Schedule(harness.now)
 	harness.scheduleAndCommit()
-	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 1 || got[0] != "start req-2/0 1" {
+	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 1 || got[0] != "start req-2/0 1" {
 		t.Fatalf("commands: %v", got)
 	}
-	harness.endTask("m-1", "req-2/0", 1, wire.ExitDone)
+	harness.setTaskExited("m-1", "req-2/0", 1, wire.ExitDone)
 	harness.sendHeartbeat("m-1")
 	harness.commitBatches()
 	harness.Schedule(harness.now)
@@ -67,8 +67,8 @@
 	}
 }
 
-// setTaskState has a worker report all its tasks in a state from its next heartbeat on.
-func (h *partitionHarness) setTaskState(id string, state wire.TaskState) {
+// setTaskStates has a worker report all its tasks in a state from its next heartbeat on.
+func (h *partitionHarness) setTaskStates(id string, state wire.TaskState) {
 	for key, status := range h.workerTasks[id] {
 		status.State = state
 		h.workerTasks[id][key] = status
@@ -89,23 +89,23 @@
 	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
-	harness.setTaskState("m-1", wire.TaskWaitingForGang)
-	harness.setTaskState("m-2", wire.TaskFetching)
+	harness.setTaskStates("m-1", wire.TaskWaitingForGang)
+	harness.setTaskStates("m-2", wire.TaskFetching)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-2")
 	harness.now = harness.now.Add(35 * time.Second)
 	for key := range harness.workerTasks["m-1"] {
-		harness.endTask("m-1", key.task, key.attempt, wire.ExitGangIncomplete)
+		harness.setTaskExited("m-1", key.task, key.attempt, wire.ExitGangIncomplete)
 	}
 	harness.sendHeartbeat("m-1")
-	if got := commandTexts(harness.sendHeartbeat("m-2")); len(got) != 0 {
+	if got := formatCommands(harness.sendHeartbeat("m-2")); len(got) != 0 {
 		t.Fatalf("commands while the image is fetched: %v", got)
 	}
 	harness.addJob(newArrayJob("req-2", 1, 8)) // must not take the reserved machine
 	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
-	harness.setTaskState("m-2", wire.TaskWaitingForGang)
-	if got := commandTexts(harness.sendHeartbeat("m-2")); len(got) != 1 || !strings.HasPrefix(got[0], "kill") {
+	harness.setTaskStates("m-2", wire.TaskWaitingForGang)
+	if got := formatCommands(harness.sendHeartbeat("m-2")); len(got) != 1 || !strings.HasPrefix(got[0], "kill") {
 		t.Fatalf("commands to the machine that has its image now: %v", got)
 	}
 	harness.sendHeartbeat("m-2")
@@ -117,7 +117,7 @@
 
 // A gang's end may be recorded for some of its tasks only when its owner fails. The rest can
 // never be placed as a gang, so the job is to count as done.
-func TestGangDoneForSomeTasksIsDone(t *testing.T) {
+func TestGangWithSomeTasksDoneIsDone(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	job := newArrayJob("req-000001", 3, 1)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -10,7 +10,7 @@
 	"ambersill/internal/wire"
 )
 
-var testTypes = []wire.MachineType{
+var testMachineTypes = []wire.MachineType{
 	{
 		Name:             "cpu",
 		CPUs:             8,
@@ -70,7 +70,7 @@
 		sequences:   map[string]uint64{},
 		workerTasks: map[string]map[taskAttempt]wire.TaskStatus{},
 	}
-	harness.SetMachineTypes(testTypes)
+	harness.SetMachineTypes(testMachineTypes)
 	return harness
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// endTask has a worker report a task as exited from its next heartbeat on.
-func (h *partitionHarness) endTask(id, task string, attempt uint64, cause wire.ExitCause) {
+// setTaskExited has a worker report a task as exited from its next heartbeat on.
+func (h *partitionHarness) setTaskExited(id, task string, attempt uint64, cause wire.ExitCause) {
 	h.workerTasks[id][taskAttempt{task, attempt}] = wire.TaskStatus{
 		Task:      task,
 		Attempt:   attempt,
@@ -170,8 +170,8 @@
 	}
 }
 
-// commandTexts formats each command as "operation task attempt".
-func commandTexts(commands []wire.Command) []string {
+// formatCommands formats each command as "operation task attempt".
+func formatCommands(commands []wire.Command) []string {
 	var texts []string
 	for _, command := range commands {
 		texts = append(texts, fmt.Sprint(command.Op, " ", command.Task, " ", command.Attempt))
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -47,12 +47,12 @@
 		return verdict, wire.HeartbeatResponse{}
 	}
 	response := wire.HeartbeatResponse{FencingToken: machine.token.current, Commands: []wire.Command{}}
-	if machine.latest.isStale(heartbeat) {
+	if machine.newestMessage.isStale(heartbeat) {
 		machine.acceptOvertaken(heartbeat, now)
 		return HeartbeatAccepted, response
 	}
 	p.detectUnreachableWorker(machine, heartbeat, now)
-	machine.latest.recordHeartbeat(heartbeat)
+	machine.newestMessage.recordHeartbeat(heartbeat)
 	p.renewLease(machine, now)
 	p.setTerminationNotice(machine, heartbeat.TerminationNoticeS != nil)
 	p.acknowledgeToken(machine, heartbeat, now)
@@ -76,7 +76,7 @@
 		return HeartbeatSuperseded
 	case machine.isFromExpiredLease(heartbeat):
 		return HeartbeatStale
-	case machine.latest.isStale(heartbeat) && !machine.latest.isOvertaken(heartbeat):
+	case machine.newestMessage.isStale(heartbeat) && !machine.newestMessage.isOvertaken(heartbeat):
 		// Heartbeats that a network partition held back arrive late, and their task
 		// lists are as old as they are.
 		return HeartbeatStale
@@ -94,14 +94,14 @@
 // since. A worker raises its incarnation when its lease expires, so what still arrives from
 // the old one is a delayed copy, and the machine may be dead.
 func (m *Machine) isFromExpiredLease(heartbeat *wire.Heartbeat) bool {
-	return m.lease.expired && heartbeat.Incarnation <= m.latest.incarnation
+	return m.lease.expired && heartbeat.Incarnation <= m.newestMessage.incarnation
 }
 
 // acceptOvertaken accepts a heartbeat that a response to commands has overtaken. Its task
 // list is outdated, so it is not reconciled; but if it were refused, the worker would turn
 // to another controller.
 func (m *Machine) acceptOvertaken(heartbeat *wire.Heartbeat, now time.Time) {
-	m.latest.overtakenSequence = heartbeat.Sequence
+	m.newestMessage.overtakenSequence = heartbeat.Sequence
 	m.lease.lastAnswered = now
 }
 
@@ -115,7 +115,7 @@
 	if lease.answeredSince.IsZero() || now.Sub(lease.lastAnswered) > leaseDuration {
 		lease.answeredSince = now
 	}
-	if heartbeat.Incarnation <= machine.latest.incarnation {
+	if heartbeat.Incarnation <= machine.newestMessage.incarnation {
 		return
 	}
 	answeredThroughout := now.Sub(lease.answeredSince) >= leaseDuration
@@ -170,17 +170,17 @@
 // It does not renew the lease, which only responses to heartbeats do.
 func (p *Partition) HandleCommandResponse(response *wire.Heartbeat, now time.Time) {
 	machine := p.machines.get(response.Machine)
-	if machine == nil || machine.isSuperseded(response) || machine.latest.isStale(response) {
+	if machine == nil || machine.isSuperseded(response) || machine.newestMessage.isStale(response) {
 		return
 	}
-	if machine.token.everAcknowledged && response.Incarnation > machine.latest.incarnation {
+	if machine.token.everAcknowledged && response.Incarnation > machine.newestMessage.incarnation {
 		// The worker's lease expired, and no heartbeat of the new incarnation has
 		// arrived. If tasks were placed in the new incarnation now, ExpireLeases would
 		// free them along with those of the old one, a lease too early: it counts the
 		// lease from the last answered heartbeat.
 		return
 	}
-	machine.latest.recordResponse(response)
+	machine.newestMessage.recordResponse(response)
 	p.acknowledgeToken(machine, response, now)
 	p.reconcileTasks(machine, response, now)
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -262,9 +262,9 @@
 		t.Error("the lease has not expired")
 	}
 	verdict := harness.handle(newHeartbeat(2, 51, machine.token.current))
-	if verdict != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
+	if verdict != HeartbeatAccepted || machine.lease.expired || machine.newestMessage.incarnation != 2 {
 		t.Errorf("verdict %v, lease expired %v, incarnation %d after the first heartbeat of incarnation 2",
-			verdict, machine.lease.expired, machine.latest.incarnation)
+			verdict, machine.lease.expired, machine.newestMessage.incarnation)
 	}
 }
 
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -15,9 +15,9 @@
 	taskDone
 )
 
-// capacityNeverSearched is the capacity version of a job for which no search for machines has
+// noFailedSearch is the capacity version of a job for which no search for machines has
 // failed since it was added or lost a task. Partition.capacityVersion is never below 0.
-const capacityNeverSearched = -1
+const noFailedSearch = -1
 
 // Job is a job that has not ended, with the state of its tasks.
 type Job struct {
@@ -26,14 +26,14 @@
 	Revision    uint64 // of the job's record
 	Cancelled   bool   // its cancellation is committed
 
-	taskStates     []taskState
-	chunks         []*chunk // the records of the tasks, in order
-	placements     map[int]*Placement
-	waitingTasks   int // number of tasks in state taskWaiting
-	doneTasks      int // number of tasks in state taskDone
-	highestAttempt uint64
-	seenRunning    bool // a task was seen running under this owner
-	finalized      bool // its end is committed; its records may remain to be deleted
+	taskStates      []taskState
+	chunks          []*chunk // the records of the tasks, in order
+	placements      map[int]*Placement
+	waitingTasks    int // number of tasks in state taskWaiting
+	doneTasks       int // number of tasks in state taskDone
+	highestAttempt  uint64
+	observedRunning bool // a task was seen running under this owner
+	finalized       bool // its end is committed; its records may remain to be deleted
 
 	// gangBroken: the gang lost a task. Its next attempt has to wait until all of its
 	// placements are gone.
@@ -42,10 +42,10 @@
 	failures        jobFailures
 	replicaRestarts map[int]replicaRestart // of replicas that ended soon after their start
 
-	// noCapacityVersion is the capacity version at which no machine was found for the
+	// failedSearchVersion is the capacity version at which no machine was found for the
 	// job. The search is repeated only after the capacity has changed.
-	noCapacityVersion int
-	reservedUntil     time.Time // until then machines are reserved for the job
+	failedSearchVersion int
+	reservedUntil       time.Time // until then machines are reserved for the job
 
 	preemption preemptionState
 	cycle      cycleState
@@ -66,13 +66,13 @@
 // newJob returns a job whose tasks are all waiting. The caller sets its chunks.
 func newJob(description *wire.Job, submittedAt time.Time, revision uint64) *Job {
 	return &Job{
-		Job:               description,
-		SubmittedAt:       submittedAt,
-		Revision:          revision,
-		taskStates:        make([]taskState, description.Tasks),
-		waitingTasks:      description.Tasks,
-		placements:        map[int]*Placement{},
-		noCapacityVersion: capacityNeverSearched,
+		Job:                 description,
+		SubmittedAt:         submittedAt,
+		Revision:            revision,
+		taskStates:          make([]taskState, description.Tasks),
+		waitingTasks:        description.Tasks,
+		placements:          map[int]*Placement{},
+		failedSearchVersion: noFailedSearch,
 	}
 }
 
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -128,7 +128,7 @@
 				continue
 			}
 			cause := causes.Draw(test.t, "cause")
-			test.owner.endTask(id, key.task, key.attempt, cause)
+			test.owner.setTaskExited(id, key.task, key.attempt, cause)
 			test.ended[key.task] = test.ended[key.task] || cause == wire.ExitDone
 		}
 		test.owner.sendHeartbeat(id)
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -19,17 +19,17 @@
 	allocated   resource.Vector
 	assignedAt  time.Time // when this owner first read its record
 
-	latest  messageOrder
-	token   tokenState
-	lease   leaseState
-	command commandState
+	newestMessage messageOrder
+	token         tokenState
+	lease         leaseState
+	command       commandState
 
 	terminationNotice bool // the cloud has announced that it will reclaim the machine
 	quarantined       bool // too many jobs failed here in a row
 
 	placements     map[taskAttempt]*Placement
 	pendingForgets map[taskAttempt]pendingForget
-	statusLists    uint64               // counts the task lists that were reconciled
+	taskListCount  uint64               // counts the task lists that were reconciled
 	cachedImages   map[string]time.Time // presumed contents of the worker's cache, with the last use
 	failedJobs     map[string]bool      // jobs that failed here since the last success
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// free returns the capacity that no placement uses.
-func (m *Machine) free() resource.Vector { return m.capacity.Sub(m.allocated) }
+// freeCapacity returns the capacity that no placement uses.
+func (m *Machine) freeCapacity() resource.Vector { return m.capacity.Sub(m.allocated) }
 
 // usable reports whether tasks may be placed on the machine.
 func (m *Machine) usable() bool {
@@ -77,8 +77,8 @@
 	})
 }
 
-// wantsImage reports whether a task placed on the machine needs the image.
-func (m *Machine) wantsImage(image string) bool {
+// needsImage reports whether a task placed on the machine needs the image.
+func (m *Machine) needsImage(image string) bool {
 	for _, placement := range m.placements {
 		if placement.job.Image == image {
 			return true
@@ -130,15 +130,15 @@
 func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
 	releasable := map[string]records.MachineRecord{}
 	for _, machine := range p.machines.all() {
-		if machine.mayBeReleased() {
+		if machine.releasable() {
 			releasable[machine.ID] = releasedRecord(machine.Record)
 		}
 	}
 	return releasable
 }
 
-// mayBeReleased reports whether the machine is to be released and is drained.
-func (m *Machine) mayBeReleased() bool {
+// releasable reports whether the machine is to be released and is drained.
+func (m *Machine) releasable() bool {
 	if m.Record.Desired == records.DesiredInService || m.Record.Released {
 		return false
 	}
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -22,8 +22,8 @@
 
 	jobs  map[string]*Job
 	teams map[string]*quota.Team
-	// finishedJobs have ended, but some of their records remain to be deleted.
-	finishedJobs    []*Job
+	// finalizedJobs have ended, but some of their records remain to be deleted.
+	finalizedJobs   []*Job
 	cancelledJobIDs map[string]bool // by the last listing, those of jobs not added yet included
 	tombstones      tombstones
 
@@ -31,11 +31,11 @@
 
 	// capacityVersion counts the changes of free capacity, scheduledVersion is its value
 	// at the end of the last scheduling cycle.
-	capacityVersion   int
-	scheduledVersion  int
-	candidates        []*Machine // machines with free capacity when the cycle began
-	cycleTime         time.Time  // when the current cycle began
-	lastConsolidation time.Time
+	capacityVersion    int
+	scheduledVersion   int
+	candidates         []*Machine // machines with free capacity when the cycle began
+	cycleStartedAt     time.Time  // when the current cycle began
+	lastConsolidatedAt time.Time
 
 	layout     chunkLayout
 	journal    journal
@@ -44,7 +44,7 @@
 
 // Counters count what a partition has done under this owner.
 type Counters struct {
-	Started          int // placements made
+	Placed           int // placements made
 	Finished         int // tasks completed
 	Requeued         int // placements that ended without a result
 	Preempted        int // placements stopped for others
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -22,10 +22,10 @@
 	start       startState
 	stopRequest *stopRequest // nil: it is not to be stopped
 
-	state          wire.TaskState // as last reported
-	lastStatusList uint64         // number of the machine's last task list that contained it
-	runningSince   time.Time      // when it was first seen running
-	imageFetched   bool           // the worker is known to have its image
+	state              wire.TaskState // as last reported
+	lastTaskListNumber uint64         // number of the machine's last task list that contained it
+	runningSince       time.Time      // when it was first seen running
+	imageFetched       bool           // the worker is known to have its image
 
 	// gangDone: its gang is done, and only the worker has yet to report its end.
 	gangDone bool
@@ -118,28 +118,28 @@
 		return // it was detached before
 	}
 	delete(job.placements, placement.task)
-	placement.machine.remove(placement)
+	placement.machine.removePlacement(placement)
 	team := p.team(job.Team)
 	team.Allocated = team.Allocated.Sub(resource.TaskRequest(job.Job))
 	if job.taskStates[placement.task] == taskPlaced {
 		job.taskStates[placement.task] = taskWaiting
 		job.waitingTasks++
 		p.Counters.Requeued++
-		job.noCapacityVersion = capacityNeverSearched
+		job.failedSearchVersion = noFailedSearch
 	}
 	p.journal.markDirty(placement.chunk(), placement.task)
 	p.capacityVersion++
 }
 
-// remove drops a placement from the machine.
-func (m *Machine) remove(placement *Placement) {
+// removePlacement drops a placement from the machine.
+func (m *Machine) removePlacement(placement *Placement) {
 	job := placement.job
 	delete(m.placements, placement.taskAttempt())
 	m.allocated = m.allocated.Sub(resource.TaskRequest(job.Job))
 	if len(m.placements) == 0 {
 		m.allocated = resource.Vector{} // without rounding errors
 	}
-	if !placement.imageFetched && !m.wantsImage(job.Image) {
+	if !placement.imageFetched && !m.needsImage(job.Image) {
 		// The worker stops fetching an image for which no task waits.
 		delete(m.cachedImages, job.Image)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -10,10 +10,10 @@
 
 // preemptionState is the progress of preemption for a job.
 type preemptionState struct {
-	lastSearch    time.Time // for work to preempt
-	lastPreempted time.Time // when work was last preempted for the job
-	// awaiting: tasks are being stopped for the job, so no machine needs to be rented for it.
-	awaiting bool
+	lastSearchAt    time.Time // for work to preempt
+	lastPreemptedAt time.Time // when work was last preempted for the job
+	// inProgress: tasks are being stopped for the job, so no machine needs to be rented for it.
+	inProgress bool
 }
 
 // preempt stops work of lower priority, or what another team runs beyond its guarantee, for
@@ -22,14 +22,14 @@
 	if !p.maySearchPreemption(job, now) {
 		return
 	}
-	job.preemption.lastSearch = now
+	job.preemption.lastSearchAt = now
 	afterPreemption := func(machine *Machine) resource.Vector { return p.capacityAfterPreemption(job, machine) }
 	machines := p.findMachines(job, count, now, p.machines.all(), afterPreemption)
-	if !job.canStartOn(machines, count) {
+	if !job.canBePlacedOn(machines, count) {
 		return
 	}
-	job.preemption.lastPreempted = now
-	job.preemption.awaiting = true
+	job.preemption.lastPreemptedAt = now
+	job.preemption.inProgress = true
 	tasks := countByMachine(machines)
 	for _, machine := range machines {
 		if tasks[machine] > 0 {
@@ -44,10 +44,10 @@
 	if !job.mayPreempt() {
 		return false
 	}
-	if now.Sub(job.preemption.lastPreempted) < tuning.Seconds(p.tuning.PreemptGapS) {
+	if now.Sub(job.preemption.lastPreemptedAt) < tuning.Seconds(p.tuning.PreemptGapS) {
 		return false
 	}
-	return now.Sub(job.preemption.lastSearch) >= tuning.Seconds(p.tuning.SearchGapS)
+	return now.Sub(job.preemption.lastSearchAt) >= tuning.Seconds(p.tuning.SearchGapS)
 }
 
 // countByMachine counts how often each machine is listed.
@@ -62,7 +62,7 @@
 // capacityAfterPreemption returns a machine's free capacity for a job once everything that
 // the job may preempt is gone.
 func (p *Partition) capacityAfterPreemption(job *Job, machine *Machine) resource.Vector {
-	capacity := machine.free()
+	capacity := machine.freeCapacity()
 	for _, placement := range machine.placements {
 		if p.preemptible(placement, job) {
 			capacity = capacity.Add(resource.TaskRequest(placement.job.Job))
@@ -75,7 +75,7 @@
 // and reserves the machine for the job until the stopped work has left.
 func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
 	needed := resource.TaskRequest(job.Job).Scale(tasks)
-	available := machine.freeAfterStops()
+	available := machine.freeCapacityAfterStops()
 	graceS := 0.0
 	for _, placement := range p.victims(job, machine, now) {
 		if available.Contains(needed) {
@@ -95,10 +95,10 @@
 	machine.reserve(job.ID, now.Add(tuning.Seconds(graceS+p.tuning.GraceS+p.heartbeatToleranceS())))
 }
 
-// freeAfterStops returns the machine's free capacity once the placements that are being
+// freeCapacityAfterStops returns the machine's free capacity once the placements that are being
 // stopped are gone.
-func (m *Machine) freeAfterStops() resource.Vector {
-	capacity := m.free()
+func (m *Machine) freeCapacityAfterStops() resource.Vector {
+	capacity := m.freeCapacity()
 	for _, placement := range m.placements {
 		if placement.stopRequest != nil {
 			capacity = capacity.Add(resource.TaskRequest(placement.job.Job))
@@ -157,5 +157,5 @@
 // isProtected reports whether a placement was forced and has not run long enough for its start
 // to count.
 func (p *Partition) isProtected(placement *Placement) bool {
-	return placement.preemptionProtected && !p.countsAsStarted(placement, p.cycleTime)
+	return placement.preemptionProtected && !p.countsAsStarted(placement, p.cycleStartedAt)
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -16,13 +16,13 @@
 // The size of a usual machine replaces a guarantee that a team does not have: a team that uses
 // one such machine counts as having used its fair share once.
 const (
-	usualMachineGPUs = 8
-	usualMachineCPUs = 64
+	referenceMachineGPUs = 8
+	referenceMachineCPUs = 64
 )
 
-// gpuShareStarveFactor is the multiple of StarveS after which a job without GPUs may take
+// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may take
 // CPUs and memory that belong to the free GPUs of a machine.
-const gpuShareStarveFactor = 2
+const ignoreGPUShareStarveFactor = 2
 
 // teamQueue is the queue of a team's jobs with tasks to place, by precedence.
 type teamQueue struct {
@@ -37,14 +37,14 @@
 	team := q.team
 	guaranteedGPUs := team.GPUs
 	if guaranteedGPUs <= 0 {
-		guaranteedGPUs = usualMachineGPUs
+		guaranteedGPUs = referenceMachineGPUs
 	}
 	ratio := max(0, team.Allocated.GPUs/guaranteedGPUs)
 	switch {
 	case team.CPUs > 0:
 		ratio = max(ratio, team.Allocated.CPUs/team.CPUs)
 	case team.GPUs == 0:
-		ratio = max(ratio, team.Allocated.CPUs/usualMachineCPUs)
+		ratio = max(ratio, team.Allocated.CPUs/referenceMachineCPUs)
 	}
 	return ratio
 }
@@ -61,7 +61,7 @@
 			return order < 0
 		}
 	}
-	return p.compareTurn(job, otherJob) < 0
+	return p.compareWithinUrgency(job, otherJob) < 0
 }
 
 // fairShareStep returns the queue's fair share ratio in steps of LoadStep. If ratios were
@@ -75,7 +75,7 @@
 	if order := compareUrgency(a, b); order != 0 {
 		return order
 	}
-	return p.compareTurn(a, b)
+	return p.compareWithinUrgency(a, b)
 }
 
 // compareUrgency orders jobs by what takes precedence over size and fair share; negative: a
@@ -107,24 +107,24 @@
 	return 1
 }
 
-// compareTurn orders jobs of the same urgency; negative: a goes first. Starved jobs go by
+// compareWithinUrgency orders jobs of the same urgency; negative: a goes first. Starved jobs go by
 // age, others by when their turn is.
-func (p *Partition) compareTurn(a, b *Job) int {
+func (p *Partition) compareWithinUrgency(a, b *Job) int {
 	if a.cycle.starved && b.cycle.starved {
 		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
 			return order
 		}
 	}
-	if order := p.turnAt(a).Compare(p.turnAt(b)); order != 0 {
+	if order := p.precedenceTime(a).Compare(p.precedenceTime(b)); order != 0 {
 		return order
 	}
 	return strings.Compare(a.ID, b.ID)
 }
 
-// turnAt returns when a job's turn is. Without a deadline, jobs with little work left come
+// precedenceTime returns when a job's turn is. Without a deadline, jobs with little work left come
 // before those with much: that completes the most jobs in good time, and age still
 // prevails in the end.
-func (p *Partition) turnAt(job *Job) time.Time {
+func (p *Partition) precedenceTime(job *Job) time.Time {
 	switch {
 	case job.IsService():
 		return job.SubmittedAt
@@ -145,7 +145,7 @@
 		slices.SortFunc(jobs, compareSubmission)
 		p.updateGuarantees(team, jobs)
 		for _, job := range jobs {
-			p.updateWaiting(job, now)
+			p.updateAgeClaims(job, now)
 		}
 		queue := &teamQueue{team: team, jobs: p.placeableJobs(jobs, now)}
 		if len(queue.jobs) > 0 {
@@ -177,31 +177,31 @@
 // updateGuarantees sets which of a team's jobs, sorted from the oldest, its guarantee covers
 // together with all older ones.
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
-	var total resource.Vector
+	var unfinishedTotal resource.Vector
 	for _, job := range jobs {
 		unfinished := resource.TaskRequest(job.Job).Scale(job.Tasks - job.doneTasks)
-		total = total.Add(unfinished)
-		job.cycle.withinGuarantee = team.WithinGuarantee(total)
+		unfinishedTotal = unfinishedTotal.Add(unfinished)
+		job.cycle.withinGuarantee = team.WithinGuarantee(unfinishedTotal)
 	}
 }
 
-// updateWaiting sets what a job may claim by how long it has waited, and whether machines
+// updateAgeClaims sets what a job may claim by how long it has waited, and whether machines
 // without GPUs could run it.
-func (p *Partition) updateWaiting(job *Job, now time.Time) {
+func (p *Partition) updateAgeClaims(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
-	waitsForFirstStart := !job.begun()
+	waitsForFirstStart := !job.hasStarted()
 	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
 	job.cycle.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
 	job.cycle.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
-	job.cycle.ignoresGPUShare = age > tuning.Seconds(gpuShareStarveFactor*p.tuning.StarveS)
+	job.cycle.ignoresGPUShare = age > tuning.Seconds(ignoreGPUShareStarveFactor*p.tuning.StarveS)
 	job.cycle.cpuOnlyTypeFits = job.GPUs == 0 &&
 		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
 
-// begun reports whether the job has had its first start. Placements of a gang do not count
+// hasStarted reports whether the job has had its first start. Placements of a gang do not count
 // before one has been seen running, since all of them may still be abandoned.
-func (j *Job) begun() bool {
-	if j.seenRunning || j.doneTasks > 0 {
+func (j *Job) hasStarted() bool {
+	if j.observedRunning || j.doneTasks > 0 {
 		return true
 	}
 	return !j.IsGang() && len(j.placements) > 0
@@ -211,10 +211,10 @@
 func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
 	var placeable []*Job
 	for _, job := range jobs {
-		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.failures.retryAt) {
+		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.failures.notBefore) {
 			continue
 		}
-		job.cycle.imageFetchS = p.shortestImageFetch(job)
+		job.cycle.imageFetchS = p.shortestImageFetchSeconds(job)
 		placeable = append(placeable, job)
 	}
 	slices.SortStableFunc(placeable, p.compareInQueue)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -21,7 +21,7 @@
 
 // reconcileTasks compares the task list of a worker's message with the machine's placements.
 func (p *Partition) reconcileTasks(machine *Machine, message *wire.Heartbeat, now time.Time) {
-	machine.statusLists++
+	machine.taskListCount++
 	for i := range message.Tasks {
 		p.reconcileTask(machine, message.Incarnation, &message.Tasks[i], now)
 	}
@@ -36,7 +36,7 @@
 	if placement == nil {
 		return
 	}
-	placement.lastStatusList = machine.statusLists
+	placement.lastTaskListNumber = machine.taskListCount
 	if placement.incarnation > incarnation {
 		return // the status is from before the placement
 	}
@@ -45,7 +45,7 @@
 		p.updateLiveTask(placement, status.State, now)
 		return
 	}
-	p.taskExited(placement, status.ExitCause, now)
+	p.handleTaskExit(placement, status.ExitCause, now)
 	machine.pendingForgets[key] = pendingForget{
 		job:          placement.job,
 		task:         placement.task,
@@ -59,7 +59,7 @@
 	firstSeenRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
 	if state == wire.TaskRunning && firstSeenRunning {
 		placement.runningSince = now
-		job.seenRunning = true
+		job.observedRunning = true
 	}
 	placement.state = state
 	placement.machine.cachedImages[job.Image] = now
@@ -114,7 +114,7 @@
 // order. Usually there are none, since most heartbeats report no change.
 func (m *Machine) unlistedTasks() []taskAttempt {
 	return m.selectPlacements(func(placement *Placement) bool {
-		return placement.lastStatusList != m.statusLists
+		return placement.lastTaskListNumber != m.taskListCount
 	})
 }
 
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -208,7 +208,7 @@
 		// The tasks of a gang complete together. The other ends may not have been
 		// committed when the earlier owner stopped, and the tasks that seem to be left
 		// could never be placed again.
-		p.finishGang(job)
+		p.markGangDone(job)
 	}
 	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
 	job.gangBroken = job.IsGang() && job.doneTasks == 0 && partlyPlaced
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -52,23 +52,23 @@
 func (h *partitionHarness) completeTasks(id string) {
 	h.sendHeartbeat(id)
 	for _, key := range sortedTaskAttempts(h.machines.get(id).placements) {
-		h.endTask(id, key.task, key.attempt, wire.ExitDone)
+		h.setTaskExited(id, key.task, key.attempt, wire.ExitDone)
 	}
 	h.sendHeartbeat(id)
 }
 
-// encodedBytes returns a value's size in the protocol's measure, as JSON.
-func encodedBytes(t *testing.T, value any) int {
+// encodedSize returns a value's size in the protocol's measure, as JSON.
+func encodedSize(t *testing.T, value any) int {
 	t.Helper()
-	size := encodedBytesOrZero(value)
+	size := encodedSizeOrZero(value)
 	if size == 0 {
 		t.Fatalf("%v can't be encoded", value)
 	}
 	return size
 }
 
-// encodedBytesOrZero is encodedBytes; 0 for what can't be encoded.
-func encodedBytesOrZero(value any) int {
+// encodedSizeOrZero is encodedBytes; 0 for what can't be encoded.
+func encodedSizeOrZero(value any) int {
 	raw, err := wire.Marshal(value)
 	if err != nil {
 		return 0
@@ -97,11 +97,11 @@
 		job.Class, job.Team, job.Image = longName, longName, longName
 		harness.addJob(job)
 	}
-	for round := range 3 {
+	for cycle := range 3 {
 		harness.Schedule(harness.now)
 		commitWithinLimits(t, harness)
 		checkSummarySize(t, harness)
-		for _, machine := range harness.machines.all()[:300*(round+1)] {
+		for _, machine := range harness.machines.all()[:300*(cycle+1)] {
 			harness.completeTasks(machine.ID)
 		}
 	}
@@ -129,7 +129,7 @@
 			FencingToken: 1 << 40,
 		}
 	}
-	if size := encodedBytes(t, records.MachineGroupRecord{Machines: group}); size > harness.valueLimit() {
+	if size := encodedSize(t, records.MachineGroupRecord{Machines: group}); size > harness.valueLimit() {
 		t.Errorf("a group of %d bytes", size)
 	}
 }
@@ -144,12 +144,12 @@
 		if batch.Empty() {
 			return
 		}
-		size, writes, compares := encodedBytes(t, batch.Txn), len(batch.Txn.Writes), len(batch.Txn.Compares)
+		size, writes, compares := encodedSize(t, batch.Txn), len(batch.Txn.Writes), len(batch.Txn.Compares)
 		if size > 64<<10 || writes > maxOps || compares > 4*maxOps {
 			t.Fatalf("a transaction of %d bytes, %d writes, %d compares", size, writes, compares)
 		}
 		for _, write := range batch.Txn.Writes {
-			if size := encodedBytes(t, write.Value); size > harness.valueLimit() {
+			if size := encodedSize(t, write.Value); size > harness.valueLimit() {
 				t.Fatalf("%s has %d bytes", write.Put, size)
 			}
 		}
@@ -163,17 +163,17 @@
 	t.Helper()
 	summary := harness.Summary(harness.now)
 	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
-		if size := encodedBytes(t, digests); size > harness.valueLimit() {
+		if size := encodedSize(t, digests); size > harness.valueLimit() {
 			t.Fatalf("digests of %d bytes", size)
 		}
 	}
-	if size := encodedBytes(t, summary); size > harness.valueLimit() || len(summary.Waiting) == 0 {
+	if size := encodedSize(t, summary); size > harness.valueLimit() || len(summary.Waiting) == 0 {
 		t.Fatalf("a summary of %d bytes with %d demands", size, len(summary.Waiting))
 	}
 }
 
 // Once the key-value store has refused a commit as invalid, smaller ones are offered.
-func TestCommitsShrinkAfterInvalidOne(t *testing.T) {
+func TestBatchesShrinkAfterLimitsAreReduced(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetLevel(records.FeatureExplicitChunks)
 	for i := range 40 {
@@ -186,11 +186,11 @@
 	harness.ReduceLimits()
 	after := harness.PrepareBatch()
 	for _, write := range after.Txn.Writes {
-		if size := encodedBytesOrZero(write.Value); size > 2<<10 {
+		if size := encodedSizeOrZero(write.Value); size > 2<<10 {
 			t.Errorf("%s has %d bytes", write.Put, size)
 		}
 	}
-	sizeBefore := encodedBytesOrZero(before.Txn.Writes[0].Value)
+	sizeBefore := encodedSizeOrZero(before.Txn.Writes[0].Value)
 	if sizeBefore <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
 		t.Errorf("a value of %d bytes before, %d writes after", sizeBefore, len(after.Txn.Writes))
 	}
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -14,7 +14,7 @@
 
 // Placement is checked against a naive check of every constraint, and of nothing being left
 // waiting that would fit.
-func TestPlacementAgainstNaive(t *testing.T) {
+func TestPlacementMeetsConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		harness := newPartitionHarness()
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
@@ -28,13 +28,13 @@
 		for _, job := range harness.jobs {
 			checkMachinesAllowed(t, job)
 			checkZones(t, job)
-			checkGangWhole(t, job)
+			checkGangAllOrNone(t, job)
 		}
 		used := harness.usedByMachine()
 		checkCapacity(t, harness, used)
 		checkTeamLimit(t, harness)
 		for _, job := range harness.jobs {
-			checkNothingWaitsThatFits(t, harness, job, used)
+			checkNoFittingTaskWaits(t, harness, job, used)
 		}
 	})
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-func checkGangWhole(t *rapid.T, job *Job) {
+func checkGangAllOrNone(t *rapid.T, job *Job) {
 	t.Helper()
 	placed := len(job.placements)
 	if job.IsGang() && placed != 0 && placed != job.Tasks {
@@ -150,9 +150,9 @@
 	}
 }
 
-// checkNothingWaitsThatFits leaves out jobs whose tasks have to be placed with regard to each
+// checkNoFittingTaskWaits leaves out jobs whose tasks have to be placed with regard to each
 // other.
-func checkNothingWaitsThatFits(t *rapid.T, harness *partitionHarness, job *Job, used map[string]resource.Vector) {
+func checkNoFittingTaskWaits(t *rapid.T, harness *partitionHarness, job *Job, used map[string]resource.Vector) {
 	t.Helper()
 	request := resource.TaskRequest(job.Job)
 	if job.waitingTasks == 0 || job.IsGang() || job.SingleZone || job.SpreadZones {
@@ -196,7 +196,7 @@
 		harness.addJob(wholeMachineJob("req-2", "y"))
 		harness.now = harness.now.Add(c.headStart)
 		harness.addJob(wholeMachineJob("req-3", "x"))
-		harness.endTask("m-1", "req-1/0", 1, wire.ExitDone)
+		harness.setTaskExited("m-1", "req-1/0", 1, wire.ExitDone)
 		harness.sendHeartbeat("m-1")
 		harness.Schedule(harness.now)
 		for _, id := range []string{"req-2", "req-3"} {
@@ -221,7 +221,7 @@
 		for _, placement := range sortedPlacements(harness.jobs["req-1"]) {
 			id := placement.machine.ID
 			harness.sendHeartbeat(id)
-			harness.endTask(id, "req-1/0", placement.attempt, wire.ExitError)
+			harness.setTaskExited(id, "req-1/0", placement.attempt, wire.ExitError)
 			harness.sendHeartbeat(id)
 		}
 	}
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -14,8 +14,8 @@
 // a year is more than any other work takes, and a number with which sums stay exact.
 const replicaRunS = 365 * 24 * 3600.0
 
-// runSeconds returns how long a task is expected to run.
-func runSeconds(job *wire.Job) float64 {
+// expectedRunSeconds returns how long a task is expected to run.
+func expectedRunSeconds(job *wire.Job) float64 {
 	if job.IsService() {
 		return replicaRunS
 	}
@@ -28,9 +28,9 @@
 	backoffS  float64
 }
 
-// replicaEnded records the end of a replica that was not stopped. One that ended soon after
+// handleReplicaExit records the end of a replica that was not stopped. One that ended soon after
 // its start waits before it is restarted, longer each time.
-func (p *Partition) replicaEnded(placement *Placement, now time.Time) {
+func (p *Partition) handleReplicaExit(placement *Placement, now time.Time) {
 	job := placement.job
 	if p.countsAsStarted(placement, now) {
 		delete(job.replicaRestarts, placement.task)
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -42,12 +42,12 @@
 	harness.sendHeartbeat("m-1") // started
 	harness.sendHeartbeat("m-1") // shown as running
 	if got := harness.sendTerminationNotice("m-1"); len(got) != 0 {
-		t.Fatalf("with no capacity elsewhere: %v", commandTexts(got))
+		t.Fatalf("with no capacity elsewhere: %v", formatCommands(got))
 	}
 	harness.addMachine("m-2", "cpu", "a", false)
 	got := harness.sendTerminationNotice("m-1")
 	if len(got) != 1 || got[0].Op != wire.StopTask {
-		t.Fatalf("with capacity on another machine: %v", commandTexts(got))
+		t.Fatalf("with capacity on another machine: %v", formatCommands(got))
 	}
 }
 
@@ -57,7 +57,7 @@
 	harness := newPartitionHarness()
 	harness.addJob(newServiceJob("req-1", 5, 8)) // a machine each
 	input := autoscaler.Input{
-		MachineTypes: testTypes,
+		MachineTypes: testMachineTypes,
 		Summaries:    map[int]records.PartitionSummary{0: harness.Summary(harness.now)},
 	}
 	plan := autoscaler.New(harness.tuning).Plan(input, harness.now)
@@ -70,9 +70,9 @@
 	}
 }
 
-// commitMeasuring commits all changes to the key-value store, and returns the size in bytes of
+// commitAndMeasure commits all changes to the key-value store, and returns the size in bytes of
 // the largest record.
-func (h *partitionHarness) commitMeasuring() int {
+func (h *partitionHarness) commitAndMeasure() int {
 	largest := 0
 	for {
 		batch := h.PrepareBatch()
@@ -80,7 +80,7 @@
 			return largest
 		}
 		for _, write := range batch.Txn.Writes {
-			largest = max(largest, encodedBytesOrZero(write.Value))
+			largest = max(largest, encodedSizeOrZero(write.Value))
 		}
 		h.revision++
 		h.ConfirmBatch(batch, h.revision)
@@ -89,7 +89,7 @@
 
 // A service that runs for long, and whose replicas end thousands of times, takes no more
 // memory and no larger records than at first.
-func TestLongLivedServiceStaysSmall(t *testing.T) {
+func TestLongLivedServiceUsesBoundedState(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.journal.slotRevisions = make([]uint64, testJournalSlots)
 	harness.SetLevel(records.FeatureExplicitChunks)
@@ -98,11 +98,11 @@
 	largest := 0
 	for range 2000 {
 		harness.Schedule(harness.now)
-		largest = max(largest, harness.commitMeasuring())
+		largest = max(largest, harness.commitAndMeasure())
 		harness.sendHeartbeat("m-1")
 		harness.sendHeartbeat("m-1")
 		for _, key := range sortedTaskAttempts(harness.machines.get("m-1").placements) {
-			harness.endTask("m-1", key.task, key.attempt, wire.ExitDone)
+			harness.setTaskExited("m-1", key.task, key.attempt, wire.ExitDone)
 		}
 		harness.now = harness.now.Add(10 * time.Minute)
 		harness.sendHeartbeat("m-1")
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -12,9 +12,9 @@
 	// task may take to be reported as stopped: one until the command leaves, and one until
 	// the worker reports the exit.
 	stopDeliveryHeartbeats = 2
-	// imageFetchAllowance is how many times the duration of a fetch at the machine type's
+	// imageFetchTimeFactor is how many times the duration of a fetch at the machine type's
 	// rate a gang's image may take.
-	imageFetchAllowance = 2
+	imageFetchTimeFactor = 2
 )
 
 // requeue detaches a placement that ended without a result, and stops the rest of its gang.
@@ -119,7 +119,7 @@
 	case job.IsService():
 		// A running replica serves until the machine is reclaimed, unless another
 		// machine has the capacity for it.
-		if !running || len(p.findMachines(job, 1, now, p.machines.all(), (*Machine).free)) > 0 {
+		if !running || len(p.findMachines(job, 1, now, p.machines.all(), (*Machine).freeCapacity)) > 0 {
 			p.requestStop(placement, 0, now)
 		}
 	case !running || job.CheckpointIntervalS > 0:
@@ -127,11 +127,11 @@
 	}
 }
 
-// gangTimedOut handles a task of a gang that timed out waiting for the others. Those that
+// handleGangTimeout handles a task of a gang that timed out waiting for the others. Those that
 // still fetch their image continue until they have it, and the machines are reserved for the
 // gang, so that its next attempt starts at once. If they were stopped, they would have to
 // fetch again while the first task times out again, and so forever.
-func (p *Partition) gangTimedOut(placement *Placement, now time.Time) {
+func (p *Partition) handleGangTimeout(placement *Placement, now time.Time) {
 	job := placement.job
 	p.reserveMachineForGang(placement, now)
 	p.detach(placement)
@@ -152,7 +152,7 @@
 	for _, other := range job.placements {
 		rate := other.machine.machineType.ImageFetchGBPerS
 		if rate > 0 && !other.imageFetched {
-			fetchS = max(fetchS, imageFetchAllowance*job.ImageGB/rate)
+			fetchS = max(fetchS, imageFetchTimeFactor*job.ImageGB/rate)
 		}
 	}
 	placement.machine.reserve(job.ID, now.Add(tuning.Seconds(fetchS+p.heartbeatToleranceS())))
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -56,7 +56,7 @@
 	}
 	s.values[write.Put] = value
 	s.revisions[write.Put] = s.revision
-	s.largestValue = max(s.largestValue, encodedBytesOrZero(write.Value))
+	s.largestValue = max(s.largestValue, encodedSizeOrZero(write.Value))
 }
 
 // applyOldestLate applies the oldest late transaction.
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -176,7 +176,7 @@
 
 // unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
 func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
-	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
+	if job.preemption.inProgress && now.Sub(job.preemption.lastPreemptedAt).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted work is about to free the capacity
 	}
 	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
@@ -198,7 +198,7 @@
 		GPUs:          job.GPUs,
 		MemoryGB:      job.MemoryGB,
 		Tasks:         count,
-		EstimatedRunS: runSeconds(job.Job),
+		EstimatedRunS: expectedRunSeconds(job.Job),
 		Priority:      job.Priority.Value(),
 	}
 	if job.SpreadZones {
--- a/internal/scheduler/task_exit.go
+++ b/internal/scheduler/task_exit.go
@@ -6,20 +6,20 @@
 	"ambersill/internal/wire"
 )
 
-// taskExited records the exit of a placement's task, and requeues the task if it has no
+// handleTaskExit records the exit of a placement's task, and requeues the task if it has no
 // result.
-func (p *Partition) taskExited(placement *Placement, cause wire.ExitCause, now time.Time) {
+func (p *Partition) handleTaskExit(placement *Placement, cause wire.ExitCause, now time.Time) {
 	if impliesImageFetched(cause) {
 		placement.imageFetched = true
 	}
 	switch cause {
 	case wire.ExitDone:
-		p.taskSucceeded(placement, now)
+		p.handleTaskSuccess(placement, now)
 	case wire.ExitError:
-		p.taskFailed(placement, now)
+		p.handleTaskFailure(placement, now)
 	case wire.ExitGangIncomplete:
 		p.Counters.GangTimeouts++
-		p.gangTimedOut(placement, now)
+		p.handleGangTimeout(placement, now)
 	default:
 		p.requeue(placement, now)
 	}
@@ -36,48 +36,48 @@
 	}
 }
 
-// taskSucceeded records that a task completed. A service's replica is to run until its job
+// handleTaskSuccess records that a task completed. A service's replica is to run until its job
 // is cancelled, so it is started again.
-func (p *Partition) taskSucceeded(placement *Placement, now time.Time) {
+func (p *Partition) handleTaskSuccess(placement *Placement, now time.Time) {
 	job := placement.job
 	clear(placement.machine.failedJobs)
 	if job.IsService() {
-		p.replicaEnded(placement, now)
+		p.handleReplicaExit(placement, now)
 		p.requeue(placement, now)
 		return
 	}
 	job.failures.resetBackoff()
 	if job.IsGang() {
-		p.finishGang(job)
+		p.markGangDone(job)
 	} else {
-		p.finishTask(job, placement.task)
+		p.markTaskDone(job, placement.task)
 	}
 	p.detach(placement)
 }
 
-// taskFailed records that a task exited with an error, and requeues it.
-func (p *Partition) taskFailed(placement *Placement, now time.Time) {
+// handleTaskFailure records that a task exited with an error, and requeues it.
+func (p *Partition) handleTaskFailure(placement *Placement, now time.Time) {
 	job := placement.job
 	if job.IsService() {
-		p.replicaEnded(placement, now)
+		p.handleReplicaExit(placement, now)
 	}
 	p.recordFailure(job, placement.machine, now)
 	p.requeue(placement, now)
 }
 
-// finishGang ends a gang. Its tasks complete together, so the others are done even if their
+// markGangDone ends a gang. Its tasks complete together, so the others are done even if their
 // machines are lost before they can report it.
-func (p *Partition) finishGang(job *Job) {
+func (p *Partition) markGangDone(job *Job) {
 	for i := range job.taskStates {
-		p.finishTask(job, i)
+		p.markTaskDone(job, i)
 	}
 	for _, other := range job.placements {
 		other.gangDone = true
 	}
 }
 
-// finishTask records that a task is done; one that is done already stays as it is.
-func (p *Partition) finishTask(job *Job, task int) {
+// markTaskDone records that a task is done; one that is done already stays as it is.
+func (p *Partition) markTaskDone(job *Job, task int) {
 	if job.taskStates[task] == taskDone {
 		return
 	}
--- a/internal/scheduler/tombstone_test.go
+++ b/internal/scheduler/tombstone_test.go
@@ -34,5 +34,5 @@
 func (h *partitionHarness) addAndFinalize(job *wire.Job) {
 	h.revision++
 	h.finalizeJob(h.AddJob(job, h.now, h.revision))
-	h.finishedJobs = h.finishedJobs[:0]
+	h.finalizedJobs = h.finalizedJobs[:0]
 }
