--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -36,7 +36,7 @@
 	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
 	}
-	slots := earliestSlots(job, count, p.forecastZones(job, now))
+	slots := earliestSlots(job, count, p.futureZones(job, now))
 	if slots == nil {
 		return
 	}
@@ -60,8 +60,8 @@
 	return z[name]
 }
 
-// forecastZones returns the capacity that machines will have for a job.
-func (p *Partition) forecastZones(job *Job, now time.Time) futureZones {
+// futureZones returns the capacity that machines will have for a job.
+func (p *Partition) futureZones(job *Job, now time.Time) futureZones {
 	zones := futureZones{}
 	for _, machine := range p.machines.all() {
 		if !machineUsableBy(job, machine) {
@@ -131,11 +131,11 @@
 // one, and so on, if nothing else is placed there.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	request := resource.TaskRequest(job.Job)
-	free := machine.freeCapacity()
+	freeCapacity := machine.freeCapacity()
 	var slots []futureSlot
 	addSlots := func(availableInS float64) {
-		for free.Contains(request) && len(slots) < job.Tasks {
-			free = free.Sub(request)
+		for freeCapacity.Contains(request) && len(slots) < job.Tasks {
+			freeCapacity = freeCapacity.Sub(request)
 			slots = append(slots, futureSlot{machine: machine, availableInS: availableInS})
 		}
 	}
@@ -144,7 +144,7 @@
 		if len(slots) == job.Tasks {
 			break
 		}
-		free = free.Add(end.request)
+		freeCapacity = freeCapacity.Add(end.request)
 		addSlots(end.endsInS)
 	}
 	return slots
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -73,6 +73,6 @@
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
 	}
-	latest := &pl.machine.newestMessage
-	return pl.incarnation == latest.incarnation && latest.heartbeatSequence > pl.start.heartbeatSequence
+	newestMessage := &pl.machine.newestMessage
+	return pl.incarnation == newestMessage.incarnation && newestMessage.heartbeatSequence > pl.start.heartbeatSequence
 }
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -130,15 +130,15 @@
 func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
 	releasable := map[string]records.MachineRecord{}
 	for _, machine := range p.machines.all() {
-		if machine.releasable() {
+		if machine.canBeReleased() {
 			releasable[machine.ID] = releasedRecord(machine.Record)
 		}
 	}
 	return releasable
 }
 
-// releasable reports whether the machine is to be released and is drained.
-func (m *Machine) releasable() bool {
+// canBeReleased reports whether the machine is to be released and is drained.
+func (m *Machine) canBeReleased() bool {
 	if m.Record.Desired == records.DesiredInService || m.Record.Released {
 		return false
 	}
