--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,4 +1,4 @@
-// Package scheduler places jobs' tasks on the machines of one partition, and decides which
-// commands the machines' workers get. It does no input or output and reads no clock; time is
-// passed in.
+// Package scheduler places the tasks of jobs on the machines of one partition and determines
+// the commands that are sent to the machines' workers. It performs no I/O and never reads the
+// clock: callers pass in the current time.
 package scheduler
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,7 +6,7 @@
 	"ambersill/internal/wire"
 )
 
-// taskState is the state of one of a job's tasks.
+// taskState is the scheduling state of a task.
 type taskState uint8
 
 const (
@@ -15,55 +15,57 @@
 	taskDone
 )
 
-// noFailedSearch is the capacity version of a job for which no search for machines has
-// failed since it was added or lost a task. Partition.capacityVersion is never below 0.
+// noFailedSearch is the value of Job.failedSearchVersion when no search for machines has failed
+// since the job was added or last had a task requeued. It differs from every value of
+// Partition.capacityVersion, which is at least 0.
 const noFailedSearch = -1
 
-// Job is a job that has not ended, with the state of its tasks.
+// Job is a job that has not ended, together with the state of its tasks.
 type Job struct {
 	*wire.Job
 	SubmittedAt time.Time
-	Revision    uint64 // of the job's record
-	Cancelled   bool   // its cancellation is committed
+	Revision    uint64 // revision of the job's record
+	Cancelled   bool   // the cancellation is committed
 
 	taskStates      []taskState
-	chunks          []*chunk // the records of the tasks, in order
+	chunks          []*chunk // chunks of the task state, in task order
 	placements      map[int]*Placement
 	waitingTasks    int // number of tasks in state taskWaiting
 	doneTasks       int // number of tasks in state taskDone
 	highestAttempt  uint64
-	observedRunning bool // a task was seen running under this owner
-	finalized       bool // its end is committed; its records may remain to be deleted
+	observedRunning bool // a task was reported as running since this node became the owner
+	finalized       bool // the end of the job is committed; some of its records may still have to be deleted
 
-	// gangBroken: the gang lost a task. Its next attempt has to wait until all of its
-	// placements are gone.
+	// gangBroken is set if the gang has lost a task. The next attempt may start only once
+	// no placement of the gang is left.
 	gangBroken bool
 
 	failures        jobFailures
-	replicaRestarts map[int]replicaRestart // of replicas that ended soon after their start
+	replicaRestarts map[int]replicaRestart // by task; only replicas that exited soon after their start
 
-	// failedSearchVersion is the capacity version at which no machine was found for the
-	// job. The search is repeated only after the capacity has changed.
+	// failedSearchVersion is the value of Partition.capacityVersion when the last search
+	// found no machines for the job. The search is not repeated until that value changes.
 	failedSearchVersion int
-	reservedUntil       time.Time // until then machines are reserved for the job
+	reservedUntil       time.Time // end of the job's gang reservation of machines
 
 	preemption preemptionState
 	cycle      cycleState
 }
 
-// cycleState is what a job may claim in a scheduling cycle. It depends on the time and on the
-// other jobs; buildQueues sets it.
+// cycleState contains the properties of a job that depend on the time and on other jobs. They
+// determine its precedence and the capacity that it may use. buildQueues computes them at the
+// start of each scheduling cycle.
 type cycleState struct {
-	imageFetchS     float64 // seconds that the image's fetch takes at least, where there is capacity
-	withinGuarantee bool    // fits the team's guarantee together with the team's earlier jobs
-	ignoresGPUShare bool    // has waited so long that it may take any capacity
-	cpuOnlyTypeFits bool    // machine types without GPUs are sufficient
-	starved         bool    // has waited so long for its first start that it precedes its equals
-	startOverdue    bool    // has waited so long that it precedes all other jobs
-	startForced     bool    // has waited so long that it takes any machine, and keeps it
+	imageFetchS     float64 // shortest image fetch, in seconds, on a machine with capacity for a task
+	withinGuarantee bool    // the team's guarantee covers the job and the team's older jobs
+	ignoresGPUShare bool    // is so old that it may use the CPUs and memory set aside for free GPUs
+	cpuOnlyTypeFits bool    // an allowed machine type without GPUs can run a task
+	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal urgency
+	startOverdue    bool    // has waited longer than OverdueS for its first start: precedes all other jobs
+	startForced     bool    // has waited longer than ForceS for its first start: may use empty machines, and is not preempted until it counts as started
 }
 
-// newJob returns a job whose tasks are all waiting. The caller sets its chunks.
+// newJob returns a job whose tasks are all waiting. The caller must set its chunks.
 func newJob(description *wire.Job, submittedAt time.Time, revision uint64) *Job {
 	return &Job{
 		Job:                 description,
@@ -76,7 +78,8 @@
 	}
 }
 
-// runningTasks counts the tasks that run, those that save a checkpoint included.
+// runningTasks returns the number of running tasks, including those that are saving a
+// checkpoint.
 func (j *Job) runningTasks() int {
 	running := 0
 	for _, placement := range j.placements {
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -9,31 +9,31 @@
 	"ambersill/internal/wire"
 )
 
-// Machine is a machine of this partition, with what its worker last reported.
+// Machine is a machine of the partition, together with the last reported state of its worker.
 type Machine struct {
 	ID          string
 	Record      records.MachineRecord
-	revision    uint64 // of its record
+	revision    uint64 // revision of the machine's record
 	machineType wire.MachineType
 	capacity    resource.Vector
 	allocated   resource.Vector
-	assignedAt  time.Time // when this owner first read its record
+	assignedAt  time.Time // when this node, as the owner, first read the machine's record
 
 	newestMessage messageOrder
 	token         tokenState
 	lease         leaseState
 	command       commandState
 
-	terminationNotice bool // the cloud has announced that it will reclaim the machine
-	quarantined       bool // too many jobs failed here in a row
+	terminationNotice bool // the cloud has announced that it will terminate the machine
+	quarantined       bool // SickErrors different jobs have failed on the machine since the last success
 
 	placements     map[taskAttempt]*Placement
 	pendingForgets map[taskAttempt]pendingForget
-	taskListCount  uint64               // counts the task lists that were reconciled
-	cachedImages   map[string]time.Time // presumed contents of the worker's cache, with the last use
-	failedJobs     map[string]bool      // jobs that failed here since the last success
+	taskListCount  uint64               // number of task lists of the worker reconciled so far
+	cachedImages   map[string]time.Time // images assumed to be in the worker's cache, with the time of their last use
+	failedJobs     map[string]bool      // IDs of the jobs that have failed on the machine since the last success
 
-	reservedFor   string // ID of the job that capacity is reserved for, or reservedForDrain
+	reservedFor   string // ID of the job that the machine is reserved for, reservedForDrain, or empty
 	reservedUntil time.Time
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// freeCapacity returns the capacity that no placement uses.
+// freeCapacity returns the capacity that is not allocated to placements.
 func (m *Machine) freeCapacity() resource.Vector { return m.capacity.Sub(m.allocated) }
 
 // usable reports whether tasks may be placed on the machine.
@@ -59,8 +59,8 @@
 	return m.Record.Desired == records.DesiredInService && !m.Record.Released
 }
 
-// selectPlacements returns the placements that match, sorted. It sorts only if there are any:
-// the most frequent calls find none.
+// selectPlacements returns the keys of the matching placements in order. It sorts the keys only
+// if a placement matches, since most calls find none.
 func (m *Machine) selectPlacements(match func(*Placement) bool) []taskAttempt {
 	matching := false
 	for _, placement := range m.placements {
@@ -77,7 +77,7 @@
 	})
 }
 
-// needsImage reports whether a task placed on the machine needs the image.
+// needsImage reports whether a task placed on the machine uses the image.
 func (m *Machine) needsImage(image string) bool {
 	for _, placement := range m.placements {
 		if placement.job.Image == image {
@@ -87,7 +87,8 @@
 	return false
 }
 
-// SetMachine applies a machine's record, new or changed.
+// SetMachine applies a new or changed machine record. It removes the machine if the record
+// assigns it to another partition.
 func (p *Partition) SetMachine(id string, record records.MachineRecord, revision uint64, now time.Time) {
 	if record.Partition != p.Index {
 		p.RemoveMachine(id, now)
@@ -98,20 +99,21 @@
 		machine = newMachine(id, now)
 		p.machines.add(machine)
 	} else if revision < machine.revision {
-		return // a watch and a listing may overlap, so an older record may arrive later
+		return // listings and watch events may overlap, so an older record can arrive late
 	}
 	machine.Record = record
 	machine.revision = revision
 	machine.machineType = p.machineTypes[record.MachineType]
 	machine.capacity = resource.OfMachineType(machine.machineType)
-	// Each ownership has a higher revision than the ones before, so it fences them.
+	// Each owner has a higher revision than its predecessors, so workers that know this
+	// token reject commands of earlier owners.
 	machine.token.raise(max(p.Revision, record.FencingToken))
 	p.capacityVersion++
 }
 
-// RemoveMachine drops a machine that was moved to another partition, or whose record was
-// deleted. That happens only after the cloud has confirmed that the machine is gone, so all
-// its tasks are gone too.
+// RemoveMachine removes a machine that was moved to another partition or whose record was
+// deleted, and requeues its tasks. A record is deleted only after the cloud has confirmed that
+// the machine is gone, so its tasks no longer run.
 func (p *Partition) RemoveMachine(id string, now time.Time) {
 	machine := p.machines.get(id)
 	if machine == nil {
@@ -125,8 +127,8 @@
 	p.capacityVersion++
 }
 
-// ReleasableMachines returns the machines that the leader wants moved or returned and on
-// which no task of this partition can be in effect, with the records to write for them.
+// ReleasableMachines returns the records to write, by machine ID, for the machines that the
+// leader wants moved or returned and on which no task of this partition can be running.
 func (p *Partition) ReleasableMachines() map[string]records.MachineRecord {
 	releasable := map[string]records.MachineRecord{}
 	for _, machine := range p.machines.all() {
@@ -137,7 +139,7 @@
 	return releasable
 }
 
-// canBeReleased reports whether the machine is to be released and is drained.
+// canBeReleased reports whether the leader wants the machine released and no task remains on it.
 func (m *Machine) canBeReleased() bool {
 	if m.Record.Desired == records.DesiredInService || m.Record.Released {
 		return false
@@ -145,8 +147,8 @@
 	return len(m.placements) == 0 && len(m.pendingForgets) == 0
 }
 
-// releasedRecord returns the record that moves a machine to its new partition, or that permits
-// the leader to return it to the cloud.
+// releasedRecord returns the record that moves a machine to its new partition, or that allows
+// the leader to return the machine to the cloud.
 func releasedRecord(record records.MachineRecord) records.MachineRecord {
 	if record.Desired == records.DesiredMoved {
 		record.Partition = record.MoveTo
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -9,11 +9,11 @@
 	"ambersill/internal/wire"
 )
 
-// Partition is the state of one partition of the cluster, its jobs and machines. It decides
-// where tasks run. It is not safe for concurrent use.
+// Partition holds the jobs and machines of one partition of the cluster, and decides where
+// tasks run. It is not safe for concurrent use.
 type Partition struct {
 	Index    int
-	Revision uint64 // of the ownership: it fences all writes of the partition
+	Revision uint64 // revision of the owner record; every write of the partition is conditional on it
 	Counters Counters
 
 	settings     *config.Settings
@@ -22,19 +22,20 @@
 
 	jobs  map[string]*Job
 	teams map[string]*quota.Team
-	// finalizedJobs have ended, but some of their records remain to be deleted.
+	// finalizedJobs lists the jobs whose end is committed but some of whose records still
+	// have to be deleted.
 	finalizedJobs   []*Job
-	cancelledJobIDs map[string]bool // by the last listing, those of jobs not added yet included
+	cancelledJobIDs map[string]bool // from the last listing; may contain jobs that have not been added yet
 	tombstones      tombstones
 
 	machines machineSet
 
-	// capacityVersion counts the changes of free capacity, scheduledVersion is its value
-	// at the end of the last scheduling cycle.
+	// capacityVersion is incremented when free capacity may have grown or machines have
+	// changed. scheduledVersion is its value at the end of the last scheduling cycle.
 	capacityVersion    int
 	scheduledVersion   int
-	candidates         []*Machine // machines with free capacity when the cycle began
-	cycleStartedAt     time.Time  // when the current cycle began
+	candidates         []*Machine // machines with free CPUs when the current cycle began
+	cycleStartedAt     time.Time  // start of the current scheduling cycle
 	lastConsolidatedAt time.Time
 
 	layout     chunkLayout
@@ -42,20 +43,20 @@
 	conversion formatConversion
 }
 
-// Counters count what a partition has done under this owner.
+// Counters counts events of a partition since this node became its owner.
 type Counters struct {
 	Placed           int // placements made
-	Finished         int // tasks completed
-	Requeued         int // placements that ended without a result
-	Preempted        int // placements stopped for others
-	Moved            int // placements moved to free a machine
+	Finished         int // tasks that completed successfully
+	Requeued         int // placements that ended before their task was done
+	Preempted        int // placements stopped in favor of other jobs
+	Moved            int // placements stopped in order to empty their machine
 	JournalRecords   int // journal records written
 	Compactions      int // chunk records written
-	GangReservations int // reservations of machines for gangs
-	GangTimeouts     int // gang tasks that timed out waiting for the others
+	GangReservations int // times that machines were reserved for a starved gang
+	GangTimeouts     int // gang tasks that timed out waiting for the other tasks of their gang
 }
 
-// NewPartition returns an empty partition owned under the given revision.
+// NewPartition returns an empty partition. revision is the revision of the owner record.
 func NewPartition(index int, revision uint64, settings *config.Settings, tunables *tuning.Tuning) *Partition {
 	p := &Partition{
 		Index:        index,
@@ -76,27 +77,27 @@
 	return p
 }
 
-// SetMachineTypes adds machine types, or replaces those of the same name.
+// SetMachineTypes adds the machine types, replacing known ones of the same name.
 func (p *Partition) SetMachineTypes(types []wire.MachineType) {
 	for _, machineType := range types {
 		p.machineTypes[machineType.Name] = machineType
 	}
 }
 
-// team returns the team of a name.
+// team returns the team with the given name, and adds it if it is not configured.
 func (p *Partition) team(name string) *quota.Team {
 	team := p.teams[name]
 	if team == nil {
-		// A team that the settings no longer name keeps its accepted jobs.
+		// Jobs that were accepted before a team was removed from the settings still run.
 		team = &quota.Team{Team: config.Team{Name: name}}
 		p.teams[name] = team
 	}
 	return team
 }
 
-// AddJob adds a new job, or one read from its records, with the revision at which both its
-// record and its first chunk were created. A known job is returned as it is. The result is
-// nil if the job ended before.
+// AddJob adds a job that was submitted or read from the key-value store, and returns it.
+// revision is the revision at which the job's record and its first chunk were created. If the
+// job is already known, AddJob only raises its revision. It returns nil if the job has ended.
 func (p *Partition) AddJob(description *wire.Job, submittedAt time.Time, revision uint64) *Job {
 	if job := p.jobs[description.ID]; job != nil {
 		job.Revision = max(job.Revision, revision)
@@ -112,13 +113,14 @@
 	return job
 }
 
-// JobCounts counts a job's tasks by their state.
+// JobCounts contains the numbers of a job's tasks by state.
 type JobCounts struct {
 	Done    int
-	Running int // those that save a checkpoint included
+	Running int // includes tasks that are saving a checkpoint
 }
 
-// JobCounts counts the tasks of a job, and reports whether the partition has the job.
+// JobCounts returns the numbers of a job's tasks by state, and whether the partition has the
+// job.
 func (p *Partition) JobCounts(id string) (JobCounts, bool) {
 	job := p.jobs[id]
 	if job == nil {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -9,42 +9,45 @@
 	"ambersill/internal/wire"
 )
 
-// Placement is one attempt of a task on a machine. It uses the machine's capacity for as
-// long as the task may be there, or may still come to be there.
+// Placement is one attempt to run a task on a machine. It occupies the machine's capacity as long
+// as the task may be on the machine or may still be started there.
 type Placement struct {
 	job          *Job
 	task         int
 	attempt      uint64
 	machine      *Machine
-	incarnation  uint64 // of the worker; in another one the task cannot run
-	chunkVersion int    // of the chunk that first contains the placement
+	incarnation  uint64 // incarnation of the worker that the task is placed on; no other one can run it
+	chunkVersion int    // first version of the chunk that contains the placement
 
 	start       startState
-	stopRequest *stopRequest // nil: it is not to be stopped
+	stopRequest *stopRequest // nil if no stop was requested
 
-	state              wire.TaskState // as last reported
-	lastTaskListNumber uint64         // number of the machine's last task list that contained it
-	runningSince       time.Time      // when it was first seen running
-	imageFetched       bool           // the worker is known to have its image
+	state              wire.TaskState // last reported state
+	lastTaskListNumber uint64         // Machine.taskListCount when a task list last contained the task
+	runningSince       time.Time      // when the task was first reported as running; zero if it was not
+	imageFetched       bool           // the worker is known to have fetched the image
 
-	// gangDone: its gang is done, and only the worker has yet to report its end.
+	// gangDone is set if the gang is done and only the worker's report of this task's exit
+	// is outstanding.
 	gangDone bool
-	// preemptionProtected: it was placed when its job's start was forced, and must not be
-	// preempted until the start counts. It could be stopped again and again otherwise,
-	// without ever running.
+	// preemptionProtected is set if the job's start was forced when the task was placed. The
+	// placement must not be preempted until it counts as started. Otherwise it could be
+	// stopped again and again without ever running.
 	preemptionProtected bool
 }
 
-// startState is the progress of the start of a placement's task.
+// startState is the state of the start command of a placement.
 type startState struct {
-	sent bool // it was sent to the worker at least once
-	// heartbeatSequence is that of the newest heartbeat when the start was last sent.
+	sent bool // sent to the worker at least once
+	// heartbeatSequence is the sequence number of the newest heartbeat when the start was
+	// last sent.
 	heartbeatSequence uint64
-	// directToken is the fencing token of the direct request that carried the start; 0: no
-	// direct request did.
+	// directToken is the fencing token of the command request that contained the start, or 0
+	// if the start was only sent in replies to heartbeats.
 	directToken uint64
-	// observed: the worker has confirmed the start, or a task list contained the task. It
-	// is never sent again: the worker may have executed and forgotten the task.
+	// observed is set if the worker has confirmed the start, or a task list contained the
+	// task. The start is then never sent again, since the worker may have run and forgotten
+	// the task already.
 	observed bool
 }
 
@@ -52,30 +55,30 @@
 type stopRequest struct {
 	gracePeriodS float64
 	requestedAt  time.Time
-	sent         bool // it was sent to the worker at least once
+	sent         bool // sent to the worker at least once
 }
 
 // chunk returns the chunk that contains the placement's task.
 func (pl *Placement) chunk() *chunk { return pl.job.chunkOf(pl.task) }
 
-// taskAttempt returns the name under which the worker knows the placement.
+// taskAttempt returns the key that identifies the placement on its worker.
 func (pl *Placement) taskAttempt() taskAttempt {
 	return taskAttempt{wire.TaskName(pl.job.ID, pl.task), pl.attempt}
 }
 
-// taskAttempt names a task on a machine: the same task may be placed there again under a
-// later attempt.
+// taskAttempt identifies a placement on a machine. The attempt is part of the key because the same
+// task may be placed on the machine again under a later attempt.
 type taskAttempt struct {
 	task    string
 	attempt uint64
 }
 
-// compare orders attempts by task, those of one task by their number.
+// compare orders task attempts by task name, then by attempt number.
 func (a taskAttempt) compare(b taskAttempt) int {
 	return cmp.Or(cmp.Compare(a.task, b.task), cmp.Compare(a.attempt, b.attempt))
 }
 
-// sortedPlacements returns a job's placements in the order of its tasks.
+// sortedPlacements returns a job's placements sorted by task index.
 func sortedPlacements(job *Job) []*Placement {
 	placements := make([]*Placement, 0, len(job.placements))
 	for _, placement := range job.placements {
@@ -85,7 +88,7 @@
 	return placements
 }
 
-// sortedTaskAttempts returns the keys of a machine's placements in order.
+// sortedTaskAttempts returns the sorted keys of a machine's placements.
 func sortedTaskAttempts(placements map[taskAttempt]*Placement) []taskAttempt {
 	keys := make([]taskAttempt, 0, len(placements))
 	for key := range placements {
@@ -95,7 +98,8 @@
 	return keys
 }
 
-// attach has a placement use its machine's capacity and its team's quota.
+// attach adds a placement to its job and machine, and allocates its machine's capacity and its
+// team's quota.
 func (p *Partition) attach(placement *Placement) {
 	job, machine := placement.job, placement.machine
 	request := resource.TaskRequest(job.Job)
@@ -106,16 +110,16 @@
 	machine.placements[placement.taskAttempt()] = placement
 	machine.allocated = machine.allocated.Add(request)
 	team.Allocated = team.Allocated.Add(request)
-	// The time of use is set by the caller, or by the first heartbeat that lists the task.
+	// The caller, or the first heartbeat that lists the task, sets the time of use.
 	machine.cachedImages[job.Image] = time.Time{}
 }
 
-// detach frees a placement's capacity and quota once it can no longer be in effect. A task
-// that is not done waits again.
+// detach removes a placement that can no longer run and frees its capacity and quota. A task that
+// is not done returns to the waiting state.
 func (p *Partition) detach(placement *Placement) {
 	job := placement.job
 	if job.placements[placement.task] != placement {
-		return // it was detached before
+		return // already detached
 	}
 	delete(job.placements, placement.task)
 	placement.machine.removePlacement(placement)
@@ -131,16 +135,16 @@
 	p.capacityVersion++
 }
 
-// removePlacement drops a placement from the machine.
+// removePlacement removes a placement from the machine and frees its capacity.
 func (m *Machine) removePlacement(placement *Placement) {
 	job := placement.job
 	delete(m.placements, placement.taskAttempt())
 	m.allocated = m.allocated.Sub(resource.TaskRequest(job.Job))
 	if len(m.placements) == 0 {
-		m.allocated = resource.Vector{} // without rounding errors
+		m.allocated = resource.Vector{} // clears accumulated rounding errors
 	}
 	if !placement.imageFetched && !m.needsImage(job.Image) {
-		// The worker stops fetching an image for which no task waits.
+		// The worker aborts the fetch of an image that no task waits for.
 		delete(m.cachedImages, job.Image)
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,26 +13,27 @@
 	"ambersill/internal/tuning"
 )
 
-// The size of a usual machine replaces a guarantee that a team does not have: a team that uses
-// one such machine counts as having used its fair share once.
+// The capacity of a typical machine, which stands in for the guarantee of a team that has none: a
+// team that uses one such machine has a fair share ratio of 1.
 const (
 	referenceMachineGPUs = 8
 	referenceMachineCPUs = 64
 )
 
-// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may take
-// CPUs and memory that belong to the free GPUs of a machine.
+// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may use
+// the CPUs and memory that are set aside for the free GPUs of a machine.
 const ignoreGPUShareStarveFactor = 2
 
-// teamQueue is the queue of a team's jobs with tasks to place, by precedence.
+// teamQueue contains the jobs of a team that have tasks to place, ordered by precedence.
 type teamQueue struct {
 	team *quota.Team
 	jobs []*Job
 }
 
-// fairShareRatio returns how much the team uses relative to its guarantee, or to a usual
-// machine in a dimension without one. The CPUs of a team that is guaranteed only GPUs do
-// not count, since the machines of its GPUs bring them along.
+// fairShareRatio returns the team's allocated resources divided by its guarantee, as the maximum
+// over GPUs and CPUs. A resource without a guarantee is compared with the reference machine
+// instead. The CPUs of a team that has a guarantee only for GPUs are ignored, since the machines
+// that provide the GPUs have CPUs as well.
 func (q *teamQueue) fairShareRatio() float64 {
 	team := q.team
 	guaranteedGPUs := team.GPUs
@@ -49,8 +50,9 @@
 	return ratio
 }
 
-// servedBefore reports whether the first job of queue is placed before that of other: by
-// urgency, then by fair share, then by turn.
+// servedBefore reports whether the first job of queue is placed before the first job of other.
+// They are compared by urgency, then by fair share unless the first job of queue is starved, then
+// by compareWithinUrgency.
 func (p *Partition) servedBefore(queue, other *teamQueue) bool {
 	job, otherJob := queue.jobs[0], other.jobs[0]
 	if order := compareUrgency(job, otherJob); order != 0 {
@@ -64,13 +66,13 @@
 	return p.compareWithinUrgency(job, otherJob) < 0
 }
 
-// fairShareStep returns the queue's fair share ratio in steps of LoadStep. If ratios were
-// equal to the last bit, all teams' jobs would end late together.
+// fairShareStep returns the queue's fair share ratio in steps of LoadStep, rounded down. With
+// exact ratios the teams would progress in lockstep, and all of their jobs would end late.
 func (p *Partition) fairShareStep(queue *teamQueue) float64 {
 	return math.Floor(queue.fairShareRatio() / p.tuning.LoadStep)
 }
 
-// compareInQueue orders the jobs of one team; negative: a goes first.
+// compareInQueue orders the jobs of one team. It returns a negative number if a precedes b.
 func (p *Partition) compareInQueue(a, b *Job) int {
 	if order := compareUrgency(a, b); order != 0 {
 		return order
@@ -78,9 +80,10 @@
 	return p.compareWithinUrgency(a, b)
 }
 
-// compareUrgency orders jobs by what takes precedence over size and fair share; negative: a
-// goes first. Jobs whose first start is overdue go first, whatever their guarantee and
-// priority; then guaranteed work, then by priority, and among equals starved jobs.
+// compareUrgency orders jobs by the criteria that take precedence over size and fair share. Jobs
+// whose first start is overdue precede all others, regardless of guarantee and priority. The
+// others are ordered by whether the team's guarantee covers them, then by priority. Among equals,
+// starved jobs come first. It returns a negative number if a precedes b.
 func compareUrgency(a, b *Job) int {
 	if order := compareTrueFirst(a.cycle.startOverdue, b.cycle.startOverdue); order != 0 {
 		return order
@@ -96,7 +99,7 @@
 	return compareTrueFirst(a.cycle.starved, b.cycle.starved)
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst orders true before false. It returns a negative number if a precedes b.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -107,8 +110,8 @@
 	return 1
 }
 
-// compareWithinUrgency orders jobs of the same urgency; negative: a goes first. Starved jobs go by
-// age, others by when their turn is.
+// compareWithinUrgency orders jobs of equal urgency: starved jobs from the oldest, others by
+// precedence time. It returns a negative number if a precedes b.
 func (p *Partition) compareWithinUrgency(a, b *Job) int {
 	if a.cycle.starved && b.cycle.starved {
 		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
@@ -121,9 +124,11 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// precedenceTime returns when a job's turn is. Without a deadline, jobs with little work left come
-// before those with much: that completes the most jobs in good time, and age still
-// prevails in the end.
+// precedenceTime returns the time by which jobs of equal urgency are ordered, earliest first. It
+// is the submission time for a service, the latest start that meets the deadline for a job with
+// a deadline, and otherwise the submission time plus a delay in proportion to the remaining work.
+// Jobs with little remaining work thus precede larger ones, so that more jobs complete early, but
+// a large job is not delayed indefinitely.
 func (p *Partition) precedenceTime(job *Job) time.Time {
 	switch {
 	case job.IsService():
@@ -136,7 +141,8 @@
 	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
 
-// buildQueues returns the queues of the teams that have tasks to place, by team name.
+// buildQueues returns the queues of the teams that have tasks to place, sorted by team name. It
+// also updates the cycle state of all unfinished jobs.
 func (p *Partition) buildQueues(now time.Time) []*teamQueue {
 	unfinished := p.unfinishedJobsByTeam()
 	var queues []*teamQueue
@@ -155,7 +161,8 @@
 	return queues
 }
 
-// unfinishedJobsByTeam returns the jobs with tasks that are not done.
+// unfinishedJobsByTeam returns, by team name, the jobs that have tasks that are not done and are
+// not cancelled.
 func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
 	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
@@ -166,7 +173,8 @@
 	return byTeam
 }
 
-// compareSubmission orders jobs by age; negative: a is older.
+// compareSubmission orders jobs by submission time, then by ID. It returns a negative number if a
+// precedes b.
 func compareSubmission(a, b *Job) int {
 	if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
 		return order
@@ -174,8 +182,8 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// updateGuarantees sets which of a team's jobs, sorted from the oldest, its guarantee covers
-// together with all older ones.
+// updateGuarantees sets withinGuarantee of a team's jobs, which must be sorted from the oldest. A
+// job is within the guarantee if the guarantee covers it together with all older jobs.
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
 	var unfinishedTotal resource.Vector
 	for _, job := range jobs {
@@ -185,8 +193,8 @@
 	}
 }
 
-// updateAgeClaims sets what a job may claim by how long it has waited, and whether machines
-// without GPUs could run it.
+// updateAgeClaims sets the parts of a job's cycle state that depend on its age, and whether
+// machines without GPUs could run it.
 func (p *Partition) updateAgeClaims(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
 	waitsForFirstStart := !job.hasStarted()
@@ -198,8 +206,8 @@
 		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
 
-// hasStarted reports whether the job has had its first start. Placements of a gang do not count
-// before one has been seen running, since all of them may still be abandoned.
+// hasStarted reports whether the job has had its first start. The placements of a gang count only
+// once a task was reported as running, since until then the whole attempt may be abandoned.
 func (j *Job) hasStarted() bool {
 	if j.observedRunning || j.doneTasks > 0 {
 		return true
@@ -207,7 +215,8 @@
 	return !j.IsGang() && len(j.placements) > 0
 }
 
-// placeableJobs returns the jobs with tasks that may be placed by now, by precedence.
+// placeableJobs returns the jobs that have tasks to place and are not delayed at the given time,
+// ordered by precedence.
 func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
 	var placeable []*Job
 	for _, job := range jobs {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -10,23 +10,25 @@
 )
 
 const (
-	// maxTasksPerTurn is how many tasks of an array are placed before it is another team's
-	// turn: few enough that teams share a small capacity, many enough that a large array
-	// does not need a search for each task.
+	// maxTasksPerTurn is the maximum number of tasks of an array job or service that are
+	// placed before the next queue is selected. It is low enough that teams share scarce
+	// capacity, and high enough that a large job does not need a search for each task.
 	maxTasksPerTurn = 8
-	// maxOverdueTasksPerTurn is how many tasks of an array take precedence because its first start is
-	// overdue; with the first of them it has begun.
+	// maxOverdueTasksPerTurn is the maximum number of tasks placed in one turn for a job, gangs
+	// excepted, whose first start is overdue. One is enough: once it is placed, the job has
+	// started.
 	maxOverdueTasksPerTurn = 1
-	// maxTasksPerPreemption is for how many tasks of a job work is preempted at once. Preempted work
-	// stops only after its grace period, so capacity is requested ahead of the next turns.
+	// maxTasksPerPreemption is the maximum number of tasks for which a single preemption frees
+	// capacity. Preempted tasks stop only after their grace period, so capacity is freed for
+	// more than one turn.
 	maxTasksPerPreemption = 2 * maxTasksPerTurn
-	// cachedImagesPerMachine is how many images a machine is assumed to cache, about as
-	// many as the cloud's machines do.
+	// cachedImagesPerMachine is the number of images that a worker is assumed to cache. The
+	// machines of the cloud cache about as many.
 	cachedImagesPerMachine = 12
 )
 
-// Schedule runs a scheduling cycle. It places waiting tasks from a queue per team; the
-// queues take turns by urgency and fair share.
+// Schedule runs a scheduling cycle: it places waiting tasks, with one queue per team, and then
+// consolidates machines. The queue to serve next is selected by urgency and fair share.
 func (p *Partition) Schedule(now time.Time) {
 	p.cycleStartedAt = now
 	p.ExpireLeases(now)
@@ -37,12 +39,12 @@
 }
 
 // NeedsScheduling reports whether a change since the last scheduling cycle requires another one
-// at once. What only the passing of time requires is left to the next regular cycle.
+// immediately. Changes that are due to elapsed time alone wait for the next periodic cycle.
 func (p *Partition) NeedsScheduling() bool {
 	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
 }
 
-// collectCandidates lists the machines with free capacity for this cycle.
+// collectCandidates sets p.candidates to the usable machines that have free CPUs.
 func (p *Partition) collectCandidates() {
 	p.candidates = p.candidates[:0]
 	for _, machine := range p.machines.all() {
@@ -52,7 +54,7 @@
 	}
 }
 
-// placeQueuedJobs places the queues' jobs until nothing more can be placed.
+// placeQueuedJobs places tasks of the queued jobs until no more can be placed.
 func (p *Partition) placeQueuedJobs(queues []*teamQueue, now time.Time) {
 	for len(queues) > 0 {
 		next := p.nextQueue(queues)
@@ -67,7 +69,7 @@
 	}
 }
 
-// nextQueue returns the index of the queue whose turn it is.
+// nextQueue returns the index of the queue to serve next.
 func (p *Partition) nextQueue(queues []*teamQueue) int {
 	next := 0
 	for i := 1; i < len(queues); i++ {
@@ -78,8 +80,8 @@
 	return next
 }
 
-// placeJobTasks places what it can of a job in this turn, and reports whether the job has
-// more to place in this cycle.
+// placeJobTasks places the tasks of a job that can be placed in one turn. It reports whether the
+// job may place more tasks in this cycle.
 func (p *Partition) placeJobTasks(job *Job, team *quota.Team, now time.Time) bool {
 	if job.failedSearchVersion == p.capacityVersion {
 		return false
@@ -97,8 +99,8 @@
 	return job.startableCount(now) > 0 && !job.IsGang()
 }
 
-// taskCountInTurn returns how many tasks of a job may be placed in this turn. A gang's are all
-// or none.
+// taskCountInTurn returns the maximum number of tasks of a job to place in this turn. For a gang
+// it is either all tasks or 0.
 func taskCountInTurn(job *Job, team *quota.Team, now time.Time) int {
 	count := min(job.startableCount(now), maxTasksPerTurn)
 	if count == 0 {
@@ -117,8 +119,8 @@
 	return min(count, remaining)
 }
 
-// canBePlacedOn reports whether the machines found for count tasks allow a start: some for any
-// job, all for a gang.
+// canBePlacedOn reports whether the machines found for count tasks are sufficient to place tasks
+// of the job. A gang needs all count machines, any other job at least one.
 func (j *Job) canBePlacedOn(machines []*Machine, count int) bool {
 	if j.IsGang() && len(machines) < count {
 		return false
@@ -126,8 +128,8 @@
 	return len(machines) > 0
 }
 
-// preemptOrReserve preempts other work for a job that finds no capacity, or reserves machines
-// for it if it is a gang.
+// preemptOrReserve preempts other tasks for a job for which no machines were found. If no
+// preemption is in progress, it reserves machines for the job if it is a starved gang.
 func (p *Partition) preemptOrReserve(job *Job, count int, now time.Time) {
 	job.failedSearchVersion = p.capacityVersion
 	p.preempt(job, min(count, maxTasksPerPreemption), now)
@@ -136,13 +138,14 @@
 	}
 }
 
-// placeOnMachines places the job's first startable tasks under a new attempt, one for each of
-// the machines.
+// placeOnMachines places the job's first startable tasks under a new attempt number, one task
+// per entry of machines.
 func (p *Partition) placeOnMachines(job *Job, machines []*Machine, now time.Time) {
 	job.highestAttempt++
 	job.preemption.inProgress = false
 	if job.GPUs > 0 {
-		// With fewer GPUs free, more of these machines' CPUs and memory is free for others.
+		// The share of CPUs and memory that is set aside for free GPUs shrinks, so jobs
+		// without GPUs may now fit on these machines.
 		p.capacityVersion++
 	}
 	for task := range job.taskStates {
@@ -179,16 +182,15 @@
 	p.Counters.Placed++
 }
 
-// trimCachedImages drops the least recently used images beyond what the machine is assumed
-// to cache.
+// trimCachedImages evicts the least recently used images beyond cachedImagesPerMachine.
 func (m *Machine) trimCachedImages() {
 	for len(m.cachedImages) > cachedImagesPerMachine {
 		delete(m.cachedImages, m.leastRecentlyUsedImage())
 	}
 }
 
-// leastRecentlyUsedImage returns the cached image whose use is the longest ago, the first by name
-// among equals.
+// leastRecentlyUsedImage returns the least recently used cached image, or the first by name if
+// several have the same time of use.
 func (m *Machine) leastRecentlyUsedImage() string {
 	oldest := ""
 	for _, image := range slices.Sorted(maps.Keys(m.cachedImages)) {
