--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -10,23 +10,26 @@
 	"ambersill/internal/wire"
 )
 
-// Costs of a machine for a task, in seconds of image fetch that it is worth to avoid it.
+// Costs of placing a task on a machine, expressed as the image fetch time in seconds that is
+// accepted in order to avoid it.
 const (
-	// gpuMachineCostS keeps work without GPUs off machines with GPUs, which are scarce. It
+	// gpuMachineCostS keeps tasks without GPUs off machines with GPUs, which are scarce. It
 	// exceeds the fetch time of all but the largest images.
 	gpuMachineCostS = 120
-	// emptyMachineCostS is for a machine without tasks, less for fuller ones, so that work is
-	// packed onto few machines and the others can be returned.
+	// emptyMachineCostS is the cost of a machine without tasks. The cost falls in proportion
+	// to the allocated share, so that tasks are packed onto few machines and the others can be
+	// returned.
 	emptyMachineCostS = 10
 )
 
-// capacityFunc returns how much of a machine's capacity counts as available.
+// capacityFunc returns the capacity of a machine that is considered available.
 type capacityFunc func(*Machine) resource.Vector
 
-// maxTasksPerZone returns how many tasks of a job that is spread over zones may be in one.
+// maxTasksPerZone returns the maximum number of tasks in one zone for a job that is spread over
+// zones.
 func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
 
-// tasksByZone counts the job's tasks that may be running, by zone.
+// tasksByZone returns the number of the job's placements in each zone.
 func (j *Job) tasksByZone() map[string]int {
 	counts := map[string]int{}
 	for _, placement := range j.placements {
@@ -35,7 +38,7 @@
 	return counts
 }
 
-// machineAllowed reports whether the job's description allows it to run on a machine.
+// machineAllowed reports whether the job's description permits the machine.
 func machineAllowed(job *wire.Job, machine *Machine) bool {
 	if machine.Record.Spot && !job.AllowSpot {
 		return false
@@ -46,14 +49,14 @@
 	return resource.TypeAllowed(job.MachineTypes, machine.Record.MachineType)
 }
 
-// machineUsableBy reports whether the machine can take work, and may take that of a job in
-// particular, its capacity and reservations aside.
+// machineUsableBy reports whether tasks of the job may be placed on the machine, regardless of its
+// free capacity and reservations.
 func machineUsableBy(job *Job, machine *Machine) bool {
 	return machine.usable() && machineAllowed(job.Job, machine) && !job.failures.failedOn(machine.ID)
 }
 
-// findMachines returns machines for up to count tasks of a job among those given, one entry
-// for each task; for a gang in a single zone count of them or none.
+// findMachines selects machines from candidates for up to count tasks of a job. The result has one
+// entry per task. For a gang in a single zone it has count entries or none.
 func (p *Partition) findMachines(job *Job, count int, now time.Time, candidates []*Machine, available capacityFunc) []*Machine {
 	var eligible []*Machine
 	for _, machine := range candidates {
@@ -70,8 +73,8 @@
 	return p.packCheapest(job, count, eligible, available)
 }
 
-// eligible reports whether tasks of a job may be placed on a machine now, its capacity
-// aside.
+// eligible reports whether tasks of a job may be placed on a machine now, regardless of its free
+// capacity.
 func (p *Partition) eligible(job *Job, machine *Machine, now time.Time) bool {
 	if !machineUsableBy(job, machine) {
 		return false
@@ -79,20 +82,22 @@
 	if machine.isReservedForOther(job, now) {
 		return false
 	}
-	// Jobs that the overdue one has overtaken may need an empty machine as a whole.
+	// An overdue job precedes all others, but leaves empty machines to them, since some of
+	// them may need a whole machine.
 	needsUsedMachine := job.cycle.startOverdue && !job.cycle.startForced && !job.IsGang()
 	return !needsUsedMachine || len(machine.placements) > 0
 }
 
-// fitsTask reports whether the machine's available capacity suffices for one task of a job,
-// and may be used for it.
+// fitsTask reports whether one task of a job fits into the machine's available capacity and
+// leaves the share of the machine's free GPUs.
 func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
 	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUShare(job, machine, available)
 }
 
-// leavesGPUShare reports whether a task without GPUs leaves the machine's free GPUs their
-// share of its CPUs and memory, where other types could run it: GPUs are scarce, and cannot be
-// used without CPUs. A job that has waited long may take any capacity.
+// leavesGPUShare reports whether the machine's free GPUs keep their proportional share of its CPUs
+// and memory when a task of the job is added. GPUs are scarce, and cannot be used without CPUs.
+// The rule applies only to jobs without GPUs that a machine type without GPUs could run and that
+// have not waited too long.
 func leavesGPUShare(job *Job, machine *Machine, available resource.Vector) bool {
 	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUShare {
 		return true
@@ -103,8 +108,9 @@
 		remaining.MemoryGB >= freeGPUShare*machine.capacity.MemoryGB-resource.Epsilon
 }
 
-// packSingleZone returns machines of the one zone that takes the most tasks, the cheapest
-// among equals. Tasks of earlier attempts that may still run bind the job to their zone.
+// packSingleZone returns machines in the zone that fits the most tasks, or the cheapest such zone
+// if there are several. Existing placements of the job, including those of earlier attempts that
+// may still be running, restrict it to their zone.
 func (p *Partition) packSingleZone(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
 	occupiedZones := job.tasksByZone()
 	byZone := map[string][]*Machine{}
@@ -129,7 +135,7 @@
 	return best
 }
 
-// totalCost sums the placement costs of the machines.
+// totalCost returns the sum of the machines' placement costs, in seconds.
 func (p *Partition) totalCost(job *Job, machines []*Machine) float64 {
 	total := 0.0
 	for _, machine := range machines {
@@ -138,8 +144,9 @@
 	return total
 }
 
-// packCheapest fills the cheapest machines one after the other. The cost of a machine counts
-// only what is allocated already, so the order stays the same while tasks are assigned.
+// packCheapest assigns up to count tasks to the eligible machines, filling the cheapest first. The
+// costs depend only on capacity that is already allocated, so the order does not change while
+// tasks are assigned.
 func (p *Partition) packCheapest(job *Job, count int, eligible []*Machine, available capacityFunc) []*Machine {
 	request := resource.TaskRequest(job.Job)
 	byZone := job.tasksByZone()
@@ -162,7 +169,8 @@
 	return assigned
 }
 
-// sortByCost returns the machines by their placement cost, in the given order among equals.
+// sortByCost returns the machines sorted by placement cost. Machines of equal cost keep their
+// order.
 func (p *Partition) sortByCost(job *Job, machines []*Machine) []*Machine {
 	type choice struct {
 		machine *Machine
@@ -180,7 +188,8 @@
 	return sorted
 }
 
-// imageFetchSeconds returns how long a machine would take to fetch the job's image.
+// imageFetchSeconds returns the expected time in which a machine fetches the job's image. It is 0
+// if the image is cached or the fetch rate of the machine type is unknown.
 func (p *Partition) imageFetchSeconds(job *Job, machine *Machine) float64 {
 	if _, cached := machine.cachedImages[job.Image]; cached {
 		return 0
@@ -191,9 +200,10 @@
 	return job.ImageGB / machine.machineType.ImageFetchGBPerS
 }
 
-// shortestImageFetchSeconds returns the shortest fetch of a job's image, in seconds, among the
-// candidates with capacity for a task of it now. A job whose image is cached precedes one
-// that would occupy the machine while it fetches.
+// shortestImageFetchSeconds returns the shortest expected fetch time of a job's image among the
+// candidates that have capacity for one of its tasks, or 0 if there are none. It counts as
+// remaining work, so that a job whose image is cached precedes one that would occupy the machine
+// while it fetches its image.
 func (p *Partition) shortestImageFetchSeconds(job *Job) float64 {
 	shortest, found := 0.0, false
 	request := resource.TaskRequest(job.Job)
@@ -208,8 +218,10 @@
 	return shortest
 }
 
-// placementCost orders machines for a task, in seconds: by the image's fetch, then the
-// scarcer machine, then the emptier one, so that whole machines become empty.
+// placementCost returns the cost in seconds of placing a task of the job on a machine: the image
+// fetch time, plus costs for a machine with GPUs that the job does not need, for an emptier
+// machine, and for an on-demand machine if the job allows spot instances. Packing tasks onto
+// fuller machines lets others become empty.
 func (p *Partition) placementCost(job *Job, machine *Machine) float64 {
 	cost := p.imageFetchSeconds(job, machine)
 	if job.GPUs == 0 && machine.machineType.GPUs > 0 {
@@ -222,6 +234,6 @@
 	return cost
 }
 
-// allocatedShare returns the share of the machine's capacity that is allocated, in the
-// dimension that is the scarcest there.
+// allocatedShare returns the allocated share of the machine's capacity, from 0 to 1, for the
+// resource with the largest share.
 func (m *Machine) allocatedShare() float64 { return m.capacity.DominantShare(m.allocated) }
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// SetCancelledJobs replaces the list of cancelled jobs by a new one, and reports whether a
-// job was cancelled by it. A job whose submission becomes known later than its
-// cancellation, as when a watch lags, is cancelled from the start.
+// SetCancelledJobs replaces the list of cancelled jobs and stops the tasks of those that were not
+// cancelled before. It reports whether there were any. A job that is added after its cancellation
+// became known, for example because a watch lags, is cancelled as soon as it is added.
 func (p *Partition) SetCancelledJobs(ids []string, now time.Time) bool {
 	changed := false
 	p.cancelledJobIDs = make(map[string]bool, len(ids))
@@ -17,8 +17,8 @@
 	return changed
 }
 
-// Cancel stops the tasks of a job whose cancellation is committed. It reports whether the
-// job is known and was not cancelled before.
+// Cancel stops the tasks of a job whose cancellation is committed. It reports whether the job is
+// known and had not been cancelled before.
 func (p *Partition) Cancel(id string, now time.Time) bool {
 	job := p.jobs[id]
 	if job == nil || job.Cancelled {
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// maxConsolidationShare is the allocated share of a machine up to which it is worth
-	// draining: a fuller one costs more in moved work than its return saves.
+	// maxConsolidationShare is the maximum allocated share of a machine that is worth
+	// draining. Moving the tasks of a fuller machine costs more than its return saves.
 	maxConsolidationShare = 0.5
-	// drainReservationCycles is how many intervals of ConsolidateS a machine that is drained
-	// accepts no work: enough for its tasks to leave and the leader to return it.
+	// drainReservationCycles is the number of ConsolidateS intervals for which a drained
+	// machine accepts no tasks. Within them its tasks exit and the leader can return it.
 	drainReservationCycles = 3
-	// minRunPerMoveTime is the multiple of a move's time, image fetch and checkpoint, that a
-	// task must still have to run for the move to be worth it.
+	// minRunPerMoveTime is the minimum ratio of a task's remaining run time to the time that a
+	// move takes, which consists of saving a checkpoint and fetching the image.
 	minRunPerMoveTime = 2
 )
 
-// hourlyPrice returns what the machine costs per hour.
+// hourlyPrice returns the price of the machine per hour.
 func (m *Machine) hourlyPrice() float64 {
 	if m.Record.Spot {
 		return m.machineType.HourlySpotPrice
@@ -29,9 +29,10 @@
 	return m.machineType.HourlyPrice
 }
 
-// consolidate drains one machine whose work fits into the free capacity of others that are
-// in use, so that it can be returned: sizing counts allocated capacity, but only an empty
-// machine can be returned. Only work that writes checkpoints is moved.
+// consolidate drains at most one machine whose tasks fit into the free capacity of other machines
+// in use. The autoscaler plans by allocated capacity, but only an empty machine can be returned.
+// Only tasks that write checkpoints are moved. It does nothing if it last ran less than
+// ConsolidateS ago.
 func (p *Partition) consolidate(now time.Time) {
 	if now.Sub(p.lastConsolidatedAt) < tuning.Seconds(p.tuning.ConsolidateS) {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// consolidationCandidates returns the machines that are worth draining, the most expensive
-// first, the emptiest among equals.
+// consolidationCandidates returns the machines that are worth draining and whose type no waiting
+// job may use, sorted by descending price, then by ascending allocated share.
 func (p *Partition) consolidationCandidates() []*Machine {
 	inDemand := p.typesInDemand()
 	var candidates []*Machine
@@ -64,8 +65,8 @@
 	return candidates
 }
 
-// worthDraining reports whether the machine is used by so little work that moving it costs less
-// than the return of the machine saves.
+// worthDraining reports whether the machine is usable, unreserved and in use, and its allocated
+// share is so low that its return saves more than moving its tasks costs.
 func (m *Machine) worthDraining() bool {
 	if !m.usable() || m.reservedFor != "" {
 		return false
@@ -73,7 +74,7 @@
 	return len(m.placements) > 0 && m.allocatedShare() <= maxConsolidationShare
 }
 
-// typesInDemand returns the machine types that jobs with waiting tasks may use.
+// typesInDemand returns the names of the machine types that jobs with waiting tasks may use.
 func (p *Partition) typesInDemand() map[string]bool {
 	inDemand := map[string]bool{}
 	for _, job := range p.jobs {
@@ -89,8 +90,8 @@
 	return inDemand
 }
 
-// drain stops all work on a machine, which is then placed elsewhere, and reserves the machine
-// so that it gets no new work.
+// drain stops all tasks on a machine, so that they are placed elsewhere, and reserves the machine
+// so that no new tasks are placed on it.
 func (p *Partition) drain(machine *Machine, now time.Time) {
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		if placement := machine.placements[key]; placement != nil {
@@ -101,9 +102,10 @@
 	machine.reserve(reservedForDrain, now.Add(tuning.Seconds(drainReservationCycles*p.tuning.ConsolidateS)))
 }
 
-// canEvacuate reports whether all work of a machine can be moved, and is worth moving.
+// canEvacuate reports whether every task on a machine can be moved to another machine and has
+// enough run time left to be worth moving.
 func (p *Partition) canEvacuate(machine *Machine, now time.Time) bool {
-	freeAfterMoves := map[*Machine]resource.Vector{} // free capacity of the targets chosen so far
+	freeAfterMoves := map[*Machine]resource.Vector{} // free capacity of the targets selected so far
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		if !p.movable(placement, now) {
@@ -118,7 +120,7 @@
 	return true
 }
 
-// freeCapacityAfterMoves returns a machine's free capacity without what is planned for it.
+// freeCapacityAfterMoves returns a machine's free capacity after the moves that are planned to it.
 func freeCapacityAfterMoves(machine *Machine, freeAfterMoves map[*Machine]resource.Vector) resource.Vector {
 	if capacity, planned := freeAfterMoves[machine]; planned {
 		return capacity
@@ -126,7 +128,8 @@
 	return machine.freeCapacity()
 }
 
-// movable reports whether a placement can be stopped and placed elsewhere at little loss.
+// movable reports whether a placement can be stopped and placed elsewhere with little lost work.
+// Jobs whose tasks are placed with regard to each other are not moved.
 func (p *Partition) movable(placement *Placement, now time.Time) bool {
 	job := placement.job
 	if placement.stopRequest != nil || placement.gangDone || !p.settled(placement, now) {
@@ -136,7 +139,7 @@
 	return !isMultiTaskGang && !job.SingleZone && !job.SpreadZones
 }
 
-// evacuationTarget returns the first machine, by ID, that a placement can be moved to; nil if
+// evacuationTarget returns the first machine by ID that a placement can be moved to, or nil if
 // there is none.
 func (p *Partition) evacuationTarget(placement *Placement, freeAfterMoves map[*Machine]resource.Vector, now time.Time) *Machine {
 	job := placement.job
@@ -156,8 +159,9 @@
 	return nil
 }
 
-// isEvacuationTarget reports whether work of one machine may be moved to another: one of
-// the same type in use that costs less, or as much if it is not emptier.
+// isEvacuationTarget reports whether tasks may be moved from the source to the target. The target
+// must be of the same type and in use. It must be cheaper, or have the same price and at least the
+// same allocated share.
 func isEvacuationTarget(source, target *Machine) bool {
 	if target == source || !target.usable() || target.reservedFor != "" || len(target.placements) == 0 {
 		return false
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -6,18 +6,18 @@
 	"ambersill/internal/tuning"
 )
 
-// minMachinesToBlameJob is the number of machines on which a job must have failed for the
-// cause to be sought in the job rather than in a machine.
+// minMachinesToBlameJob is the minimum number of machines on which a job must have failed before
+// the failures are attributed to the job instead of a machine.
 const minMachinesToBlameJob = 2
 
-// jobFailures are the failures of a job's tasks, and the back-off that follows from them.
+// jobFailures contains the failures of a job's tasks and the resulting back-off.
 type jobFailures struct {
 	machines  map[string]bool // IDs of the machines where tasks exited with an error
 	backoffS  float64
-	notBefore time.Time // no attempt before then
+	notBefore time.Time // no task of the job is placed before this time
 }
 
-// record records a failure on a machine.
+// record records that a task failed on a machine.
 func (f *jobFailures) record(machineID string) {
 	if f.machines == nil {
 		f.machines = map[string]bool{}
@@ -25,20 +25,20 @@
 	f.machines[machineID] = true
 }
 
-// failedOn reports whether a task of the job has failed on a machine.
+// failedOn reports whether a failure on the machine is recorded.
 func (f *jobFailures) failedOn(machineID string) bool { return f.machines[machineID] }
 
-// forgetMachine drops the failures on a machine.
+// forgetMachine deletes the record of failures on a machine.
 func (f *jobFailures) forgetMachine(machineID string) { delete(f.machines, machineID) }
 
-// forgetAllMachines drops the failures on all machines.
+// forgetAllMachines deletes the records of failures on all machines.
 func (f *jobFailures) forgetAllMachines() { clear(f.machines) }
 
-// resetBackoff has the next back-off begin with the shortest delay again.
+// resetBackoff makes the next back-off start with the shortest delay.
 func (f *jobFailures) resetBackoff() { f.backoffS = 0 }
 
-// backOff delays the next attempt of the job, each time for longer: a job that fails
-// everywhere must not keep machines busy or rented.
+// backOff delays the next attempt of the job. The delay doubles each time, up to ErrorBackoffMaxS,
+// so that a job that fails everywhere does not keep machines busy or rented.
 func (f *jobFailures) backOff(tunables *tuning.Tuning, now time.Time) {
 	if f.backoffS == 0 {
 		f.backoffS = tunables.ErrorBackoffS
@@ -48,8 +48,9 @@
 	f.notBefore = now.Add(tuning.Seconds(f.backoffS))
 }
 
-// recordFailure blames an error on the machine if several jobs fail there, and on the job
-// if it fails on several machines.
+// recordFailure records that a task of a job failed on a machine. It quarantines the machine once
+// SickErrors different jobs have failed on it without a success in between, and delays the job
+// once it has failed on several machines, unless it is a service.
 func (p *Partition) recordFailure(job *Job, machine *Machine, now time.Time) {
 	job.failures.record(machine.ID)
 	machine.failedJobs[job.ID] = true
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,28 +10,28 @@
 	"ambersill/internal/tuning"
 )
 
-// minRemainingS is how long a task that has exceeded its estimated run time is still expected
-// to run.
+// minRemainingS is the expected remaining run time of a task that has exceeded its estimated run
+// time, in seconds.
 const minRemainingS = 1
 
-// futureSlot is capacity for one task of a job that a machine will have.
+// futureSlot is capacity for one task of a job that is available on a machine now or later.
 type futureSlot struct {
 	machine      *Machine
-	availableInS float64 // seconds until then, by the estimates of what runs there
+	availableInS float64 // seconds until the slot is expected to be available
 }
 
-// futureZone is what a zone will have for a gang.
+// futureZone contains the slots that a zone has for a gang, now or later.
 type futureZone struct {
 	slots []futureSlot
-	// reservedForOther: a machine of the zone is reservedForOther for another job. Only one gang at a time
-	// gets reservations in a zone, since two could wait for each other.
+	// reservedForOther is set if a machine in the zone is reserved for another job. Only one
+	// gang at a time may reserve machines in a zone, since two gangs could block each other.
 	reservedForOther bool
 }
 
-// reserveForGang reserves machines for a gang that has waited long, where all the capacity
-// that it needs becomes free the soonest as the tasks there end. No task is stopped for it.
-// Without reservations small jobs would use each slot as it becomes free, and a gang of many
-// machines would never find them free together.
+// reserveForGang reserves machines for a starved gang. It selects the zone in which all slots that
+// the gang needs become available the soonest as running tasks end; it does not stop tasks.
+// Without reservations, small jobs would occupy each slot as it becomes free, and a gang that
+// needs many machines would never find all of them free at the same time.
 func (p *Partition) reserveForGang(job *Job, count int, now time.Time) {
 	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
@@ -48,11 +48,11 @@
 	p.Counters.GangReservations++
 }
 
-// futureZones are the zones by name. For a job that may be in several zones, all slots are under
-// the empty name.
+// futureZones maps zone names to zones. For a job that may run in several zones, all slots are
+// listed under the empty name.
 type futureZones map[string]*futureZone
 
-// zone returns the zone of a name, to be changed in place.
+// zone returns a pointer to the entry of a zone, and adds the entry if it is missing.
 func (z futureZones) zone(name string) *futureZone {
 	if z[name] == nil {
 		z[name] = &futureZone{}
@@ -60,7 +60,7 @@
 	return z[name]
 }
 
-// futureZones returns the capacity that machines will have for a job.
+// futureZones returns the slots that the machines have for a job, now or later.
 func (p *Partition) futureZones(job *Job, now time.Time) futureZones {
 	zones := futureZones{}
 	for _, machine := range p.machines.all() {
@@ -83,8 +83,8 @@
 	return zones
 }
 
-// earliestSlots returns the slots, by when they are available, of the zone that has count
-// of them the soonest; nil if none ever has.
+// earliestSlots returns the first count slots, sorted by availability, of the zone where they are
+// available the soonest. It returns nil if no zone has enough slots.
 func earliestSlots(job *Job, count int, zones futureZones) []futureSlot {
 	var best []futureSlot
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
@@ -102,7 +102,8 @@
 	return best
 }
 
-// firstSlots returns the first slots to be available, up to count of them.
+// firstSlots returns up to count slots in order of availability, within the limit per zone of a
+// job that is spread over zones.
 func firstSlots(job *Job, count int, slots []futureSlot) []futureSlot {
 	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.availableInS, b.availableInS) })
 	var first []futureSlot
@@ -121,14 +122,15 @@
 	return first
 }
 
-// taskEnd is capacity that a task will release.
+// taskEnd is the expected end of a task, which frees the capacity that it requested.
 type taskEnd struct {
-	endsInS float64 // seconds until then
+	endsInS float64 // seconds until the expected end
 	request resource.Vector
 }
 
-// futureSlots returns when a machine will have capacity for one task of a job, for a second
-// one, and so on, if nothing else is placed there.
+// futureSlots returns the slots that a machine has for tasks of a job, now or as its tasks end, in
+// order of availability and at most one per task of the job. It assumes that no other task is
+// placed on the machine.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	request := resource.TaskRequest(job.Job)
 	freeCapacity := machine.freeCapacity()
@@ -150,7 +152,7 @@
 	return slots
 }
 
-// taskEnds returns when the machine's tasks are expected to end, the first one first.
+// taskEnds returns the expected ends of the machine's tasks, earliest first.
 func (p *Partition) taskEnds(machine *Machine, now time.Time) []taskEnd {
 	var ends []taskEnd
 	for _, key := range sortedTaskAttempts(machine.placements) {
@@ -164,7 +166,7 @@
 	return ends
 }
 
-// remainingSeconds returns how long a placement is expected to stay.
+// remainingSeconds returns the expected time until a placement's task ends.
 func (p *Partition) remainingSeconds(placement *Placement, now time.Time) float64 {
 	expected := expectedRunSeconds(placement.job.Job)
 	if placement.runningSince.IsZero() {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -9,8 +9,8 @@
 	"ambersill/internal/wire"
 )
 
-// A gang that loses a task is stopped as a whole, and is placed again under a new attempt
-// only after the last of its tasks is gone.
+// A gang that loses a task is stopped as a whole. It is placed again, under a new attempt, only
+// after the last of its tasks is gone.
 func TestGangIsPlacedAgainOnlyWhenAllTasksAreGone(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -25,23 +25,23 @@
 	harness.sendHeartbeat("m-1")
 	harness.Schedule(harness.now)
 	if placed := len(harness.jobs["req-1"].placements); placed != 1 {
-		t.Fatalf("%d tasks placed while the old attempt is on a machine", placed)
+		t.Fatalf("%d tasks placed while a task of attempt 1 is still on a machine, want only that one", placed)
 	}
-	harness.sendHeartbeat("m-2") // its response stops the task
+	harness.sendHeartbeat("m-2") // the reply stops the task
 	harness.sendHeartbeat("m-2") // reports the exit
 	harness.scheduleAndCommit()
 	for _, placement := range harness.jobs["req-1"].placements {
 		if placement.attempt != 2 {
-			t.Fatalf("attempt %d", placement.attempt)
+			t.Fatalf("task of the gang placed under attempt %d, want 2", placement.attempt)
 		}
 	}
 	if len(harness.jobs["req-1"].placements) != 2 {
-		t.Fatal("the gang is not placed again")
+		t.Fatal("gang req-1 is not placed again as a whole after all of its tasks are gone, want 2 tasks placed")
 	}
 }
 
-// A gang that is preempted before any of its starts was sent, with two of its tasks on one
-// machine, must not count as broken forever: it would never run.
+// A gang with two tasks on one machine is preempted before any of its starts was sent. It must be
+// placed again later: if it stayed marked as broken, it would never run.
 func TestGangPreemptedBeforeItsStartIsPlacedAgain(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -56,18 +56,19 @@
 	harness.Schedule(harness.now)
 	harness.scheduleAndCommit()
 	if got := formatCommands(harness.sendHeartbeat("m-1")); len(got) != 1 || got[0] != "start req-2/0 1" {
-		t.Fatalf("commands: %v", got)
+		t.Fatalf("commands after the preemption: got %v, want [start req-2/0 1]", got)
 	}
 	harness.setTaskExited("m-1", "req-2/0", 1, wire.ExitDone)
 	harness.sendHeartbeat("m-1")
 	harness.commitBatches()
 	harness.Schedule(harness.now)
 	if placed := len(harness.jobs["req-1"].placements); placed != 2 {
-		t.Fatalf("%d tasks of the gang placed", placed)
+		t.Fatalf("%d tasks of the preempted gang placed again, want 2", placed)
 	}
 }
 
-// setTaskStates has a worker report all its tasks in a state from its next heartbeat on.
+// setTaskStates makes the machine's worker report all its tasks in the given state, starting with
+// its next heartbeat.
 func (h *partitionHarness) setTaskStates(id string, state wire.TaskState) {
 	for key, status := range h.workerTasks[id] {
 		status.State = state
@@ -75,9 +76,9 @@
 	}
 }
 
-// A gang whose first task has timed out while another fetches a large image must not
-// be stopped as a whole: the fetch would be aborted, and begin again with the next attempt,
-// forever.
+// One task of a gang times out while another is still fetching a large image. The gang must not be
+// stopped as a whole: the fetch would be aborted and begin again with the next attempt, which
+// would time out as well, and so on forever.
 func TestIncompleteGangFinishesItsFetches(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -99,24 +100,24 @@
 	}
 	harness.sendHeartbeat("m-1")
 	if got := formatCommands(harness.sendHeartbeat("m-2")); len(got) != 0 {
-		t.Fatalf("commands while the image is fetched: %v", got)
+		t.Fatalf("commands while the image is being fetched: got %v, want none", got)
 	}
 	harness.addJob(newArrayJob("req-2", 1, 8)) // must not take the reserved machine
 	harness.scheduleAndCommit()
 	harness.sendHeartbeat("m-1")
 	harness.setTaskStates("m-2", wire.TaskWaitingForGang)
 	if got := formatCommands(harness.sendHeartbeat("m-2")); len(got) != 1 || !strings.HasPrefix(got[0], "kill") {
-		t.Fatalf("commands to the machine that has its image now: %v", got)
+		t.Fatalf("commands to the machine that has fetched the image: got %v, want one kill command", got)
 	}
 	harness.sendHeartbeat("m-2")
 	harness.scheduleAndCommit()
 	if placed := len(harness.jobs["req-1"].placements); placed != 2 || harness.jobs["req-1"].highestAttempt != 2 {
-		t.Fatalf("%d tasks placed, attempt %d", placed, harness.jobs["req-1"].highestAttempt)
+		t.Fatalf("%d tasks placed under attempt %d, want 2 under attempt 2", placed, harness.jobs["req-1"].highestAttempt)
 	}
 }
 
-// A gang's end may be recorded for some of its tasks only when its owner fails. The rest can
-// never be placed as a gang, so the job is to count as done.
+// The owner of a partition may fail after it has recorded only some tasks of a gang as done. The
+// rest can never be placed as a gang, so the whole job must count as done.
 func TestGangWithSomeTasksDoneIsDone(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -136,9 +137,9 @@
 	harness.Restore([]records.LoadedChunk{{JobID: job.ID, Name: "0", Revision: 50, Record: record}}, nil)
 	harness.Schedule(harness.now)
 	if batch := harness.PrepareBatch(); batch.endedJob == nil || batch.endedJob.ID != job.ID {
-		t.Error("the job's end is not committed")
+		t.Error("the next batch does not commit the end of job req-000001")
 	}
 	if placements := len(harness.machines.get("m-1").placements); placements != 1 {
-		t.Errorf("%d placements on the machine whose worker has not reported the end yet", placements)
+		t.Errorf("%d placements on the machine whose worker has not reported the exit yet, want 1", placements)
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -51,14 +51,13 @@
 	return settings
 }
 
-// partitionHarness is a partition with helpers that stand in for the key-value store and
-// the workers.
+// partitionHarness wraps a partition and simulates the key-value store and the workers.
 type partitionHarness struct {
 	*Partition
 	now         time.Time
 	revision    uint64
-	sequences   map[string]uint64                          // of the last heartbeat, by machine
-	workerTasks map[string]map[taskAttempt]wire.TaskStatus // what each worker runs, by machine
+	sequences   map[string]uint64                          // sequence number of the last heartbeat, by machine ID
+	workerTasks map[string]map[taskAttempt]wire.TaskStatus // tasks that each worker reports, by machine ID
 }
 
 func newPartitionHarness() *partitionHarness {
@@ -74,8 +73,8 @@
 	return harness
 }
 
-// newHarnessWithPlacedJob returns a partition with the machine m-1, on which the tasks of the job
-// req-1, of one CPU each, are placed. The placements are committed, and no start is sent.
+// newHarnessWithPlacedJob returns a partition with machine m-1, on which the tasks of job req-1
+// are placed, with one CPU each. The placements are committed, but no start has been sent.
 func newHarnessWithPlacedJob(tasks int) *partitionHarness {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -84,7 +83,8 @@
 	return harness
 }
 
-// addMachine adds a machine whose worker has acknowledged the partition's fencing token.
+// addMachine adds a machine and sends two heartbeats, with which its worker acknowledges the
+// partition's fencing token.
 func (h *partitionHarness) addMachine(id, machineType, zone string, spot bool) {
 	h.revision++
 	h.SetMachine(id, records.MachineRecord{MachineType: machineType, Zone: zone, Spot: spot}, h.revision, h.now)
@@ -110,13 +110,13 @@
 	}
 }
 
-// scheduleAndCommit runs a scheduling cycle and commits what it has decided.
+// scheduleAndCommit runs a scheduling cycle and commits its changes.
 func (h *partitionHarness) scheduleAndCommit() {
 	h.Schedule(h.now)
 	h.commitBatches()
 }
 
-// nextHeartbeat returns a worker's next heartbeat, with all its tasks.
+// nextHeartbeat returns the next heartbeat of a machine's worker, which lists all its tasks.
 func (h *partitionHarness) nextHeartbeat(id string) *wire.Heartbeat {
 	h.sequences[id]++
 	heartbeat := &wire.Heartbeat{
@@ -131,7 +131,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a worker's heartbeat and carries out the commands of the reply.
+// sendHeartbeat delivers the next heartbeat of a machine's worker, executes the commands of the
+// reply and returns them. It returns nil if the heartbeat is not accepted.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
 	outcome, reply := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
 	if outcome != HeartbeatAccepted {
@@ -143,7 +144,7 @@
 	return reply.Commands
 }
 
-// execute carries out a command as the machine's worker would.
+// execute applies a command to the tasks of the machine's worker.
 func (h *partitionHarness) execute(id string, command wire.Command) {
 	tasks := h.workerTasks[id]
 	key := taskAttempt{command.Task, command.Attempt}
@@ -160,7 +161,8 @@
 	}
 }
 
-// setTaskExited has a worker report a task as exited from its next heartbeat on.
+// setTaskExited makes the machine's worker report a task as exited, starting with its next
+// heartbeat.
 func (h *partitionHarness) setTaskExited(id, task string, attempt uint64, cause wire.ExitCause) {
 	h.workerTasks[id][taskAttempt{task, attempt}] = wire.TaskStatus{
 		Task:      task,
@@ -170,7 +172,7 @@
 	}
 }
 
-// formatCommands formats each command as "operation task attempt".
+// formatCommands formats each command as "OPERATION TASK ATTEMPT".
 func formatCommands(commands []wire.Command) []string {
 	var texts []string
 	for _, command := range commands {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -34,7 +34,7 @@
 	doneTasks       int // number of tasks in state taskDone
 	highestAttempt  uint64
 	observedRunning bool // a task was reported as running since this node became the owner
-	finalized       bool // the end of the job is committed; some of its records may still have to be deleted
+	finalized       bool // the job's end is committed; some of its records may still exist
 
 	// gangBroken is set if the gang has lost a task. The next attempt may start only once
 	// no placement of the gang is left.
@@ -62,7 +62,7 @@
 	cpuOnlyTypeFits bool    // an allowed machine type without GPUs can run a task
 	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal urgency
 	startOverdue    bool    // has waited longer than OverdueS for its first start: precedes all other jobs
-	startForced     bool    // has waited longer than ForceS for its first start: may use empty machines, and is not preempted until it counts as started
+	startForced     bool    // has waited longer than ForceS for its first start: may also use empty machines
 }
 
 // newJob returns a job whose tasks are all waiting. The caller must set its chunks.
--- a/internal/scheduler/machine_set_test.go
+++ b/internal/scheduler/machine_set_test.go
@@ -7,7 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Decisions depend on the order of the machines, so it must not depend on when they were added.
+// Scheduling decisions depend on the order of the machines, so that order must not depend on the
+// order in which the machines were added.
 func TestMachineSetStaysSorted(t *testing.T) {
 	set := newMachineSet()
 	for _, id := range []string{"m-3", "m-1", "m-4", "m-2"} {
@@ -21,10 +22,10 @@
 	}
 	for _, machine := range set.all() {
 		if set.get(machine.ID) != machine {
-			t.Errorf("%s is not found by its ID", machine.ID)
+			t.Errorf("get(%q) does not return the machine that all lists", machine.ID)
 		}
 	}
 	if set.get("m-3") != nil || set.len() != 3 {
-		t.Errorf("%d machines, the removed one known: %v", set.len(), set.get("m-3") != nil)
+		t.Errorf("after removing m-3: got %d machines, want 3; m-3 still found: %v, want false", set.len(), set.get("m-3") != nil)
 	}
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -8,16 +8,17 @@
 	"ambersill/internal/tuning"
 )
 
-// preemptionState is the progress of preemption for a job.
+// preemptionState is the state of preemption on behalf of a job.
 type preemptionState struct {
-	lastSearchAt    time.Time // for work to preempt
-	lastPreemptedAt time.Time // when work was last preempted for the job
-	// inProgress: tasks are being stopped for the job, so no machine needs to be rented for it.
+	lastSearchAt    time.Time // when tasks to preempt were last searched for
+	lastPreemptedAt time.Time // when tasks were last preempted for the job
+	// inProgress is set while tasks are being stopped for the job. No machine has to be rented
+	// for it meanwhile.
 	inProgress bool
 }
 
-// preempt stops work of lower priority, or what another team runs beyond its guarantee, for
-// up to count tasks of a job that finds no capacity.
+// preempt stops tasks of lower priority, or tasks of other teams beyond their guarantee, to make
+// room for up to count tasks of a job for which no capacity was found.
 func (p *Partition) preempt(job *Job, count int, now time.Time) {
 	if !p.maySearchPreemption(job, now) {
 		return
@@ -39,7 +40,8 @@
 	}
 }
 
-// maySearchPreemption reports whether a job may look now for work to preempt.
+// maySearchPreemption reports whether a search for tasks to preempt is permitted for the job now.
+// Searches are at least SearchGapS apart, and preemptions at least PreemptGapS.
 func (p *Partition) maySearchPreemption(job *Job, now time.Time) bool {
 	if !job.mayPreempt() {
 		return false
@@ -50,7 +52,7 @@
 	return now.Sub(job.preemption.lastSearchAt) >= tuning.Seconds(p.tuning.SearchGapS)
 }
 
-// countByMachine counts how often each machine is listed.
+// countByMachine returns how often each machine occurs in the list.
 func countByMachine(machines []*Machine) map[*Machine]int {
 	counts := map[*Machine]int{}
 	for _, machine := range machines {
@@ -59,8 +61,8 @@
 	return counts
 }
 
-// capacityAfterPreemption returns a machine's free capacity for a job once everything that
-// the job may preempt is gone.
+// capacityAfterPreemption returns the capacity that a machine would have free if all tasks that
+// may be preempted for the job were stopped.
 func (p *Partition) capacityAfterPreemption(job *Job, machine *Machine) resource.Vector {
 	capacity := machine.freeCapacity()
 	for _, placement := range machine.placements {
@@ -71,8 +73,8 @@
 	return capacity
 }
 
-// preemptOnMachine stops as much on a machine as the given number of tasks of a job needs,
-// and reserves the machine for the job until the stopped work has left.
+// preemptOnMachine stops as many tasks on a machine as necessary to fit the given number of tasks
+// of a job, and reserves the machine for the job until the stopped tasks should have exited.
 func (p *Partition) preemptOnMachine(job *Job, machine *Machine, tasks int, now time.Time) {
 	needed := resource.TaskRequest(job.Job).Scale(tasks)
 	available := machine.freeCapacityAfterStops()
@@ -86,7 +88,7 @@
 		}
 		available = available.Add(resource.TaskRequest(placement.job.Job))
 		if placement.job.placements[placement.task] != placement {
-			continue // stopped with another member of its gang, before its start was sent
+			continue // already detached with the rest of its gang: its start was never sent
 		}
 		graceS = max(graceS, placement.job.CheckpointSaveS)
 		p.Counters.Preempted++
@@ -95,8 +97,8 @@
 	machine.reserve(job.ID, now.Add(tuning.Seconds(graceS+p.tuning.GraceS+p.heartbeatToleranceS())))
 }
 
-// freeCapacityAfterStops returns the machine's free capacity once the placements that are being
-// stopped are gone.
+// freeCapacityAfterStops returns the capacity that the machine has free once the placements that
+// are being stopped are gone.
 func (m *Machine) freeCapacityAfterStops() resource.Vector {
 	capacity := m.freeCapacity()
 	for _, placement := range m.placements {
@@ -107,9 +109,10 @@
 	return capacity
 }
 
-// victims returns what a job may preempt on a machine, in the order in which it is stopped.
-// A start that is stopped at once does not count, so settled tasks with checkpoints go
-// first; of the others, those that have run the least lose the least.
+// victims returns the placements on a machine that may be preempted for a job, in the order in
+// which to stop them. Settled tasks come first: they write checkpoints, and have run long enough
+// to count as started, which a task that is stopped early does not. Within each group, the tasks
+// that have run the shortest come first, since they lose the least work.
 func (p *Partition) victims(job *Job, machine *Machine, now time.Time) []*Placement {
 	var victims []*Placement
 	for _, key := range sortedTaskAttempts(machine.placements) {
@@ -127,8 +130,8 @@
 	return victims
 }
 
-// settled reports whether a task has run long enough for its start to count, and loses
-// little when it is stopped, since it writes checkpoints.
+// settled reports whether a placement's task has run for longer than SettledS and writes
+// checkpoints, so that stopping it loses little work.
 func (p *Partition) settled(placement *Placement, now time.Time) bool {
 	if placement.job.CheckpointIntervalS <= 0 || placement.runningSince.IsZero() {
 		return false
@@ -136,13 +139,14 @@
 	return now.Sub(placement.runningSince) > tuning.Seconds(p.tuning.SettledS)
 }
 
-// mayPreempt reports whether the job may preempt at all: idle work beyond its team's
-// guarantee may not.
+// mayPreempt reports whether tasks may be preempted for the job. Jobs of priority idle that exceed
+// their team's guarantee may not preempt any.
 func (j *Job) mayPreempt() bool { return j.cycle.withinGuarantee || j.Priority.Value() > 0 }
 
-// preemptible reports whether a placement may be stopped for a job: work of lower priority
-// unless only that is guaranteed, and another team's work beyond its guarantee for
-// guaranteed work.
+// preemptible reports whether a placement may be stopped for a job. A placement of lower priority
+// may be stopped unless it is within its team's guarantee and the job is not. Any other placement
+// may be stopped only if it belongs to another team and is beyond that team's guarantee, and the
+// job is within its own.
 func (p *Partition) preemptible(placement *Placement, job *Job) bool {
 	other := placement.job
 	if other == job || placement.gangDone || p.isProtected(placement) {
@@ -154,8 +158,8 @@
 	return job.cycle.withinGuarantee && !other.cycle.withinGuarantee && other.Team != job.Team
 }
 
-// isProtected reports whether a placement was forced and has not run long enough for its start
-// to count.
+// isProtected reports whether a placement is protected from preemption because its job's start was
+// forced and it does not yet count as started.
 func (p *Partition) isProtected(placement *Placement) bool {
 	return placement.preemptionProtected && !p.countsAsStarted(placement, p.cycleStartedAt)
 }
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -11,9 +11,9 @@
 	"ambersill/internal/wire"
 )
 
-// BenchmarkSchedulingCycle runs cycles of a partition with full machines and waiting jobs of
-// 220 tasks, where a twentieth of the tasks ends each time: a grown fleet, and one half as
-// large again as the largest served.
+// BenchmarkSchedulingCycle runs scheduling cycles of a partition with full machines and waiting
+// jobs of 220 tasks each. In each cycle, the tasks on one machine in 20 end. The smaller case is a
+// grown fleet; the larger one is half as large again as the largest fleet served.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, c := range []struct{ machines, jobs int }{{350, 60}, {1100, 300}} {
 		b.Run(fmt.Sprint(c.machines, " machines"), func(b *testing.B) { benchmarkSchedulingCycle(b, c.machines, c.jobs) })
@@ -48,7 +48,8 @@
 	}
 }
 
-// completeTasks has a worker start what it is to run, and report all its tasks as done.
+// completeTasks makes a worker start the tasks placed on its machine and then report all of them as
+// done.
 func (h *partitionHarness) completeTasks(id string) {
 	h.sendHeartbeat(id)
 	for _, key := range sortedTaskAttempts(h.machines.get(id).placements) {
@@ -57,17 +58,18 @@
 	h.sendHeartbeat(id)
 }
 
-// encodedSize returns a value's size in the protocol's measure, as JSON.
+// encodedSize returns the size of a value in bytes as JSON, which is how the protocol measures
+// values.
 func encodedSize(t *testing.T, value any) int {
 	t.Helper()
 	size := encodedSizeOrZero(value)
 	if size == 0 {
-		t.Fatalf("%v can't be encoded", value)
+		t.Fatalf("cannot encode %v to measure its size", value)
 	}
 	return size
 }
 
-// encodedSizeOrZero is encodedBytes; 0 for what can't be encoded.
+// encodedSizeOrZero is like encodedSize but returns 0 if the value cannot be encoded.
 func encodedSizeOrZero(value any) int {
 	raw, err := wire.Marshal(value)
 	if err != nil {
@@ -80,12 +82,12 @@
 	return size
 }
 
-// longName is as long as names in records get.
+// longName has the maximum length of names in records.
 var longName = strings.Repeat("x", 60)
 
-// With several times the machines and jobs of any deployment served, each record stays
-// within a value, and a transaction within 64 KiB: a larger one would be refused each time,
-// and with it all changes that it contains.
+// With several times the machines and jobs of any deployment served, each record must fit into a
+// value of the key-value store, and each transaction into 64 KiB. A larger transaction would be
+// rejected on every attempt, so none of its changes would ever be committed.
 func TestRecordsStayWithinTheirLimits(t *testing.T) {
 	harness := newPartitionHarness()
 	checkMachineGroupSize(t, harness)
@@ -107,12 +109,13 @@
 	}
 }
 
-// valueLimit is the size in bytes up to which the key-value store accepts a value.
+// valueLimit returns the maximum size of a value in the key-value store, in bytes.
 func (h *partitionHarness) valueLimit() int {
 	return int(h.settings.Cluster.State.ValueKB * 1024)
 }
 
-// checkMachineGroupSize checks the largest record of a full group of machines.
+// checkMachineGroupSize checks that the largest possible record of a full machine group does not
+// exceed the value limit.
 func checkMachineGroupSize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	group := map[string]records.MachineRecord{}
@@ -130,11 +133,11 @@
 		}
 	}
 	if size := encodedSize(t, records.MachineGroupRecord{Machines: group}); size > harness.valueLimit() {
-		t.Errorf("a group of %d bytes", size)
+		t.Errorf("record of a full machine group has %d bytes, more than the value limit", size)
 	}
 }
 
-// commitWithinLimits commits all changes, and checks each transaction against the limits of
+// commitWithinLimits commits all changes and checks that each transaction is within the limits of
 // the key-value store.
 func commitWithinLimits(t *testing.T, harness *partitionHarness) {
 	t.Helper()
@@ -146,11 +149,11 @@
 		}
 		size, writes, compares := encodedSize(t, batch.Txn), len(batch.Txn.Writes), len(batch.Txn.Compares)
 		if size > 64<<10 || writes > maxOps || compares > 4*maxOps {
-			t.Fatalf("a transaction of %d bytes, %d writes, %d compares", size, writes, compares)
+			t.Fatalf("transaction exceeds a limit: got %d bytes, %d writes, %d compares", size, writes, compares)
 		}
 		for _, write := range batch.Txn.Writes {
 			if size := encodedSize(t, write.Value); size > harness.valueLimit() {
-				t.Fatalf("%s has %d bytes", write.Put, size)
+				t.Fatalf("value of key %s has %d bytes, more than the value limit", write.Put, size)
 			}
 		}
 		harness.revision++
@@ -158,21 +161,23 @@
 	}
 }
 
-// checkSummarySize checks the summary's records, and that it shows waiting tasks.
+// checkSummarySize checks that the records of the summary do not exceed the value limit, and that
+// the summary contains demand for waiting tasks.
 func checkSummarySize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	summary := harness.Summary(harness.now)
 	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
 		if size := encodedSize(t, digests); size > harness.valueLimit() {
-			t.Fatalf("digests of %d bytes", size)
+			t.Fatalf("machine digests have %d bytes, more than the value limit", size)
 		}
 	}
 	if size := encodedSize(t, summary); size > harness.valueLimit() || len(summary.Waiting) == 0 {
-		t.Fatalf("a summary of %d bytes with %d demands", size, len(summary.Waiting))
+		t.Fatalf("summary has %d bytes and %d demands, want no more bytes than the value limit and at least 1 demand", size, len(summary.Waiting))
 	}
 }
 
-// Once the key-value store has refused a commit as invalid, smaller ones are offered.
+// After the key-value store has rejected a commit as invalid, the limits of batches are reduced, so
+// that the next batches have fewer writes and smaller values.
 func TestBatchesShrinkAfterLimitsAreReduced(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetLevel(records.FeatureExplicitChunks)
@@ -187,11 +192,11 @@
 	after := harness.PrepareBatch()
 	for _, write := range after.Txn.Writes {
 		if size := encodedSizeOrZero(write.Value); size > 2<<10 {
-			t.Errorf("%s has %d bytes", write.Put, size)
+			t.Errorf("value of key %s has %d bytes after the limits were reduced, want at most 2 KiB", write.Put, size)
 		}
 	}
 	sizeBefore := encodedSizeOrZero(before.Txn.Writes[0].Value)
 	if sizeBefore <= 2<<10 || len(after.Txn.Writes) == 0 || len(after.Txn.Writes) > 3 {
-		t.Errorf("a value of %d bytes before, %d writes after", sizeBefore, len(after.Txn.Writes))
+		t.Errorf("first value has %d bytes before the limits are reduced, want more than 2 KiB; got %d writes after, want 1 to 3", sizeBefore, len(after.Txn.Writes))
 	}
 }
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// Placement is checked against a naive check of every constraint, and of nothing being left
-// waiting that would fit.
+// Random jobs are placed on random machines. Naive checks then verify that every constraint holds
+// and that no task waits that would fit on a machine.
 func TestPlacementMeetsConstraints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		harness := newPartitionHarness()
@@ -65,8 +65,8 @@
 	return job
 }
 
-// scheduleUntilStable repeats the scheduling cycle until it changes nothing, since work that
-// is placed or stopped can free capacity for others.
+// scheduleUntilStable repeats the scheduling cycle until capacityVersion stays the same, since
+// placing or stopping tasks can make capacity available to others.
 func (h *partitionHarness) scheduleUntilStable() {
 	for before := -1; before != h.capacityVersion; {
 		before = h.capacityVersion
@@ -74,7 +74,7 @@
 	}
 }
 
-// usedByMachine sums what the jobs' placements take of each machine.
+// usedByMachine returns the sum of the resources that placements request on each machine.
 func (h *partitionHarness) usedByMachine() map[string]resource.Vector {
 	used := map[string]resource.Vector{}
 	for _, job := range h.jobs {
@@ -86,7 +86,7 @@
 	return used
 }
 
-// usedByTeam sums what the placements of each team's jobs take.
+// usedByTeam returns the sum of the resources that placements of each team's jobs request.
 func (h *partitionHarness) usedByTeam() map[string]resource.Vector {
 	used := map[string]resource.Vector{}
 	for _, job := range h.jobs {
@@ -102,10 +102,10 @@
 	for _, placement := range job.placements {
 		record := placement.machine.Record
 		if record.Spot && !job.AllowSpot {
-			t.Fatalf("%s on the spot instance %s", job.ID, placement.machine.ID)
+			t.Fatalf("job %s, which does not allow spot instances, is placed on spot instance %s", job.ID, placement.machine.ID)
 		}
 		if len(job.MachineTypes) > 0 && record.MachineType != "gpu" {
-			t.Fatalf("%s on %s of type %s", job.ID, placement.machine.ID, record.MachineType)
+			t.Fatalf("job %s is placed on %s of type %s, want type gpu", job.ID, placement.machine.ID, record.MachineType)
 		}
 	}
 }
@@ -117,11 +117,11 @@
 		zones[placement.machine.Record.Zone]++
 	}
 	if job.SingleZone && len(zones) > 1 {
-		t.Fatalf("%s in zones %v", job.ID, zones)
+		t.Fatalf("single-zone job %s has tasks in several zones: %v", job.ID, zones)
 	}
 	for zone, tasks := range zones {
 		if job.SpreadZones && tasks > (job.Tasks+1)/2 {
-			t.Fatalf("%s has %d of %d tasks in zone %s", job.ID, tasks, job.Tasks, zone)
+			t.Fatalf("job %s, which is spread over zones, has %d of %d tasks in zone %s, want at most half, rounded up", job.ID, tasks, job.Tasks, zone)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	t.Helper()
 	placed := len(job.placements)
 	if job.IsGang() && placed != 0 && placed != job.Tasks {
-		t.Fatalf("gang %s has %d of %d tasks placed", job.ID, placed, job.Tasks)
+		t.Fatalf("gang %s has %d of %d tasks placed, want all or none", job.ID, placed, job.Tasks)
 	}
 }
 
@@ -138,7 +138,7 @@
 	t.Helper()
 	for id, request := range used {
 		if capacity := harness.machines.get(id).capacity; !capacity.Contains(request) {
-			t.Fatalf("%s of capacity %v holds %v", id, capacity, request)
+			t.Fatalf("machine %s has capacity %v, but its placements request %v", id, capacity, request)
 		}
 	}
 }
@@ -146,12 +146,12 @@
 func checkTeamLimit(t *rapid.T, harness *partitionHarness) {
 	t.Helper()
 	if used := harness.usedByTeam()["limited"]; used.CPUs > 10 || used.GPUs > 3 {
-		t.Fatalf("a team limited to 10 CPUs and 3 GPUs uses %v", used)
+		t.Fatalf("team limited uses %v, want at most 10 CPUs and 3 GPUs", used)
 	}
 }
 
-// checkNoFittingTaskWaits leaves out jobs whose tasks have to be placed with regard to each
-// other.
+// checkNoFittingTaskWaits checks that no task of the job waits while it fits on a machine. It skips
+// jobs whose tasks must be placed with regard to each other.
 func checkNoFittingTaskWaits(t *rapid.T, harness *partitionHarness, job *Job, used map[string]resource.Vector) {
 	t.Helper()
 	request := resource.TaskRequest(job.Job)
@@ -167,14 +167,14 @@
 		}
 		free := machine.capacity.Sub(used[machine.ID])
 		if free.Contains(request) && leavesGPUShare(job, machine, free) && machineAllowed(job.Job, machine) {
-			t.Fatalf("a task of %s waits though it fits on %s", job.ID, machine.ID)
+			t.Fatalf("a task of job %s is waiting although it fits on machine %s", job.ID, machine.ID)
 		}
 	}
 }
 
-// Of two jobs that would each fill the only machine, the one whose image is cached goes
-// first, since the other would occupy the machine while it fetches; but age prevails in the
-// end.
+// Two jobs each need the whole of the only machine. The one whose image is cached precedes the
+// other, which would occupy the machine while it fetches its image, unless the other has waited
+// much longer.
 func TestJobWithCachedImageGoesFirstUntilAgePrevails(t *testing.T) {
 	wholeMachineJob := func(id, image string) wire.Job {
 		job := newArrayJob(id, 1, 16)
@@ -182,7 +182,7 @@
 		return job
 	}
 	for _, c := range []struct {
-		headStart time.Duration // by which the job without its image is older
+		headStart time.Duration // how much older the job is whose image is not cached
 		want      string
 	}{
 		{time.Second, "req-3"},
@@ -202,14 +202,14 @@
 		for _, id := range []string{"req-2", "req-3"} {
 			placed := len(harness.jobs[id].placements) == 1
 			if placed != (id == c.want) {
-				t.Errorf("%v older: %s placed: %v", c.headStart, id, placed)
+				t.Errorf("with req-2 older by %v: %s placed: got %v, want the opposite", c.headStart, id, placed)
 			}
 		}
 	}
 }
 
-// A job that fails everywhere backs off and is no demand; machines do not count as unhealthy
-// for a single job.
+// A job that fails on several machines is delayed and does not count as demand meanwhile. The
+// failures of a single job must not make machines count as unhealthy.
 func TestJobThatFailsEverywhereBacksOff(t *testing.T) {
 	harness := newPartitionHarness()
 	for i := range 4 {
@@ -227,11 +227,11 @@
 	}
 	harness.Schedule(harness.now)
 	if len(harness.jobs["req-1"].placements) != 0 || len(harness.Summary(harness.now).Waiting) != 0 {
-		t.Fatal("it is placed again at once, or counted as demand")
+		t.Fatal("failed job req-1 is placed or counted as demand before its delay has passed")
 	}
 	for id, digest := range harness.Summary(harness.now).MachineDigests {
 		if digest&records.DigestUnhealthy != 0 {
-			t.Fatalf("%s counts as unhealthy", id)
+			t.Fatalf("machine %s counts as unhealthy after the failures of a single job", id)
 		}
 	}
 	harness.now = harness.now.Add(time.Minute)
@@ -240,6 +240,6 @@
 	}
 	harness.Schedule(harness.now)
 	if len(harness.jobs["req-1"].placements) != 1 {
-		t.Fatal("it is not placed again later")
+		t.Fatal("failed job req-1 is not placed after its delay has passed")
 	}
 }
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -7,14 +7,15 @@
 	"ambersill/internal/wire"
 )
 
-// A service's tasks, its replicas, run until the job is cancelled. One that ends, however
-// it does, runs again under the next attempt.
+// The tasks of a service are its replicas, which run until the job is cancelled. A replica that
+// exits, for whatever cause, is placed again under a new attempt.
 
-// replicaRunS is the run time, in seconds, that a replica counts with where work is compared:
-// a year is more than any other work takes, and a number with which sums stay exact.
+// replicaRunS is the assumed run time of a replica in seconds, used to compare it with other
+// tasks. One year exceeds the run time of any other task, and is small enough that sums of
+// floating-point numbers stay exact.
 const replicaRunS = 365 * 24 * 3600.0
 
-// expectedRunSeconds returns how long a task is expected to run.
+// expectedRunSeconds returns the expected run time of a task of the job.
 func expectedRunSeconds(job *wire.Job) float64 {
 	if job.IsService() {
 		return replicaRunS
@@ -22,14 +23,15 @@
 	return job.EstimatedRunS
 }
 
-// replicaRestart delays the restart of a replica that ended soon after its start.
+// replicaRestart is the restart delay of a replica that exited soon after its start.
 type replicaRestart struct {
 	notBefore time.Time
 	backoffS  float64
 }
 
-// handleReplicaExit records the end of a replica that was not stopped. One that ended soon after
-// its start waits before it is restarted, longer each time.
+// handleReplicaExit updates the restart delay after the exit of a replica that was not stopped. A
+// replica that exits before it counts as started is restarted after a delay that doubles each
+// time.
 func (p *Partition) handleReplicaExit(placement *Placement, now time.Time) {
 	job := placement.job
 	if p.countsAsStarted(placement, now) {
@@ -46,7 +48,7 @@
 	job.replicaRestarts[placement.task] = restart
 }
 
-// countsAsStarted reports whether a placement has run for so long that its start counts.
+// countsAsStarted reports whether a placement's task has run for at least SettledS.
 func (p *Partition) countsAsStarted(placement *Placement, now time.Time) bool {
 	if placement.runningSince.IsZero() {
 		return false
@@ -54,12 +56,12 @@
 	return now.Sub(placement.runningSince) >= tuning.Seconds(p.tuning.SettledS)
 }
 
-// startable reports whether a task waits and may be placed by now.
+// startable reports whether a task is waiting and its restart delay, if any, has passed.
 func (j *Job) startable(task int, now time.Time) bool {
 	return j.taskStates[task] == taskWaiting && !now.Before(j.replicaRestarts[task].notBefore)
 }
 
-// startableCount returns how many tasks may be placed by now.
+// startableCount returns the number of startable tasks.
 func (j *Job) startableCount(now time.Time) int {
 	count := j.waitingTasks
 	for task, restart := range j.replicaRestarts {
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// sendTerminationNotice sends a heartbeat in which a machine has a termination notice, and
-// returns the commands of the reply.
+// sendTerminationNotice delivers a heartbeat that contains a termination notice for the machine,
+// and returns the commands of the reply without executing them.
 func (h *partitionHarness) sendTerminationNotice(id string) []wire.Command {
 	noticeS := 10.0
 	heartbeat := h.nextHeartbeat(id)
@@ -32,30 +32,30 @@
 	return reply.Commands
 }
 
-// A replica leaves a machine that is about to be terminated while there is another for it,
-// and stays to the end where there is none.
+// A replica on a machine with a termination notice is stopped early if another machine has capacity
+// for it, and otherwise runs until the machine is terminated.
 func TestReplicaLeavesMachineWithTerminationNotice(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newServiceJob("req-1", 1, 6))
 	harness.scheduleAndCommit()
-	harness.sendHeartbeat("m-1") // started
-	harness.sendHeartbeat("m-1") // shown as running
+	harness.sendHeartbeat("m-1") // starts the replica
+	harness.sendHeartbeat("m-1") // reports it as running
 	if got := harness.sendTerminationNotice("m-1"); len(got) != 0 {
-		t.Fatalf("with no capacity elsewhere: %v", formatCommands(got))
+		t.Fatalf("commands without capacity on another machine: got %v, want none", formatCommands(got))
 	}
 	harness.addMachine("m-2", "cpu", "a", false)
 	got := harness.sendTerminationNotice("m-1")
 	if len(got) != 1 || got[0].Op != wire.StopTask {
-		t.Fatalf("with capacity on another machine: %v", formatCommands(got))
+		t.Fatalf("commands with capacity on another machine: got %v, want one kill command", formatCommands(got))
 	}
 }
 
-// A service that waits is as many machine units as it has replicas: they do not follow one
-// another in the same place, as short tasks do.
+// A waiting service needs capacity for all of its replicas at the same time. Unlike short tasks,
+// they do not run one after the other on the same machine.
 func TestServiceIsSizedByItsReplicas(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.addJob(newServiceJob("req-1", 5, 8)) // a machine each
+	harness.addJob(newServiceJob("req-1", 5, 8)) // each replica needs a whole machine
 	input := autoscaler.Input{
 		MachineTypes: testMachineTypes,
 		Summaries:    map[int]records.PartitionSummary{0: harness.Summary(harness.now)},
@@ -66,12 +66,12 @@
 		rented += rental.Count
 	}
 	if rented != 5 {
-		t.Errorf("%d machines for 5 replicas: %+v", rented, plan.Rentals)
+		t.Errorf("plan rents %d machines for 5 replicas, want 5: %+v", rented, plan.Rentals)
 	}
 }
 
-// commitAndMeasure commits all changes to the key-value store, and returns the size in bytes of
-// the largest record.
+// commitAndMeasure commits all changes to the key-value store and returns the size of the largest
+// written value in bytes.
 func (h *partitionHarness) commitAndMeasure() int {
 	largest := 0
 	for {
@@ -87,8 +87,8 @@
 	}
 }
 
-// A service that runs for long, and whose replicas end thousands of times, takes no more
-// memory and no larger records than at first.
+// The memory and the records of a long-lived service must stay bounded, even if its replicas exit
+// thousands of times.
 func TestLongLivedServiceUsesBoundedState(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.journal.slotRevisions = make([]uint64, testJournalSlots)
@@ -110,7 +110,7 @@
 	}
 	machine := harness.machines.get("m-1")
 	if job.highestAttempt < 1900 {
-		t.Fatalf("%d attempts", job.highestAttempt)
+		t.Fatalf("replicas were placed under %d attempts, want at least 1900", job.highestAttempt)
 	}
 	for _, kept := range []struct {
 		name       string
@@ -124,10 +124,10 @@
 		{"failed jobs", len(machine.failedJobs), 1},
 	} {
 		if kept.count > kept.max {
-			t.Errorf("%d %s are kept, want at most %d", kept.count, kept.name, kept.max)
+			t.Errorf("partition keeps %d %s, want at most %d", kept.count, kept.name, kept.max)
 		}
 	}
 	if largest > 1500 {
-		t.Errorf("a record of %d bytes", largest)
+		t.Errorf("largest record has %d bytes, want at most 1500", largest)
 	}
 }
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// stopDeliveryHeartbeats is how many heartbeat intervals beyond its grace period a
-	// task may take to be reported as stopped: one until the command leaves, and one until
-	// the worker reports the exit.
+	// stopDeliveryHeartbeats is the number of heartbeat intervals beyond its grace period
+	// within which a task must be reported as stopped: one until the stop command is sent, and
+	// one until the worker reports the exit.
 	stopDeliveryHeartbeats = 2
-	// imageFetchTimeFactor is how many times the duration of a fetch at the machine type's
-	// rate a gang's image may take.
+	// imageFetchTimeFactor is the factor by which the fetch of a gang's image may exceed its
+	// duration at the machine type's fetch rate.
 	imageFetchTimeFactor = 2
 )
 
-// requeue detaches a placement that ended without a result, and stops the rest of its gang.
+// requeue detaches a placement that ended before its task was done, and stops the rest of its
+// gang.
 func (p *Partition) requeue(placement *Placement, now time.Time) {
 	job := placement.job
 	p.detach(placement)
@@ -39,14 +40,15 @@
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		if placement == nil {
-			continue // detached with another task of its gang
+			continue // already detached with another task of its gang
 		}
 		p.requeue(placement, now)
 	}
 }
 
-// requestStop has a placement stopped with a grace period in seconds. One whose start was
-// never sent is detached at once.
+// requestStop requests that a placement's task be stopped with a grace period in seconds. A
+// repeated request can only shorten the grace period. A placement whose start was never sent is
+// detached immediately.
 func (p *Partition) requestStop(placement *Placement, graceS float64, now time.Time) {
 	if !placement.start.sent {
 		p.detach(placement)
@@ -60,8 +62,8 @@
 	}
 }
 
-// stopGracefully stops a placement with the time to save a checkpoint, and its gang with
-// it: all tasks of a gang have to be stopped together.
+// stopGracefully stops a placement with enough time to save a checkpoint. The tasks of a gang can
+// only be stopped together, so it stops the whole gang.
 func (p *Partition) stopGracefully(placement *Placement, now time.Time) {
 	job := placement.job
 	graceS := p.checkpointGraceS(job)
@@ -69,17 +71,17 @@
 		p.requestStop(placement, graceS, now)
 		return
 	}
-	// Only the end of the last placement resets gangBroken, so without any placement
-	// left it must not be set.
+	// gangBroken is reset only when the last placement ends, so it must not be set if no
+	// placement is left.
 	job.gangBroken = len(job.placements) > 0
 	for _, other := range sortedPlacements(job) {
 		p.requestStop(other, graceS, now)
 	}
 }
 
-// checkpointGraceS returns the grace period in which a task of the job can save a
-// checkpoint, or 0 if that is not worth it: a task that is stopped without grace loses half a
-// checkpoint interval on average, so saving has to take less than that.
+// checkpointGraceS returns the grace period in seconds in which a task of the job can save a
+// checkpoint, or 0 if saving is not worth it. A task that is stopped without a grace period loses
+// half a checkpoint interval of work on average, so saving must take less time than that.
 func (p *Partition) checkpointGraceS(job *Job) float64 {
 	if job.CheckpointIntervalS > 2*job.CheckpointSaveS {
 		return job.CheckpointSaveS + p.tuning.GraceS
@@ -87,8 +89,8 @@
 	return 0
 }
 
-// remainingGraceS returns the grace period in seconds to send with a repeated stop. It is 0
-// for a task that has exceeded its grace period, which kills it.
+// remainingGraceS returns the grace period in seconds to send with a repeated stop command. It is
+// 0, which kills the task, if the grace period and the time allowed for delivery have passed.
 func (p *Partition) remainingGraceS(request *stopRequest, now time.Time) float64 {
 	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.Workers.ReportS + p.tuning.MarginS
 	if now.Sub(request.requestedAt) > tuning.Seconds(limitS) {
@@ -97,7 +99,8 @@
 	return request.gracePeriodS
 }
 
-// evacuateOnNotice stops the tasks that benefit from it before the cloud reclaims the machine.
+// evacuateOnNotice stops the tasks that benefit from being stopped before the cloud terminates the
+// machine.
 func (p *Partition) evacuateOnNotice(machine *Machine, now time.Time) {
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
@@ -108,8 +111,8 @@
 	}
 }
 
-// evacuatePlacement stops a placement unless it is better off running until the machine is
-// reclaimed, as a task without checkpoints is.
+// evacuatePlacement stops a placement unless it is better to let its task run until the machine is
+// terminated, as for a running task that writes no checkpoints.
 func (p *Partition) evacuatePlacement(placement *Placement, now time.Time) {
 	job := placement.job
 	running := placement.state == wire.TaskRunning
@@ -117,8 +120,8 @@
 	case !placement.start.sent:
 		p.requeue(placement, now)
 	case job.IsService():
-		// A running replica serves until the machine is reclaimed, unless another
-		// machine has the capacity for it.
+		// A running replica is stopped early only if another machine has capacity for
+		// it.
 		if !running || len(p.findMachines(job, 1, now, p.machines.all(), (*Machine).freeCapacity)) > 0 {
 			p.requestStop(placement, 0, now)
 		}
@@ -127,10 +130,11 @@
 	}
 }
 
-// handleGangTimeout handles a task of a gang that timed out waiting for the others. Those that
-// still fetch their image continue until they have it, and the machines are reserved for the
-// gang, so that its next attempt starts at once. If they were stopped, they would have to
-// fetch again while the first task times out again, and so forever.
+// handleGangTimeout handles a gang task that timed out while it waited for the other tasks of its
+// gang. Tasks that are still fetching the image continue until they have it, and the gang's
+// machines are reserved, so that the next attempt can start without delay. If the fetches were
+// aborted, they would begin again with the next attempt, whose first task would time out again,
+// and so on forever.
 func (p *Partition) handleGangTimeout(placement *Placement, now time.Time) {
 	job := placement.job
 	p.reserveMachineForGang(placement, now)
@@ -144,8 +148,8 @@
 	}
 }
 
-// reserveMachineForGang reserves a placement's machine for the next attempt of its gang, until
-// the slowest of the gang's machines must have fetched the image.
+// reserveMachineForGang reserves a placement's machine for the next attempt of its gang, until the
+// slowest of the gang's machines should have fetched the image.
 func (p *Partition) reserveMachineForGang(placement *Placement, now time.Time) {
 	job := placement.job
 	fetchS := 0.0
--- a/internal/scheduler/task_exit.go
+++ b/internal/scheduler/task_exit.go
@@ -6,8 +6,8 @@
 	"ambersill/internal/wire"
 )
 
-// handleTaskExit records the exit of a placement's task, and requeues the task if it has no
-// result.
+// handleTaskExit processes the exit of a placement's task, and requeues the task if it is not
+// done.
 func (p *Partition) handleTaskExit(placement *Placement, cause wire.ExitCause, now time.Time) {
 	if impliesImageFetched(cause) {
 		placement.imageFetched = true
@@ -25,8 +25,8 @@
 	}
 }
 
-// impliesImageFetched reports whether a task that exited for this cause had waited for its
-// gang or run, which takes the image.
+// impliesImageFetched reports whether a task that exited for this cause must have had its image:
+// it had run or had waited for the other tasks of its gang.
 func impliesImageFetched(cause wire.ExitCause) bool {
 	switch cause {
 	case wire.ExitStopped, wire.ExitInsufficientResources, wire.ExitTaskPresent, wire.ExitTaskUnknown:
@@ -36,8 +36,8 @@
 	}
 }
 
-// handleTaskSuccess records that a task completed. A service's replica is to run until its job
-// is cancelled, so it is started again.
+// handleTaskSuccess processes the successful exit of a task, and marks the task or its gang as
+// done. A replica of a service must run until its job is cancelled, so it is requeued instead.
 func (p *Partition) handleTaskSuccess(placement *Placement, now time.Time) {
 	job := placement.job
 	clear(placement.machine.failedJobs)
@@ -55,7 +55,7 @@
 	p.detach(placement)
 }
 
-// handleTaskFailure records that a task exited with an error, and requeues it.
+// handleTaskFailure records a task's exit with an error, and requeues the task.
 func (p *Partition) handleTaskFailure(placement *Placement, now time.Time) {
 	job := placement.job
 	if job.IsService() {
@@ -65,8 +65,8 @@
 	p.requeue(placement, now)
 }
 
-// markGangDone ends a gang. Its tasks complete together, so the others are done even if their
-// machines are lost before they can report it.
+// markGangDone marks all tasks of a gang as done. They complete together, so the other tasks are
+// done even if their machines are lost before the workers report it.
 func (p *Partition) markGangDone(job *Job) {
 	for i := range job.taskStates {
 		p.markTaskDone(job, i)
@@ -76,7 +76,7 @@
 	}
 }
 
-// markTaskDone records that a task is done; one that is done already stays as it is.
+// markTaskDone marks a task as done. It has no effect if the task is already done.
 func (p *Partition) markTaskDone(job *Job, task int) {
 	if job.taskStates[task] == taskDone {
 		return
