--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -117,7 +117,7 @@
 // jobCancelled cancels a job when the node that committed its cancellation announces it.
 func (o *ownedPartition) jobCancelled(id string) {
 	loaded := o.whenLoaded(func(partition *scheduler.Partition) {
-		partition.Cancel(id, time.Now())
+		partition.CancelJob(id, time.Now())
 	})
 	if loaded {
 		o.wakeUp()
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -53,7 +53,7 @@
 	case wire.JobQueued:
 		o.partition.AddJob(record.Job, time.UnixMilli(record.SubmittedAtMS), event.Revision)
 	case wire.JobCancelled:
-		o.partition.Cancel(record.Job.ID, time.Now())
+		o.partition.CancelJob(record.Job.ID, time.Now())
 	case wire.JobRunning, wire.JobDone:
 		// This owner writes the end of a job itself; JobRunning is never stored.
 	}
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -10,16 +10,16 @@
 	p.cancelledJobIDs = make(map[string]bool, len(ids))
 	for _, id := range ids {
 		p.cancelledJobIDs[id] = true
-		if p.Cancel(id, now) {
+		if p.CancelJob(id, now) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Cancel stops the tasks of a job whose cancellation is committed. It reports whether the job is
+// CancelJob stops the tasks of a job whose cancellation is committed. It reports whether the job is
 // known and had not been cancelled before.
-func (p *Partition) Cancel(id string, now time.Time) bool {
+func (p *Partition) CancelJob(id string, now time.Time) bool {
 	job := p.jobs[id]
 	if job == nil || job.Cancelled {
 		return false
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -38,7 +38,7 @@
 		return newCommand(wire.StopTask, key), true
 	case placement.stopRequest != nil:
 		command = newCommand(wire.StopTask, key)
-		command.GracePeriodS = p.remainingGraceS(placement.stopRequest, now)
+		command.GracePeriodS = p.remainingGraceSeconds(placement.stopRequest, now)
 		placement.stopRequest.sent = true
 		return command, true
 	}
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -90,7 +90,7 @@
 	harness.sendHeartbeat("m-1")
 	harness.addJob(newArrayJob("req-2", 1, 1))
 	harness.scheduleAndCommit()
-	harness.Cancel("req-1", harness.now)
+	harness.CancelJob("req-1", harness.now)
 	first, _ := harness.DirectCommands("m-1", true)
 	if len(first.Commands) != 2 || len(harness.MachinesAwaitingCommands(true)) != 0 {
 		t.Fatalf("direct commands %v, machines awaiting commands %v", first.Commands, harness.MachinesAwaitingCommands(true))
@@ -110,7 +110,7 @@
 	harness := newHarnessWithPlacedJob(2)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-1")
-	harness.Cancel("req-1", harness.now)
+	harness.CancelJob("req-1", harness.now)
 	harness.commitBatches()
 	if len(harness.jobs) != 1 {
 		t.Fatal("the job is dropped while its tasks are on a machine")
@@ -134,7 +134,7 @@
 func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	request, _ := harness.DirectCommands("m-1", true)
-	harness.Cancel("req-1", harness.now)
+	harness.CancelJob("req-1", harness.now)
 	harness.HandleCommandOutcome(request, "m-1", CommandsNotExecuted)
 	for range 3 {
 		harness.sendHeartbeat("m-1")
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -85,7 +85,7 @@
 	case wire.JobDone:
 		p.finalizeJob(job)
 	case wire.JobCancelled:
-		p.Cancel(job.ID, now)
+		p.CancelJob(job.ID, now)
 	case wire.JobQueued, wire.JobRunning:
 		// The end is not committed; the next batch contains it again.
 	}
--- a/internal/scheduler/failures.go
+++ b/internal/scheduler/failures.go
@@ -37,9 +37,9 @@
 // resetBackoff makes the next back-off start with the shortest delay.
 func (f *jobFailures) resetBackoff() { f.backoffS = 0 }
 
-// backOff delays the next attempt of the job. The delay doubles each time, up to ErrorBackoffMaxS,
-// so that a job that fails everywhere does not keep machines busy or rented.
-func (f *jobFailures) backOff(tunables *tuning.Tuning, now time.Time) {
+// extendBackoff delays the next attempt of the job. The delay doubles each time, up to
+// ErrorBackoffMaxS, so that a job that fails everywhere does not keep machines busy or rented.
+func (f *jobFailures) extendBackoff(tunables *tuning.Tuning, now time.Time) {
 	if f.backoffS == 0 {
 		f.backoffS = tunables.ErrorBackoffS
 	} else {
@@ -59,6 +59,6 @@
 		p.capacityVersion++
 	}
 	if len(job.failures.machines) >= minMachinesToBlameJob && !job.IsService() {
-		job.failures.backOff(p.tuning, now)
+		job.failures.extendBackoff(p.tuning, now)
 	}
 }
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -40,7 +40,7 @@
 	if slots == nil {
 		return
 	}
-	waitS := min(slots[count-1].availableInS, p.tuning.StarveS) + p.heartbeatToleranceS()
+	waitS := min(slots[count-1].availableInS, p.tuning.StarveS) + p.heartbeatToleranceSeconds()
 	job.reservedUntil = now.Add(tuning.Seconds(waitS))
 	for _, slot := range slots {
 		slot.machine.reserve(job.ID, job.reservedUntil)
@@ -158,7 +158,7 @@
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		ends = append(ends, taskEnd{
-			endsInS: p.remainingSeconds(placement, now),
+			endsInS: p.remainingRunSeconds(placement, now),
 			request: resource.TaskRequest(placement.job.Job),
 		})
 	}
@@ -166,8 +166,8 @@
 	return ends
 }
 
-// remainingSeconds returns the expected time until a placement's task ends.
-func (p *Partition) remainingSeconds(placement *Placement, now time.Time) float64 {
+// remainingRunSeconds returns the expected time until a placement's task ends.
+func (p *Partition) remainingRunSeconds(placement *Placement, now time.Time) float64 {
 	expected := expectedRunSeconds(placement.job.Job)
 	if placement.runningSince.IsZero() {
 		return expected + p.imageFetchSeconds(placement.job, placement.machine)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -54,20 +54,20 @@
 // partitionHarness wraps a partition and simulates the key-value store and the workers.
 type partitionHarness struct {
 	*Partition
-	now         time.Time
-	revision    uint64
-	sequences   map[string]uint64                          // sequence number of the last heartbeat, by machine ID
-	workerTasks map[string]map[taskAttempt]wire.TaskStatus // tasks that each worker reports, by machine ID
+	now                time.Time
+	revision           uint64
+	heartbeatSequences map[string]uint64                          // sequence number of the last heartbeat, by machine ID
+	workerTasks        map[string]map[taskAttempt]wire.TaskStatus // tasks that each worker reports, by machine ID
 }
 
 func newPartitionHarness() *partitionHarness {
 	defaults := tuning.Default()
 	harness := &partitionHarness{
-		Partition:   NewPartition(0, 10, testSettings(), &defaults),
-		now:         time.Unix(1000, 0),
-		revision:    100,
-		sequences:   map[string]uint64{},
-		workerTasks: map[string]map[taskAttempt]wire.TaskStatus{},
+		Partition:          NewPartition(0, 10, testSettings(), &defaults),
+		now:                time.Unix(1000, 0),
+		revision:           100,
+		heartbeatSequences: map[string]uint64{},
+		workerTasks:        map[string]map[taskAttempt]wire.TaskStatus{},
 	}
 	harness.SetMachineTypes(testMachineTypes)
 	return harness
@@ -118,11 +118,11 @@
 
 // nextHeartbeat returns the next heartbeat of a machine's worker, which lists all its tasks.
 func (h *partitionHarness) nextHeartbeat(id string) *wire.Heartbeat {
-	h.sequences[id]++
+	h.heartbeatSequences[id]++
 	heartbeat := &wire.Heartbeat{
 		Machine:      id,
 		Incarnation:  1,
-		Sequence:     h.sequences[id],
+		Sequence:     h.heartbeatSequences[id],
 		FencingToken: h.machines.get(id).token.current,
 	}
 	for _, status := range h.workerTasks[id] {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -75,7 +75,7 @@
 	if len(machine.placements) != 1 {
 		t.Fatal("a placement of an earlier owner was freed by time alone")
 	}
-	harness.sequences["m-1"] = 5
+	harness.heartbeatSequences["m-1"] = 5
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{
 		{"req-1/0", 3}: {Task: "req-1/0", Attempt: 3, State: wire.TaskRunning},
 	}
@@ -208,7 +208,7 @@
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	machine := harness.machines.get("m-1")
-	sequence := harness.sequences["m-1"]
+	sequence := harness.heartbeatSequences["m-1"]
 	sendHeartbeats := func(incarnation uint64, duration time.Duration) {
 		for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
 			sequence++
@@ -278,7 +278,7 @@
 	if harness.NeedsScheduling() {
 		t.Error("scheduling is needed after a cycle that left nothing to do")
 	}
-	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines.get("m-1").token.current)
+	heartbeat := newHeartbeat(1, harness.heartbeatSequences["m-1"], harness.machines.get("m-1").token.current)
 	for _, status := range harness.workerTasks["m-1"] {
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -62,7 +62,7 @@
 	cpuOnlyTypeFits bool    // an allowed machine type without GPUs can run a task
 	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal urgency
 	startOverdue    bool    // has waited longer than OverdueS for its first start: precedes all other jobs
-	startForced     bool    // has waited longer than ForceS for its first start: may also use empty machines
+	startForced     bool    // has waited longer than ForceS for its first start: may use empty machines, and its placements are protected from preemption
 }
 
 // newJob returns a job whose tasks are all waiting. The caller must set its chunks.
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -26,7 +26,7 @@
 	machine.lease.expired = true
 	machine.lease.expiredAt = now
 	p.capacityVersion++
-	p.requeueAll(machine, now)
+	p.requeueMachine(machine, now)
 }
 
 // leaseHasExpired reports whether a machine's lease has expired since the last call. Only
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -119,7 +119,7 @@
 	if machine == nil {
 		return
 	}
-	p.requeueAll(machine, now)
+	p.requeueMachine(machine, now)
 	for _, job := range p.jobs {
 		job.failures.forgetMachine(id)
 	}
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -94,7 +94,7 @@
 		p.Counters.Preempted++
 		p.stopGracefully(placement, now)
 	}
-	machine.reserve(job.ID, now.Add(tuning.Seconds(graceS+p.tuning.GraceS+p.heartbeatToleranceS())))
+	machine.reserve(job.ID, now.Add(tuning.Seconds(graceS+p.tuning.GraceS+p.heartbeatToleranceSeconds())))
 }
 
 // freeCapacityAfterStops returns the capacity that the machine has free once the placements that
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -12,9 +12,9 @@
 // report a change, allowing for one or two lost or late heartbeats.
 const toleratedHeartbeats = 3
 
-// heartbeatToleranceS returns the time in seconds within which a worker is expected to report a
+// heartbeatToleranceSeconds returns the time in seconds within which a worker is expected to report a
 // change.
-func (p *Partition) heartbeatToleranceS() float64 {
+func (p *Partition) heartbeatToleranceSeconds() float64 {
 	return toleratedHeartbeats * p.settings.Cluster.Workers.ReportS
 }
 
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -88,7 +88,7 @@
 // With several times the machines and jobs of any deployment served, each record must fit into a
 // value of the key-value store, and each transaction into 64 KiB. A larger transaction would be
 // rejected on every attempt, so none of its changes would ever be committed.
-func TestRecordsStayWithinTheirLimits(t *testing.T) {
+func TestRecordsStayWithinStoreLimits(t *testing.T) {
 	harness := newPartitionHarness()
 	checkMachineGroupSize(t, harness)
 	for i := range 1500 {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -96,13 +96,13 @@
 		return false
 	}
 	p.placeOnMachines(job, machines, now)
-	return job.startableCount(now) > 0 && !job.IsGang()
+	return job.placeableTasks(now) > 0 && !job.IsGang()
 }
 
 // taskCountInTurn returns the maximum number of tasks of a job to place in this turn. For a gang
 // it is either all tasks or 0.
 func taskCountInTurn(job *Job, team *quota.Team, now time.Time) int {
-	count := min(job.startableCount(now), maxTasksPerTurn)
+	count := min(job.placeableTasks(now), maxTasksPerTurn)
 	if count == 0 {
 		return 0
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-// placeOnMachines places the job's first startable tasks under a new attempt number, one task
+// placeOnMachines places the job's first placeable tasks under a new attempt number, one task
 // per entry of machines.
 func (p *Partition) placeOnMachines(job *Job, machines []*Machine, now time.Time) {
 	job.highestAttempt++
@@ -152,7 +152,7 @@
 		if len(machines) == 0 {
 			return
 		}
-		if !job.startable(task, now) {
+		if !job.taskPlaceable(task, now) {
 			continue
 		}
 		p.placeTask(job, task, machines[0], now)
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		harness := newPartitionHarness()
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-			drawMachine(t, harness, fmt.Sprintf("m-%d", i))
+			addDrawnMachine(t, harness, fmt.Sprintf("m-%d", i))
 		}
 		for i := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			harness.addJob(drawJob(t, fmt.Sprintf("req-%d", i)))
@@ -27,7 +27,7 @@
 
 		for _, job := range harness.jobs {
 			checkMachinesAllowed(t, job)
-			checkZones(t, job)
+			checkZoneConstraints(t, job)
 			checkGangAllOrNone(t, job)
 		}
 		used := harness.usedByMachine()
@@ -39,7 +39,7 @@
 	})
 }
 
-func drawMachine(t *rapid.T, harness *partitionHarness, id string) {
+func addDrawnMachine(t *rapid.T, harness *partitionHarness, id string) {
 	machineType := rapid.SampledFrom([]string{"cpu", "gpu"}).Draw(t, "type")
 	zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
 	spot := rapid.Bool().Draw(t, "spot")
@@ -110,7 +110,7 @@
 	}
 }
 
-func checkZones(t *rapid.T, job *Job) {
+func checkZoneConstraints(t *rapid.T, job *Job) {
 	t.Helper()
 	zones := map[string]int{}
 	for _, placement := range job.placements {
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -56,13 +56,13 @@
 	return now.Sub(placement.runningSince) >= tuning.Seconds(p.tuning.SettledS)
 }
 
-// startable reports whether a task is waiting and its restart delay, if any, has passed.
-func (j *Job) startable(task int, now time.Time) bool {
+// taskPlaceable reports whether a task is waiting and its restart delay, if any, has passed.
+func (j *Job) taskPlaceable(task int, now time.Time) bool {
 	return j.taskStates[task] == taskWaiting && !now.Before(j.replicaRestarts[task].notBefore)
 }
 
-// startableCount returns the number of startable tasks.
-func (j *Job) startableCount(now time.Time) int {
+// placeableTasks returns the number of waiting tasks whose restart delay, if any, has passed.
+func (j *Job) placeableTasks(now time.Time) int {
 	count := j.waitingTasks
 	for task, restart := range j.replicaRestarts {
 		if j.taskStates[task] == taskWaiting && now.Before(restart.notBefore) {
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -53,7 +53,7 @@
 
 // A waiting service needs capacity for all of its replicas at the same time. Unlike short tasks,
 // they do not run one after the other on the same machine.
-func TestServiceIsSizedByItsReplicas(t *testing.T) {
+func TestServiceDemandCountsAllReplicas(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addJob(newServiceJob("req-1", 5, 8)) // each replica needs a whole machine
 	input := autoscaler.Input{
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// requeueAll requeues all placements of a machine.
-func (p *Partition) requeueAll(machine *Machine, now time.Time) {
+// requeueMachine requeues all placements on a machine.
+func (p *Partition) requeueMachine(machine *Machine, now time.Time) {
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		if placement == nil {
@@ -66,7 +66,7 @@
 // only be stopped together, so it stops the whole gang.
 func (p *Partition) stopGracefully(placement *Placement, now time.Time) {
 	job := placement.job
-	graceS := p.checkpointGraceS(job)
+	graceS := p.checkpointGraceSeconds(job)
 	if !job.IsGang() {
 		p.requestStop(placement, graceS, now)
 		return
@@ -79,19 +79,19 @@
 	}
 }
 
-// checkpointGraceS returns the grace period in seconds in which a task of the job can save a
+// checkpointGraceSeconds returns the grace period in seconds in which a task of the job can save a
 // checkpoint, or 0 if saving is not worth it. A task that is stopped without a grace period loses
 // half a checkpoint interval of work on average, so saving must take less time than that.
-func (p *Partition) checkpointGraceS(job *Job) float64 {
+func (p *Partition) checkpointGraceSeconds(job *Job) float64 {
 	if job.CheckpointIntervalS > 2*job.CheckpointSaveS {
 		return job.CheckpointSaveS + p.tuning.GraceS
 	}
 	return 0
 }
 
-// remainingGraceS returns the grace period in seconds to send with a repeated stop command. It is
+// remainingGraceSeconds returns the grace period in seconds to send with a repeated stop command. It is
 // 0, which kills the task, if the grace period and the time allowed for delivery have passed.
-func (p *Partition) remainingGraceS(request *stopRequest, now time.Time) float64 {
+func (p *Partition) remainingGraceSeconds(request *stopRequest, now time.Time) float64 {
 	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.Workers.ReportS + p.tuning.MarginS
 	if now.Sub(request.requestedAt) > tuning.Seconds(limitS) {
 		return 0
@@ -159,5 +159,5 @@
 			fetchS = max(fetchS, imageFetchTimeFactor*job.ImageGB/rate)
 		}
 	}
-	placement.machine.reserve(job.ID, now.Add(tuning.Seconds(fetchS+p.heartbeatToleranceS())))
+	placement.machine.reserve(job.ID, now.Add(tuning.Seconds(fetchS+p.heartbeatToleranceSeconds())))
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -90,7 +90,7 @@
 
 // contactDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
 func (p *Partition) contactDigest(machine *Machine, now time.Time) records.MachineDigest {
-	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
+	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceSeconds())
 	assignedLongAgo := now.Sub(machine.assignedAt) > patience
 	token := &machine.token
 	switch {
@@ -179,7 +179,7 @@
 	if job.preemption.inProgress && now.Sub(job.preemption.lastPreemptedAt).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted work is about to free the capacity
 	}
-	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
+	count := min(job.placeableTasks(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
 		return 0
 	}
