--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -120,7 +120,8 @@
 	return true
 }
 
-// freeCapacityAfterMoves returns a machine's free capacity after the moves that are planned to it.
+// freeCapacityAfterMoves returns a machine's free capacity once the tasks that are planned to be
+// moved to it have been placed. freeAfterMoves contains it for the machines selected so far.
 func freeCapacityAfterMoves(machine *Machine, freeAfterMoves map[*Machine]resource.Vector) resource.Vector {
 	if capacity, planned := freeAfterMoves[machine]; planned {
 		return capacity
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(harness.jobs["req-1"].placements) != 2 {
-		t.Fatal("gang req-1 is not placed again as a whole after all of its tasks are gone, want 2 tasks placed")
+		t.Fatal("gang req-1 is not placed again with both tasks after all of its tasks are gone")
 	}
 }
 
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -144,9 +144,9 @@
 func (j *Job) mayPreempt() bool { return j.cycle.withinGuarantee || j.Priority.Value() > 0 }
 
 // preemptible reports whether a placement may be stopped for a job. A placement of lower priority
-// may be stopped unless it is within its team's guarantee and the job is not. Any other placement
-// may be stopped only if it belongs to another team and is beyond that team's guarantee, and the
-// job is within its own.
+// may be stopped unless it is within its team's guarantee and the job is not. A placement of equal
+// or higher priority may be stopped only if it belongs to another team and is beyond that team's
+// guarantee, and the job is within its own.
 func (p *Partition) preemptible(placement *Placement, job *Job) bool {
 	other := placement.job
 	if other == job || placement.gangDone || p.isProtected(placement) {
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// stopGracefully stops a placement with enough time to save a checkpoint. The tasks of a gang can
-// only be stopped together, so it stops the whole gang.
+// stopGracefully stops a placement, with time to save a checkpoint if that is worth it. The tasks
+// of a gang can only be stopped together, so it stops the whole gang.
 func (p *Partition) stopGracefully(placement *Placement, now time.Time) {
 	job := placement.job
 	graceS := p.checkpointGraceSeconds(job)
@@ -89,8 +89,9 @@
 	return 0
 }
 
-// remainingGraceSeconds returns the grace period in seconds to send with a repeated stop command. It is
-// 0, which kills the task, if the grace period and the time allowed for delivery have passed.
+// remainingGraceSeconds returns the grace period in seconds to send with a repeated stop command.
+// It is 0, which kills the task, if the grace period and the time allowed for delivery have
+// passed.
 func (p *Partition) remainingGraceSeconds(request *stopRequest, now time.Time) float64 {
 	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.Workers.ReportS + p.tuning.MarginS
 	if now.Sub(request.requestedAt) > tuning.Seconds(limitS) {
