--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -38,12 +38,12 @@
 
 // startState is the state of the start command of a placement.
 type startState struct {
-	sent bool // sent to the worker at least once
+	sent bool // sent to the worker; reset if the worker did not execute it
 	// heartbeatSequence is the sequence number of the newest heartbeat when the start was
 	// last sent.
 	heartbeatSequence uint64
-	// directToken is the fencing token of the command request that contained the start, or 0
-	// if the start was only sent in replies to heartbeats.
+	// directToken is the fencing token of the direct request that contained the start. It is 0
+	// if no direct request contained the start, or the worker did not execute that request.
 	directToken uint64
 	// observed is set if the worker has confirmed the start, or a task list contained the
 	// task. The start is then never sent again, since the worker may have run and forgotten
@@ -55,7 +55,7 @@
 type stopRequest struct {
 	gracePeriodS float64
 	requestedAt  time.Time
-	sent         bool // sent to the worker at least once
+	sent         bool // sent to the worker; reset if the worker did not execute it
 }
 
 // chunk returns the chunk that contains the placement's task.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -66,8 +66,9 @@
 	return p.compareWithinUrgency(job, otherJob) < 0
 }
 
-// fairShareStep returns the queue's fair share ratio in steps of LoadStep, rounded down. With
-// exact ratios the teams would progress in lockstep, and all of their jobs would end late.
+// fairShareStep returns the queue's fair share ratio in steps of LoadStep, rounded down. If
+// ratios were compared exactly, the teams would progress in lockstep and all of their jobs would
+// end late.
 func (p *Partition) fairShareStep(queue *teamQueue) float64 {
 	return math.Floor(queue.fairShareRatio() / p.tuning.LoadStep)
 }
