--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -27,7 +27,7 @@
 	}
 	for _, owned := range c.ownedPartitions() {
 		owned.machineChanged(change)
-		owned.wakeUp()
+		owned.requestCycle()
 	}
 }
 
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -20,37 +20,37 @@
 // after one that failed, so that a single error does not stop the starts.
 const failedPollDivisor = 4
 
-// cancellationKnowledge is what an owner may do, given what it knows of cancellations.
-type cancellationKnowledge struct {
-	startsTasks       bool
-	answersHeartbeats bool
+// ownerPermissions is what an owner may do, given what it knows of cancellations.
+type ownerPermissions struct {
+	canStartTasks       bool
+	canAnswerHeartbeats bool
 }
 
-// cancellationKnowledgeAt returns what an owner may do with knowledge of the given age.
-func (c *Controller) cancellationKnowledgeAt(age time.Duration) cancellationKnowledge {
-	return cancellationKnowledge{
-		startsTasks:       age < tuning.Seconds(c.tuning.FreshS),
-		answersHeartbeats: age <= c.heartbeatAnswerLimit(),
+// permissionsAt returns what an owner may do with knowledge of the given age.
+func (c *Controller) permissionsAt(age time.Duration) ownerPermissions {
+	return ownerPermissions{
+		canStartTasks:       age < tuning.Seconds(c.tuning.FreshS),
+		canAnswerHeartbeats: age <= c.maxAgeToAnswerHeartbeats(),
 	}
 }
 
-// heartbeatAnswerLimit returns the age of the knowledge of cancellations up to which an
+// maxAgeToAnswerHeartbeats returns the age of the knowledge of cancellations up to which an
 // owner answers heartbeats. The tasks of a job that was cancelled just after the reading run
 // for as long as heartbeats are answered, and then for the lease that the last answered
 // heartbeat has renewed from the moment it was sent; all of it must fit into the time in
 // which a cancellation has to take effect.
-func (c *Controller) heartbeatAnswerLimit() time.Duration {
+func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.Workers
 	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
 	return tuning.Seconds(workers.CancelS - leaseS - workers.ReportS - c.tuning.MarginS)
 }
 
-// cancellationAge returns the age of the owner's knowledge of cancellations: all that were
+// cancellationListingAge returns the age of the owner's knowledge of cancellations: all that were
 // confirmed longer ago are known, whichever node confirmed them. The time since the last
 // contact with the store is not enough: once contact was regained after an outage, or while
 // watches were open but stuck, an owner that alone had its requests refused answered its
 // workers' heartbeats without knowing what other nodes had confirmed meanwhile.
-func (o *ownedPartition) cancellationAge() time.Duration {
+func (o *ownedPartition) cancellationListingAge() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return time.Since(o.cancellationsReadAt)
@@ -58,20 +58,20 @@
 
 // mayStartTasks reports whether the knowledge of cancellations is new enough to start tasks.
 func (o *ownedPartition) mayStartTasks() bool {
-	return o.controller.cancellationKnowledgeAt(o.cancellationAge()).startsTasks
+	return o.controller.permissionsAt(o.cancellationListingAge()).canStartTasks
 }
 
-// logKnowledge logs when the knowledge of cancellations becomes too old, or new enough
+// logPermissionChange logs when the knowledge of cancellations becomes too old, or new enough
 // again, to start tasks or to answer heartbeats.
-func (o *ownedPartition) logKnowledge() {
-	age := o.cancellationAge()
-	knowledge := o.controller.cancellationKnowledgeAt(age)
-	if knowledge == o.loggedKnowledge {
+func (o *ownedPartition) logPermissionChange() {
+	age := o.cancellationListingAge()
+	permissions := o.controller.permissionsAt(age)
+	if permissions == o.loggedPermissions {
 		return
 	}
-	o.loggedKnowledge = knowledge
-	slog.Info("knowledge of cancellations", "partition", o.index, "starts_tasks", knowledge.startsTasks,
-		"answers_heartbeats", knowledge.answersHeartbeats, "age_s", age.Seconds())
+	o.loggedPermissions = permissions
+	slog.Info("knowledge of cancellations", "partition", o.index, "starts_tasks", permissions.canStartTasks,
+		"answers_heartbeats", permissions.canAnswerHeartbeats, "age_s", age.Seconds())
 }
 
 // pollCancellations polls the keys of cancelled jobs until the context ends. A key is
@@ -80,7 +80,7 @@
 func (o *ownedPartition) pollCancellations(ctx context.Context) {
 	interval := tuning.Seconds(o.controller.tuning.NewsS)
 	for ctx.Err() == nil {
-		o.logKnowledge()
+		o.logPermissionChange()
 		requestedAt := time.Now()
 		items, _, err := o.controller.store.ListUnthrottled(ctx, records.CancellationPrefix(o.index))
 		if err != nil {
@@ -100,7 +100,7 @@
 	o.cancellationsReadAt = requestedAt
 	o.mu.Unlock()
 	if anyNew {
-		o.wakeUp()
+		o.requestCycle()
 	}
 }
 
@@ -114,12 +114,12 @@
 	return ids
 }
 
-// jobCancelled cancels a job when the node that committed its cancellation announces it.
-func (o *ownedPartition) jobCancelled(id string) {
-	loaded := o.whenLoaded(func(partition *scheduler.Partition) {
+// cancelJob cancels a job when the node that committed its cancellation announces it.
+func (o *ownedPartition) cancelJob(id string) {
+	loaded := o.withLoadedPartition(func(partition *scheduler.Partition) {
 		partition.Cancel(id, time.Now())
 	})
 	if loaded {
-		o.wakeUp()
+		o.requestCycle()
 	}
 }
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -9,24 +9,24 @@
 
 // With the age of its knowledge of cancellations an owner first stops to start tasks, and
 // then to answer heartbeats.
-func TestKnowledgeOfCancellationsAges(t *testing.T) {
+func TestPermissionsDependOnCancellationListingAge(t *testing.T) {
 	c := isolatedController()
 	startLimit := tuning.Seconds(c.tuning.FreshS)
-	answerLimit := c.heartbeatAnswerLimit()
+	answerLimit := c.maxAgeToAnswerHeartbeats()
 	tests := []struct {
 		name string
 		age  time.Duration
-		want cancellationKnowledge
+		want ownerPermissions
 	}{
-		{"just read", 0, cancellationKnowledge{startsTasks: true, answersHeartbeats: true}},
-		{"just new enough to start", startLimit - 1, cancellationKnowledge{startsTasks: true, answersHeartbeats: true}},
-		{"too old to start", startLimit, cancellationKnowledge{answersHeartbeats: true}},
-		{"just new enough to answer", answerLimit, cancellationKnowledge{answersHeartbeats: true}},
-		{"too old to answer", answerLimit + 1, cancellationKnowledge{}},
+		{"just read", 0, ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true}},
+		{"just new enough to start", startLimit - 1, ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true}},
+		{"too old to start", startLimit, ownerPermissions{canAnswerHeartbeats: true}},
+		{"just new enough to answer", answerLimit, ownerPermissions{canAnswerHeartbeats: true}},
+		{"too old to answer", answerLimit + 1, ownerPermissions{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := c.cancellationKnowledgeAt(test.age); got != test.want {
+			if got := c.permissionsAt(test.age); got != test.want {
 				t.Errorf("at the age %v %+v, want %+v", test.age, got, test.want)
 			}
 		})
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -40,7 +40,7 @@
 	c.machineTypes = types
 	c.mu.Unlock()
 	for _, owned := range c.ownedPartitions() {
-		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetMachineTypes(types) })
+		owned.withLoadedPartition(func(partition *scheduler.Partition) { partition.SetMachineTypes(types) })
 	}
 }
 
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -92,5 +92,5 @@
 		o.partition.HandleCommandResponse(heartbeat, time.Now())
 	}
 	o.mu.Unlock()
-	o.wakeUp()
+	o.requestCycle()
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -27,9 +27,9 @@
 	return acquired
 }
 
-// backOff has machine m not execute one request after the other, and checks that each wait is
+// checkBackoff has machine m not execute one request after the other, and checks that each wait is
 // as long as it should be. It returns the time at which the last wait ends.
-func backOff(t *testing.T, slots *commandSlots, now time.Time) time.Time {
+func checkBackoff(t *testing.T, slots *commandSlots, now time.Time) time.Time {
 	t.Helper()
 	for _, wait := range []time.Duration{3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second} {
 		if !slots.acquire("m", now) {
@@ -46,12 +46,12 @@
 
 // Machines that do not answer must cost the others nothing but half of the slots.
 func TestCommandsToSilentMachinesLeaveSlots(t *testing.T) {
-	const silent = 150
+	const unresponsive = 150
 	slots, now := newCommandSlots(testSockets), time.Unix(1000, 0)
 	// Nobody knows yet that they are silent, so that they take all slots until each has
 	// been tried once.
-	for left := silent; left > 0; {
-		machines := acquireAll(slots, "silent-", silent, now)
+	for left := unresponsive; left > 0; {
+		machines := acquireAll(slots, "silent-", unresponsive, now)
 		if want := min(testSlots, left); len(machines) != want {
 			t.Fatalf("%d requests under way, want %d", len(machines), want)
 		}
@@ -61,23 +61,23 @@
 		left -= len(machines)
 	}
 	now = now.Add(testBackoff.shortest)
-	if n := len(acquireAll(slots, "silent-", silent, now)); n != testSlots/2 {
+	if n := len(acquireAll(slots, "silent-", unresponsive, now)); n != testSlots/2 {
 		t.Errorf("%d requests to silent machines", n)
 	}
-	if n := len(acquireAll(slots, "answering-", silent, now)); n != testSlots/2 {
+	if n := len(acquireAll(slots, "answering-", unresponsive, now)); n != testSlots/2 {
 		t.Errorf("%d requests to machines that answer", n)
 	}
 }
 
-func TestCommandsBackOffUpToALimit(t *testing.T) {
-	backOff(t, newCommandSlots(testSockets), time.Unix(1000, 0))
+func TestCommandBackoffDoublesUpToLimit(t *testing.T) {
+	checkBackoff(t, newCommandSlots(testSockets), time.Unix(1000, 0))
 }
 
 // A machine that sends a heartbeat is tried at once; nothing is kept of one that is removed,
 // even while a request to it is under way.
 func TestCommandsResumeAfterHeartbeatOrRemoval(t *testing.T) {
 	slots := newCommandSlots(testSockets)
-	now := backOff(t, slots, time.Unix(1000, 0))
+	now := checkBackoff(t, slots, time.Unix(1000, 0))
 	slots.acquire("m", now)
 	slots.release("m", false, now, testBackoff)
 	slots.resetBackoff("m")
@@ -93,7 +93,7 @@
 
 // All uses of sockets together stay within the limit, down to limits with which hardly
 // anybody can be served.
-func TestSocketsAddUp(t *testing.T) {
+func TestSocketUseStaysWithinLimit(t *testing.T) {
 	c := isolatedController()
 	for limit := 250; limit < 5000; limit += 50 {
 		c.settings.Cluster.Limits.MaxSockets = limit
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,8 +57,8 @@
 	leaseID      uint64    // 0 without a lease
 	leaseExpiry  time.Time // until then the lease surely lasts, even without contact
 	leading      bool
-	addresses    map[string]string // by machine, from heartbeats or the cloud's listing
-	visits       map[string]visit  // by machine: workers that are assigned to other nodes
+	addresses    map[string]string        // by machine, from heartbeats or the cloud's listing
+	visits       map[string]redirectState // by machine: workers that are assigned to other nodes
 }
 
 // New returns a controller that has not started yet.
@@ -86,7 +86,7 @@
 
 		owned:     map[int]*ownedPartition{},
 		addresses: map[string]string{},
-		visits:    map[string]visit{},
+		visits:    map[string]redirectState{},
 	}
 	if c.partitions == 0 {
 		c.partitions = settings.Cluster.Count
@@ -95,7 +95,7 @@
 	c.cluster.onMachine = c.machineChanged
 	c.cluster.onOwner = c.ownerChanged
 	c.cluster.onLevel = c.levelRaised
-	c.updateRateShare()
+	c.updateRateLimits()
 	return c
 }
 
@@ -166,7 +166,7 @@
 		backgroundTask{"catalog", c.runCatalog},
 		backgroundTask{"membership", c.runMembership},
 		backgroundTask{"leadership", c.runLeadership},
-		backgroundTask{"counters", c.runCounters},
+		backgroundTask{"counters", c.logCounters},
 	)
 }
 
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -13,8 +13,8 @@
 // countersInterval is the time between two log lines of counters.
 const countersInterval = 30 * time.Second
 
-// runCounters logs counters at regular intervals.
-func (c *Controller) runCounters(ctx context.Context) error {
+// logCounters logs counters at regular intervals.
+func (c *Controller) logCounters(ctx context.Context) error {
 	for ctx.Err() == nil {
 		transport.Pause(ctx, countersInterval)
 		slog.Info("counters", c.counters().logArgs()...)
@@ -27,19 +27,19 @@
 	heapMiB         uint64
 	systemMiB       uint64 // memory obtained from the operating system
 	goroutines      int
-	stateServed     int // requests to the key-value store, by outcome
-	stateRefused    int
-	stateUnknown    int
+	storeServed     int // requests to the key-value store, by outcome
+	storeRefused    int
+	storeUnknown    int
 	finalJobsCached int
 	partitions      []partitionCounters
 }
 
 // partitionCounters are the figures of an owned partition that are logged.
 type partitionCounters struct {
-	partition int
-	jobs      int
-	machines  int
-	done      scheduler.Counters
+	partition  int
+	jobs       int
+	machines   int
+	scheduling scheduler.Counters
 }
 
 // counters collects the figures of the node and of all partitions whose records are read.
@@ -51,9 +51,9 @@
 		heapMiB:         memory.HeapAlloc >> 20,
 		systemMiB:       memory.Sys >> 20,
 		goroutines:      runtime.NumGoroutine(),
-		stateServed:     served,
-		stateRefused:    refused,
-		stateUnknown:    unknown,
+		storeServed:     served,
+		storeRefused:    refused,
+		storeUnknown:    unknown,
 		finalJobsCached: c.finalJobs.size(),
 	}
 	for _, owned := range c.ownedPartitions() {
@@ -66,12 +66,12 @@
 
 // counters returns false while the partition's records are being read.
 func (o *ownedPartition) counters() (counters partitionCounters, loaded bool) {
-	loaded = o.whenLoaded(func(partition *scheduler.Partition) {
+	loaded = o.withLoadedPartition(func(partition *scheduler.Partition) {
 		counters = partitionCounters{
-			partition: o.index,
-			jobs:      partition.JobCount(),
-			machines:  partition.MachineCount(),
-			done:      partition.Counters,
+			partition:  o.index,
+			jobs:       partition.JobCount(),
+			machines:   partition.MachineCount(),
+			scheduling: partition.Counters,
 		}
 	})
 	return counters, loaded
@@ -84,9 +84,9 @@
 		"heap_mb", n.heapMiB,
 		"sys_mb", n.systemMiB,
 		"goroutines", n.goroutines,
-		"state_ok", n.stateServed,
-		"state_refused", n.stateRefused,
-		"state_unknown", n.stateUnknown,
+		"state_ok", n.storeServed,
+		"state_refused", n.storeRefused,
+		"state_unknown", n.storeUnknown,
 		"final_jobs_cached", n.finalJobsCached,
 	}
 	for _, partition := range n.partitions {
@@ -100,14 +100,14 @@
 		"partition", p.partition,
 		"jobs", p.jobs,
 		"machines", p.machines,
-		"started", p.done.Started,
-		"finished", p.done.Finished,
-		"requeued", p.done.Requeued,
-		"preempted", p.done.Preempted,
-		"moved", p.done.Moved,
-		"gang_reservations", p.done.GangReservations,
-		"gang_timeouts", p.done.GangTimeouts,
-		"journal_records", p.done.JournalRecords,
-		"compactions", p.done.Compactions,
+		"started", p.scheduling.Started,
+		"finished", p.scheduling.Finished,
+		"requeued", p.scheduling.Requeued,
+		"preempted", p.scheduling.Preempted,
+		"moved", p.scheduling.Moved,
+		"gang_reservations", p.scheduling.GangReservations,
+		"gang_timeouts", p.scheduling.GangTimeouts,
+		"journal_records", p.scheduling.JournalRecords,
+		"compactions", p.scheduling.Compactions,
 	}
 }
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -39,8 +39,8 @@
 	commitUnknown
 )
 
-// outcomeOf classifies the error of a commit.
-func outcomeOf(err error) commitOutcome {
+// classifyCommitError classifies the error of a commit.
+func classifyCommitError(err error) commitOutcome {
 	var conflict *kvstore.ConflictError
 	switch {
 	case err == nil:
@@ -99,7 +99,7 @@
 // applied, it returns only when the next one may be committed.
 func (o *ownedPartition) commitBatch(ctx context.Context, batch *scheduler.Batch) commitOutcome {
 	revision, err := o.controller.store.Commit(ctx, batch.Txn)
-	outcome := outcomeOf(err)
+	outcome := classifyCommitError(err)
 	switch outcome {
 	case commitApplied:
 		o.mu.Lock()
@@ -134,7 +134,7 @@
 // them under the revisions read here, after which this one can no longer be applied.
 func (o *ownedPartition) refreshKeys(ctx context.Context, batch *scheduler.Batch) {
 	for _, compare := range batch.Txn.Compares {
-		item, ok := o.readKey(ctx, compare.Key)
+		item, ok := o.readKeyWithRetries(ctx, compare.Key)
 		if !ok {
 			return
 		}
@@ -149,9 +149,9 @@
 	}
 }
 
-// readKey reads a key, with retries; a key that does not exist has revision 0. ok is false
+// readKeyWithRetries reads a key, with retries; a key that does not exist has revision 0. ok is false
 // if the context has ended.
-func (o *ownedPartition) readKey(ctx context.Context, key string) (item wire.KeyValue, ok bool) {
+func (o *ownedPartition) readKeyWithRetries(ctx context.Context, key string) (item wire.KeyValue, ok bool) {
 	for ctx.Err() == nil {
 		item, err := o.controller.store.Get(ctx, key)
 		if err == nil || errors.Is(err, kvstore.ErrNotFound) {
@@ -164,14 +164,14 @@
 
 // refreshKey applies what was read of a batch's key to the partition.
 func (o *ownedPartition) refreshKey(batch *scheduler.Batch, key string, item wire.KeyValue) {
-	record := decodeJob(key, item.Value)
+	record := decodeJobRecord(key, item.Value)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.partition.RefreshKey(batch, key, item.Revision, record, time.Now())
 }
 
-// decodeJob decodes a job's record; it returns nil for other keys, and if there is none.
-func decodeJob(key string, value wire.Raw) *records.JobRecord {
+// decodeJobRecord decodes a job's record; it returns nil for other keys, and if there is none.
+func decodeJobRecord(key string, value wire.Raw) *records.JobRecord {
 	if len(value) == 0 || !strings.HasPrefix(key, jobPrefix) {
 		return nil
 	}
--- a/internal/controller/cycle_test.go
+++ b/internal/controller/cycle_test.go
@@ -10,7 +10,7 @@
 
 // What an owner does after a commit depends on its outcome alone, also if the store's error is
 // wrapped.
-func TestCommitOutcomeOfErrors(t *testing.T) {
+func TestClassifyCommitError(t *testing.T) {
 	tests := []struct {
 		name string
 		err  error
@@ -25,13 +25,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := outcomeOf(test.err); got != test.want {
+			if got := classifyCommitError(test.err); got != test.want {
 				t.Errorf("outcome %d, want %d", got, test.want)
 			}
 			if test.err == nil {
 				return
 			}
-			if got := outcomeOf(fmt.Errorf("commit: %w", test.err)); got != test.want {
+			if got := classifyCommitError(fmt.Errorf("commit: %w", test.err)); got != test.want {
 				t.Errorf("outcome of the wrapped error %d, want %d", got, test.want)
 			}
 		})
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -15,7 +15,7 @@
 func (c *Controller) levelRaised(level records.FeatureLevel) {
 	slog.Info("feature level", "level", level)
 	for _, owned := range c.ownedPartitions() {
-		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetLevel(level) })
+		owned.withLoadedPartition(func(partition *scheduler.Partition) { partition.SetLevel(level) })
 	}
 }
 
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -76,6 +76,6 @@
 	o.mu.Lock()
 	o.partition.HandleCommandResponse(heartbeat, time.Now())
 	o.mu.Unlock()
-	o.wakeUp()
+	o.requestCycle()
 	return executed
 }
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -28,9 +28,9 @@
 	return record, ok
 }
 
-// add keeps a job's record if the job is final. Of the job's description only what queries
+// addIfFinal keeps a job's record if the job is final. Of the job's description only what queries
 // need is kept.
-func (f *finalJobCache) add(record records.JobRecord) {
+func (f *finalJobCache) addIfFinal(record records.JobRecord) {
 	if !record.Phase.Final() {
 		return
 	}
--- a/internal/controller/final_jobs_test.go
+++ b/internal/controller/final_jobs_test.go
@@ -11,13 +11,13 @@
 func TestFinalJobCacheKeepsFinalJobsUpToItsLimit(t *testing.T) {
 	const limit = 3
 	cache := newFinalJobCache(limit)
-	cache.add(records.JobRecord{Job: &wire.Job{ID: "queued"}, Phase: wire.JobQueued})
+	cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: "queued"}, Phase: wire.JobQueued})
 	if _, ok := cache.get("queued"); ok {
 		t.Error("a job that has not ended is kept")
 	}
 	for i := range 2 * limit {
 		id := fmt.Sprint("done-", i)
-		cache.add(records.JobRecord{Job: &wire.Job{ID: id, Tasks: i + 1}, Phase: wire.JobDone})
+		cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: id, Tasks: i + 1}, Phase: wire.JobDone})
 		record, ok := cache.get(id)
 		if !ok || record.Phase != wire.JobDone || record.Job.Tasks != i+1 {
 			t.Errorf("%s: kept %v, record %+v", id, ok, record)
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -129,7 +129,7 @@
 
 // While the owner does not answer, workers have an answer within a fraction of the 4 s that
 // they wait, those that come later at once; the number of waiting heartbeats is bounded.
-func TestForwardingToASilentOwner(t *testing.T) {
+func TestForwardingToUnresponsiveOwnerTimesOut(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		began := time.Now()
 		if n := f.forwardAll(t, maxForwardBatch); n != 0 {
@@ -151,7 +151,7 @@
 }
 
 // Heartbeats beyond the bound of the queue are rejected at once.
-func TestForwardingIsBounded(t *testing.T) {
+func TestForwardQueueIsBounded(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		const beyond = 50
 		var waiting sync.WaitGroup
@@ -171,7 +171,7 @@
 }
 
 // An owner that ends fails what is in flight at once, not after the timeout.
-func TestForwardingToAnOwnerThatEnds(t *testing.T) {
+func TestForwardingFailsAtOnceWhenOwnerShutsDown(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		defer close(f.owner.unblock)
 		time.AfterFunc(2*forwardBatchDelay, f.ownerHost.Shutdown)
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -42,7 +42,7 @@
 func (c *Controller) noPeerInContact() bool {
 	contacts := make(chan peerContact, len(c.peers))
 	for _, peer := range c.peers {
-		go func() { contacts <- c.askContact(peer) }()
+		go func() { contacts <- c.queryPeerContact(peer) }()
 	}
 	anyReachable := len(c.peers) == 0
 	for range c.peers {
@@ -55,7 +55,7 @@
 	return anyReachable
 }
 
-func (c *Controller) askContact(peer *peerrpc.Peer) peerContact {
+func (c *Controller) queryPeerContact(peer *peerrpc.Peer) peerContact {
 	age, err := peer.SinceContact(peerContactTimeout)
 	if err != nil {
 		return peerContact{}
@@ -68,12 +68,12 @@
 
 // NoContactError reports that the key-value store does not serve this node at present.
 type NoContactError struct {
-	// Since is the time since it last did.
-	Since time.Duration
+	// Elapsed is the time since it last did.
+	Elapsed time.Duration
 }
 
 func (e *NoContactError) Error() string {
-	return fmt.Sprintf("no contact to the key-value store for %.0f s", e.Since.Seconds())
+	return fmt.Sprintf("no contact to the key-value store for %.0f s", e.Elapsed.Seconds())
 }
 
 // checkContact returns a *NoContactError if the key-value store has not served this node for
@@ -82,7 +82,7 @@
 func (c *Controller) checkContact() error {
 	since := c.store.SinceContact()
 	if since > tuning.Seconds(c.tuning.FreshS) {
-		return &NoContactError{Since: since}
+		return &NoContactError{Elapsed: since}
 	}
 	return nil
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -18,8 +18,8 @@
 		if !ok {
 			t.Fatal("requests are accepted without contact to the state service")
 		}
-		if noContact.Since <= limit {
-			t.Errorf("the error states %v without contact, want more than %v", noContact.Since, limit)
+		if noContact.Elapsed <= limit {
+			t.Errorf("the error states %v without contact, want more than %v", noContact.Elapsed, limit)
 		}
 	})
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -30,7 +30,7 @@
 		return api.HeartbeatResult{RedirectTo: assigned}
 	}
 	if c.ownedPartition(partition) != nil {
-		return ownerResult(c.OwnedHeartbeat(heartbeat))
+		return apiHeartbeatResult(c.OwnedHeartbeat(heartbeat))
 	}
 	return c.forwardHeartbeat(heartbeat, owner)
 }
@@ -46,11 +46,11 @@
 		// The worker itself may still be able to reach the owner.
 		return api.HeartbeatResult{RedirectTo: owner}
 	}
-	return ownerResult(result)
+	return apiHeartbeatResult(result)
 }
 
-// ownerResult returns the answer of a partition's owner as that to the worker.
-func ownerResult(result peerrpc.HeartbeatResult) api.HeartbeatResult {
+// apiHeartbeatResult returns the answer of a partition's owner as that to the worker.
+func apiHeartbeatResult(result peerrpc.HeartbeatResult) api.HeartbeatResult {
 	return api.HeartbeatResult{Accepted: result.Accepted, Response: result.Response}
 }
 
@@ -71,8 +71,8 @@
 
 // handleHeartbeat reconciles a heartbeat with the partition, and returns the response.
 func (o *ownedPartition) handleHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
-	knowledge := o.controller.cancellationKnowledgeAt(o.cancellationAge())
-	if !knowledge.answersHeartbeats {
+	permissions := o.controller.permissionsAt(o.cancellationListingAge())
+	if !permissions.canAnswerHeartbeats {
 		// Other nodes may have confirmed cancellations; the leases must expire.
 		return peerrpc.HeartbeatResult{}
 	}
@@ -81,18 +81,18 @@
 	if o.partition == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), knowledge.startsTasks)
+	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), permissions.canStartTasks)
 	if verdict != scheduler.HeartbeatAccepted {
 		slog.Debug("heartbeat not accepted",
 			"machine", heartbeat.Machine, "verdict", verdict.String(), "token", heartbeat.FencingToken)
-		o.releaseIfSuperseded(verdict, knowledge)
+		o.releaseIfSuperseded(verdict, permissions)
 		return peerrpc.HeartbeatResult{Response: response}
 	}
 	o.controller.commandSlots.resetBackoff(heartbeat.Machine)
 	// Most heartbeats change nothing, and a cycle for each costs too much on a small
 	// processor.
 	if o.partition.NeedsScheduling() {
-		o.wakeUp()
+		o.requestCycle()
 	}
 	return peerrpc.HeartbeatResult{Accepted: true, Response: response}
 }
@@ -100,9 +100,9 @@
 // releaseIfSuperseded releases the partition if another owner has reached a worker, and this
 // node cannot learn that in any other way: it must not keep other machines from that owner.
 func (o *ownedPartition) releaseIfSuperseded(
-	verdict scheduler.HeartbeatVerdict, knowledge cancellationKnowledge,
+	verdict scheduler.HeartbeatVerdict, permissions ownerPermissions,
 ) {
-	if verdict != scheduler.HeartbeatSuperseded || knowledge.startsTasks {
+	if verdict != scheduler.HeartbeatSuperseded || permissions.canStartTasks {
 		return
 	}
 	// Releasing takes the controller's lock, which must not be taken under o.mu.
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -13,10 +13,10 @@
 	// before it is redirected. It may have changed nodes because it cannot reach the assigned
 	// one, and have used up most of its lease in doing so.
 	redirectGrace = 30 * time.Second
-	// minForwarders is the least number of other live nodes with which the owner of a
+	// minNonOwnerNodes is the least number of other live nodes with which the owner of a
 	// partition is assigned no machines of it. A single other node could be overloaded just
 	// like the owner.
-	minForwarders = 2
+	minNonOwnerNodes = 2
 )
 
 // assignedNode returns the node to which a machine's worker should report: one of the live
@@ -29,15 +29,15 @@
 	if _, live := c.cluster.nodes[owner]; live {
 		otherNodes--
 	}
-	leaveOutOwner := otherNodes >= minForwarders
+	excludeOwner := otherNodes >= minNonOwnerNodes
 	best, highest := "", uint64(0)
 	for node := range c.cluster.nodes {
-		if node == owner && leaveOutOwner {
+		if node == owner && excludeOwner {
 			continue
 		}
-		rank := rendezvousRank(machine, node)
-		if best == "" || rank > highest || (rank == highest && node < best) {
-			best, highest = node, rank
+		weight := rendezvousWeight(machine, node)
+		if best == "" || weight > highest || (weight == highest && node < best) {
+			best, highest = node, weight
 		}
 	}
 	if best == "" {
@@ -46,14 +46,14 @@
 	return best
 }
 
-// rendezvousRank returns the rank of a node for a machine, the same on every node.
-func rendezvousRank(machine, node string) uint64 {
+// rendezvousWeight returns the rank of a node for a machine, the same on every node.
+func rendezvousWeight(machine, node string) uint64 {
 	sum := sha256.Sum256([]byte(machine + "/" + node))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// visit is the state of a worker that reports to a node it is not assigned to.
-type visit struct {
+// redirectState is the state of a worker that reports to a node it is not assigned to.
+type redirectState struct {
 	lastHeartbeat time.Time
 	// redirectAt is when the grace ends.
 	redirectAt time.Time
@@ -75,13 +75,13 @@
 // next returns the state after a heartbeat, and whether to redirect the worker. A worker that
 // is back within a lease of its redirection cannot reach the assigned node, as when a network
 // partition separates the two but not the nodes; it has a new grace.
-func (v visit) next(now time.Time, lease time.Duration) (next visit, redirect bool) {
+func (s redirectState) next(now time.Time, lease time.Duration) (next redirectState, redirect bool) {
 	switch {
-	case now.Sub(v.lastHeartbeat) > lease, v.redirected:
-		return visit{lastHeartbeat: now, redirectAt: now.Add(redirectGrace)}, false
-	case now.Before(v.redirectAt):
-		return visit{lastHeartbeat: now, redirectAt: v.redirectAt}, false
+	case now.Sub(s.lastHeartbeat) > lease, s.redirected:
+		return redirectState{lastHeartbeat: now, redirectAt: now.Add(redirectGrace)}, false
+	case now.Before(s.redirectAt):
+		return redirectState{lastHeartbeat: now, redirectAt: s.redirectAt}, false
 	default:
-		return visit{lastHeartbeat: now, redirectAt: v.redirectAt, redirected: true}, true
+		return redirectState{lastHeartbeat: now, redirectAt: s.redirectAt, redirected: true}, true
 	}
 }
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -16,24 +16,24 @@
 	c := isolatedController()
 	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
 	now := time.Unix(1000, 0)
-	step := func(wait time.Duration, want bool, what string) {
+	step := func(wait time.Duration, want bool, situation string) {
 		t.Helper()
 		now = now.Add(wait)
 		if got := c.shouldRedirect("m-1", now); got != want {
-			t.Errorf("%s: redirected %v", what, got)
+			t.Errorf("%s: redirected %v", situation, got)
 		}
 	}
-	stays := func(what string) {
+	stepThroughGrace := func(situation string) {
 		t.Helper()
 		for range 14 {
-			step(2*time.Second, false, what)
+			step(2*time.Second, false, situation)
 		}
 		step(2*time.Second, true, "after the grace period")
 	}
 	step(0, false, "the first heartbeat")
-	stays("within the grace period")
+	stepThroughGrace("within the grace period")
 	step(lease-time.Second, false, "back within its lease")
-	stays("while it cannot reach its assigned node")
+	stepThroughGrace("while it cannot reach its assigned node")
 	step(lease+time.Second, false, "as if it were the first")
 	for range 14 {
 		step(2*time.Second, false, "within the grace period")
@@ -49,20 +49,20 @@
 func TestMachinesAreAssignedEvenlyToNodes(t *testing.T) {
 	const machines = 1000
 	c := isolatedController()
-	assign := func(owner string, nodes ...string) (of map[string]string, count map[string]int) {
+	assign := func(owner string, nodes ...string) (nodeOf map[string]string, count map[string]int) {
 		c.cluster.nodes = map[string]nodeEntry{}
 		for _, n := range nodes {
 			c.cluster.nodes[n] = nodeEntry{revision: 1}
 		}
-		of, count = map[string]string{}, map[string]int{}
+		nodeOf, count = map[string]string{}, map[string]int{}
 		for i := range machines {
 			id := fmt.Sprintf("m-%06d", i)
-			of[id] = c.assignedNode(id, owner)
-			count[of[id]]++
+			nodeOf[id] = c.assignedNode(id, owner)
+			count[nodeOf[id]]++
 		}
-		return of, count
+		return nodeOf, count
 	}
-	even := func(count map[string]int, nodes ...string) {
+	checkEven := func(count map[string]int, nodes ...string) {
 		t.Helper()
 		if len(count) != len(nodes) {
 			t.Errorf("assigned to %v, want %v", count, nodes)
@@ -74,20 +74,20 @@
 		}
 	}
 	four, count := assign("n-0", "n-0", "n-1", "n-2", "n-3", "n-4")
-	even(count, "n-1", "n-2", "n-3", "n-4")
+	checkEven(count, "n-1", "n-2", "n-3", "n-4")
 	three, count := assign("n-0", "n-0", "n-1", "n-2", "n-4")
-	even(count, "n-1", "n-2", "n-4")
+	checkEven(count, "n-1", "n-2", "n-4")
 	for id, n := range four {
 		if n != "n-3" && three[id] != n {
 			t.Fatalf("%s went from %s to %s although only n-3 failed", id, n, three[id])
 		}
 	}
 	_, count = assign("n-0", "n-0", "n-1")
-	even(count, "n-0", "n-1") // a single other node could be overloaded like the owner
+	checkEven(count, "n-0", "n-1") // a single other node could be overloaded like the owner
 	_, count = assign("n-0", "n-1", "n-2")
-	even(count, "n-1", "n-2")
+	checkEven(count, "n-1", "n-2")
 	_, count = assign("n-0", "n-0")
-	even(count, "n-0")
+	checkEven(count, "n-0")
 	_, count = assign("n-0")
-	even(count, "n-0") // the copy of the cluster's keys may lag
+	checkEven(count, "n-0") // the copy of the cluster's keys may lag
 }
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -19,16 +19,16 @@
 // All workers begin at one node. Within their grace they must be spread over those that do
 // not own the partition; when one of these ends, its workers go on at another node, and
 // no task is lost.
-func TestHeartbeatsAreSpreadBesideTheOwner(t *testing.T) {
+func TestHeartbeatsAreSpreadOverNonOwnerNodes(t *testing.T) {
 	const (
-		tasks    = 110
-		fleetUp  = 50 * time.Second // until the fleet is rented and has booted
-		leastPct = 35               // of the workers, at each of two nodes
-		mostPct  = 65
+		tasks        = 110
+		fleetStartup = 50 * time.Second // until the fleet is rented and has booted
+		minPercent   = 35               // of the workers, at each of two nodes
+		maxPercent   = 65
 	)
 	runFleetSimulation(t, 12, 30, func(cluster *simulatedCluster) {
 		cluster.submit(idleArrayJob(1, tasks, 8, 240), 0)
-		time.Sleep(fleetUp + 2*redirectGrace)
+		time.Sleep(fleetStartup + 2*redirectGrace)
 		workers := len(cluster.cloud.Workers())
 		owner, _ := cluster.partitionOwner()
 		if workers < 100 || owner < 0 || cluster.simulation.Starts() != tasks {
@@ -40,12 +40,12 @@
 		if n := count[ownerName]; n > 0 {
 			cluster.t.Errorf("%d workers report to the owner", n)
 		}
-		if n := count[cluster.nodes[crashed].Name]; n < workers*leastPct/100 || n > workers*mostPct/100 {
+		if n := count[cluster.nodes[crashed].Name]; n < workers*minPercent/100 || n > workers*maxPercent/100 {
 			cluster.t.Errorf("%d of %d workers report to one of two nodes", n, workers)
 		}
 		cluster.crashNode(crashed)
 		time.Sleep(2 * redirectGrace)
-		if n := cluster.workersByNode()[ownerName]; n < workers*leastPct/100 {
+		if n := cluster.workersByNode()[ownerName]; n < workers*minPercent/100 {
 			cluster.t.Errorf("the owner, one of two nodes left, has %d of %d workers", n, workers)
 		}
 		cluster.startNode(crashed)
--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -26,11 +26,11 @@
 		record.Phase = wire.JobCancelled
 		err = c.commitCancellation(ctx, record, revision)
 		if err == nil {
-			c.finalJobs.add(record)
+			c.finalJobs.addIfFinal(record)
 			c.announceCancellation(record.Partition, id)
 			return jobStatus(record), nil
 		}
-		if !mayBeCommitted(err) {
+		if !needsReread(err) {
 			return wire.JobStatus{}, err
 		}
 	}
@@ -58,7 +58,7 @@
 // key-value store refuses that node alone, stops answering heartbeats within half a minute.
 func (c *Controller) announceCancellation(partition int, jobID string) {
 	if owned := c.ownedPartition(partition); owned != nil {
-		owned.jobCancelled(jobID)
+		owned.cancelJob(jobID)
 		return
 	}
 	peer := c.peers[c.cluster.partitionOwner(partition).node]
@@ -82,6 +82,6 @@
 // JobCancelled handles a peer's announcement that a job's cancellation is committed.
 func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
 	if owned := c.ownedPartition(cancellation.Partition); owned != nil {
-		owned.jobCancelled(cancellation.JobID)
+		owned.cancelJob(cancellation.JobID)
 	}
 }
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -33,11 +33,11 @@
 // watchJobsFrom follows the jobs' records until the context ends, or until the next changes
 // were compacted.
 func (o *ownedPartition) watchJobsFrom(ctx context.Context, revision uint64) {
-	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.jobChanged})
+	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.applyJobEvent})
 }
 
-// jobChanged applies a change of a job's record.
-func (o *ownedPartition) jobChanged(event wire.Event) {
+// applyJobEvent applies a change of a job's record.
+func (o *ownedPartition) applyJobEvent(event wire.Event) {
 	if event.Put == "" {
 		return
 	}
@@ -58,7 +58,7 @@
 		// This owner writes the end of a job itself; JobRunning is never stored.
 	}
 	o.mu.Unlock()
-	o.wakeUp()
+	o.requestCycle()
 }
 
 // relistJobs adds the jobs and cancellations that the watch has missed, and returns the
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -22,8 +22,8 @@
 const jobCountsTimeout = 200 * time.Millisecond
 
 var (
-	errNoSuchJob = &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
-	errTooLong   = &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
+	errNoSuchJob   = &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
+	errJobTooLarge = &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
 	// errNoCatalog is temporary: a controller that has just started reads the catalog first.
 	errNoCatalog = errors.New("machine types not known yet")
 )
@@ -39,7 +39,7 @@
 		return api.Submission{Job: jobStatus(record)}, nil
 	}
 	if !records.JobFitsRecord(job, c.settings) {
-		return api.Submission{}, errTooLong
+		return api.Submission{}, errJobTooLarge
 	}
 	types := c.catalog()
 	if len(types) == 0 {
@@ -59,7 +59,7 @@
 func (c *Controller) submitInfeasible(
 	ctx context.Context, job *wire.Job, infeasible error,
 ) (api.Submission, error) {
-	submission, err := c.knownJob(ctx, job.ID)
+	submission, err := c.existingJob(ctx, job.ID)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return api.Submission{}, &api.StatusError{
 			Status: http.StatusUnprocessableEntity,
@@ -74,7 +74,7 @@
 	record := records.JobRecord{
 		Job:           job,
 		Phase:         wire.JobQueued,
-		Partition:     c.partitionOf(job),
+		Partition:     c.partitionForJob(job),
 		SubmittedAtMS: time.Now().UnixMilli(),
 	}
 	jobKey := records.JobKey(job.ID)
@@ -90,22 +90,22 @@
 	switch {
 	case err == nil:
 		return api.Submission{Job: jobStatus(record), Created: true}, nil
-	case mayBeCommitted(err):
-		return c.knownJob(ctx, job.ID)
+	case needsReread(err):
+		return c.existingJob(ctx, job.ID)
 	default:
 		return api.Submission{}, err
 	}
 }
 
-// mayBeCommitted reports whether, after a failed commit, the record has to be read to know the
+// needsReread reports whether, after a failed commit, the record has to be read to know the
 // state: another commit was first, or the response to this one was lost.
-func mayBeCommitted(err error) bool {
+func needsReread(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
 }
 
-// knownJob answers the submission of a job that exists.
-func (c *Controller) knownJob(ctx context.Context, id string) (api.Submission, error) {
+// existingJob answers the submission of a job that exists.
+func (c *Controller) existingJob(ctx context.Context, id string) (api.Submission, error) {
 	record, _, err := c.readJob(ctx, id)
 	if err != nil {
 		return api.Submission{}, err
@@ -162,7 +162,7 @@
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
 		return records.JobRecord{}, 0, fmt.Errorf("decode %s: %w", key, err)
 	}
-	c.finalJobs.add(record)
+	c.finalJobs.addIfFinal(record)
 	return record, item.Revision, nil
 }
 
@@ -203,7 +203,7 @@
 }
 
 func (o *ownedPartition) jobCounts(jobID string) (counts peerrpc.JobCounts) {
-	o.whenLoaded(func(partition *scheduler.Partition) {
+	o.withLoadedPartition(func(partition *scheduler.Partition) {
 		tasks, known := partition.JobCounts(jobID)
 		counts = peerrpc.JobCounts{
 			Known:   known,
@@ -214,11 +214,11 @@
 	return counts
 }
 
-// partitionOf returns the partition that a job belongs to: its team's where teams have
+// partitionForJob returns the partition that a job belongs to: its team's where teams have
 // limits or guarantees, so that one owner enforces them alone. Else jobs that compete for
 // the same machine types share a partition, since capacity of a type that is divided among
 // partitions is stranded.
-func (c *Controller) partitionOf(job *wire.Job) int {
+func (c *Controller) partitionForJob(job *wire.Job) int {
 	teams := c.settings.Cluster.Teams
 	if !anyQuota(teams) {
 		return admission.PrimaryMachineType(job, c.catalog()) % c.partitions
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -62,7 +62,7 @@
 	c.mu.Lock()
 	c.leading = leading
 	c.mu.Unlock()
-	c.updateRateShare()
+	c.updateRateLimits()
 }
 
 // claimKey writes this node's name under its lease if the key has the given revision, and
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -31,21 +31,21 @@
 // runs it.
 type membership struct {
 	controller *Controller
-	// renewEvery is the time between two renewals of the lease.
-	renewEvery time.Duration
+	// renewInterval is the time between two renewals of the lease.
+	renewInterval time.Duration
 	// renewedAt is when the last grant or renewal that was answered was requested.
 	renewedAt time.Time
 	// registered is whether the node's record is attached to the current lease.
 	registered bool
-	// contactLost is what was last logged about contact to the key-value store.
-	contactLost bool
+	// loggedContactLost is what was last logged about contact to the key-value store.
+	loggedContactLost bool
 }
 
 // runMembership keeps the node's lease and claims partitions without an owner.
 func (c *Controller) runMembership(ctx context.Context) error {
 	m := &membership{
-		controller: c,
-		renewEvery: tuning.Seconds(c.tuning.HoldS / renewalsPerLease),
+		controller:    c,
+		renewInterval: tuning.Seconds(c.tuning.HoldS / renewalsPerLease),
 	}
 	for ctx.Err() == nil {
 		m.logContact()
@@ -68,10 +68,10 @@
 func (m *membership) logContact() {
 	since := m.controller.SinceContact()
 	lost := since > tuning.Seconds(m.controller.tuning.FreshS)
-	if lost == m.contactLost {
+	if lost == m.loggedContactLost {
 		return
 	}
-	m.contactLost = lost
+	m.loggedContactLost = lost
 	slog.Info("contact to the key-value store", "lost", lost, "since_s", since.Seconds())
 }
 
@@ -96,7 +96,7 @@
 // renewLease renews the lease if that is due, and reports whether it is still held. After an
 // error it returns false after a delay.
 func (m *membership) renewLease(ctx context.Context) bool {
-	if time.Since(m.renewedAt) < m.renewEvery {
+	if time.Since(m.renewedAt) < m.renewInterval {
 		return true
 	}
 	leaseID := m.controller.currentLease()
@@ -124,7 +124,7 @@
 // waitForChange waits until the cluster's keys change or the next check is due.
 func (m *membership) waitForChange(ctx context.Context) {
 	changed := m.controller.cluster.changes()
-	timer := time.NewTimer(min(m.renewEvery, membershipInterval))
+	timer := time.NewTimer(min(m.renewInterval, membershipInterval))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -35,13 +35,13 @@
 	// owner has the condition that the key still has it, which fences former owners.
 	revision uint64
 	cancel   context.CancelFunc
-	// wake requests a scheduling cycle before the next tick.
-	wake chan struct{}
+	// cycleRequests requests a scheduling cycle before the next tick.
+	cycleRequests chan struct{}
 
 	// summary is used by the goroutine of run alone.
 	summary summaryWriter
-	// loggedKnowledge is what was last logged; used by pollCancellations alone.
-	loggedKnowledge cancellationKnowledge
+	// loggedPermissions is what was last logged; used by pollCancellations alone.
+	loggedPermissions ownerPermissions
 
 	// mu guards the fields below and all that partition refers to. It is not held during
 	// requests to the key-value store or to a worker.
@@ -62,14 +62,14 @@
 	index int, revision uint64, cancel context.CancelFunc,
 ) *ownedPartition {
 	return &ownedPartition{
-		controller:      c,
-		index:           index,
-		revision:        revision,
-		cancel:          cancel,
-		wake:            make(chan struct{}, 1),
-		summary:         newSummaryWriter(),
-		loggedKnowledge: cancellationKnowledge{startsTasks: true, answersHeartbeats: true},
-		pendingChanges:  map[string]machineChange{},
+		controller:        c,
+		index:             index,
+		revision:          revision,
+		cancel:            cancel,
+		cycleRequests:     make(chan struct{}, 1),
+		summary:           newSummaryWriter(),
+		loggedPermissions: ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true},
+		pendingChanges:    map[string]machineChange{},
 	}
 }
 
@@ -95,9 +95,9 @@
 	o.partition.SetMachine(change.machine, change.entry.record, change.entry.revision, time.Now())
 }
 
-// whenLoaded calls a function with the partition while o.mu is held, and reports whether it
+// withLoadedPartition calls a function with the partition while o.mu is held, and reports whether it
 // did: it does nothing while the partition's records are still being read.
-func (o *ownedPartition) whenLoaded(use func(partition *scheduler.Partition)) (loaded bool) {
+func (o *ownedPartition) withLoadedPartition(use func(partition *scheduler.Partition)) (loaded bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.partition == nil {
@@ -107,17 +107,17 @@
 	return true
 }
 
-// wakeUp requests a scheduling cycle; several requests before it begins count as one.
-func (o *ownedPartition) wakeUp() {
+// requestCycle requests a scheduling cycle; several requests before it begins count as one.
+func (o *ownedPartition) requestCycle() {
 	select {
-	case o.wake <- struct{}{}:
+	case o.cycleRequests <- struct{}{}:
 	default:
 	}
 }
 
 // run loads the partition, and then schedules until the context ends.
 func (o *ownedPartition) run(ctx context.Context) {
-	revision, loaded := o.loadUntilDone(ctx)
+	revision, loaded := o.loadWithRetries(ctx)
 	if !loaded {
 		return
 	}
@@ -127,9 +127,9 @@
 	o.runCycles(ctx)
 }
 
-// loadUntilDone loads the partition, with retries. It returns the revision to watch jobs
+// loadWithRetries loads the partition, with retries. It returns the revision to watch jobs
 // from, and false if the context has ended.
-func (o *ownedPartition) loadUntilDone(ctx context.Context) (revision uint64, loaded bool) {
+func (o *ownedPartition) loadWithRetries(ctx context.Context) (revision uint64, loaded bool) {
 	for ctx.Err() == nil {
 		revision, err := o.load(ctx)
 		if err == nil {
@@ -144,14 +144,14 @@
 // runCycles runs a scheduling cycle at each tick and whenever one is requested, with a
 // minimum gap between two.
 func (o *ownedPartition) runCycles(ctx context.Context) {
-	gap := tuning.Seconds(o.controller.tuning.PassGapS)
+	minPause := tuning.Seconds(o.controller.tuning.PassGapS)
 	ticker := time.NewTicker(tuning.Seconds(o.controller.tuning.TickS))
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 			return
-		case <-o.wake:
+		case <-o.cycleRequests:
 		case <-ticker.C:
 		}
 		began := time.Now()
@@ -159,6 +159,6 @@
 		if took := time.Since(began); took > slowCycle {
 			slog.Debug("slow scheduling cycle", "partition", o.index, "seconds", took.Seconds())
 		}
-		transport.Pause(ctx, gap)
+		transport.Pause(ctx, minPause)
 	}
 }
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// overflowClaimDelay is how long a node that owns its fair share of partitions leaves
+	// claimDelayAboveFairShare is how long a node that owns its fair share of partitions leaves
 	// one without an owner to the other nodes.
-	overflowClaimDelay = time.Second
+	claimDelayAboveFairShare = time.Second
 	// claimAnnouncementTimeout bounds the call that announces a claim to a peer.
 	claimAnnouncementTimeout = 2 * time.Second
 )
@@ -36,8 +36,8 @@
 	liveNodes int
 }
 
-// ownedBy returns the number of partitions that a node owns.
-func (p partitionOwners) ownedBy(node string) int {
+// countOwnedBy returns the number of partitions that a node owns.
+func (p partitionOwners) countOwnedBy(node string) int {
 	count := 0
 	for _, owner := range p.owners {
 		if owner.node == node {
@@ -76,7 +76,7 @@
 	if !loaded {
 		return
 	}
-	ownCount, fairShare := snapshot.ownedBy(c.settings.Node), snapshot.fairShare()
+	ownedCount, fairShare := snapshot.countOwnedBy(c.settings.Node), snapshot.fairShare()
 	for partition, owner := range snapshot.owners {
 		if c.ownedPartition(partition) != nil {
 			continue
@@ -85,18 +85,18 @@
 		case c.settings.Node:
 			c.reclaimPartition(ctx, partition, owner.revision)
 		case "":
-			if ownCount >= fairShare && c.claimedByOther(ctx, partition) {
+			if ownedCount >= fairShare && c.waitForOtherClaim(ctx, partition) {
 				continue
 			}
 			c.claimUnownedPartition(ctx, partition)
-			ownCount++
+			ownedCount++
 		}
 	}
 }
 
-// claimedByOther waits for the other nodes to claim a partition, and reports whether one did.
-func (c *Controller) claimedByOther(ctx context.Context, partition int) bool {
-	transport.Pause(ctx, overflowClaimDelay)
+// waitForOtherClaim waits for the other nodes to claim a partition, and reports whether one did.
+func (c *Controller) waitForOtherClaim(ctx context.Context, partition int) bool {
+	transport.Pause(ctx, claimDelayAboveFairShare)
 	return c.cluster.partitionOwner(partition).node != ""
 }
 
@@ -150,7 +150,7 @@
 	c.mu.Lock()
 	c.owned[partition] = owned
 	c.mu.Unlock()
-	c.updateRateShare()
+	c.updateRateLimits()
 	c.cluster.setPartitionOwner(partition, ownership{node: c.settings.Node, revision: revision})
 	if owner := c.cluster.partitionOwner(partition); owner.revision > revision {
 		// The lease expired meanwhile, and the next owner's claim was applied before this
@@ -196,7 +196,7 @@
 	delete(c.owned, owned.index)
 	c.mu.Unlock()
 	owned.cancel()
-	c.updateRateShare()
+	c.updateRateLimits()
 	slog.Info("partition released", "partition", owned.index, "why", reason)
 }
 
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -49,7 +49,7 @@
 	o.publish(partition, listed.cancellationsReadAt)
 	slog.Info("partition loaded",
 		"partition", o.index, "jobs", partition.JobCount(), "machines", partition.MachineCount())
-	o.wakeUp()
+	o.requestCycle()
 	return listed.revision, nil
 }
 
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -20,8 +20,8 @@
 	written map[string][]byte
 	// lastAttempt is when records were last sent to the store.
 	lastAttempt time.Time
-	// gap is the least time from the last attempt to the next.
-	gap time.Duration
+	// minInterval is the least time from the last attempt to the next.
+	minInterval time.Duration
 }
 
 // encodedRecord is a record as it is written to the store.
@@ -51,8 +51,8 @@
 	return changed
 }
 
-// confirm records what was written.
-func (w *summaryWriter) confirm(written []encodedRecord) {
+// markWritten records what was written.
+func (w *summaryWriter) markWritten(written []encodedRecord) {
 	for _, record := range written {
 		w.written[record.key] = record.value
 	}
@@ -61,7 +61,7 @@
 // writeSummary writes those records of the partition's summary that have changed, for the
 // leader to size the fleet by.
 func (o *ownedPartition) writeSummary(ctx context.Context) {
-	if time.Since(o.summary.lastAttempt) < o.summary.gap {
+	if time.Since(o.summary.lastAttempt) < o.summary.minInterval {
 		return
 	}
 	changed := o.summary.changedRecords(o.summaryRecords(), o.controller.limits.TxnOps)
@@ -69,7 +69,7 @@
 		return
 	}
 	o.summary.lastAttempt = time.Now()
-	o.summary.gap = o.controller.summaryGap(len(changed))
+	o.summary.minInterval = o.controller.summaryInterval(len(changed))
 	// The condition on the partition's key alone is enough: only owners write here.
 	txn := wire.Txn{Compares: []wire.Compare{o.fence()}}
 	for _, record := range changed {
@@ -79,7 +79,7 @@
 		slog.Debug("summary not written", "partition", o.index, "err", err)
 		return
 	}
-	o.summary.confirm(changed)
+	o.summary.markWritten(changed)
 }
 
 // summaryRecords returns the records that make up the partition's summary, by key: the
@@ -104,9 +104,9 @@
 	return values
 }
 
-// summaryGap returns the wait after a summary of some changes: summaries may use only a
+// summaryInterval returns the wait after a summary of some changes: summaries may use only a
 // fraction of the store's rate of changes, since all other writes are more urgent.
-func (c *Controller) summaryGap(changes int) time.Duration {
-	least := tuning.Seconds(c.tuning.SummaryS)
-	return max(least, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
+func (c *Controller) summaryInterval(changes int) time.Duration {
+	shortest := tuning.Seconds(c.tuning.SummaryS)
+	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
 }
--- a/internal/controller/summary_writer_test.go
+++ b/internal/controller/summary_writer_test.go
@@ -28,11 +28,11 @@
 	if got := changedKeys(&w, values); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("after a commit that failed %v, want the same again", got)
 	}
-	w.confirm(w.changedRecords(values, recordsPerCommit))
+	w.markWritten(w.changedRecords(values, recordsPerCommit))
 	if got := changedKeys(&w, values); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("then %v, want the rest", got)
 	}
-	w.confirm(w.changedRecords(values, recordsPerCommit))
+	w.markWritten(w.changedRecords(values, recordsPerCommit))
 	values["b"] = 4
 	if got := changedKeys(&w, values); !slices.Equal(got, []string{"b"}) {
 		t.Errorf("after a change %v, want just that record", got)
