--- a/internal/controller/command_slots.go
+++ b/internal/controller/command_slots.go
@@ -7,51 +7,54 @@
 	"ambersill/internal/tuning"
 )
 
-// minCommandSlots is the least number of requests under way: one for machines in back-off
+// minCommandSlots is the smallest limit of requests in flight: one for machines in back-off
 // and one for all others.
 const minCommandSlots = 2
 
-// commandSlots bounds the requests that are sent straight to workers: one at a time for a
-// machine, and a limit for all. Each request is a socket, and a worker that does not answer
-// occupies it until the request times out, so that without a limit a zone that falls silent
-// would take all sockets, that of the lease's renewal included.
+// commandSlots limits the requests that are sent directly to workers: one at a time for each
+// machine, and a limit for all machines together. Each request uses a socket, and a worker that
+// does not answer occupies the socket until the request times out. Without the limit, a zone
+// whose workers stop answering would take all sockets, including the one that renews the lease.
 //
-// A machine that has not executed its last request is in back-off: the next is sent after a
-// wait that doubles each time, and all such machines share half of the slots, so that those
-// that answer never wait for them.
+// A machine that has not executed its last request is in back-off. Its next request is sent
+// after a wait that doubles with each failure. Machines in back-off may use only half of the
+// slots, so that machines that answer never wait for them.
 type commandSlots struct {
 	limit int
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// inFlight are the requests under way, by machine.
+	// inFlight holds the requests that have not completed, by machine.
 	inFlight map[string]*inFlightCommand
-	// inFlightBackedOff is how many of them go to machines in back-off.
+	// inFlightBackedOff is the number of requests in inFlight that were started while the
+	// machine was in back-off.
 	inFlightBackedOff int
-	// backoff are the machines in back-off.
+	// backoff holds the machines in back-off, by machine ID.
 	backoff map[string]commandBackoff
 }
 
-// inFlightCommand is a request under way to a machine.
+// inFlightCommand is a request to a machine that has not completed.
 type inFlightCommand struct {
-	// backedOff: the machine was in back-off when the request began.
+	// backedOff is whether the machine was in back-off when the request was started.
 	backedOff bool
-	// machineGone: the machine was removed since.
+	// machineGone is whether the machine was removed after the request was started.
 	machineGone bool
 }
 
-// commandBackoff is the back-off of a machine.
+// commandBackoff is the back-off state of a machine. No request is sent before until; wait is
+// the length of the current wait.
 type commandBackoff struct {
 	until time.Time
 	wait  time.Duration
 }
 
-// backoffLimits are the first and the longest wait of a machine in back-off.
+// backoffLimits holds the first and the longest wait of a machine in back-off.
 type backoffLimits struct {
 	shortest, longest time.Duration
 }
 
-// newCommandSlots returns slots for a fraction of the given number of sockets.
+// newCommandSlots returns a commandSlots whose limit is the fraction tuning.OrderShare of the
+// given number of sockets, but at least minCommandSlots.
 func newCommandSlots(sockets int) *commandSlots {
 	return &commandSlots{
 		limit:    max(minCommandSlots, int(float64(sockets)*tuning.OrderShare)),
@@ -60,8 +63,8 @@
 	}
 }
 
-// acquire takes a slot for a request to a machine, and reports whether there was one. The
-// caller must release it.
+// acquire takes a slot for a request to a machine, and reports whether one was available. If it
+// returns true, the caller must release the slot.
 func (s *commandSlots) acquire(machine string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +82,8 @@
 	return true
 }
 
-// release frees the slot of a machine's request. A machine that has not executed the request
-// is put into back-off, or stays in it for longer.
+// release frees the slot of a machine's request. If the machine has not executed the request,
+// it is put into back-off, or its wait is doubled if it was in back-off already.
 func (s *commandSlots) release(machine string, executed bool, now time.Time, limits backoffLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +100,8 @@
 	s.backoff[machine] = commandBackoff{until: now.Add(wait), wait: wait}
 }
 
-// resetBackoff ends the wait of a machine that has sent a heartbeat. It still counts as
-// in back-off until it executes a request.
+// resetBackoff ends the wait of a machine that has sent a heartbeat. The machine still counts
+// as in back-off until it executes a request.
 func (s *commandSlots) resetBackoff(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +110,7 @@
 	}
 }
 
-// forget drops the state of a machine that was removed.
+// forget removes the state of a machine that was removed from the cluster.
 func (s *commandSlots) forget(machine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -12,10 +12,11 @@
 	"ambersill/internal/wire"
 )
 
-// sendCommands sends starts and stops without waiting for the machines' next heartbeats.
-// Commands for which no slot is free are sent in a later scheduling cycle, or in the response
-// to a heartbeat. While the owner's knowledge of cancellations is too old, only the tasks of
-// cancelled jobs are stopped, which is right whoever owns the partition by now.
+// sendCommands sends commands to start and stop tasks to workers without waiting for their next
+// heartbeats. Commands for which no slot is free are sent in a later scheduling cycle, or in
+// the response to a heartbeat. While the owner's listing of cancellations is too old to start
+// tasks, it only sends commands that stop the tasks of cancelled jobs. These are correct even
+// if another node owns the partition by now.
 func (o *ownedPartition) sendCommands(ctx context.Context) {
 	mayStart := o.mayStartTasks()
 	o.mu.Lock()
@@ -26,12 +27,12 @@
 	}
 }
 
-// machineRequest sends a request to the worker of a machine, and reports whether the worker has
-// executed it.
+// machineRequest is a function that sends a request to the worker of a machine, and reports
+// whether the worker has executed it.
 type machineRequest func(ctx context.Context, id, address string) (executed bool)
 
 // startRequest runs send in a goroutine if the machine's address is known and a command slot
-// is free. A request that is not executed puts the machine into back-off.
+// is free. If the worker does not execute the request, the machine is put into back-off.
 func (o *ownedPartition) startRequest(ctx context.Context, id string, send machineRequest) {
 	slots := o.controller.commandSlots
 	address := o.controller.address(id)
@@ -44,15 +45,16 @@
 	}()
 }
 
-// commandBackoffLimits returns the waits after a request that a worker did not execute, from
-// the time between two heartbeats up to a lease.
+// commandBackoffLimits returns the limits of the wait after a request that a worker did not
+// execute. The shortest is the time between two heartbeats, and the longest is the duration of
+// a worker's lease.
 func (c *Controller) commandBackoffLimits() backoffLimits {
 	workers := c.settings.Cluster.Workers
 	return backoffLimits{shortest: tuning.Seconds(workers.ReportS), longest: tuning.Seconds(workers.LeaseS)}
 }
 
-// sendCommandsTo sends a machine its starts and stops, and reports whether the worker has
-// executed them; nothing to send counts as executed.
+// sendCommandsTo sends the pending commands of a machine to its worker, and reports whether the
+// worker has executed them. It returns true if there is nothing to send.
 func (o *ownedPartition) sendCommandsTo(ctx context.Context, id, address string) (executed bool) {
 	mayStart := o.mayStartTasks()
 	o.mu.Lock()
@@ -63,13 +65,13 @@
 	}
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
-		slog.Debug("commands not answered", "machine", id, "err", err)
+		slog.Debug("sending commands to worker failed", "machine", id, "err", err)
 	}
 	o.handleCommandResponse(id, request, heartbeat, commandOutcome(executed, err))
 	return executed
 }
 
-// commandOutcome classifies the result of a request to a worker.
+// commandOutcome returns the outcome of a request to a worker.
 func commandOutcome(executed bool, err error) scheduler.CommandOutcome {
 	switch {
 	case executed:
@@ -81,8 +83,8 @@
 	}
 }
 
-// handleCommandResponse reconciles the outcome of a request and the worker's response; the
-// heartbeat is nil if there was none.
+// handleCommandResponse updates the partition from the outcome of a request and from the
+// heartbeat in the worker's response. The heartbeat is nil if there was no response.
 func (o *ownedPartition) handleCommandResponse(
 	id string, request wire.CommandRequest, heartbeat *wire.Heartbeat, outcome scheduler.CommandOutcome,
 ) {
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -15,31 +15,35 @@
 )
 
 const (
-	// commitRetryDelay is the wait after a commit that the store has refused: the time in
-	// which its rate limits let the next few requests through.
+	// commitRetryDelay is the wait after a commit that the store has refused. By then the
+	// store's rate limits allow a few more requests.
 	commitRetryDelay = 100 * time.Millisecond
-	// refreshRetryDelay is the wait before a key is read again after an error. Nothing can
-	// be committed until it is read, and a failing store must not be overloaded.
+	// refreshRetryDelay is the wait before a key is read again after an error. The partition
+	// cannot commit until the key is read, but a failing store must not be overloaded.
 	refreshRetryDelay = 300 * time.Millisecond
 )
 
-// commitOutcome is the outcome of a commit, as far as its response shows it.
+// commitOutcome is the outcome of a commit as far as the response shows it.
 type commitOutcome int
 
 const (
-	// commitApplied: the batch is stored.
+	// commitApplied means that the store has executed the commit.
 	commitApplied commitOutcome = iota
-	// commitRefused: not executed, and may be sent again as it is.
+	// commitRefused means that the store has not executed the commit and that it may be sent
+	// again unchanged.
 	commitRefused
-	// commitInvalid: not executed, and never will be as it is, since it exceeds a limit.
+	// commitInvalid means that the store has not executed the commit, and will refuse it
+	// again unless it is changed, because it exceeds a limit.
 	commitInvalid
-	// commitConflict: not executed, since a key has another revision than expected.
+	// commitConflict means that the store has not executed the commit because a key has a
+	// revision other than the expected one.
 	commitConflict
-	// commitUnknown: no answer; it may have been executed, or may still be.
+	// commitUnknown means that no response arrived. The store may have executed the commit,
+	// or may execute it later.
 	commitUnknown
 )
 
-// classifyCommitError classifies the error of a commit.
+// classifyCommitError returns the outcome of a commit that returned err.
 func classifyCommitError(err error) commitOutcome {
 	var conflict *kvstore.ConflictError
 	switch {
@@ -56,8 +60,8 @@
 	}
 }
 
-// runCycle runs one scheduling cycle: it places tasks, commits what has changed, and sends
-// the commands that follow from it.
+// runCycle runs one scheduling cycle: it places tasks, commits the changes, and sends the
+// resulting commands to workers.
 func (o *ownedPartition) runCycle(ctx context.Context) {
 	if o.mayStartTasks() {
 		o.mu.Lock()
@@ -73,9 +77,9 @@
 }
 
 // commitChanges commits the partition's changes in batches, and reports whether every batch
-// was applied. It ends with the first batch that is not full rather than when nothing is left
-// to commit: in a busy partition there always is something new, and meanwhile nothing would
-// be placed.
+// was applied. It returns after the first batch that is not full rather than when there is
+// nothing left to commit, because a busy partition always has new changes and no tasks are
+// placed until this function returns.
 func (o *ownedPartition) commitChanges(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		o.mu.Lock()
@@ -95,8 +99,8 @@
 	return true
 }
 
-// commitBatch commits a batch and applies the outcome to the partition. Unless the batch is
-// applied, it returns only when the next one may be committed.
+// commitBatch commits a batch and applies the outcome to the partition. If the batch was not
+// applied, commitBatch returns only when the next batch may be committed.
 func (o *ownedPartition) commitBatch(ctx context.Context, batch *scheduler.Batch) commitOutcome {
 	revision, err := o.controller.store.Commit(ctx, batch.Txn)
 	outcome := classifyCommitError(err)
@@ -108,7 +112,7 @@
 	case commitRefused:
 		transport.Pause(ctx, commitRetryDelay)
 	case commitInvalid:
-		slog.Error("commit over the key-value store's limits",
+		slog.Error("commit exceeds a limit of the key-value store",
 			"partition", o.index, "changes", len(batch.Txn.Writes), "err", err)
 		o.reduceLimits(ctx)
 		transport.Pause(ctx, commitRetryDelay)
@@ -119,19 +123,20 @@
 	return outcome
 }
 
-// reduceLimits makes the next batches smaller. The feature level is read first: another one
-// may be why the formats in use are too large.
+// reduceLimits makes the next batches smaller. It reads the feature level first, because this
+// node may be using the larger formats of an outdated level.
 func (o *ownedPartition) reduceLimits(ctx context.Context) {
 	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
-		slog.Debug("feature level not read", "err", err)
+		slog.Debug("reading feature level failed", "err", err)
 	}
 	o.mu.Lock()
 	o.partition.ReduceLimits()
 	o.mu.Unlock()
 }
 
-// refreshKeys reads the keys of a batch that was not confirmed. The next commit writes
-// them under the revisions read here, after which this one can no longer be applied.
+// refreshKeys reads the keys of a batch whose commit was not confirmed. The next commit has the
+// revisions read here as its conditions, and once it is applied the store can no longer
+// execute this one.
 func (o *ownedPartition) refreshKeys(ctx context.Context, batch *scheduler.Batch) {
 	for _, compare := range batch.Txn.Compares {
 		item, ok := o.readKeyWithRetries(ctx, compare.Key)
@@ -149,8 +154,8 @@
 	}
 }
 
-// readKeyWithRetries reads a key, with retries; a key that does not exist has revision 0. ok is false
-// if the context has ended.
+// readKeyWithRetries reads a key, and tries again after errors. A key that does not exist has
+// revision 0. ok is false if the context has ended.
 func (o *ownedPartition) readKeyWithRetries(ctx context.Context, key string) (item wire.KeyValue, ok bool) {
 	for ctx.Err() == nil {
 		item, err := o.controller.store.Get(ctx, key)
@@ -162,7 +167,7 @@
 	return wire.KeyValue{}, false
 }
 
-// refreshKey applies what was read of a batch's key to the partition.
+// refreshKey applies the current value and revision of one of a batch's keys to the partition.
 func (o *ownedPartition) refreshKey(batch *scheduler.Batch, key string, item wire.KeyValue) {
 	record := decodeJobRecord(key, item.Value)
 	o.mu.Lock()
@@ -170,7 +175,8 @@
 	o.partition.RefreshKey(batch, key, item.Revision, record, time.Now())
 }
 
-// decodeJobRecord decodes a job's record; it returns nil for other keys, and if there is none.
+// decodeJobRecord decodes a job's record. It returns nil if the key is not that of a job, or if
+// the value is missing or cannot be decoded.
 func decodeJobRecord(key string, value wire.Raw) *records.JobRecord {
 	if len(value) == 0 || !strings.HasPrefix(key, jobPrefix) {
 		return nil
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -11,41 +11,41 @@
 )
 
 const (
-	// forwardBatchDelay is how long heartbeats are gathered before they are forwarded
-	// together: little beside the seconds between a worker's heartbeats, and enough to make
-	// one call of several.
+	// forwardBatchDelay is how long heartbeats are collected before they are forwarded in one
+	// call. It is short compared with the seconds between a worker's heartbeats, and long
+	// enough to collect several of them.
 	forwardBatchDelay = 50 * time.Millisecond
-	// forwardTimeout bounds a call that forwards heartbeats, so that workers, which wait for
-	// 4 s, still have time for another node.
+	// forwardTimeout bounds a call that forwards heartbeats. Workers wait for 4 s for an
+	// answer, and must have time left to try another node.
 	forwardTimeout = 1500 * time.Millisecond
-	// maxForwardBatch bounds the heartbeats that wait to be forwarded to a node, and those of
-	// one call. With more than that, workers are redirected to the owner.
+	// maxForwardBatch bounds both the queue of heartbeats to be forwarded to a node and the
+	// heartbeats of one call. When the queue is full, workers are redirected to the owner.
 	maxForwardBatch = 256
-	// peerBackoff is how long nothing is forwarded to a peer after a call that failed.
+	// peerBackoff is how long no calls are made to a peer after a failed call.
 	peerBackoff = 2 * time.Second
 )
 
 // forwarder forwards workers' heartbeats to one peer, in batches.
 type forwarder struct {
-	// peer has a connection of its own, which no other call can delay.
+	// peer has a separate connection, so that other calls do not delay heartbeats.
 	peer  *peerrpc.Peer
 	queue chan forwardRequest
-	// done is closed when nothing is forwarded any more. It is set before run and forward
-	// are called.
+	// done is closed when run stops forwarding. It is set before run and forward are called.
 	done <-chan struct{}
 }
 
-// forwardRequest is a heartbeat on its way to the peer.
+// forwardRequest is a heartbeat that is to be forwarded to the peer.
 type forwardRequest struct {
 	heartbeat *wire.Heartbeat
-	// answer receives exactly one answer; its buffer lets the caller leave before that.
+	// answer receives at most one answer. It has a buffer of one, so that the sender does not
+	// block if the caller no longer waits.
 	answer chan forwardAnswer
 }
 
 // forwardAnswer is the outcome of a forwarded heartbeat.
 type forwardAnswer struct {
 	result peerrpc.HeartbeatResult
-	// reached: the peer has answered; without, the result is empty.
+	// reached is whether the peer has answered. If it is false, result is empty.
 	reached bool
 }
 
@@ -57,8 +57,8 @@
 	}
 }
 
-// forward has the peer answer a heartbeat. reached is false if the peer did not answer, or if
-// too many heartbeats wait for it.
+// forward forwards a heartbeat to the peer and returns the peer's answer. reached is false if
+// the peer did not answer, or if the queue is full.
 func (f *forwarder) forward(heartbeat *wire.Heartbeat) (result peerrpc.HeartbeatResult, reached bool) {
 	if f.peer.Failing(peerBackoff) {
 		return peerrpc.HeartbeatResult{}, false
@@ -77,7 +77,7 @@
 	}
 }
 
-// run forwards what is queued until the context ends.
+// run forwards the queued heartbeats until the context ends.
 func (f *forwarder) run(ctx context.Context) error {
 	for {
 		var first forwardRequest
@@ -91,7 +91,8 @@
 	}
 }
 
-// collectBatch returns a first request and what is queued behind it, up to maxForwardBatch.
+// collectBatch returns the first request followed by those in the queue, at most maxForwardBatch
+// in total.
 func (f *forwarder) collectBatch(first forwardRequest) []forwardRequest {
 	batch := []forwardRequest{first}
 	for len(batch) < maxForwardBatch {
@@ -117,9 +118,9 @@
 	}
 }
 
-// callPeer makes the call for a batch; the results are in the order of the requests. No call
-// is made shortly after one that failed, so that what has queued up meanwhile is answered at
-// once.
+// callPeer makes the call for a batch and returns the results in the order of the requests. It
+// makes no call within peerBackoff of a failed call, so that requests that were queued in the
+// meantime are answered at once.
 func (f *forwarder) callPeer(batch []forwardRequest) (results []peerrpc.HeartbeatResult, reached bool) {
 	if f.peer.Failing(peerBackoff) {
 		return nil, false
@@ -130,7 +131,7 @@
 	}
 	results, err := f.peer.ForwardHeartbeats(heartbeats, forwardTimeout)
 	if err != nil {
-		slog.Debug("heartbeats not forwarded", "node", f.peer.Node, "count", len(batch), "err", err)
+		slog.Debug("forwarding heartbeats failed", "node", f.peer.Node, "count", len(batch), "err", err)
 		return nil, false
 	}
 	return results, true
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -13,14 +13,15 @@
 // Heartbeat answers a worker's heartbeat.
 //
 // Workers may report to any node. A node that does not own the machine's partition forwards
-// the heartbeat to the owner, many at a time, and returns the owner's response: reading
-// requests is most of what a heartbeat costs, and on small processors the owner alone was
-// overloaded by it.
+// heartbeats to the owner in batches and returns the owner's responses. Reading the requests
+// is most of the cost of a heartbeat, and on small processors it overloaded the owner when the
+// owner alone had to do it.
 func (c *Controller) Heartbeat(heartbeat *wire.Heartbeat) api.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
-		// Either its record has not reached this node yet, or it was returned: a late
-		// copy of a heartbeat must not restore its address.
+		// Either the machine's record has not reached this node yet, or the machine was
+		// returned to the cloud. In the second case a delayed heartbeat must not restore
+		// the machine's address.
 		return api.HeartbeatResult{}
 	}
 	partition := entry.record.Partition
@@ -35,7 +36,8 @@
 	return c.forwardHeartbeat(heartbeat, owner)
 }
 
-// forwardHeartbeat has the owner of the machine's partition answer a heartbeat.
+// forwardHeartbeat forwards a heartbeat to the owner of the machine's partition and returns the
+// owner's answer. If the owner does not answer, the worker is redirected to it.
 func (c *Controller) forwardHeartbeat(heartbeat *wire.Heartbeat, owner string) api.HeartbeatResult {
 	forwarder := c.forwarders[owner]
 	if forwarder == nil {
@@ -49,13 +51,13 @@
 	return apiHeartbeatResult(result)
 }
 
-// apiHeartbeatResult returns the answer of a partition's owner as that to the worker.
+// apiHeartbeatResult converts the answer of a partition's owner to the answer to the worker.
 func apiHeartbeatResult(result peerrpc.HeartbeatResult) api.HeartbeatResult {
 	return api.HeartbeatResult{Accepted: result.Accepted, Response: result.Response}
 }
 
-// OwnedHeartbeat answers a heartbeat as the owner of its machine's partition. It is not
-// accepted if this node does not own the partition.
+// OwnedHeartbeat answers a heartbeat as the owner of the machine's partition. The heartbeat is
+// not accepted if this node does not own the partition.
 func (c *Controller) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
@@ -69,11 +71,12 @@
 	return owned.handleHeartbeat(heartbeat)
 }
 
-// handleHeartbeat reconciles a heartbeat with the partition, and returns the response.
+// handleHeartbeat updates the partition from a heartbeat and returns the answer to it.
 func (o *ownedPartition) handleHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	permissions := o.controller.permissionsAt(o.cancellationListingAge())
 	if !permissions.canAnswerHeartbeats {
-		// Other nodes may have confirmed cancellations; the leases must expire.
+		// Other nodes may have confirmed cancellations that this owner has not read. Without
+		// an answer the workers' leases expire and their tasks end.
 		return peerrpc.HeartbeatResult{}
 	}
 	o.mu.Lock()
@@ -89,16 +92,18 @@
 		return peerrpc.HeartbeatResult{Response: response}
 	}
 	o.controller.commandSlots.resetBackoff(heartbeat.Machine)
-	// Most heartbeats change nothing, and a cycle for each costs too much on a small
-	// processor.
+	// Most heartbeats change nothing, and a scheduling cycle for each of them would cost too
+	// much on a small processor.
 	if o.partition.NeedsScheduling() {
 		o.requestCycle()
 	}
 	return peerrpc.HeartbeatResult{Accepted: true, Response: response}
 }
 
-// releaseIfSuperseded releases the partition if another owner has reached a worker, and this
-// node cannot learn that in any other way: it must not keep other machines from that owner.
+// releaseIfSuperseded releases the partition if a worker has seen another owner's fencing token
+// and this node's listing of cancellations is outdated. Such a node may not be able to learn of
+// the other owner from the key-value store, and must not go on answering heartbeats of the
+// remaining machines in its place.
 func (o *ownedPartition) releaseIfSuperseded(
 	verdict scheduler.HeartbeatVerdict, permissions ownerPermissions,
 ) {
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -10,18 +10,19 @@
 
 const (
 	// redirectGrace is how long a worker may report to a node that it is not assigned to
-	// before it is redirected. It may have changed nodes because it cannot reach the assigned
-	// one, and have used up most of its lease in doing so.
+	// before it is redirected. The worker may have changed nodes because it cannot reach its
+	// assigned node, and may have used up most of its lease in the search.
 	redirectGrace = 30 * time.Second
-	// minNonOwnerNodes is the least number of other live nodes with which the owner of a
-	// partition is assigned no machines of it. A single other node could be overloaded just
-	// like the owner.
+	// minNonOwnerNodes is the number of live nodes other than a partition's owner from which
+	// on the owner is assigned no machines of the partition. A single other node could be
+	// overloaded just like the owner.
 	minNonOwnerNodes = 2
 )
 
-// assignedNode returns the node to which a machine's worker should report: one of the live
-// nodes by rendezvous hashing, so that a node that ends moves its own machines only. The
-// owner has scheduling and commits to do as well, and is left out where others are enough.
+// assignedNode returns the node to which a machine's worker should report. It selects one of
+// the live nodes by rendezvous hashing, so that the end of a node reassigns only the machines
+// of that node. The owner of the machine's partition also has to schedule and commit, so it is
+// excluded if there are at least minNonOwnerNodes other live nodes.
 func (c *Controller) assignedNode(machine, owner string) string {
 	c.cluster.mu.Lock()
 	defer c.cluster.mu.Unlock()
@@ -46,23 +47,23 @@
 	return best
 }
 
-// rendezvousWeight returns the rank of a node for a machine, the same on every node.
+// rendezvousWeight returns the weight of a node for a machine. All nodes compute the same weight.
 func rendezvousWeight(machine, node string) uint64 {
 	sum := sha256.Sum256([]byte(machine + "/" + node))
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// redirectState is the state of a worker that reports to a node it is not assigned to.
+// redirectState is the state of a worker that reports to a node to which it is not assigned.
 type redirectState struct {
 	lastHeartbeat time.Time
-	// redirectAt is when the grace ends.
+	// redirectAt is when the grace period ends.
 	redirectAt time.Time
-	// redirected: the worker was redirected when the grace ended.
+	// redirected is whether the worker was redirected at its last heartbeat.
 	redirected bool
 }
 
 // shouldRedirect records a heartbeat of a worker that is assigned to another node, and
-// reports whether the worker is to be redirected there now.
+// reports whether to redirect the worker to that node now.
 func (c *Controller) shouldRedirect(machine string, now time.Time) bool {
 	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
 	c.mu.Lock()
@@ -73,8 +74,9 @@
 }
 
 // next returns the state after a heartbeat, and whether to redirect the worker. A worker that
-// is back within a lease of its redirection cannot reach the assigned node, as when a network
-// partition separates the two but not the nodes; it has a new grace.
+// returns within the duration of a lease after its redirection probably cannot reach the
+// assigned node, for example because a network partition separates the two but not the nodes
+// from each other. Such a worker gets a new grace period.
 func (s redirectState) next(now time.Time, lease time.Duration) (next redirectState, redirect bool) {
 	switch {
 	case now.Sub(s.lastHeartbeat) > lease, s.redirected:
--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -9,10 +9,10 @@
 	"ambersill/internal/wire"
 )
 
-// maxAnnouncements bounds the concurrent announcements of cancellations to owners.
+// maxAnnouncements limits the cancellations that are being announced to owners at one time.
 const maxAnnouncements = 32
 
-// Cancel cancels a job. Cancelling is idempotent: a job that has ended is answered with its
+// Cancel cancels a job. Cancellation is idempotent: for a job that has ended, Cancel returns its
 // status.
 func (c *Controller) Cancel(ctx context.Context, id string) (wire.JobStatus, error) {
 	for {
@@ -36,8 +36,8 @@
 	}
 }
 
-// commitCancellation writes a cancelled job's record on the condition that it was not
-// changed since it was read, and the cancellation for the partition's owner.
+// commitCancellation commits a cancelled job's record and the cancellation key that the owner
+// of the partition polls, on the condition that the record still has the given revision.
 func (c *Controller) commitCancellation(
 	ctx context.Context, record records.JobRecord, revision uint64,
 ) error {
@@ -53,9 +53,10 @@
 	return err
 }
 
-// announceCancellation notifies the partition's owner of a committed cancellation at once.
-// Nothing relies on it: the owner reads the cancellation itself a second later or, if the
-// key-value store refuses that node alone, stops answering heartbeats within half a minute.
+// announceCancellation notifies the partition's owner of a committed cancellation without
+// waiting for the owner's next poll. Correctness does not depend on it: the owner polls the
+// cancellation itself a second later. If the key-value store refuses only that node's
+// requests, the owner stops answering heartbeats within half a minute.
 func (c *Controller) announceCancellation(partition int, jobID string) {
 	if owned := c.ownedPartition(partition); owned != nil {
 		owned.cancelJob(jobID)
@@ -74,12 +75,12 @@
 		defer func() { <-c.announcementSlots }()
 		announcement := peerrpc.JobCancellation{Partition: partition, JobID: jobID}
 		if err := peer.AnnounceCancellation(announcement, forwardTimeout); err != nil {
-			slog.Debug("cancellation not announced", "job", jobID, "err", err)
+			slog.Debug("announcing cancellation to partition owner failed", "job", jobID, "err", err)
 		}
 	}()
 }
 
-// JobCancelled handles a peer's announcement that a job's cancellation is committed.
+// JobCancelled handles a peer's announcement that it has committed a job's cancellation.
 func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
 	if owned := c.ownedPartition(cancellation.Partition); owned != nil {
 		owned.cancelJob(cancellation.JobID)
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -9,18 +9,20 @@
 	"ambersill/internal/wire"
 )
 
-// relistRetryDelay is the wait before jobs are listed again after an error. The watch that
-// was lost is minutes behind then, so that half a second more does not matter.
+// relistRetryDelay is the wait before jobs are listed again after an error. Jobs are listed
+// again only when the watch is minutes behind, so half a second more does not matter.
 const relistRetryDelay = 500 * time.Millisecond
 
-// jobPrefix is the prefix of the records of all jobs.
+// jobPrefix is the key prefix of the records of all jobs.
 var jobPrefix = records.JobKey("")
 
-// watchJobs adds submitted jobs to the partition and cancels jobs, from a revision on.
+// watchJobs watches the records of jobs after the given revision until the context ends. It adds
+// submitted jobs to the partition, and cancels jobs in it.
 func (o *ownedPartition) watchJobs(ctx context.Context, revision uint64) {
 	o.watchJobsFrom(ctx, revision)
 	for ctx.Err() == nil {
-		// The next changes were compacted; the partition's records hold what was missed.
+		// The next changes were compacted. The partition's records contain the jobs and
+		// cancellations that the watch has missed.
 		revision, err := o.relistJobs(ctx)
 		if err != nil {
 			transport.Pause(ctx, relistRetryDelay)
@@ -30,13 +32,13 @@
 	}
 }
 
-// watchJobsFrom follows the jobs' records until the context ends, or until the next changes
-// were compacted.
+// watchJobsFrom watches the records of jobs after the given revision. It returns when the
+// context ends, or when the next changes were compacted.
 func (o *ownedPartition) watchJobsFrom(ctx context.Context, revision uint64) {
 	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.applyJobEvent})
 }
 
-// applyJobEvent applies a change of a job's record.
+// applyJobEvent applies a change of a job's record to the partition.
 func (o *ownedPartition) applyJobEvent(event wire.Event) {
 	if event.Put == "" {
 		return
@@ -55,14 +57,14 @@
 	case wire.JobCancelled:
 		o.partition.Cancel(record.Job.ID, time.Now())
 	case wire.JobRunning, wire.JobDone:
-		// This owner writes the end of a job itself; JobRunning is never stored.
+		// JobDone is written by this owner itself, and JobRunning is never stored.
 	}
 	o.mu.Unlock()
 	o.requestCycle()
 }
 
-// relistJobs adds the jobs and cancellations that the watch has missed, and returns the
-// revision to watch from.
+// relistJobs lists the partition's jobs and cancellations, adds those that the watch has missed,
+// and returns the revision to watch from.
 func (o *ownedPartition) relistJobs(ctx context.Context) (uint64, error) {
 	store := o.controller.store
 	_, revision, err := store.List(ctx, records.PartitionKey(o.index))
@@ -88,8 +90,9 @@
 	return revision, nil
 }
 
-// submittedChunk decodes a first chunk that was not changed since the job's submission. One
-// with a job revision was rewritten by an owner, which has known the job since.
+// submittedChunk decodes a job's first chunk, and reports whether it is unchanged since the
+// job's submission. A chunk with a job revision was rewritten by an owner, which already knows
+// the job.
 func submittedChunk(item wire.KeyValue) (*records.ChunkRecord, bool) {
 	_, name, ok := records.ParseChunkKey(item.Key)
 	if !ok || !records.IsFirstChunk(name) {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -17,19 +17,19 @@
 	"ambersill/internal/wire"
 )
 
-// jobCountsTimeout bounds the call for a job's counts, which are for display only; the user
-// waits 2 s for the whole query.
+// jobCountsTimeout bounds the call to a peer for a job's task counts. The counts are for display
+// only, and the user waits 2 s for the whole query.
 const jobCountsTimeout = 200 * time.Millisecond
 
 var (
 	errNoSuchJob   = &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	errJobTooLarge = &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
-	// errNoCatalog is temporary: a controller that has just started reads the catalog first.
-	errNoCatalog = errors.New("machine types not known yet")
+	// errNoCatalog is temporary. A controller that has just started has not read the catalog.
+	errNoCatalog = errors.New("catalog of machine types not loaded yet")
 )
 
-// Submit accepts a job. Submitting is idempotent: a job that is known already is answered
-// with its status.
+// Submit accepts a job. Submission is idempotent: for a job that already exists, Submit returns
+// its status.
 func (c *Controller) Submit(ctx context.Context, body []byte) (api.Submission, error) {
 	job, err := wire.ParseJob(body)
 	if err != nil {
@@ -54,8 +54,9 @@
 	return c.createJob(ctx, job)
 }
 
-// submitInfeasible answers the submission of a job that could never run. One that was
-// accepted before, under other settings, is known all the same.
+// submitInfeasible answers the submission of a job that could never run under the current
+// settings. If the job exists because it was accepted under other settings, submitInfeasible
+// returns its status; otherwise it returns an error with the reason.
 func (c *Controller) submitInfeasible(
 	ctx context.Context, job *wire.Job, infeasible error,
 ) (api.Submission, error) {
@@ -69,7 +70,8 @@
 	return submission, err
 }
 
-// createJob commits a job's record and its first chunk, unless the job exists.
+// createJob commits a job's record and its first chunk. If the job already exists, createJob
+// returns its status.
 func (c *Controller) createJob(ctx context.Context, job *wire.Job) (api.Submission, error) {
 	record := records.JobRecord{
 		Job:           job,
@@ -97,14 +99,15 @@
 	}
 }
 
-// needsReread reports whether, after a failed commit, the record has to be read to know the
-// state: another commit was first, or the response to this one was lost.
+// needsReread reports whether a job's record has to be read again to know its state after a
+// commit failed with err, because another commit was applied first or the response to this
+// commit was lost.
 func needsReread(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
 }
 
-// existingJob answers the submission of a job that exists.
+// existingJob returns the answer to the submission of a job that already exists.
 func (c *Controller) existingJob(ctx context.Context, id string) (api.Submission, error) {
 	record, _, err := c.readJob(ctx, id)
 	if err != nil {
@@ -113,7 +116,8 @@
 	return api.Submission{Job: jobStatus(record)}, nil
 }
 
-// Job answers a query for a job.
+// Job returns the status of a job, with the task counts of the partition's owner if the job has
+// not ended.
 func (c *Controller) Job(ctx context.Context, id string) (wire.JobStatus, error) {
 	record, _, err := c.findJob(ctx, id)
 	if err != nil {
@@ -131,8 +135,8 @@
 	return status, nil
 }
 
-// findJob reads the record of a job that a user names. Without such a job the error is
-// errNoSuchJob.
+// findJob returns the record of a job and the record's revision, like readJob, for an ID that a
+// user sent. It returns errNoSuchJob if the ID is invalid or there is no such job.
 func (c *Controller) findJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
 	if !wire.ValidJobID(id) {
 		return records.JobRecord{}, 0, errNoSuchJob
@@ -144,8 +148,8 @@
 	return record, revision, err
 }
 
-// readJob returns a job's current record and its revision, which is 0 for a final job whose
-// record is cached.
+// readJob returns a job's current record and the record's revision. The revision is 0 if the
+// job has ended and its record is cached.
 func (c *Controller) readJob(ctx context.Context, id string) (records.JobRecord, uint64, error) {
 	if record, ok := c.finalJobs.get(id); ok {
 		return record, 0, nil
@@ -166,7 +170,7 @@
 	return record, item.Revision, nil
 }
 
-// jobStatus returns a job's status as far as its record shows it.
+// jobStatus returns a job's status as far as it follows from the job's record.
 func jobStatus(record records.JobRecord) wire.JobStatus {
 	status := wire.JobStatus{ID: record.Job.ID, Phase: record.Phase}
 	if record.Phase == wire.JobDone {
@@ -175,8 +179,8 @@
 	return status
 }
 
-// jobCounts returns a job's counts from the partition's owner, zero if it does not answer in
-// time.
+// jobCounts returns a job's task counts from the partition's owner. The counts are zero if the
+// owner does not answer within jobCountsTimeout.
 func (c *Controller) jobCounts(id string, partition int) peerrpc.JobCounts {
 	if counts := c.LocalJobCounts(id); counts.Known {
 		return counts
@@ -192,7 +196,8 @@
 	return counts
 }
 
-// LocalJobCounts counts the tasks of a job that a partition of this node runs.
+// LocalJobCounts returns the task counts of a job if this node owns the job's partition.
+// Otherwise Known is false.
 func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
 	for _, owned := range c.ownedPartitions() {
 		if counts := owned.jobCounts(jobID); counts.Known {
@@ -214,10 +219,10 @@
 	return counts
 }
 
-// partitionForJob returns the partition that a job belongs to: its team's where teams have
-// limits or guarantees, so that one owner enforces them alone. Else jobs that compete for
-// the same machine types share a partition, since capacity of a type that is divided among
-// partitions is stranded.
+// partitionForJob returns the partition that a job is assigned to. If any team has a limit or a
+// guarantee, all jobs of a team are in one partition, so that a single owner enforces the
+// team's quota. Otherwise jobs that compete for the same machine types share a partition,
+// because dividing the capacity of a machine type among partitions leaves part of it unused.
 func (c *Controller) partitionForJob(job *wire.Job) int {
 	teams := c.settings.Cluster.Teams
 	if !anyQuota(teams) {
@@ -231,7 +236,7 @@
 	return 0
 }
 
-// anyQuota reports whether any team has a limit or a guarantee.
+// anyQuota reports whether any team has a limit on or a guarantee of CPUs or GPUs.
 func anyQuota(teams []config.Team) bool {
 	for _, team := range teams {
 		if team.CPUs != 0 || team.CPUsMax != 0 || team.GPUs != 0 || team.GPUsMax != 0 {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -14,34 +14,36 @@
 )
 
 const (
-	// renewalsPerLease is how often a lease is renewed within its duration, so that it
-	// outlasts a renewal or two that fail.
+	// renewalsPerLease is the number of renewals within the duration of a lease, so that the
+	// lease outlasts one or two failed renewals.
 	renewalsPerLease = 4
-	// membershipInterval bounds the time between two checks of the lease and of partitions
-	// without an owner when the cluster's keys do not change.
+	// membershipInterval is the longest time between two checks of the lease and of
+	// partitions without an owner while the cluster's keys do not change.
 	membershipInterval = 250 * time.Millisecond
-	// grantRetryDelay is the wait after a lease was not granted.
+	// grantRetryDelay is the wait after a failed request for a lease.
 	grantRetryDelay = 300 * time.Millisecond
-	// renewRetryDelay is the wait after a lease was not renewed; shorter, since it may be
-	// about to expire.
+	// renewRetryDelay is the wait after a failed renewal. It is shorter than
+	// grantRetryDelay because the lease may be about to expire.
 	renewRetryDelay = 200 * time.Millisecond
 )
 
-// membership keeps a node's lease and its record. Its fields belong to the goroutine that
-// runs it.
+// membership maintains this node's lease and the node record attached to it. Only the
+// goroutine of runMembership accesses its fields.
 type membership struct {
 	controller *Controller
 	// renewInterval is the time between two renewals of the lease.
 	renewInterval time.Duration
-	// renewedAt is when the last grant or renewal that was answered was requested.
+	// renewedAt is when the last successful grant or renewal was requested.
 	renewedAt time.Time
 	// registered is whether the node's record is attached to the current lease.
 	registered bool
-	// loggedContactLost is what was last logged about contact to the key-value store.
+	// loggedContactLost is the value of "lost" in the last log line about contact with the
+	// key-value store.
 	loggedContactLost bool
 }
 
-// runMembership keeps the node's lease and claims partitions without an owner.
+// runMembership maintains the node's lease and claims partitions without an owner until the
+// context ends.
 func (c *Controller) runMembership(ctx context.Context) error {
 	m := &membership{
 		controller:    c,
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// logContact logs when contact to the key-value store is lost or regained.
+// logContact logs when contact with the key-value store is lost or regained.
 func (m *membership) logContact() {
 	since := m.controller.SinceContact()
 	lost := since > tuning.Seconds(m.controller.tuning.FreshS)
@@ -72,11 +74,11 @@
 		return
 	}
 	m.loggedContactLost = lost
-	slog.Info("contact to the key-value store", "lost", lost, "since_s", since.Seconds())
+	slog.Info("contact with the key-value store", "lost", lost, "since_s", since.Seconds())
 }
 
 // ensureLease requests a lease if there is none, and reports whether there is one now. If
-// not, it returns after a delay.
+// the request fails, it waits for grantRetryDelay before it returns.
 func (m *membership) ensureLease(ctx context.Context) bool {
 	if m.controller.currentLease() != 0 {
 		return true
@@ -93,8 +95,9 @@
 	return true
 }
 
-// renewLease renews the lease if that is due, and reports whether it is still held. After an
-// error it returns false after a delay.
+// renewLease renews the lease if a renewal is due. It returns false if the lease has expired
+// or if the renewal failed; after a failed renewal it waits for renewRetryDelay before it
+// returns.
 func (m *membership) renewLease(ctx context.Context) bool {
 	if time.Since(m.renewedAt) < m.renewInterval {
 		return true
@@ -108,8 +111,8 @@
 		m.controller.setLease(leaseID, requestedAt)
 		return true
 	case errors.Is(err, kvstore.ErrNotFound):
-		// The lease expired: the keys attached to it are deleted, and others may own them
-		// by now.
+		// The lease has expired. The store has deleted the keys attached to it, and other
+		// nodes may have claimed the partitions since.
 		slog.Info("lease lost", "lease", leaseID)
 		m.controller.setLease(0, requestedAt)
 		m.controller.releaseAllPartitions()
@@ -133,8 +136,8 @@
 	}
 }
 
-// registerNode writes this node's record under its lease, and reports whether that is known
-// to have succeeded. Writing it again changes nothing.
+// registerNode writes this node's record, attached to its lease, and reports whether the
+// write is known to have succeeded. The write is idempotent.
 func (c *Controller) registerNode(ctx context.Context) bool {
 	put := wire.Write{
 		Put:     records.NodePrefix + c.settings.Node,
@@ -148,9 +151,10 @@
 	return err == nil
 }
 
-// setLease stores the lease; 0 if there is none. Its duration counts from when the grant or
-// renewal was requested, since the response does not show when it was executed, and less
-// the drift between this clock and the key-value store's.
+// setLease stores the ID of the lease, or 0 if there is none, and the time until which it is
+// certain to last. That time is counted from requestedAt, because the response does not show
+// when the store executed the grant or renewal, and it is shortened by the possible drift
+// between this clock and that of the key-value store.
 func (c *Controller) setLease(leaseID uint64, requestedAt time.Time) {
 	duration := tuning.Seconds(c.tuning.HoldS * (1 - c.tuning.Drift))
 	c.mu.Lock()
@@ -159,15 +163,15 @@
 	c.leaseExpiry = requestedAt.Add(duration)
 }
 
-// leaseHeld reports whether a lease surely lasts, so that no other node can own what is
-// attached to it.
+// leaseHeld reports whether the lease is certain to be still valid, so that no other node can
+// own what is attached to it.
 func (c *Controller) leaseHeld(leaseID uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leaseID == leaseID && time.Now().Before(c.leaseExpiry)
 }
 
-// currentLease returns the lease's ID, 0 without a lease.
+// currentLease returns the ID of the lease, or 0 if there is none.
 func (c *Controller) currentLease() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -12,52 +12,54 @@
 )
 
 const (
-	// loadRetryDelay is the wait before a partition's records are read again after an error:
-	// short compared with the seconds that a failover may last, and long enough that the
-	// attempts do not overload a busy key-value store.
+	// loadRetryDelay is the wait before a partition's records are read again after an error.
+	// It is short compared with the seconds that a failover may last, and long enough that
+	// the attempts do not overload a busy key-value store.
 	loadRetryDelay = 300 * time.Millisecond
-	// slowCycle is the duration from which a scheduling cycle is logged as slow.
+	// slowCycle is the duration above which a scheduling cycle is logged as slow.
 	slowCycle = time.Second
 )
 
-// ownedPartition is a partition for as long as this node owns it. A node that loses a
-// partition and claims it again has a new one.
+// ownedPartition is a partition that this node owns, from its claim to its release. If the node
+// loses a partition and claims it again, it creates a new ownedPartition.
 //
 // Controller.startOwning starts run in a goroutine. Once the partition is loaded, run starts
 // watchJobs, pollCancellations and fenceMachines, and runs the scheduling cycles itself.
 // Cycles and fenceMachines start one short-lived goroutine for each request to a worker.
-// All of them use the context that startOwning has made for the partition and end with it,
-// which cancel does: when ownership is lost, and when the controller stops.
+// All these goroutines use the context that startOwning creates for the partition, and end
+// when cancel is called: when ownership is lost, and when the controller stops.
 type ownedPartition struct {
 	controller *Controller
 	index      int
-	// revision is that of the partition's key when this node claimed it. Every write of the
-	// owner has the condition that the key still has it, which fences former owners.
+	// revision is the revision of the partition's key after this node's claim. Every commit
+	// of the owner has the condition that the key still has this revision, so that a former
+	// owner cannot commit.
 	revision uint64
 	cancel   context.CancelFunc
-	// cycleRequests requests a scheduling cycle before the next tick.
+	// cycleRequests holds a value while a scheduling cycle is requested before the next tick.
 	cycleRequests chan struct{}
 
-	// summary is used by the goroutine of run alone.
+	// summary is accessed only by the goroutine of run.
 	summary summaryWriter
-	// loggedPermissions is what was last logged; used by pollCancellations alone.
+	// loggedPermissions are the permissions that were last logged. They are accessed only by
+	// the goroutine of pollCancellations.
 	loggedPermissions ownerPermissions
 
-	// mu guards the fields below and all that partition refers to. It is not held during
-	// requests to the key-value store or to a worker.
+	// mu guards the fields below and everything that partition refers to. It is not held
+	// during requests to the key-value store or to a worker.
 	mu sync.Mutex
 	// partition is nil until the partition's records are read.
 	partition *scheduler.Partition
-	// pendingChanges are the newest changes of machines that came while the records were
-	// read, by machine; nil after that.
+	// pendingChanges holds the newest change of each machine that arrived while the records
+	// were read, by machine ID. It is nil once the partition is loaded.
 	pendingChanges map[string]machineChange
-	// cancellationsReadAt is when the latest poll of the cancellations was requested:
-	// every cancellation that was confirmed before then is known to partition.
+	// cancellationsReadAt is when the latest successful listing of the cancellations was
+	// requested. Every cancellation that was confirmed earlier is known to partition.
 	cancellationsReadAt time.Time
 }
 
-// newOwnedPartition returns a partition that was claimed at a revision of its key; cancel
-// ends the context that is passed to run.
+// newOwnedPartition returns a partition that was claimed at the given revision of its key. The
+// function cancel must end the context that is passed to run.
 func (c *Controller) newOwnedPartition(
 	index int, revision uint64, cancel context.CancelFunc,
 ) *ownedPartition {
@@ -73,9 +75,9 @@
 	}
 }
 
-// machineChanged applies a change of a machine's record. While the partition is loaded the
-// change is kept for later: the listing may be older, and the cluster cache reports each
-// change only once.
+// machineChanged applies a change of a machine's record. If the partition is still being
+// loaded, the change is stored until publish applies it, because the listing may be older than
+// the change and the cluster cache reports each change only once.
 func (o *ownedPartition) machineChanged(change machineChange) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,7 +88,8 @@
 	o.applyMachine(change)
 }
 
-// applyMachine applies a change of a machine's record to the partition; o.mu must be held.
+// applyMachine applies a change of a machine's record to the partition. The caller must hold
+// o.mu.
 func (o *ownedPartition) applyMachine(change machineChange) {
 	if change.gone {
 		o.partition.RemoveMachine(change.machine, time.Now())
@@ -95,8 +98,8 @@
 	o.partition.SetMachine(change.machine, change.entry.record, change.entry.revision, time.Now())
 }
 
-// withLoadedPartition calls a function with the partition while o.mu is held, and reports whether it
-// did: it does nothing while the partition's records are still being read.
+// withLoadedPartition calls a function with the partition while holding o.mu. It returns false
+// without calling the function if the partition's records are still being read.
 func (o *ownedPartition) withLoadedPartition(use func(partition *scheduler.Partition)) (loaded bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,7 +110,8 @@
 	return true
 }
 
-// requestCycle requests a scheduling cycle; several requests before it begins count as one.
+// requestCycle requests a scheduling cycle before the next tick. Requests that are made before
+// the cycle begins result in a single cycle.
 func (o *ownedPartition) requestCycle() {
 	select {
 	case o.cycleRequests <- struct{}{}:
@@ -115,7 +119,7 @@
 	}
 }
 
-// run loads the partition, and then schedules until the context ends.
+// run loads the partition and then runs scheduling cycles until the context ends.
 func (o *ownedPartition) run(ctx context.Context) {
 	revision, loaded := o.loadWithRetries(ctx)
 	if !loaded {
@@ -127,22 +131,22 @@
 	o.runCycles(ctx)
 }
 
-// loadWithRetries loads the partition, with retries. It returns the revision to watch jobs
-// from, and false if the context has ended.
+// loadWithRetries loads the partition, and tries again after errors. It returns the revision to
+// watch jobs from, and false if the context has ended.
 func (o *ownedPartition) loadWithRetries(ctx context.Context) (revision uint64, loaded bool) {
 	for ctx.Err() == nil {
 		revision, err := o.load(ctx)
 		if err == nil {
 			return revision, ctx.Err() == nil
 		}
-		slog.Info("partition not loaded yet", "partition", o.index, "err", err)
+		slog.Info("loading partition failed, retrying", "partition", o.index, "err", err)
 		transport.Pause(ctx, loadRetryDelay)
 	}
 	return 0, false
 }
 
-// runCycles runs a scheduling cycle at each tick and whenever one is requested, with a
-// minimum gap between two.
+// runCycles runs a scheduling cycle at each tick and whenever a cycle is requested, with a
+// pause of at least PassGapS after each cycle.
 func (o *ownedPartition) runCycles(ctx context.Context) {
 	minPause := tuning.Seconds(o.controller.tuning.PassGapS)
 	ticker := time.NewTicker(tuning.Seconds(o.controller.tuning.TickS))
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// claimDelayAboveFairShare is how long a node that owns its fair share of partitions leaves
-	// one without an owner to the other nodes.
+	// claimDelayAboveFairShare is how long a node that already owns its fair share of
+	// partitions waits for other nodes to claim a partition without an owner.
 	claimDelayAboveFairShare = time.Second
 	// claimAnnouncementTimeout bounds the call that announces a claim to a peer.
 	claimAnnouncementTimeout = 2 * time.Second
 )
 
-// Reasons for releasing a partition, as they are logged.
+// Values of the log attribute "why" for a released partition.
 const (
 	releasedLeaseLost  = "lease lost"
 	releasedSuperseded = "a worker has seen a higher fencing token"
 	releasedKeyChanged = "its key has another revision"
 )
 
-// errNoLease: nothing can be claimed without a lease.
-var errNoLease = errors.New("no lease")
+// errNoLease is returned for a claim that is attempted while the node has no lease.
+var errNoLease = errors.New("node has no lease")
 
-// partitionOwners is a snapshot of who owns the partitions.
+// partitionOwners is a snapshot of the owners of all partitions.
 type partitionOwners struct {
 	owners    []ownership // by partition
 	liveNodes int
@@ -47,15 +47,15 @@
 	return count
 }
 
-// fairShare returns the number of partitions that a node owns at least before it leaves
-// others to the rest of the nodes.
+// fairShare returns the number of partitions per live node, rounded up. A node that owns
+// fewer claims partitions without delay.
 func (p partitionOwners) fairShare() int {
 	nodes := max(p.liveNodes, 1)
 	return (len(p.owners) + nodes - 1) / nodes
 }
 
-// partitionOwners returns a snapshot of the owners of the given number of partitions. It
-// returns false while the copy is being loaded.
+// partitionOwners returns a snapshot of the owners of partitions 0 to partitions-1, and
+// whether the cache has loaded the cluster's keys.
 func (c *clusterCache) partitionOwners(partitions int) (partitionOwners, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +66,9 @@
 	return snapshot, c.loaded
 }
 
-// claimPartitions claims partitions without an owner: up to this node's fair share at once,
-// others if no other node claims them.
+// claimPartitions claims partitions without an owner. It claims up to this node's fair share
+// at once, and further partitions if no other node claims them within
+// claimDelayAboveFairShare.
 func (c *Controller) claimPartitions(ctx context.Context) {
 	if len(c.catalog()) == 0 {
 		return
@@ -94,7 +95,8 @@
 	}
 }
 
-// waitForOtherClaim waits for the other nodes to claim a partition, and reports whether one did.
+// waitForOtherClaim waits for claimDelayAboveFairShare and then reports whether another node
+// has claimed the partition.
 func (c *Controller) waitForOtherClaim(ctx context.Context, partition int) bool {
 	transport.Pause(ctx, claimDelayAboveFairShare)
 	return c.cluster.partitionOwner(partition).node != ""
@@ -107,8 +109,8 @@
 	}
 }
 
-// reclaimPartition claims a partition whose key, at the revision, names this node. It was
-// claimed by an earlier process of the node, which has surely ended.
+// reclaimPartition claims a partition whose key already names this node at the given
+// revision. An earlier process of this node claimed it and can no longer be running.
 func (c *Controller) reclaimPartition(ctx context.Context, partition int, revision uint64) {
 	err := c.claimPartition(ctx, partition, revision)
 	if err == nil {
@@ -118,16 +120,16 @@
 	if errors.Is(err, errNoLease) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return
 	}
-	// The cache may be behind: without a reading of the key the next claim would be made
-	// with the same revision.
+	// The cache may be out of date. Unless the key is read again, the next attempt would
+	// use the same revision and fail again.
 	key := records.PartitionKey(partition)
 	if item, err := c.store.Get(ctx, key); err == nil {
 		c.cluster.apply(keyChange{key: key, value: item.Value, revision: item.Revision})
 	}
 }
 
-// claimPartition claims a partition if its key has the revision, 0 if it does not exist, and
-// starts to own it.
+// claimPartition claims a partition on the condition that its key has the given revision, or
+// does not exist if the revision is 0, and then starts to run the partition.
 func (c *Controller) claimPartition(ctx context.Context, partition int, revision uint64) error {
 	leaseID := c.currentLease()
 	if leaseID == 0 {
@@ -142,8 +144,8 @@
 	return nil
 }
 
-// startOwning runs a partition that was claimed at a revision, until the context ends or
-// the partition is released.
+// startOwning starts to run a partition that this node has claimed at the given revision. The
+// partition runs until the context ends or the partition is released.
 func (c *Controller) startOwning(ctx context.Context, partition int, revision uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	owned := c.newOwnedPartition(partition, revision, cancel)
@@ -153,8 +155,9 @@
 	c.updateRateLimits()
 	c.cluster.setPartitionOwner(partition, ownership{node: c.settings.Node, revision: revision})
 	if owner := c.cluster.partitionOwner(partition); owner.revision > revision {
-		// The lease expired meanwhile, and the next owner's claim was applied before this
-		// one was answered: ownerChanged did not find the partition then.
+		// The lease expired during the claim, and the next owner's claim was applied to the
+		// cache before the response to this one arrived. ownerChanged did not find the
+		// partition then, so it is released here.
 		c.releasePartition(owned, ownedByReason(owner))
 		return
 	}
@@ -162,8 +165,8 @@
 	c.announceClaim(peerrpc.OwnershipClaim{Partition: partition, Revision: revision, Node: c.settings.Node})
 }
 
-// announceClaim announces a claim to the other nodes, whose watches deliver it a little
-// later.
+// announceClaim notifies the other nodes of a claim before their watches deliver it. Errors are
+// ignored, since the watches deliver the claim in any case.
 func (c *Controller) announceClaim(claim peerrpc.OwnershipClaim) {
 	for _, peer := range c.peers {
 		go func() { _ = peer.AnnounceClaim(claim, claimAnnouncementTimeout) }()
@@ -178,15 +181,15 @@
 	c.cluster.setPartitionOwner(claim.Partition, ownership{node: claim.Node, revision: claim.Revision})
 }
 
-// ownerChanged releases a partition whose key shows a later claim, of any node.
+// ownerChanged releases a partition if its key shows a later claim, by any node.
 func (c *Controller) ownerChanged(partition int, owner ownership) {
 	if owned := c.ownedPartition(partition); owned != nil && owner.revision > owned.revision {
 		c.releasePartition(owned, ownedByReason(owner))
 	}
 }
 
-// releasePartition ends the ownership of a partition, for the reason given. It does nothing
-// if that was released before.
+// releasePartition stops running a partition and logs the reason. It does nothing if the
+// partition was already released.
 func (c *Controller) releasePartition(owned *ownedPartition, reason string) {
 	c.mu.Lock()
 	if c.owned[owned.index] != owned {
@@ -206,5 +209,5 @@
 	}
 }
 
-// ownedByReason is the reason logged for releasing a partition that has another owner.
+// ownedByReason returns the reason to log when a partition is released to another owner.
 func ownedByReason(owner ownership) string { return "owned by " + owner.node }
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -13,22 +13,23 @@
 	"ambersill/internal/wire"
 )
 
-// partitionRecords are all records that a partition is restored from, as they were listed.
+// partitionRecords holds the listed records from which a partition is restored.
 type partitionRecords struct {
 	machines []wire.KeyValue
 	chunks   []wire.KeyValue
 	journal  []wire.KeyValue
-	// cancellations are the keys of cancelled jobs.
+	// cancellations has one key for each cancelled job.
 	cancellations []wire.KeyValue
-	// revision is one from which a watch misses no job that the listings lack.
+	// revision is the revision to watch jobs from. It is older than the listing of the
+	// chunks, so that the watch delivers every job that is missing from the listing.
 	revision uint64
 	// cancellationsReadAt is when the listing of the cancellations was requested.
 	cancellationsReadAt time.Time
 }
 
 // load restores the partition from its records, and returns the revision to watch jobs
-// from. It runs after the claim, whose revision fences the former owner: that owner can no
-// longer commit anything, so that what is read here is complete.
+// from. It runs after the claim. The claim has changed the revision of the partition's key,
+// so the former owner can no longer commit and the records read here are complete.
 func (o *ownedPartition) load(ctx context.Context) (uint64, error) {
 	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
 		return 0, fmt.Errorf("read feature level: %w", err)
@@ -53,7 +54,8 @@
 	return listed.revision, nil
 }
 
-// listRecords lists the partition's records in an order in which none is missed.
+// listRecords lists the partition's records in an order that misses no record that is written
+// meanwhile.
 func (o *ownedPartition) listRecords(ctx context.Context) (*partitionRecords, error) {
 	store := o.controller.store
 	listed := &partitionRecords{}
@@ -61,7 +63,8 @@
 	if listed.machines, _, err = store.List(ctx, records.MachinePrefix); err != nil {
 		return nil, err
 	}
-	// The watch starts before the jobs are read, so that none falls in between.
+	// The revision to watch from is read before the jobs are listed, so that no job is
+	// submitted between the listing and the start of the watch.
 	if _, listed.revision, err = store.List(ctx, records.PartitionKey(o.index)); err != nil {
 		return nil, err
 	}
@@ -78,7 +81,8 @@
 	return listed, nil
 }
 
-// loadMachines adds the machines of all groups; SetMachine ignores those of other partitions.
+// loadMachines adds the machines of all groups to the partition. SetMachine ignores machines
+// of other partitions.
 func loadMachines(partition *scheduler.Partition, groups []wire.KeyValue, now time.Time) error {
 	for _, item := range groups {
 		group, err := records.DecodeMachineGroup(item.Key[len(records.MachinePrefix):], item.Value, item.Revision)
@@ -92,14 +96,14 @@
 	return nil
 }
 
-// decodeChunks decodes the chunks of jobs; records that cannot be decoded are left out.
+// decodeChunks decodes the chunks of jobs. It logs and skips records that cannot be decoded.
 func decodeChunks(items []wire.KeyValue) []records.LoadedChunk {
 	var chunks []records.LoadedChunk
 	for _, item := range items {
 		jobID, name, ok := records.ParseChunkKey(item.Key)
 		var record records.ChunkRecord
 		if err := wire.Unmarshal(item.Value, &record); err != nil || !ok {
-			slog.Error("record not understood", "key", item.Key, "err", err)
+			slog.Error("job chunk not decoded", "key", item.Key, "err", err)
 			continue
 		}
 		chunks = append(chunks, records.LoadedChunk{
@@ -112,13 +116,13 @@
 	return chunks
 }
 
-// decodeJournal decodes the journal; records that cannot be decoded are left out.
+// decodeJournal decodes the journal. It logs and skips records that cannot be decoded.
 func decodeJournal(items []wire.KeyValue) []records.LoadedJournalRecord {
 	var journal []records.LoadedJournalRecord
 	for _, item := range items {
 		var record records.JournalRecord
 		if err := wire.Unmarshal(item.Value, &record); err != nil {
-			slog.Error("record not understood", "key", item.Key, "err", err)
+			slog.Error("journal record not decoded", "key", item.Key, "err", err)
 			continue
 		}
 		journal = append(journal, records.LoadedJournalRecord{Revision: item.Revision, Record: record})
@@ -126,15 +130,15 @@
 	return journal
 }
 
-// publish applies the changes of machines that arrived while the records were read, and lets
-// the loaded partition answer heartbeats.
+// publish makes the loaded partition visible to heartbeats and scheduling, and applies the
+// machine changes that arrived while its records were read.
 func (o *ownedPartition) publish(partition *scheduler.Partition, cancellationsReadAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.partition = partition
 	o.cancellationsReadAt = cancellationsReadAt
-	// It may have been raised since the partition was created, and is announced only
-	// to partitions that are published.
+	// The feature level may have been raised since the partition was created. levelRaised
+	// passes it on only to partitions that are published.
 	o.partition.SetLevel(o.controller.cluster.featureLevel())
 	for _, id := range slices.Sorted(maps.Keys(o.pendingChanges)) {
 		o.applyMachine(o.pendingChanges[id])
