--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -12,21 +12,22 @@
 	"ambersill/internal/wire"
 )
 
-// An owner must not start tasks, or keep tasks alive by answering heartbeats, if jobs may
-// have been cancelled without its knowledge. So it polls the cancellations, and decides by
-// the age of the latest poll that succeeded.
+// An owner must not start tasks, or keep tasks alive by answering heartbeats, if it may have
+// missed the cancellation of their jobs. It therefore polls the cancellations, and decides by
+// the age of the latest successful listing what it may do.
 
-// failedPollDivisor divides the interval between two polls of the cancellations for the wait
-// after one that failed, so that a single error does not stop the starts.
+// failedPollDivisor is the number by which the interval between two polls of the cancellations
+// is divided to give the wait after a failed poll. The wait is short so that a single error
+// does not stop the owner from starting tasks.
 const failedPollDivisor = 4
 
-// ownerPermissions is what an owner may do, given what it knows of cancellations.
+// ownerPermissions is what an owner may do, depending on the age of its listing of cancellations.
 type ownerPermissions struct {
 	canStartTasks       bool
 	canAnswerHeartbeats bool
 }
 
-// permissionsAt returns what an owner may do with knowledge of the given age.
+// permissionsAt returns what an owner may do if its listing of cancellations has the given age.
 func (c *Controller) permissionsAt(age time.Duration) ownerPermissions {
 	return ownerPermissions{
 		canStartTasks:       age < tuning.Seconds(c.tuning.FreshS),
@@ -34,34 +35,35 @@
 	}
 }
 
-// maxAgeToAnswerHeartbeats returns the age of the knowledge of cancellations up to which an
-// owner answers heartbeats. The tasks of a job that was cancelled just after the reading run
-// for as long as heartbeats are answered, and then for the lease that the last answered
-// heartbeat has renewed from the moment it was sent; all of it must fit into the time in
-// which a cancellation has to take effect.
+// maxAgeToAnswerHeartbeats returns the age of the listing of cancellations up to which an owner
+// answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
+// as heartbeats are answered, and then until the end of the lease that the last answered
+// heartbeat has renewed, counted from when that heartbeat was sent. The sum must not exceed
+// the time CancelS within which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.Workers
 	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
 	return tuning.Seconds(workers.CancelS - leaseS - workers.ReportS - c.tuning.MarginS)
 }
 
-// cancellationListingAge returns the age of the owner's knowledge of cancellations: all that were
-// confirmed longer ago are known, whichever node confirmed them. The time since the last
-// contact with the store is not enough: once contact was regained after an outage, or while
-// watches were open but stuck, an owner that alone had its requests refused answered its
-// workers' heartbeats without knowing what other nodes had confirmed meanwhile.
+// cancellationListingAge returns the time since the latest successful listing of cancellations
+// was requested. The owner knows every cancellation that any node confirmed before that. The
+// time since the last contact with the store cannot be used instead. Contact can be recent
+// although the listing is old: after an outage, or while watches stay open without delivering
+// events. An owner whose requests alone were refused then answered heartbeats without knowing
+// the cancellations that other nodes had confirmed.
 func (o *ownedPartition) cancellationListingAge() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return time.Since(o.cancellationsReadAt)
 }
 
-// mayStartTasks reports whether the knowledge of cancellations is new enough to start tasks.
+// mayStartTasks reports whether the listing of cancellations is recent enough to start tasks.
 func (o *ownedPartition) mayStartTasks() bool {
 	return o.controller.permissionsAt(o.cancellationListingAge()).canStartTasks
 }
 
-// logPermissionChange logs when the knowledge of cancellations becomes too old, or new enough
+// logPermissionChange logs when the listing of cancellations becomes too old, or recent enough
 // again, to start tasks or to answer heartbeats.
 func (o *ownedPartition) logPermissionChange() {
 	age := o.cancellationListingAge()
@@ -70,13 +72,14 @@
 		return
 	}
 	o.loggedPermissions = permissions
-	slog.Info("knowledge of cancellations", "partition", o.index, "starts_tasks", permissions.canStartTasks,
+	slog.Info("owner permissions changed with the age of the cancellation listing", "partition", o.index, "starts_tasks", permissions.canStartTasks,
 		"answers_heartbeats", permissions.canAnswerHeartbeats, "age_s", age.Seconds())
 }
 
-// pollCancellations polls the keys of cancelled jobs until the context ends. A key is
-// committed with the cancellation and deleted when nothing of the job is left, so that a
-// poll shows every cancellation that was committed before it was requested.
+// pollCancellations polls the keys of cancelled jobs until the context ends. A job's key is
+// written in the commit that cancels the job, and deleted only when nothing of the job is
+// left, so a poll returns every cancellation that was committed before the poll was requested
+// and that is still needed.
 func (o *ownedPartition) pollCancellations(ctx context.Context) {
 	interval := tuning.Seconds(o.controller.tuning.NewsS)
 	for ctx.Err() == nil {
@@ -84,7 +87,7 @@
 		requestedAt := time.Now()
 		items, _, err := o.controller.store.ListUnthrottled(ctx, records.CancellationPrefix(o.index))
 		if err != nil {
-			slog.Debug("cancellations not read", "partition", o.index, "err", err)
+			slog.Debug("polling cancellations failed", "partition", o.index, "err", err)
 			transport.Pause(ctx, interval/failedPollDivisor)
 			continue
 		}
@@ -93,7 +96,7 @@
 	}
 }
 
-// setCancellations applies the cancellations that a poll has listed.
+// setCancellations applies the cancellations that a poll, requested at requestedAt, has returned.
 func (o *ownedPartition) setCancellations(items []wire.KeyValue, requestedAt time.Time) {
 	o.mu.Lock()
 	anyNew := o.partition.SetCancelledJobs(o.cancelledJobs(items), time.Now())
@@ -104,7 +107,7 @@
 	}
 }
 
-// cancelledJobs returns the IDs of the jobs in a listing of the cancellations.
+// cancelledJobs returns the IDs of the jobs in a listing of cancellation keys.
 func (o *ownedPartition) cancelledJobs(items []wire.KeyValue) []string {
 	prefix := records.CancellationPrefix(o.index)
 	ids := make([]string, len(items))
@@ -114,7 +117,8 @@
 	return ids
 }
 
-// cancelJob cancels a job when the node that committed its cancellation announces it.
+// cancelJob cancels a job whose cancellation is already committed. It does nothing while the
+// partition is being loaded, because the listing of cancellations contains the job.
 func (o *ownedPartition) cancelJob(id string) {
 	loaded := o.withLoadedPartition(func(partition *scheduler.Partition) {
 		partition.Cancel(id, time.Now())
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -7,8 +7,8 @@
 	"ambersill/internal/tuning"
 )
 
-// With the age of its knowledge of cancellations an owner first stops to start tasks, and
-// then to answer heartbeats.
+// As the listing of cancellations gets older, an owner first stops starting tasks and then stops
+// answering heartbeats.
 func TestPermissionsDependOnCancellationListingAge(t *testing.T) {
 	c := isolatedController()
 	startLimit := tuning.Seconds(c.tuning.FreshS)
@@ -27,7 +27,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := c.permissionsAt(test.age); got != test.want {
-				t.Errorf("at the age %v %+v, want %+v", test.age, got, test.want)
+				t.Errorf("permissions at age %v are %+v, want %+v", test.age, got, test.want)
 			}
 		})
 	}
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	testSockets = 200 // of which commands may take a tenth
+	testSockets = 200 // commands may use a tenth of them
 	testSlots   = 20
 )
 
-// testBackoff are waits that double twice before they reach the longest.
+// testBackoff are limits between which the wait grows from 3 s to 6 s and then to the longest.
 var testBackoff = backoffLimits{shortest: 3 * time.Second, longest: 10 * time.Second}
 
-// acquireAll tries to acquire a slot for each of n machines, and returns those that have one.
+// acquireAll tries to acquire a slot for each of n machines, and returns the machines for which
+// it succeeded.
 func acquireAll(slots *commandSlots, prefix string, n int, now time.Time) []string {
 	var acquired []string
 	for i := range n {
@@ -27,33 +28,33 @@
 	return acquired
 }
 
-// checkBackoff has machine m not execute one request after the other, and checks that each wait is
-// as long as it should be. It returns the time at which the last wait ends.
+// checkBackoff lets several requests to machine m fail in a row, and checks the length of the
+// wait after each. It returns the time at which the last wait ends.
 func checkBackoff(t *testing.T, slots *commandSlots, now time.Time) time.Time {
 	t.Helper()
 	for _, wait := range []time.Duration{3 * time.Second, 6 * time.Second, 10 * time.Second, 10 * time.Second} {
 		if !slots.acquire("m", now) {
-			t.Fatal("not tried again")
+			t.Fatal("no slot for the machine at the end of its wait")
 		}
 		slots.release("m", false, now, testBackoff)
 		if slots.acquire("m", now.Add(wait-1)) {
-			t.Fatalf("tried again before %v", wait)
+			t.Fatalf("got a slot before the end of the wait of %v", wait)
 		}
 		now = now.Add(wait)
 	}
 	return now
 }
 
-// Machines that do not answer must cost the others nothing but half of the slots.
+// Machines that do not answer must leave half of the slots to the other machines.
 func TestCommandsToSilentMachinesLeaveSlots(t *testing.T) {
 	const unresponsive = 150
 	slots, now := newCommandSlots(testSockets), time.Unix(1000, 0)
-	// Nobody knows yet that they are silent, so that they take all slots until each has
-	// been tried once.
+	// Machines are not in back-off before their first request has failed, so they may use all
+	// slots until each of them was tried once.
 	for left := unresponsive; left > 0; {
 		machines := acquireAll(slots, "silent-", unresponsive, now)
 		if want := min(testSlots, left); len(machines) != want {
-			t.Fatalf("%d requests under way, want %d", len(machines), want)
+			t.Fatalf("%d requests in flight, want %d", len(machines), want)
 		}
 		for _, machine := range machines {
 			slots.release(machine, false, now, testBackoff)
@@ -62,10 +63,10 @@
 	}
 	now = now.Add(testBackoff.shortest)
 	if n := len(acquireAll(slots, "silent-", unresponsive, now)); n != testSlots/2 {
-		t.Errorf("%d requests to silent machines", n)
+		t.Errorf("%d requests in flight to machines in back-off, want half of the slots", n)
 	}
 	if n := len(acquireAll(slots, "answering-", unresponsive, now)); n != testSlots/2 {
-		t.Errorf("%d requests to machines that answer", n)
+		t.Errorf("%d requests in flight to other machines, want half of the slots", n)
 	}
 }
 
@@ -73,8 +74,8 @@
 	checkBackoff(t, newCommandSlots(testSockets), time.Unix(1000, 0))
 }
 
-// A machine that sends a heartbeat is tried at once; nothing is kept of one that is removed,
-// even while a request to it is under way.
+// A heartbeat ends the wait of a machine in back-off. No state is left of a machine that was
+// removed, even if it was removed while a request to it was in flight.
 func TestCommandsResumeAfterHeartbeatOrRemoval(t *testing.T) {
 	slots := newCommandSlots(testSockets)
 	now := checkBackoff(t, slots, time.Unix(1000, 0))
@@ -82,17 +83,17 @@
 	slots.release("m", false, now, testBackoff)
 	slots.resetBackoff("m")
 	if !slots.acquire("m", now) {
-		t.Error("a machine that has sent a heartbeat was not tried")
+		t.Error("no slot for a machine in back-off after its heartbeat")
 	}
 	slots.forget("m")
 	slots.release("m", false, now, testBackoff)
 	if len(slots.backoff)+len(slots.inFlight)+slots.inFlightBackedOff != 0 {
-		t.Errorf("%d, %d, %d left of a machine that is gone", len(slots.backoff), len(slots.inFlight), slots.inFlightBackedOff)
+		t.Errorf("after removal of the machine: %d in back-off, %d in flight, %d of these in back-off, want none", len(slots.backoff), len(slots.inFlight), slots.inFlightBackedOff)
 	}
 }
 
-// All uses of sockets together stay within the limit, down to limits with which hardly
-// anybody can be served.
+// The sockets for all uses together stay within MaxSockets, down to values with which hardly any
+// user or worker can be served.
 func TestSocketUseStaysWithinLimit(t *testing.T) {
 	c := isolatedController()
 	for limit := 250; limit < 5000; limit += 50 {
@@ -100,7 +101,7 @@
 		c.commandSlots = newCommandSlots(limit)
 		sum := c.publicSockets() + tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
 		if sum > limit {
-			t.Errorf("%d sockets of %d", sum, limit)
+			t.Errorf("%d sockets are used in total, want at most %d", sum, limit)
 		}
 	}
 }
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -10,10 +10,10 @@
 	"ambersill/internal/transport"
 )
 
-// countersInterval is the time between two log lines of counters.
+// countersInterval is the time between two log lines with counters.
 const countersInterval = 30 * time.Second
 
-// logCounters logs counters at regular intervals.
+// logCounters logs the node's counters every countersInterval until the context ends.
 func (c *Controller) logCounters(ctx context.Context) error {
 	for ctx.Err() == nil {
 		transport.Pause(ctx, countersInterval)
@@ -22,19 +22,19 @@
 	return nil
 }
 
-// nodeCounters are the figures of a node that are logged.
+// nodeCounters holds the values that are logged for a node.
 type nodeCounters struct {
 	heapMiB         uint64
 	systemMiB       uint64 // memory obtained from the operating system
 	goroutines      int
-	storeServed     int // requests to the key-value store, by outcome
+	storeServed     int // requests to the key-value store by outcome: served, refused, unknown
 	storeRefused    int
 	storeUnknown    int
 	finalJobsCached int
 	partitions      []partitionCounters
 }
 
-// partitionCounters are the figures of an owned partition that are logged.
+// partitionCounters holds the values that are logged for an owned partition.
 type partitionCounters struct {
 	partition  int
 	jobs       int
@@ -42,7 +42,7 @@
 	scheduling scheduler.Counters
 }
 
-// counters collects the figures of the node and of all partitions whose records are read.
+// counters collects the values of the node and of all its partitions that are loaded.
 func (c *Controller) counters() nodeCounters {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -64,7 +64,8 @@
 	return counters
 }
 
-// counters returns false while the partition's records are being read.
+// counters collects the values of the partition. loaded is false, and the counters are empty,
+// while the partition's records are being read.
 func (o *ownedPartition) counters() (counters partitionCounters, loaded bool) {
 	loaded = o.withLoadedPartition(func(partition *scheduler.Partition) {
 		counters = partitionCounters{
@@ -77,8 +78,8 @@
 	return counters, loaded
 }
 
-// logArgs returns keys and values for slog. The keys of a partition follow its number, and
-// repeat for each partition.
+// logArgs returns keys and values for slog. The keys of each partition follow the key
+// "partition", so the same keys occur once for each partition.
 func (n nodeCounters) logArgs() []any {
 	args := []any{
 		"heap_mb", n.heapMiB,
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -117,7 +117,7 @@
 		o.reduceLimits(ctx)
 		transport.Pause(ctx, commitRetryDelay)
 	case commitConflict, commitUnknown:
-		slog.Debug("commit not confirmed", "partition", o.index, "err", err)
+		slog.Debug("commit of partition not confirmed", "partition", o.index, "err", err)
 		o.refreshKeys(ctx, batch)
 	}
 	return outcome
--- a/internal/controller/cycle_test.go
+++ b/internal/controller/cycle_test.go
@@ -8,8 +8,7 @@
 	"ambersill/internal/kvstore"
 )
 
-// What an owner does after a commit depends on its outcome alone, also if the store's error is
-// wrapped.
+// Errors of the key-value store are classified by their outcome, also if they are wrapped.
 func TestClassifyCommitError(t *testing.T) {
 	tests := []struct {
 		name string
@@ -26,7 +25,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := classifyCommitError(test.err); got != test.want {
-				t.Errorf("outcome %d, want %d", got, test.want)
+				t.Errorf("outcome of the error %d, want %d", got, test.want)
 			}
 			if test.err == nil {
 				return
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -7,10 +7,10 @@
 	"ambersill/internal/wire"
 )
 
-// finalJobCache keeps the records of jobs whose end is known to be committed. They never
-// change again, so that queries for them need no request to the key-value store.
+// finalJobCache caches the records of jobs whose end is known to be committed. These records
+// never change again, so queries for them need no request to the key-value store.
 type finalJobCache struct {
-	limit int // records
+	limit int // maximum number of records
 
 	mu   sync.Mutex // guards jobs
 	jobs map[string]records.JobRecord
@@ -20,7 +20,7 @@
 	return &finalJobCache{limit: limit, jobs: map[string]records.JobRecord{}}
 }
 
-// get returns a final job's record.
+// get returns the cached record of a job, and whether there is one.
 func (f *finalJobCache) get(id string) (records.JobRecord, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,8 +28,8 @@
 	return record, ok
 }
 
-// addIfFinal keeps a job's record if the job is final. Of the job's description only what queries
-// need is kept.
+// addIfFinal caches a job's record if the job has ended. Only the fields of the job's description
+// that queries need are cached.
 func (f *finalJobCache) addIfFinal(record records.JobRecord) {
 	if !record.Phase.Final() {
 		return
@@ -43,8 +43,8 @@
 	f.jobs[record.Job.ID] = record
 }
 
-// evictOne removes any record; f.mu must be held. Which one does not matter: it is read
-// again at the next query for it.
+// evictOne removes an arbitrary record. Any record will do, since the next query for it reads it
+// from the key-value store again. The caller must hold f.mu.
 func (f *finalJobCache) evictOne() {
 	for id := range f.jobs {
 		delete(f.jobs, id)
@@ -52,7 +52,7 @@
 	}
 }
 
-// size returns the number of records kept.
+// size returns the number of cached records.
 func (f *finalJobCache) size() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controller/final_jobs_test.go
+++ b/internal/controller/final_jobs_test.go
@@ -13,17 +13,17 @@
 	cache := newFinalJobCache(limit)
 	cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: "queued"}, Phase: wire.JobQueued})
 	if _, ok := cache.get("queued"); ok {
-		t.Error("a job that has not ended is kept")
+		t.Error("a queued job is cached, want only jobs that have ended")
 	}
 	for i := range 2 * limit {
 		id := fmt.Sprint("done-", i)
 		cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: id, Tasks: i + 1}, Phase: wire.JobDone})
 		record, ok := cache.get(id)
 		if !ok || record.Phase != wire.JobDone || record.Job.Tasks != i+1 {
-			t.Errorf("%s: kept %v, record %+v", id, ok, record)
+			t.Errorf("get(%s) = ok %v, record %+v, want a done job with all its tasks", id, ok, record)
 		}
 		if want := min(i+1, limit); cache.size() != want {
-			t.Errorf("%d records are kept after %d jobs, want %d", cache.size(), i+1, want)
+			t.Errorf("%d records are cached after %d jobs, want %d", cache.size(), i+1, want)
 		}
 	}
 }
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -17,9 +17,10 @@
 	"ambersill/internal/wire"
 )
 
-// echoOwner is an owner that answers each heartbeat with its sequence number as the token.
+// echoOwner is a partition owner that answers each heartbeat with the heartbeat's sequence number
+// as the fencing token.
 type echoOwner struct {
-	unblock chan struct{} // answers wait until it is closed
+	unblock chan struct{} // no heartbeat is answered until this channel is closed
 }
 
 func (*echoOwner) PartitionClaimed(peerrpc.OwnershipClaim) {}
@@ -32,7 +33,7 @@
 	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.HeartbeatResponse{FencingToken: heartbeat.Sequence}}
 }
 
-// writeCountingNet counts the writes to connections made through it.
+// writeCountingNet counts the writes to connections that are dialled through it.
 type writeCountingNet struct {
 	transport.Net
 	writes atomic.Int64
@@ -53,15 +54,17 @@
 	return c.Conn.Write(b)
 }
 
-// forwardFixture is a forwarder to an owner, on a network of their own.
+// forwardFixture is a forwarder and the owner that it forwards to, on a network without other
+// hosts.
 type forwardFixture struct {
 	forwarder *forwarder
-	network   *writeCountingNet // the forwarder's
+	network   *writeCountingNet // used by the forwarder
 	owner     *echoOwner
 	ownerHost *emulator.Host
 }
 
-// withForwarder runs a test on a forwarder whose owner does not answer yet.
+// withForwarder runs a test with a forwarder whose owner does not answer until the test closes
+// unblock.
 func withForwarder(t *testing.T, test func(t *testing.T, f *forwardFixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		const ownerAddr = "10.0.0.1:8081"
@@ -75,7 +78,7 @@
 		served := make(chan struct{})
 		go func() {
 			defer close(served)
-			_ = peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) // fails where the test shuts the owner down
+			_ = peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) // returns an error if the test shuts the owner down
 		}()
 		f.forwarder = newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: ownerAddr}, Net: f.network})
 		f.forwarder.done = ctx.Done()
@@ -89,8 +92,8 @@
 	})
 }
 
-// forwardAll forwards heartbeats at once, and counts those that are answered, each of which
-// must have its own answer.
+// forwardAll forwards the given number of heartbeats concurrently and returns how many were
+// answered. It checks that each answer belongs to its heartbeat.
 func (f *forwardFixture) forwardAll(t *testing.T, count int) (answered int) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -106,7 +109,7 @@
 			defer mu.Unlock()
 			answered++
 			if !result.Accepted || result.Response.FencingToken != sequence {
-				t.Errorf("heartbeat %d got the answer %+v", sequence, result)
+				t.Errorf("heartbeat %d got the answer %+v, want it accepted with its sequence number as the token", sequence, result)
 			}
 		})
 	}
@@ -114,70 +117,72 @@
 	return answered
 }
 
-// A call for each heartbeat would cost the owner nearly what reading them itself does.
+// Heartbeats are forwarded in batches, because a call for each heartbeat would cost the owner
+// nearly as much as reading the requests of workers itself.
 func TestHeartbeatsAreForwardedInBatches(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		close(f.owner.unblock)
 		if n := f.forwardAll(t, 100); n != 100 {
-			t.Errorf("%d of 100 heartbeats were answered", n)
+			t.Errorf("%d of 100 heartbeats were answered, want all", n)
 		}
 		if n := f.network.writes.Load(); n == 0 || n > 4 {
-			t.Errorf("100 heartbeats took %d writes", n)
+			t.Errorf("100 heartbeats took %d writes to the connection, want 1 to 4", n)
 		}
 	})
 }
 
-// While the owner does not answer, workers have an answer within a fraction of the 4 s that
-// they wait, those that come later at once; the number of waiting heartbeats is bounded.
+// If the owner does not answer, forwarding fails within a fraction of the 4 s that workers wait
+// for an answer, so that they have time to try another node. During the back-off that follows,
+// forwarding fails at once. Forwarding works again after the back-off.
 func TestForwardingToUnresponsiveOwnerTimesOut(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		began := time.Now()
 		if n := f.forwardAll(t, maxForwardBatch); n != 0 {
-			t.Errorf("%d heartbeats were answered by nobody", n)
+			t.Errorf("%d heartbeats were answered while the owner does not answer, want 0", n)
 		}
 		if took := time.Since(began); took > forwardTimeout+2*forwardBatchDelay {
-			t.Errorf("the answer took %v", took)
+			t.Errorf("forwarding to an unresponsive owner failed after %v, want at most forwardTimeout and two batch delays", took)
 		}
 		began = time.Now()
 		if n := f.forwardAll(t, 10); n != 0 || time.Since(began) != 0 {
-			t.Errorf("%d answered, %v later", n, time.Since(began))
+			t.Errorf("during the back-off %d heartbeats were answered after %v, want 0 answered after 0s", n, time.Since(began))
 		}
 		close(f.owner.unblock)
 		time.Sleep(peerBackoff)
 		if n := f.forwardAll(t, 10); n != 10 {
-			t.Errorf("%d of 10 were answered by the owner that is back", n)
+			t.Errorf("%d of 10 heartbeats were answered after the owner recovered, want all", n)
 		}
 	})
 }
 
-// Heartbeats beyond the bound of the queue are rejected at once.
+// When the queue is full, forwarding fails at once.
 func TestForwardQueueIsBounded(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		const beyond = 50
 		var waiting sync.WaitGroup
 		waiting.Go(func() { f.forwardAll(t, 1) })
-		time.Sleep(forwardBatchDelay + time.Millisecond) // in flight, and not answered
+		time.Sleep(forwardBatchDelay + time.Millisecond) // the first heartbeat is sent and not answered
 		for range maxForwardBatch {
 			waiting.Go(func() { f.forwarder.forward(&wire.Heartbeat{Machine: "m", Sequence: 1}) })
 		}
 		synctest.Wait()
 		began := time.Now()
 		if n := f.forwardAll(t, beyond); n != 0 || time.Since(began) != 0 {
-			t.Errorf("%d beyond the bound were answered, after %v", n, time.Since(began))
+			t.Errorf("with a full queue %d heartbeats were answered after %v, want 0 answered after 0s", n, time.Since(began))
 		}
 		close(f.owner.unblock)
 		waiting.Wait()
 	})
 }
 
-// An owner that ends fails what is in flight at once, not after the timeout.
+// If the owner shuts down, heartbeats in flight fail at once rather than after forwardTimeout.
 func TestForwardingFailsAtOnceWhenOwnerShutsDown(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
 		defer close(f.owner.unblock)
 		time.AfterFunc(2*forwardBatchDelay, f.ownerHost.Shutdown)
 		began := time.Now()
 		if n := f.forwardAll(t, 20); n != 0 || time.Since(began) > 3*forwardBatchDelay {
-			t.Errorf("%d answered, after %v", n, time.Since(began))
+			t.Errorf("%d heartbeats were answered after %v, want 0 answered within three batch delays", n, time.Since(began))
 		}
 	})
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// healthyContactFactor is the multiple of FreshS up to which a node stays healthy
-	// without contact to the key-value store: half as long again as it accepts requests, so
-	// that one slow response changes nothing.
+	// healthyContactFactor is the multiple of FreshS for which a node without contact with
+	// the key-value store stays healthy. The node accepts requests for FreshS; it stays
+	// healthy for half as long again, so that one slow response does not make it unhealthy.
 	healthyContactFactor = 1.5
-	// peerContactTimeout bounds the call that asks a peer for its contact, within a health
-	// check whose sender does not wait for long.
+	// peerContactTimeout bounds the call that asks a peer for the age of its last contact with
+	// the key-value store. It is short because the sender of a health check does not wait long.
 	peerContactTimeout = 400 * time.Millisecond
 )
 
-// Healthy reports whether this node can take requests. In an outage that all nodes share
-// it stays healthy, since no other node would do better.
+// Healthy reports whether this node can take requests. During an outage of the key-value store
+// that affects all nodes it stays healthy, because no other node could serve the requests.
 func (c *Controller) Healthy() bool {
 	if len(c.catalog()) == 0 {
 		return false
@@ -30,15 +30,16 @@
 	return c.noPeerInContact()
 }
 
-// peerContact is what a peer answers about its contact to the key-value store.
+// peerContact is the state of a peer's contact with the key-value store.
 type peerContact struct {
-	reachable bool
+	reachable bool // the peer has answered
 	fresh     bool // the key-value store has served the peer within FreshS
 }
 
-// noPeerInContact reports whether no other node has contact to the key-value store either. It
-// is false if no peer can be reached: then this node itself is probably partitioned away. It
-// is true for a node without peers, which cannot tell an outage from a network partition.
+// noPeerInContact reports whether all peers that answer are without contact with the key-value
+// store. It returns false if no peer can be reached, because then a network partition probably
+// separates this node from all others. It returns true for a node without peers, which cannot
+// tell an outage from a network partition.
 func (c *Controller) noPeerInContact() bool {
 	contacts := make(chan peerContact, len(c.peers))
 	for _, peer := range c.peers {
@@ -63,22 +64,24 @@
 	return peerContact{reachable: true, fresh: age < tuning.Seconds(c.tuning.FreshS)}
 }
 
-// SinceContact returns the time since the key-value store last served this node.
+// SinceContact returns the time since the newest request that the key-value store has served was
+// sent.
 func (c *Controller) SinceContact() time.Duration { return c.store.SinceContact() }
 
-// NoContactError reports that the key-value store does not serve this node at present.
+// NoContactError is returned for a request that is refused because the key-value store does not
+// serve this node at present.
 type NoContactError struct {
-	// Elapsed is the time since it last did.
+	// Elapsed is the time since the store last served this node.
 	Elapsed time.Duration
 }
 
 func (e *NoContactError) Error() string {
-	return fmt.Sprintf("no contact to the key-value store for %.0f s", e.Elapsed.Seconds())
+	return fmt.Sprintf("no contact with the key-value store for %.0f s", e.Elapsed.Seconds())
 }
 
 // checkContact returns a *NoContactError if the key-value store has not served this node for
-// longer than FreshS. Requests that need that service are refused at once then, rather
-// than after a wait.
+// longer than FreshS, so that requests that need the store are refused at once rather than
+// after a timeout.
 func (c *Controller) checkContact() error {
 	since := c.store.SinceContact()
 	if since > tuning.Seconds(c.tuning.FreshS) {
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -16,10 +16,10 @@
 		time.Sleep(limit + time.Second)
 		noContact, ok := errors.AsType[*NoContactError](c.checkContact())
 		if !ok {
-			t.Fatal("requests are accepted without contact to the state service")
+			t.Fatal("checkContact did not return a *NoContactError after more than FreshS without contact")
 		}
 		if noContact.Elapsed <= limit {
-			t.Errorf("the error states %v without contact, want more than %v", noContact.Elapsed, limit)
+			t.Errorf("the error states %v since the last contact, want more than %v", noContact.Elapsed, limit)
 		}
 	})
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -86,7 +86,7 @@
 	}
 	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), permissions.canStartTasks)
 	if verdict != scheduler.HeartbeatAccepted {
-		slog.Debug("heartbeat not accepted",
+		slog.Debug("heartbeat not accepted by partition owner",
 			"machine", heartbeat.Machine, "verdict", verdict.String(), "token", heartbeat.FencingToken)
 		o.releaseIfSuperseded(verdict, permissions)
 		return peerrpc.HeartbeatResult{Response: response}
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -8,10 +8,10 @@
 	"ambersill/internal/tuning"
 )
 
-// With nodes behind network partitions, a worker may have used up most of its lease before it
-// finds one that answers, and may not reach the one it is assigned to from there either. It
-// was once redirected with its first heartbeat, and its lease expired while it looked for a
-// node again (250 tasks at a time).
+// If a network partition hides some nodes, a worker may use up most of its lease before it
+// finds a node that answers, and it may still be unable to reach its assigned node. If it is
+// then redirected at its first heartbeat, its lease expires during the next search and its
+// tasks are lost, which happened to 250 tasks at a time.
 func TestWorkersAreRedirectedAfterAGracePeriod(t *testing.T) {
 	c := isolatedController()
 	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
@@ -20,7 +20,7 @@
 		t.Helper()
 		now = now.Add(wait)
 		if got := c.shouldRedirect("m-1", now); got != want {
-			t.Errorf("%s: redirected %v", situation, got)
+			t.Errorf("%s: redirected = %v, want the opposite", situation, got)
 		}
 	}
 	stepThroughGrace := func(situation string) {
@@ -39,13 +39,13 @@
 		step(2*time.Second, false, "within the grace period")
 	}
 	if c.shouldRedirect("m-2", now.Add(2*time.Second)) {
-		t.Error("machines are confused")
+		t.Error("the first heartbeat of m-2 was redirected because of the state of m-1")
 	}
 	step(2*time.Second, true, "after the grace period")
 }
 
-// Machines are assigned evenly to the nodes but the owner; all nodes agree, and a node that
-// fails moves no machines but its own.
+// Machines are assigned evenly to all live nodes except the owner, as long as there are at least
+// two such nodes. The failure of a node reassigns only that node's machines.
 func TestMachinesAreAssignedEvenlyToNodes(t *testing.T) {
 	const machines = 1000
 	c := isolatedController()
@@ -65,11 +65,11 @@
 	checkEven := func(count map[string]int, nodes ...string) {
 		t.Helper()
 		if len(count) != len(nodes) {
-			t.Errorf("assigned to %v, want %v", count, nodes)
+			t.Errorf("machines by node: %v, want machines on exactly the nodes %v", count, nodes)
 		}
 		for _, n := range nodes {
 			if fair := machines / len(nodes); count[n] < fair*8/10 || count[n] > fair*12/10 {
-				t.Errorf("%s has %d machines of a fair %d", n, count[n], fair)
+				t.Errorf("%s has %d machines, want %d within 20 %%", n, count[n], fair)
 			}
 		}
 	}
@@ -79,7 +79,7 @@
 	checkEven(count, "n-1", "n-2", "n-4")
 	for id, n := range four {
 		if n != "n-3" && three[id] != n {
-			t.Fatalf("%s went from %s to %s although only n-3 failed", id, n, three[id])
+			t.Fatalf("%s was reassigned from %s to %s, but only n-3 failed", id, n, three[id])
 		}
 	}
 	_, count = assign("n-0", "n-0", "n-1")
@@ -89,5 +89,5 @@
 	_, count = assign("n-0", "n-0")
 	checkEven(count, "n-0")
 	_, count = assign("n-0")
-	checkEven(count, "n-0") // the copy of the cluster's keys may lag
+	checkEven(count, "n-0") // the owner is used if the cache does not list any live node
 }
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -7,7 +7,7 @@
 	"ambersill/internal/wire"
 )
 
-// workersByNode counts the workers that report to each node.
+// workersByNode returns the number of workers that report to each node, by node name.
 func (cluster *simulatedCluster) workersByNode() map[string]int {
 	count := map[string]int{}
 	for _, worker := range cluster.cloud.Workers() {
@@ -16,14 +16,14 @@
 	return count
 }
 
-// All workers begin at one node. Within their grace they must be spread over those that do
-// not own the partition; when one of these ends, its workers go on at another node, and
-// no task is lost.
+// All workers report to one node at first. After the grace period they must be spread over the
+// nodes that do not own the partition. When one of these nodes crashes, its workers must move
+// to the remaining nodes without losing a task.
 func TestHeartbeatsAreSpreadOverNonOwnerNodes(t *testing.T) {
 	const (
 		tasks        = 110
 		fleetStartup = 50 * time.Second // until the fleet is rented and has booted
-		minPercent   = 35               // of the workers, at each of two nodes
+		minPercent   = 35               // of the workers at each of two nodes
 		maxPercent   = 65
 	)
 	runFleetSimulation(t, 12, 30, func(cluster *simulatedCluster) {
@@ -32,32 +32,32 @@
 		workers := len(cluster.cloud.Workers())
 		owner, _ := cluster.partitionOwner()
 		if workers < 100 || owner < 0 || cluster.simulation.Starts() != tasks {
-			cluster.t.Fatalf("%d machines, owner %d, %d starts", workers, owner, cluster.simulation.Starts())
+			cluster.t.Fatalf("%d machines, owner %d, %d starts; want at least 100 machines, an owner, and one start of each task", workers, owner, cluster.simulation.Starts())
 		}
 		ownerName := cluster.nodes[owner].Name
 		crashed := (owner + 1) % len(cluster.nodes)
 		count := cluster.workersByNode()
 		if n := count[ownerName]; n > 0 {
-			cluster.t.Errorf("%d workers report to the owner", n)
+			cluster.t.Errorf("%d workers report to the owner, want 0", n)
 		}
 		if n := count[cluster.nodes[crashed].Name]; n < workers*minPercent/100 || n > workers*maxPercent/100 {
-			cluster.t.Errorf("%d of %d workers report to one of two nodes", n, workers)
+			cluster.t.Errorf("%d of %d workers report to one of the two nodes without the partition, want 35 to 65 %%", n, workers)
 		}
 		cluster.crashNode(crashed)
 		time.Sleep(2 * redirectGrace)
 		if n := cluster.workersByNode()[ownerName]; n < workers*minPercent/100 {
-			cluster.t.Errorf("the owner, one of two nodes left, has %d of %d workers", n, workers)
+			cluster.t.Errorf("after a crash %d of %d workers report to the owner, one of two live nodes; want at least 35 %%", n, workers)
 		}
 		cluster.startNode(crashed)
 		cluster.waitAndCheck(20 * time.Minute)
 		if n := cluster.simulation.Starts(); n != tasks {
-			cluster.t.Errorf("%d starts of %d tasks: some were lost", n, tasks)
+			cluster.t.Errorf("%d starts of %d tasks, want one start of each task", n, tasks)
 		}
 	})
 }
 
-// Commands go straight to a machine's address, and the owner may learn it only from a
-// heartbeat that another node has forwarded.
+// The owner sends commands directly to a machine's address. It may learn the address only from
+// a heartbeat that another node has forwarded.
 func TestForwardedHeartbeatsRecordTheAddress(t *testing.T) {
 	c, nextHeartbeat := newHeartbeatFixture(t, 2)
 	var heartbeat wire.Heartbeat
@@ -65,6 +65,6 @@
 		t.Fatal(err)
 	}
 	if result := c.OwnedHeartbeat(&heartbeat); !result.Accepted || c.address(heartbeat.Machine) != heartbeat.Address {
-		t.Errorf("accepted %v; the address is %q, want %q", result.Accepted, c.address(heartbeat.Machine), heartbeat.Address)
+		t.Errorf("forwarded heartbeat: accepted = %v, want true; recorded address %q, want %q", result.Accepted, c.address(heartbeat.Machine), heartbeat.Address)
 	}
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -86,7 +86,7 @@
 	requestedAt := time.Now()
 	leaseID, err := m.controller.store.GrantLease(ctx, tuning.Seconds(m.controller.tuning.HoldS))
 	if err != nil {
-		slog.Debug("lease not granted", "err", err)
+		slog.Debug("requesting lease failed", "err", err)
 		transport.Pause(ctx, grantRetryDelay)
 		return false
 	}
@@ -118,7 +118,7 @@
 		m.controller.releaseAllPartitions()
 		return false
 	default:
-		slog.Debug("lease not renewed", "lease", leaseID, "err", err)
+		slog.Debug("renewing lease failed", "lease", leaseID, "err", err)
 		transport.Pause(ctx, renewRetryDelay)
 		return false
 	}
@@ -146,7 +146,7 @@
 	}
 	_, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{put}})
 	if err != nil {
-		slog.Debug("node not registered", "key", put.Put, "err", err)
+		slog.Debug("registering node failed", "key", put.Put, "err", err)
 	}
 	return err == nil
 }
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -105,7 +105,7 @@
 // claimUnownedPartition claims a partition whose key does not exist.
 func (c *Controller) claimUnownedPartition(ctx context.Context, partition int) {
 	if err := c.claimPartition(ctx, partition, 0); err != nil {
-		slog.Debug("partition not claimed", "partition", partition, "err", err)
+		slog.Debug("claiming partition failed", "partition", partition, "err", err)
 	}
 }
 
@@ -116,7 +116,7 @@
 	if err == nil {
 		return
 	}
-	slog.Debug("partition not claimed", "partition", partition, "err", err)
+	slog.Debug("claiming partition failed", "partition", partition, "err", err)
 	if errors.Is(err, errNoLease) || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return
 	}
--- a/internal/controller/partition_claims_test.go
+++ b/internal/controller/partition_claims_test.go
@@ -11,10 +11,10 @@
 	"ambersill/internal/wire"
 )
 
-// A group of machines that is written or removed while a partition's records are read, as
-// when leadership and the partition change hands together, must not be missed: the
-// partition once did not know a machine that was up, or kept the tasks of one that was
-// gone, for good.
+// A group of machines may be written or removed while a partition's records are read, for
+// example when leadership and the partition move to other nodes at the same time. If the change
+// is missed, the partition never learns of a running machine, or keeps the tasks of a removed
+// machine forever.
 func TestMachineChangeWhilePartitionIsRead(t *testing.T) {
 	t.Run("written", func(t *testing.T) { testMachineChangeWhilePartitionIsRead(t, false) })
 	t.Run("removed", func(t *testing.T) { testMachineChangeWhilePartitionIsRead(t, true) })
@@ -35,9 +35,9 @@
 	})
 }
 
-// changeDuringReadTest is a controller that reads a partition through a proxy of the
-// key-value store. The proxy changes a group of machines after the machines were listed and
-// before all of the partition is read.
+// changeDuringReadTest is a controller that reads a partition through a proxy of the key-value
+// store. The proxy changes a group of machines after the controller has listed the machines and
+// before it has read all records of the partition.
 type changeDuringReadTest struct {
 	t       *testing.T
 	ctx     context.Context
@@ -45,7 +45,7 @@
 	changed bool // the change was made
 
 	controller *Controller
-	other      *Controller // whose connection to the store has no proxy
+	other      *Controller // connected to the store without the proxy
 	group      records.MachineGroupRecord
 }
 
@@ -104,8 +104,8 @@
 	test.controller.cluster.apply(deletionOf(changedGroupKey, revision))
 }
 
-// writeGroupAndItsTask writes the group before the partition is read, and a task that runs
-// on its machine.
+// writeGroupAndItsTask writes the group of machines, and a job with a task that runs on its
+// machine. It is called before the partition is read.
 func (test *changeDuringReadTest) writeGroupAndItsTask() {
 	record := records.JobRecord{Job: smallMachineJob(1, 1, 1, 10), Phase: wire.JobQueued, SubmittedAtMS: 1}
 	chunk := records.NewFirstChunk(&record, records.FeatureInitialFormat, test.controller.settings)
@@ -125,14 +125,14 @@
 	test.controller.claimUnownedPartition(test.ctx, 0)
 }
 
-// checkMachines checks that the change was made, and that the partition has the machines
-// that the cache has.
+// checkMachines checks that the proxy made the change, and that the partition has as many
+// machines as the cache.
 func (test *changeDuringReadTest) checkMachines() {
 	test.t.Helper()
 	owned := test.controller.ownedPartition(0)
 	owned.mu.Lock()
 	defer owned.mu.Unlock()
 	if n := owned.partition.MachineCount(); !test.changed || n != len(test.controller.cluster.machines) {
-		test.t.Errorf("changed %v: the partition has %d machines, the cache %d", test.changed, n, len(test.controller.cluster.machines))
+		test.t.Errorf("change made = %v, want true; the partition has %d machines, want %d as in the cache", test.changed, n, len(test.controller.cluster.machines))
 	}
 }
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -2,16 +2,19 @@
 
 import "ambersill/internal/tuning"
 
-// updateRateLimits sets this node's share of the key-value store's rate limits: an equal base
-// for users' requests, and the rest in proportion to the partitions it owns. The leader may
-// use more in the moments when it records many rentals: at its base share alone, those of a
-// fleet that starts from nothing took 13 s on a service of 25 changes a second.
+// updateRateLimits sets the rates at which this node may send requests to the key-value store to
+// its share of the store's rate limits.
 func (c *Controller) updateRateLimits() {
 	share := c.rateLimitShare()
 	c.store.SetRateLimits(c.limits.RPS*share, c.limits.WriteRPS*share)
 }
 
-// rateLimitShare returns the share, between 0 and 1.
+// rateLimitShare returns this node's share of the key-value store's rate limits, between 0 and 1.
+// The fraction BaseShare is divided equally among all nodes, for users' requests. The rest is
+// divided in proportion to the partitions that a node owns. The leader gets LeaderShare in
+// addition, which it uses only while it records many rentals: without it, recording the
+// rentals of a fleet that starts with no machines took 13 s on a store that accepts 25 changes
+// per second. The fraction ShareReserve is left unused.
 func (c *Controller) rateLimitShare() float64 {
 	nodes := float64(c.settings.Cluster.Count)
 	c.mu.Lock()
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// maxHeaderBytes bounds a request's header; neither users nor workers send long ones.
+	// maxHeaderBytes limits the size of a request's header. Neither users nor workers send
+	// long headers.
 	maxHeaderBytes = 8 << 10
-	// shutdownTimeout is how long requests that are being served may take to complete when
-	// the controller stops.
+	// shutdownTimeout is how long the controller waits, when it stops, for the requests that
+	// it is serving to complete.
 	shutdownTimeout = time.Second
-	// minPublicSockets is enough to answer health checks and to refuse requests, however
-	// few sockets the settings leave.
+	// minPublicSockets is the minimum number of connections for users and workers, even if
+	// the settings leave fewer. It is enough to answer health checks and to refuse requests.
 	minPublicSockets = 16
 )
 
-// serve answers users and workers until the context ends.
+// serve serves the HTTP requests of users and workers until the context ends.
 func (c *Controller) serve(ctx context.Context) error {
 	listener, err := c.net.Listen(ctx, c.settings.PublicAddr)
 	if err != nil {
@@ -48,15 +49,16 @@
 	return nil
 }
 
-// shutDown lets the requests that are being served complete.
+// shutDown stops the server, and waits up to shutdownTimeout for requests to complete.
 func shutDown(ctx context.Context, server *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(ctx)
 }
 
-// publicSockets returns how many connections users and workers may hold together: those
-// that the controller does not need for itself and for commands to workers.
+// publicSockets returns the maximum number of connections that users and workers may hold
+// together: the sockets that the controller needs neither for its own connections nor for
+// commands to workers, but at least minPublicSockets.
 func (c *Controller) publicSockets() int {
 	reserved := tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
 	return max(c.settings.Cluster.Limits.MaxSockets-reserved, minPublicSockets)
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -13,18 +13,18 @@
 	"ambersill/internal/wire"
 )
 
-// summaryWriter keeps what was written of a partition's summary, of which only records that
-// have changed are written again.
+// summaryWriter remembers the records of a partition's summary as they were last written, so
+// that only records that have changed are written again.
 type summaryWriter struct {
-	// written are the records as last written, encoded, by key.
+	// written holds the encoded records as they were last written, by key.
 	written map[string][]byte
 	// lastAttempt is when records were last sent to the store.
 	lastAttempt time.Time
-	// minInterval is the least time from the last attempt to the next.
+	// minInterval is the minimum time between lastAttempt and the next attempt.
 	minInterval time.Duration
 }
 
-// encodedRecord is a record as it is written to the store.
+// encodedRecord is a key together with the encoded value that is written to the store.
 type encodedRecord struct {
 	key   string
 	value []byte
@@ -34,8 +34,8 @@
 	return summaryWriter{written: map[string][]byte{}}
 }
 
-// changedRecords encodes those records that differ from what was written, in the order of
-// their keys and at most as many as the limit.
+// changedRecords returns the encoded records that differ from those last written, in the order
+// of their keys. It returns at most limit records.
 func (w *summaryWriter) changedRecords(values map[string]any, limit int) []encodedRecord {
 	var changed []encodedRecord
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -51,15 +51,15 @@
 	return changed
 }
 
-// markWritten records what was written.
+// markWritten stores the records of a successful commit as last written.
 func (w *summaryWriter) markWritten(written []encodedRecord) {
 	for _, record := range written {
 		w.written[record.key] = record.value
 	}
 }
 
-// writeSummary writes those records of the partition's summary that have changed, for the
-// leader to size the fleet by.
+// writeSummary writes the changed records of the partition's summary. The leader sizes the fleet
+// from the summaries of all partitions.
 func (o *ownedPartition) writeSummary(ctx context.Context) {
 	if time.Since(o.summary.lastAttempt) < o.summary.minInterval {
 		return
@@ -70,20 +70,21 @@
 	}
 	o.summary.lastAttempt = time.Now()
 	o.summary.minInterval = o.controller.summaryInterval(len(changed))
-	// The condition on the partition's key alone is enough: only owners write here.
+	// A condition on the partition's key is enough, because only the partition's owner
+	// writes these records.
 	txn := wire.Txn{Compares: []wire.Compare{o.fence()}}
 	for _, record := range changed {
 		txn.Writes = append(txn.Writes, wire.Write{Put: record.key, Value: wire.Raw(record.value)})
 	}
 	if _, err := o.controller.store.Commit(ctx, txn); err != nil {
-		slog.Debug("summary not written", "partition", o.index, "err", err)
+		slog.Debug("writing partition summary failed", "partition", o.index, "err", err)
 		return
 	}
 	o.summary.markWritten(changed)
 }
 
-// summaryRecords returns the records that make up the partition's summary, by key: the
-// summary itself, and those that hold what would make it larger than a value may be.
+// summaryRecords returns the records that make up the partition's summary, by key: the summary
+// itself, and further records with the content that does not fit into one value.
 func (o *ownedPartition) summaryRecords() map[string]any {
 	o.mu.Lock()
 	summary := o.partition.Summary(time.Now())
@@ -104,8 +105,9 @@
 	return values
 }
 
-// summaryInterval returns the wait after a summary of some changes: summaries may use only a
-// fraction of the store's rate of changes, since all other writes are more urgent.
+// summaryInterval returns the minimum time between a write of the given number of changed summary
+// records and the next write. Summaries may use only the fraction SummaryShare of the store's
+// write rate, because all other writes are more urgent.
 func (c *Controller) summaryInterval(changes int) time.Duration {
 	shortest := tuning.Seconds(c.tuning.SummaryS)
 	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
