--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -72,7 +72,8 @@
 		return
 	}
 	o.loggedPermissions = permissions
-	slog.Info("owner permissions changed with the age of the cancellation listing", "partition", o.index, "starts_tasks", permissions.canStartTasks,
+	slog.Info("owner permissions changed with the age of the cancellation listing",
+		"partition", o.index, "starts_tasks", permissions.canStartTasks,
 		"answers_heartbeats", permissions.canAnswerHeartbeats, "age_s", age.Seconds())
 }
 
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -13,8 +13,8 @@
 	// before it is redirected. The worker may have changed nodes because it cannot reach its
 	// assigned node, and may have used up most of its lease in the search.
 	redirectGrace = 30 * time.Second
-	// minNonOwnerNodes is the number of live nodes other than a partition's owner from which
-	// on the owner is assigned no machines of the partition. A single other node could be
+	// minNonOwnerNodes is the minimum number of live nodes besides a partition's owner for the
+	// owner to be assigned none of the partition's machines. A single other node could be
 	// overloaded just like the owner.
 	minNonOwnerNodes = 2
 )
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -16,8 +16,8 @@
 	// It is short compared with the seconds that a failover may last, and long enough that
 	// the attempts do not overload a busy key-value store.
 	loadRetryDelay = 300 * time.Millisecond
-	// slowCycle is the duration above which a scheduling cycle is logged as slow.
-	slowCycle = time.Second
+	// slowCycleThreshold is the duration above which a scheduling cycle is logged as slow.
+	slowCycleThreshold = time.Second
 )
 
 // ownedPartition is a partition that this node owns, from its claim to its release. If the node
@@ -50,9 +50,9 @@
 	mu sync.Mutex
 	// partition is nil until the partition's records are read.
 	partition *scheduler.Partition
-	// pendingChanges holds the newest change of each machine that arrived while the records
+	// pendingMachineChanges holds the newest change of each machine that arrived while the records
 	// were read, by machine ID. It is nil once the partition is loaded.
-	pendingChanges map[string]machineChange
+	pendingMachineChanges map[string]machineChange
 	// cancellationsReadAt is when the latest successful listing of the cancellations was
 	// requested. Every cancellation that was confirmed earlier is known to partition.
 	cancellationsReadAt time.Time
@@ -64,14 +64,14 @@
 	index int, revision uint64, cancel context.CancelFunc,
 ) *ownedPartition {
 	return &ownedPartition{
-		controller:        c,
-		index:             index,
-		revision:          revision,
-		cancel:            cancel,
-		cycleRequests:     make(chan struct{}, 1),
-		summary:           newSummaryWriter(),
-		loggedPermissions: ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true},
-		pendingChanges:    map[string]machineChange{},
+		controller:            c,
+		index:                 index,
+		revision:              revision,
+		cancel:                cancel,
+		cycleRequests:         make(chan struct{}, 1),
+		summary:               newSummaryWriter(),
+		loggedPermissions:     ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true},
+		pendingMachineChanges: map[string]machineChange{},
 	}
 }
 
@@ -82,7 +82,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.partition == nil {
-		o.pendingChanges[change.machine] = change
+		o.pendingMachineChanges[change.machine] = change
 		return
 	}
 	o.applyMachine(change)
@@ -160,7 +160,7 @@
 		}
 		began := time.Now()
 		o.runCycle(ctx)
-		if took := time.Since(began); took > slowCycle {
+		if took := time.Since(began); took > slowCycleThreshold {
 			slog.Debug("slow scheduling cycle", "partition", o.index, "seconds", took.Seconds())
 		}
 		transport.Pause(ctx, minPause)
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -140,8 +140,8 @@
 	// The feature level may have been raised since the partition was created. levelRaised
 	// passes it on only to partitions that are published.
 	o.partition.SetLevel(o.controller.cluster.featureLevel())
-	for _, id := range slices.Sorted(maps.Keys(o.pendingChanges)) {
-		o.applyMachine(o.pendingChanges[id])
+	for _, id := range slices.Sorted(maps.Keys(o.pendingMachineChanges)) {
+		o.applyMachine(o.pendingMachineChanges[id])
 	}
-	o.pendingChanges = nil
+	o.pendingMachineChanges = nil
 }
