--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -22,8 +22,8 @@
 // machineChanged handles a change of a machine's record in the cluster cache: whatever is
 // kept of a machine that is gone is removed, and the owned partitions are updated.
 func (c *Controller) machineChanged(change machineChange) {
-	if change.gone {
-		c.forgetMachine(change.machine)
+	if change.deleted {
+		c.forgetMachine(change.machineID)
 	}
 	for _, owned := range c.ownedPartitions() {
 		owned.machineChanged(change)
--- a/internal/controller/addresses_test.go
+++ b/internal/controller/addresses_test.go
@@ -10,7 +10,7 @@
 // However many machines come and go, the addresses of those that exist are known, also of
 // far more than 4,000 at a time, and none is kept of those that are gone, though the
 // cloud's listing still shows them for a while.
-func TestAddressesAreKeptOfExistingMachinesOnly(t *testing.T) {
+func TestAddressesKeptOnlyForExistingMachines(t *testing.T) {
 	c := isolatedController()
 	const generations, machines = 4, 6000
 	const address = "10.1.0.1:1"
@@ -21,14 +21,14 @@
 			id := fmt.Sprintf("m-%d-%d", generation, i)
 			ids = append(ids, id)
 			group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{id: {MachineType: "small", Zone: "a"}}}
-			c.cluster.apply(putChange(records.MachinePrefix+id, group, revision))
+			c.cluster.applyChange(putChange(records.MachinePrefix+id, group, revision))
 			c.recordAddress(id, address)
 			if c.address(id) == "" {
 				t.Fatalf("the address of machine %d is not known", i)
 			}
 		}
 		for _, id := range ids {
-			c.cluster.apply(deletionOf(records.MachinePrefix+id, revision))
+			c.cluster.applyChange(deletionOf(records.MachinePrefix+id, revision))
 			c.recordAddress(id, address) // from a listing that lags
 		}
 	}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -31,7 +31,7 @@
 	c = New(cluster.settings(0), tuning.Default(), nil)
 	machine := records.MachineRecord{MachineType: "big", Zone: "a"}
 	group := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{fixtureMachine: machine}}
-	c.cluster.apply(putChange(records.MachinePrefix+fixtureMachine, group, groupRevision))
+	c.cluster.applyChange(putChange(records.MachinePrefix+fixtureMachine, group, groupRevision))
 
 	job := smallMachineJob(1, tasks, 1, 1000)
 	partition := scheduler.NewPartition(0, claimRevision, c.settings, &c.tuning)
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -54,9 +54,9 @@
 	changed    chan struct{}           // closed and replaced at every change
 
 	// The callbacks are set before the first use and called without mu held.
-	onMachine func(change machineChange)
-	onOwner   func(partition int, owner ownership)
-	onLevel   func(level records.FeatureLevel)
+	onMachineChange func(change machineChange)
+	onOwnerChange   func(partition int, owner ownership)
+	onLevelChange   func(level records.FeatureLevel)
 }
 
 func newClusterCache() *clusterCache {
@@ -72,11 +72,11 @@
 
 // watchHandler returns the handler that keeps the copy up to date.
 func (c *clusterCache) watchHandler() watchHandler {
-	return watchHandler{onListing: c.replaceAll, onEvent: c.applyEvent, onRevision: c.advanceTo}
+	return watchHandler{onListing: c.replaceAll, onEvent: c.applyEvent, onRevision: c.advanceRevision}
 }
 
-// changes returns a channel that is closed at the next change of the copy.
-func (c *clusterCache) changes() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change of the copy.
+func (c *clusterCache) nextChange() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
@@ -102,16 +102,16 @@
 
 func (c *clusterCache) applyEvent(event wire.Event) {
 	if event.Delete != "" {
-		c.apply(deletionOf(event.Delete, event.Revision))
+		c.applyChange(deletionOf(event.Delete, event.Revision))
 		return
 	}
-	c.apply(keyChange{key: event.Put, value: event.Value, revision: event.Revision})
+	c.applyChange(keyChange{key: event.Put, value: event.Value, revision: event.Revision})
 }
 
-// apply updates the copy by the change of one key, and then calls the callback that the
+// applyChange updates the copy by the change of one key, and then calls the callback that the
 // change concerns.
-func (c *clusterCache) apply(change keyChange) {
-	c.update(func() (notify func()) { return c.applyByKind(change) })
+func (c *clusterCache) applyChange(change keyChange) {
+	c.update(func() (notify func()) { return c.applyByKey(change) })
 }
 
 // setLeader updates the copy by a claim of leadership whose outcome is known before the
@@ -126,7 +126,7 @@
 // setPartitionOwner updates the copy by a claim of a partition whose outcome is known before
 // the watch delivers it.
 func (c *clusterCache) setPartitionOwner(partition int, owner ownership) {
-	c.update(func() (notify func()) { return c.applyPartition(partition, owner) })
+	c.update(func() (notify func()) { return c.applyPartitionOwner(partition, owner) })
 }
 
 // update runs a step that changes the copy with mu held, signals the change, and then calls
@@ -141,22 +141,22 @@
 	}
 }
 
-// applyByKind applies a change by the kind of its key; c.mu must be held. It returns what
+// applyByKey applies a change by the kind of its key; c.mu must be held. It returns what
 // is to be called once c.mu is free again, nil if nothing is.
-func (c *clusterCache) applyByKind(change keyChange) (notify func()) {
+func (c *clusterCache) applyByKey(change keyChange) (notify func()) {
 	switch change.key {
 	case records.LeaderKey:
 		c.applyLeader(decodeOwnership(change))
 		return nil
 	case records.FeatureLevelKey:
-		return c.applyLevel(change)
+		return c.applyFeatureLevel(change)
 	}
 	if name, ok := strings.CutPrefix(change.key, records.PartitionPrefix); ok {
 		partition, err := strconv.Atoi(name)
 		if err != nil {
 			return nil
 		}
-		return c.applyPartition(partition, decodeOwnership(change))
+		return c.applyPartitionOwner(partition, decodeOwnership(change))
 	}
 	if name, ok := strings.CutPrefix(change.key, records.NodePrefix); ok {
 		c.applyNode(name, change)
@@ -179,16 +179,16 @@
 	}
 }
 
-// applyPartition ignores changes older than the one known, as applyLeader does.
-func (c *clusterCache) applyPartition(partition int, owner ownership) (notify func()) {
+// applyPartitionOwner ignores changes older than the one known, as applyLeader does.
+func (c *clusterCache) applyPartitionOwner(partition int, owner ownership) (notify func()) {
 	if owner.revision < c.partitions[partition].revision {
 		return nil
 	}
 	c.partitions[partition] = owner
-	if c.onOwner == nil {
+	if c.onOwnerChange == nil {
 		return nil
 	}
-	return func() { c.onOwner(partition, owner) }
+	return func() { c.onOwnerChange(partition, owner) }
 }
 
 // applyNode keeps a node whose record cannot be decoded, at the lowest feature level: it is
@@ -205,17 +205,17 @@
 	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
 }
 
-// applyLevel applies the feature level, which never goes down.
-func (c *clusterCache) applyLevel(change keyChange) (notify func()) {
+// applyFeatureLevel applies the feature level, which never goes down.
+func (c *clusterCache) applyFeatureLevel(change keyChange) (notify func()) {
 	var record records.LevelRecord
 	if wire.Unmarshal(change.value, &record) != nil || record.Level <= c.level {
 		return nil
 	}
 	c.level = record.Level
-	if c.onLevel == nil {
+	if c.onLevelChange == nil {
 		return nil
 	}
-	return func() { c.onLevel(record.Level) }
+	return func() { c.onLevelChange(record.Level) }
 }
 
 func (c *clusterCache) applyRental(id string, change keyChange) {
@@ -249,15 +249,15 @@
 	// In descending order of their names, for the reason given at sortEvents.
 	for _, item := range slices.Backward(items) {
 		listed[item.Key] = true
-		c.apply(keyChange{key: item.Key, value: item.Value, revision: item.Revision})
+		c.applyChange(keyChange{key: item.Key, value: item.Value, revision: item.Revision})
 	}
 	for _, key := range c.keysMissingFrom(listed, revision) {
-		c.apply(deletionOf(key, revision))
+		c.applyChange(deletionOf(key, revision))
 	}
 	c.mu.Lock()
 	c.loaded = true
 	c.mu.Unlock()
-	c.advanceTo(revision)
+	c.advanceRevision(revision)
 }
 
 // keysMissingFrom returns the keys of the copy that a listing as of a revision lacks: they
@@ -294,8 +294,8 @@
 	return missing
 }
 
-// advanceTo records that all changes up to a revision are in the copy.
-func (c *clusterCache) advanceTo(revision uint64) {
+// advanceRevision records that all changes up to a revision are in the copy.
+func (c *clusterCache) advanceRevision(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if revision > c.revision {
--- a/internal/controller/cluster_queries.go
+++ b/internal/controller/cluster_queries.go
@@ -43,8 +43,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rentals := make([]recordedRental, 0, len(c.rentals))
-	for name, entry := range c.rentals {
-		rentals = append(rentals, recordedRental{name, entry})
+	for id, entry := range c.rentals {
+		rentals = append(rentals, recordedRental{id, entry})
 	}
 	slices.SortFunc(rentals, recordedRental.compare)
 	return rentals
@@ -57,8 +57,8 @@
 	return len(c.rentals) > 0
 }
 
-// hasFleet reports whether there is any machine, or a rental that may bring one.
-func (c *clusterCache) hasFleet() bool {
+// hasMachinesOrRentals reports whether there is any machine, or a rental that may bring one.
+func (c *clusterCache) hasMachinesOrRentals() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)+len(c.rentals) > 0
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,13 +24,13 @@
 // Controller is one node.
 type Controller struct {
 	// Settings, which do not change after New.
-	settings   *config.Settings
-	tuning     tuning.Tuning
-	partitions int // number of partitions, the same on all nodes
+	settings       *config.Settings
+	tuning         tuning.Tuning
+	partitionCount int // number of partitions, the same on all nodes
 	// limits are the key-value store's limits that all writes keep to.
 	limits config.StateLimits
-	// supportedLevel is the highest feature level that this node supports.
-	supportedLevel records.FeatureLevel
+	// supportedFeatureLevel is the highest feature level that this node supports.
+	supportedFeatureLevel records.FeatureLevel
 
 	// Clients of other services, each with locks of its own.
 	net     transport.Net
@@ -65,11 +65,11 @@
 func New(settings *config.Settings, tunables tuning.Tuning, network transport.Net) *Controller {
 	limits := settings.WriteLimits()
 	c := &Controller{
-		settings:       settings,
-		tuning:         tunables,
-		partitions:     tunables.Parts,
-		limits:         limits,
-		supportedLevel: records.CurrentFeatureLevel,
+		settings:              settings,
+		tuning:                tunables,
+		partitionCount:        tunables.Parts,
+		limits:                limits,
+		supportedFeatureLevel: records.CurrentFeatureLevel,
 
 		net:     network,
 		store:   newStoreClient(settings, tunables, network, limits),
@@ -88,13 +88,13 @@
 		addresses: map[string]string{},
 		visits:    map[string]visit{},
 	}
-	if c.partitions == 0 {
-		c.partitions = settings.Cluster.Count
+	if c.partitionCount == 0 {
+		c.partitionCount = settings.Cluster.Count
 	}
-	c.connectPeers()
-	c.cluster.onMachine = c.machineChanged
-	c.cluster.onOwner = c.ownerChanged
-	c.cluster.onLevel = c.levelRaised
+	c.createPeerClients()
+	c.cluster.onMachineChange = c.machineChanged
+	c.cluster.onOwnerChange = c.ownerChanged
+	c.cluster.onLevelChange = c.featureLevelRaised
 	c.updateRateShare()
 	return c
 }
@@ -111,9 +111,9 @@
 	})
 }
 
-// connectPeers makes the clients of the other nodes. Forwarders have a connection of their
+// createPeerClients makes the clients of the other nodes. Forwarders have a connection of their
 // own each, which no other call can delay.
-func (c *Controller) connectPeers() {
+func (c *Controller) createPeerClients() {
 	for _, member := range c.settings.Members {
 		c.peers[member.Node] = &peerrpc.Peer{Member: member, Net: c.net}
 		c.forwarders[member.Node] = newForwarder(&peerrpc.Peer{Member: member, Net: c.net})
@@ -132,7 +132,7 @@
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	slog.Info("starting", "node", c.settings.Node, "partitions", c.partitions,
+	slog.Info("starting", "node", c.settings.Node, "partitions", c.partitionCount,
 		"public_sockets", c.publicSockets(), "command_slots", c.commandSlots.limit)
 	var running sync.WaitGroup
 	for _, task := range c.backgroundTasks(ctx) {
@@ -144,7 +144,7 @@
 		})
 	}
 	<-ctx.Done()
-	c.releaseAll(context.WithoutCancel(ctx))
+	c.releaseOwnership(context.WithoutCancel(ctx))
 	running.Wait()
 	if err := context.Cause(ctx); !errors.Is(err, context.Canceled) {
 		return err
@@ -179,9 +179,9 @@
 	return nil
 }
 
-// releaseAll stops the scheduling of all partitions and revokes the lease, so that other
+// releaseOwnership stops the scheduling of all partitions and revokes the lease, so that other
 // nodes can take over without waiting for its expiry.
-func (c *Controller) releaseAll(ctx context.Context) {
+func (c *Controller) releaseOwnership(ctx context.Context) {
 	c.mu.Lock()
 	leaseID := c.leaseID
 	for _, owned := range c.owned {
@@ -202,7 +202,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]*ownedPartition, 0, len(c.owned))
-	for partition := range c.partitions {
+	for partition := range c.partitionCount {
 		if owned := c.owned[partition]; owned != nil {
 			all = append(all, owned)
 		}
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -67,7 +67,7 @@
 	if !o.commitChanges(ctx) {
 		return
 	}
-	o.rewriteMachineRecords(ctx)
+	o.updateMachineRecords(ctx)
 	o.writeSummary(ctx)
 	o.sendCommands(ctx)
 }
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -11,19 +11,19 @@
 	"ambersill/internal/wire"
 )
 
-// levelRaised passes a new feature level on to the owned partitions.
-func (c *Controller) levelRaised(level records.FeatureLevel) {
+// featureLevelRaised passes a new feature level on to the owned partitions.
+func (c *Controller) featureLevelRaised(level records.FeatureLevel) {
 	slog.Info("feature level", "level", level)
 	for _, owned := range c.ownedPartitions() {
 		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetLevel(level) })
 	}
 }
 
-// raiseLevel raises the feature level once every configured node is live and supports the
+// raiseFeatureLevel raises the feature level once every configured node is live and supports the
 // higher one. The commit compares the revision of each node's record, so that it fails if
 // one has come back with an older program meanwhile.
-func (l *leader) raiseLevel(ctx context.Context) {
-	compares, ready := l.controller.cluster.readyFor(records.CurrentFeatureLevel, l.controller.memberNames())
+func (l *leader) raiseFeatureLevel(ctx context.Context) {
+	compares, ready := l.controller.cluster.readyForLevel(records.CurrentFeatureLevel, l.controller.configuredNodeNames())
 	if !ready {
 		return
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	c.cluster.apply(keyChange{key: records.FeatureLevelKey, value: item.Value, revision: item.Revision})
+	c.cluster.applyChange(keyChange{key: records.FeatureLevelKey, value: item.Value, revision: item.Revision})
 	return nil
 }
 
@@ -57,8 +57,8 @@
 // a cluster of more nodes, the cache alone decides about the rest.
 func (l *leader) maxCompares() int { return comparesPerWrite*l.controller.limits.TxnOps - 1 }
 
-// memberNames returns the names of all configured nodes.
-func (c *Controller) memberNames() []string {
+// configuredNodeNames returns the names of all configured nodes.
+func (c *Controller) configuredNodeNames() []string {
 	names := []string{c.settings.Node}
 	for _, member := range c.settings.Members {
 		names = append(names, member.Node)
@@ -66,9 +66,9 @@
 	return names
 }
 
-// readyFor reports whether the feature level is below the given one and all nodes named are
+// readyForLevel reports whether the feature level is below the given one and all nodes named are
 // live and support it, and returns the compares under which that still holds.
-func (c *clusterCache) readyFor(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
+func (c *clusterCache) readyForLevel(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.level >= level {
@@ -85,10 +85,10 @@
 	return compares, true
 }
 
-// divideGroups divides one group of machines that exceeds the size limit, so that all are
+// divideOversizedGroup divides one group of machines that exceeds the size limit, so that all are
 // small before one has to change.
-func (l *leader) divideGroups(ctx context.Context) {
-	machines := l.controller.cluster.machinesOfOversizedGroups(l.controller.groupLimit())
+func (l *leader) divideOversizedGroup(ctx context.Context) {
+	machines := l.controller.cluster.machinesOfOversizedGroups(l.controller.maxGroupBytes())
 	if len(machines) == 0 {
 		return
 	}
@@ -99,7 +99,7 @@
 	}
 	// Rewriting any of its machines, if unchanged, divides the group.
 	changes := map[string]*records.MachineRecord{id: &entry.record}
-	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
+	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
 		slog.Debug("group of machines not divided", "err", err)
 	}
 }
--- a/internal/controller/fenced_commit.go
+++ b/internal/controller/fenced_commit.go
@@ -25,7 +25,7 @@
 	}
 	for _, change := range changes {
 		change.revision = revision
-		c.cluster.apply(change)
+		c.cluster.applyChange(change)
 	}
 	return nil
 }
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -9,9 +9,9 @@
 	"ambersill/internal/tuning"
 )
 
-// fencingInterval is the wait between two rounds over the machines that have not shown the
+// fencingRetryInterval is the wait between two rounds over the machines that have not shown the
 // owner's fencing token yet: a small fraction of a lease, since a machine may need several.
-const fencingInterval = 200 * time.Millisecond
+const fencingRetryInterval = 200 * time.Millisecond
 
 // fenceMachines raises the fencing token of every machine with work of a former owner, and
 // repeats this until all have shown it. Waiting for their next heartbeats is not enough:
@@ -30,7 +30,7 @@
 		for _, id := range ids {
 			o.startRequest(ctx, id, o.fenceMachine)
 		}
-		transport.Pause(ctx, fencingInterval)
+		transport.Pause(ctx, fencingRetryInterval)
 	}
 }
 
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -221,11 +221,11 @@
 func (c *Controller) partitionOf(job *wire.Job) int {
 	teams := c.settings.Cluster.Teams
 	if !anyQuota(teams) {
-		return admission.PrimaryMachineType(job, c.catalog()) % c.partitions
+		return admission.PrimaryMachineType(job, c.catalog()) % c.partitionCount
 	}
 	for i, team := range teams {
 		if team.Name == job.Team {
-			return i % c.partitions
+			return i % c.partitionCount
 		}
 	}
 	return 0
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// leadershipInterval is the time between two checks whether leadership is free: a
+	// leadershipPollInterval is the time between two checks whether leadership is free: a
 	// failover may take that much longer.
-	leadershipInterval = 300 * time.Millisecond
-	// leaderInterval is the time between two steps of the leader; rentals wait that much
+	leadershipPollInterval = 300 * time.Millisecond
+	// leaderStepInterval is the time between two steps of the leader; rentals wait that much
 	// longer at most.
-	leaderInterval = 250 * time.Millisecond
-	// cacheInterval is the time between two checks whether the cache has caught up.
-	cacheInterval = 50 * time.Millisecond
+	leaderStepInterval = 250 * time.Millisecond
+	// cachePollInterval is the time between two checks whether the cache has caught up.
+	cachePollInterval = 50 * time.Millisecond
 )
 
 // runLeadership claims leadership when it is free, and leads while this node holds it.
 func (c *Controller) runLeadership(ctx context.Context) error {
 	for ctx.Err() == nil {
-		c.leadIfFree(ctx)
-		transport.Pause(ctx, leadershipInterval)
+		c.claimAndLead(ctx)
+		transport.Pause(ctx, leadershipPollInterval)
 	}
 	return nil
 }
 
-// leadIfFree claims leadership unless another node has it, and returns when it is lost.
-func (c *Controller) leadIfFree(ctx context.Context) {
+// claimAndLead claims leadership unless another node has it, and returns when it is lost.
+func (c *Controller) claimAndLead(ctx context.Context) {
 	current, loaded := c.cluster.leadership()
 	leaseID := c.currentLease()
-	free := current.node == "" || current.node == c.settings.Node
-	if !loaded || leaseID == 0 || !free {
+	claimable := current.node == "" || current.node == c.settings.Node
+	if !loaded || leaseID == 0 || !claimable {
 		return
 	}
 	var expected uint64
@@ -96,11 +96,11 @@
 	backoffs  map[autoscaler.Offering]offeringBackoff
 	rentals   map[string]rentalProgress // by the rental's name
 
-	nextRental    int // number of the next rental of this term
-	lastListing   time.Time
-	lastSummaries time.Time
-	lastSizing    time.Time
-	sizeAtOnce    bool // without waiting for the next regular sizing
+	nextRentalNumber int // number of the next rental of this term
+	lastListing      time.Time
+	lastSummaries    time.Time
+	lastSizing       time.Time
+	sizingRequested  bool // without waiting for the next regular sizing
 }
 
 func newLeader(c *Controller, revision, leaseID uint64) *leader {
@@ -143,7 +143,7 @@
 		if l.controller.checkContact() == nil && l.mayCallCloud() {
 			l.step(ctx, time.Now())
 		}
-		transport.Pause(ctx, leaderInterval)
+		transport.Pause(ctx, leaderStepInterval)
 	}
 	slog.Info("no longer leading", "revision", l.revision)
 }
@@ -152,7 +152,7 @@
 // machines would be adopted once more.
 func (l *leader) waitForCache(ctx context.Context) {
 	for ctx.Err() == nil && l.isLeader() && !l.cacheCaughtUp() {
-		transport.Pause(ctx, cacheInterval)
+		transport.Pause(ctx, cachePollInterval)
 	}
 }
 
@@ -162,21 +162,21 @@
 	tunables := l.controller.tuning
 	if now.Sub(l.lastListing) >= tuning.Seconds(tunables.ListS) {
 		l.lastListing = now
-		l.readListing(ctx)
+		l.reconcileListing(ctx)
 	}
-	l.finishRentals(ctx)
+	l.executeRentals(ctx)
 	if now.Sub(l.lastSummaries) >= tuning.Seconds(tunables.SummaryS) {
 		l.lastSummaries = now
 		l.readSummaries(ctx)
 		// Returns depend on summaries and listings only, and check every machine.
 		l.returnMachines(ctx)
-		l.raiseLevel(ctx)
-		l.divideGroups(ctx)
+		l.raiseFeatureLevel(ctx)
+		l.divideOversizedGroup(ctx)
 	}
 	sizingDue := now.Sub(l.lastSizing) >= tuning.Seconds(tunables.RoundS)
-	if sizingDue || l.sizeAtOnce || l.needsFirstMachine() {
-		l.lastSizing, l.sizeAtOnce = now, false
-		l.runSizing(ctx)
+	if sizingDue || l.sizingRequested || l.needsFirstMachine() {
+		l.lastSizing, l.sizingRequested = now, false
+		l.sizeFleet(ctx)
 	}
 }
 
--- a/internal/controller/leader_authority_test.go
+++ b/internal/controller/leader_lease_test.go
@@ -12,7 +12,7 @@
 // regained contact, but whose cache does not show its successor yet, once returned the 100
 // machines that the successor had rented meanwhile: it may act only while its own lease
 // surely lasts.
-func TestLeaderActsOnlyUnderItsLease(t *testing.T) {
+func TestLeaderCallsCloudOnlyUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := isolatedController()
 		c.cluster.leader = ownership{node: "node-0", revision: 5}
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -11,41 +11,41 @@
 	"ambersill/internal/wire"
 )
 
-// returnedStillListed is how long the cloud's list may go on to show a machine that was
+// readoptionDelay is how long the cloud's list may go on to show a machine that was
 // returned; it must not be adopted then.
-const returnedStillListed = 2 * time.Minute
+const readoptionDelay = 2 * time.Minute
 
 const millisecondsPerSecond = 1000
 
 // machineListing is what the leader knows of a machine from the cloud's lists.
 type machineListing struct {
-	listed     bool      // in the latest list
-	state      string    // in the latest list; empty if it is not listed
-	everListed bool      // in any list of this term
-	missed     int       // lists in a row that lack the machine, which was once listed
-	returnedAt time.Time // zero unless it was returned shortly before
+	listed         bool      // in the latest list
+	state          string    // in the latest list; empty if it is not listed
+	everListed     bool      // in any list of this term
+	missedListings int       // lists in a row that lack the machine, which was once listed
+	returnedAt     time.Time // zero unless it was returned shortly before
 }
 
-// readListing compares the cloud's list with the records.
-func (l *leader) readListing(ctx context.Context) {
+// reconcileListing compares the cloud's list with the records.
+func (l *leader) reconcileListing(ctx context.Context) {
 	list, err := l.controller.cloud.List(ctx)
 	if err != nil {
 		slog.Debug("machines not listed", "err", err)
 		return
 	}
-	l.recordListing(list, time.Now())
+	l.updateListings(list, time.Now())
 	if l.controller.cluster.hasRentals() {
 		// Machines without a record may be theirs.
 		return
 	}
 	_, machines := l.controller.cluster.recordedMachines()
 	if l.adoptMachines(ctx, list, machines) {
-		l.returnUnrecordedFailed(ctx, list, machines)
+		l.returnFailedUnrecorded(ctx, list, machines)
 	}
 }
 
-// returnUnrecordedFailed returns the listed machines that have failed and have no record.
-func (l *leader) returnUnrecordedFailed(
+// returnFailedUnrecorded returns the listed machines that have failed and have no record.
+func (l *leader) returnFailedUnrecorded(
 	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
 ) {
 	for _, machine := range list {
@@ -55,10 +55,10 @@
 	}
 }
 
-// recordListing records which machines the cloud lists, and counts how often in a row the
+// updateListings records which machines the cloud lists, and counts how often in a row the
 // others are missing.
-func (l *leader) recordListing(list []wire.CloudMachine, now time.Time) {
-	l.clearListed(now)
+func (l *leader) updateListings(list []wire.CloudMachine, now time.Time) {
+	l.resetListed(now)
 	for _, machine := range list {
 		listing := l.listings[machine.ID]
 		listing.listed, listing.everListed = true, true
@@ -66,29 +66,29 @@
 		l.listings[machine.ID] = listing
 		l.controller.recordAddress(machine.ID, machine.Address)
 	}
-	l.countMissed()
+	l.countMissedListings()
 }
 
-// clearListed resets what only the latest list shows.
-func (l *leader) clearListed(now time.Time) {
+// resetListed resets what only the latest list shows.
+func (l *leader) resetListed(now time.Time) {
 	for id, listing := range l.listings {
 		listing.listed, listing.state = false, ""
-		if now.Sub(listing.returnedAt) > returnedStillListed {
+		if now.Sub(listing.returnedAt) > readoptionDelay {
 			listing.returnedAt = time.Time{}
 		}
 		l.listings[id] = listing
 	}
 }
 
-// countMissed counts for each recorded machine how many lists in a row lack it.
-func (l *leader) countMissed() {
+// countMissedListings counts for each recorded machine how many lists in a row lack it.
+func (l *leader) countMissedListings() {
 	ids, _ := l.controller.cluster.recordedMachines()
 	for _, id := range ids {
 		listing := l.listings[id]
 		if listing.listed || !listing.everListed {
-			listing.missed = 0
+			listing.missedListings = 0
 		} else {
-			listing.missed++
+			listing.missedListings++
 		}
 		l.listings[id] = listing
 	}
@@ -105,18 +105,18 @@
 	adopted := map[string]records.MachineRecord{}
 	byOffering := map[autoscaler.Offering][]string{}
 	for _, machine := range list {
-		if _, known := machines[machine.ID]; known || !l.adoptable(machine) {
+		if _, known := machines[machine.ID]; known || !l.isAdoptable(machine) {
 			continue
 		}
-		record := adoptedRecord(machine, smallestPartition(machines, l.controller.partitions), now)
+		record := adoptedMachineRecord(machine, smallestPartition(machines, l.controller.partitionCount), now)
 		machines[machine.ID] = machineEntry{record: record}
 		adopted[machine.ID] = record
-		offering := offeringOfListed(machine)
+		offering := offeringOfListedMachine(machine)
 		byOffering[offering] = append(byOffering[offering], machine.ID)
 	}
 	for offering, ids := range byOffering {
 		for _, group := range l.divideIntoGroups(offering, ids, adopted) {
-			compare, write := newGroup(group)
+			compare, write := newGroupWrite(group)
 			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
 				slog.Debug("machines not adopted", "err", err)
 				return false
@@ -127,14 +127,14 @@
 	return true
 }
 
-// adoptable reports whether a machine without a record is to be adopted.
-func (l *leader) adoptable(machine wire.CloudMachine) bool {
+// isAdoptable reports whether a machine without a record is to be adopted.
+func (l *leader) isAdoptable(machine wire.CloudMachine) bool {
 	returned := !l.listings[machine.ID].returnedAt.IsZero()
 	return !returned && machine.State != wire.MachineFailed
 }
 
-// adoptedRecord returns the record of a machine that was found in the cloud's list.
-func adoptedRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
+// adoptedMachineRecord returns the record of a machine that was found in the cloud's list.
+func adoptedMachineRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: machine.MachineType,
 		Zone:        machine.Zone,
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -17,17 +17,17 @@
 	revision uint64
 }
 
-// groupDifference is the changes of machines that follow from a new state of their group.
-type groupDifference struct {
+// groupDiff is the changes of machines that follow from a new state of their group.
+type groupDiff struct {
 	changed map[string]machineEntry
 	removed []string
 }
 
 // machineChange is a change of a machine's record.
 type machineChange struct {
-	machine string
-	entry   machineEntry // empty if the machine is gone
-	gone    bool
+	machineID string
+	entry     machineEntry // empty if the machine is gone
+	deleted   bool
 }
 
 // applyGroup applies a change of a group of machines, and returns what notifies the
@@ -51,18 +51,18 @@
 	} else {
 		c.groups[name] = groupEntry{record: group, revision: change.revision}
 	}
-	if c.onMachine == nil {
+	if c.onMachineChange == nil {
 		return nil
 	}
-	return func() { difference.notify(c.onMachine) }
+	return func() { difference.notify(c.onMachineChange) }
 }
 
 // replaceGroupMachines replaces the machines of a group. A machine that is in another group
 // by now is not removed: its former group was divided.
 func (c *clusterCache) replaceGroupMachines(
 	name string, old, group records.MachineGroupRecord, revision uint64,
-) groupDifference {
-	difference := groupDifference{changed: map[string]machineEntry{}}
+) groupDiff {
+	difference := groupDiff{changed: map[string]machineEntry{}}
 	for id, record := range group.Machines {
 		entry := machineEntry{record: record, group: name, revision: revision}
 		if c.machines[id].record != record {
@@ -79,12 +79,12 @@
 	return difference
 }
 
-func (d groupDifference) notify(onMachine func(change machineChange)) {
+func (d groupDiff) notify(onMachine func(change machineChange)) {
 	for id, entry := range d.changed {
-		onMachine(machineChange{machine: id, entry: entry})
+		onMachine(machineChange{machineID: id, entry: entry})
 	}
 	for _, id := range d.removed {
-		onMachine(machineChange{machine: id, gone: true})
+		onMachine(machineChange{machineID: id, deleted: true})
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // groupChanges returns the writes that change machines' records; nil removes one. Groups
 // that are no longer in the cache are left out. No group is larger than the limit.
-func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, limit int) []groupChange {
+func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, maxBytes int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	groups := map[string]records.MachineGroupRecord{}
@@ -121,22 +121,22 @@
 	}
 	changes := make([]groupChange, 0, len(order))
 	for _, name := range order {
-		changes = append(changes, changeGroup(name, c.groups[name].revision, groups[name], limit))
+		changes = append(changes, newGroupChange(name, c.groups[name].revision, groups[name], maxBytes))
 	}
 	return changes
 }
 
-// changeGroup returns the writes that replace one group.
-func changeGroup(name string, revision uint64, group records.MachineGroupRecord, limit int) groupChange {
+// newGroupChange returns the writes that replace one group.
+func newGroupChange(name string, revision uint64, group records.MachineGroupRecord, maxBytes int) groupChange {
 	key := records.MachinePrefix + name
 	change := groupChange{compares: []wire.Compare{{Key: key, Revision: revision}}}
 	if len(group.Machines) == 0 {
 		change.writes = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := group.Split(limit)
+	pieces := group.Split(maxBytes)
 	for _, piece := range pieces[1:] {
-		compare, write := newGroup(piece)
+		compare, write := newGroupWrite(piece)
 		change.compares = append(change.compares, compare)
 		change.writes = append(change.writes, write)
 	}
@@ -144,10 +144,10 @@
 	return change
 }
 
-// groupLimit returns the size of the largest group that may be written, in bytes. Programs of
+// maxGroupBytes returns the size of the largest group that may be written, in bytes. Programs of
 // the first feature level could take a machine for removed while its group is divided, so
 // that none is divided for being large as long as there may be such programs.
-func (c *Controller) groupLimit() int {
+func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
 	}
@@ -169,26 +169,26 @@
 	return sorted
 }
 
-// newGroup returns the write of a new group, which is named after its first machine, and the
+// newGroupWrite returns the write of a new group, which is named after its first machine, and the
 // compare that no group has that name.
-func newGroup(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
-	key := records.MachinePrefix + firstMachine(group)
+func newGroupWrite(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
+	key := records.MachinePrefix + lowestMachineID(group)
 	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: group}
 }
 
-// firstMachine returns the lowest ID of a group's machines.
-func firstMachine(group records.MachineGroupRecord) string {
+// lowestMachineID returns the lowest ID of a group's machines.
+func lowestMachineID(group records.MachineGroupRecord) string {
 	return slices.Min(slices.Collect(maps.Keys(group.Machines)))
 }
 
 // machinesOfOversizedGroups returns the first machine of each group that exceeds the limit.
-func (c *clusterCache) machinesOfOversizedGroups(limit int) []string {
+func (c *clusterCache) machinesOfOversizedGroups(maxBytes int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var machines []string
 	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
-		if group := c.groups[name].record; group.SizeBound() > limit {
-			machines = append(machines, firstMachine(group))
+		if group := c.groups[name].record; group.SizeBound() > maxBytes {
+			machines = append(machines, lowestMachineID(group))
 		}
 	}
 	return machines
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -13,7 +13,7 @@
 func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
 	for _, group := range pieces {
-		_, write := newGroup(group)
+		_, write := newGroupWrite(group)
 		events = append(events, wire.Event{Put: write.Put, Value: must(wire.Marshal(write.Value)), Revision: revision})
 	}
 	return events
@@ -22,7 +22,7 @@
 // A group that is divided loses none of its machines, not for a moment either: a machine
 // without a record counts as returned, and its tasks would be started elsewhere while they
 // still run. Neither a watch nor a listing need deliver the pieces first.
-func TestDividedGroupLosesNoMachine(t *testing.T) {
+func TestDividingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
@@ -56,9 +56,9 @@
 		for _, event := range groupEvents([]records.MachineGroupRecord{whole}, 7) {
 			c.applyEvent(event)
 		}
-		c.onMachine = func(change machineChange) {
-			if change.gone {
-				t.Errorf("%s: %s is gone", name, change.machine)
+		c.onMachineChange = func(change machineChange) {
+			if change.deleted {
+				t.Errorf("%s: %s is gone", name, change.machineID)
 			}
 		}
 		applyPieces(c)
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -8,15 +8,15 @@
 	"ambersill/internal/wire"
 )
 
-// rewriteMachineRecords releases the empty machines that the leader wants back or moved, and
+// updateMachineRecords releases the empty machines that the leader wants back or moved, and
 // raises the fencing tokens of machines with a command of unknown outcome, after which that
 // command can no longer be executed.
-func (o *ownedPartition) rewriteMachineRecords(ctx context.Context) {
+func (o *ownedPartition) updateMachineRecords(ctx context.Context) {
 	changes := o.machineRecordChanges()
 	for id, record := range changes {
 		record.FencingToken = o.nextFencingToken(id)
 	}
-	if err := o.controller.rewriteMachines(ctx, o.fence(), changes); err != nil {
+	if err := o.controller.commitMachineRecords(ctx, o.fence(), changes); err != nil {
 		slog.Debug("machines' records not rewritten", "partition", o.index, "err", err)
 	}
 }
@@ -51,29 +51,29 @@
 	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
 }
 
-// rewriteMachines changes machines' records, in as many transactions as necessary, under the
+// commitMachineRecords changes machines' records, in as many transactions as necessary, under the
 // fence of the partition's owner or of the leader; a nil record removes the machine.
-func (c *Controller) rewriteMachines(
+func (c *Controller) commitMachineRecords(
 	ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord,
 ) error {
-	limit := c.groupLimit()
-	maxWrites := min(c.limits.TxnOps, groupsPerTxn(limit))
-	var next groupChange
-	for _, change := range c.cluster.groupChanges(changes, limit) {
-		if len(next.writes) > 0 && len(next.writes)+len(change.writes) > maxWrites {
-			if err := c.commitGroups(ctx, fence, next); err != nil {
+	maxBytes := c.maxGroupBytes()
+	maxWrites := min(c.limits.TxnOps, groupsPerTxn(maxBytes))
+	var batch groupChange
+	for _, change := range c.cluster.groupChanges(changes, maxBytes) {
+		if len(batch.writes) > 0 && len(batch.writes)+len(change.writes) > maxWrites {
+			if err := c.commitGroupChange(ctx, fence, batch); err != nil {
 				return err
 			}
-			next = groupChange{}
+			batch = groupChange{}
 		}
-		next.compares = append(next.compares, change.compares...)
-		next.writes = append(next.writes, change.writes...)
+		batch.compares = append(batch.compares, change.compares...)
+		batch.writes = append(batch.writes, change.writes...)
 	}
-	return c.commitGroups(ctx, fence, next)
+	return c.commitGroupChange(ctx, fence, batch)
 }
 
-// commitGroups commits a change of groups of machines, if there is any.
-func (c *Controller) commitGroups(ctx context.Context, fence wire.Compare, change groupChange) error {
+// commitGroupChange commits a change of groups of machines, if there is any.
+func (c *Controller) commitGroupChange(ctx context.Context, fence wire.Compare, change groupChange) error {
 	if len(change.writes) == 0 {
 		return nil
 	}
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -25,7 +25,7 @@
 	returnFailed    returnReason = "failed"           // the cloud says so
 	returnNotListed returnReason = "no longer listed" // taken by the cloud
 	returnUnhealthy returnReason = "faulty or silent" // by its partition's owner
-	returnNeverUp   returnReason = "did not come up"  // within a multiple of its boot time
+	returnNotBooted returnReason = "did not come up"  // within a multiple of its boot time
 )
 
 // machineReturn is a machine to be returned.
@@ -55,28 +55,28 @@
 
 // returnCheck decides which machines are to be returned.
 type returnCheck struct {
-	now       time.Time
-	listings  map[string]machineListing
-	digests   map[string]records.MachineDigest
-	bootS     map[string]float64 // seconds, by machine type
-	patience  float64            // multiple of the boot time until a machine has to be up
-	listLagS  float64            // seconds by which the cloud's list may be out of date
-	goneAfter int                // lists in a row without a machine
+	now               time.Time
+	listings          map[string]machineListing
+	digests           map[string]records.MachineDigest
+	bootS             map[string]float64 // seconds, by machine type
+	bootPatience      float64            // multiple of the boot time until a machine has to be up
+	listLagS          float64            // seconds by which the cloud's list may be out of date
+	goneAfterListings int                // lists in a row without a machine
 }
 
 func (l *leader) newReturnCheck(now time.Time) returnCheck {
 	tunables := l.controller.tuning
 	listLagS := l.controller.settings.Cluster.Cloud.ListLagS
 	check := returnCheck{
-		now:      now,
-		listings: l.listings,
-		digests:  l.machineDigests(),
-		bootS:    map[string]float64{},
-		patience: tunables.BootPatience,
-		listLagS: listLagS,
+		now:          now,
+		listings:     l.listings,
+		digests:      l.machineDigests(),
+		bootS:        map[string]float64{},
+		bootPatience: tunables.BootPatience,
+		listLagS:     listLagS,
 		// A list may be older than the one before by as much as it lags, so that a
 		// machine can be missing from some although it is there.
-		goneAfter: missedListingsUntilGone + int(listLagS/tunables.ListS),
+		goneAfterListings: missedListingsUntilGone + int(listLagS/tunables.ListS),
 	}
 	for _, machineType := range l.controller.catalog() {
 		check.bootS[machineType.Name] = machineType.BootS
@@ -92,12 +92,12 @@
 		return returnReleased
 	case listing.state == wire.MachineFailed:
 		return returnFailed
-	case listing.missed >= c.goneAfter:
+	case listing.missedListings >= c.goneAfterListings:
 		return returnNotListed
 	case digest&records.DigestUnhealthy != 0:
 		return returnUnhealthy
 	case c.bootOverdue(record) && digest&records.DigestReporting == 0 && listing.state != wire.MachineRunning:
-		return returnNeverUp
+		return returnNotBooted
 	}
 	return returnNone
 }
@@ -105,7 +105,7 @@
 // bootOverdue reports whether a machine would have to be up, and listed as such, by now.
 func (c *returnCheck) bootOverdue(record records.MachineRecord) bool {
 	age := c.now.Sub(time.UnixMilli(record.CreatedAtMS))
-	return age > tuning.Seconds(c.patience*c.bootS[record.MachineType]+c.listLagS)
+	return age > tuning.Seconds(c.bootPatience*c.bootS[record.MachineType]+c.listLagS)
 }
 
 // returnToCloud returns machines. Their records are deleted only once the cloud has
@@ -123,11 +123,11 @@
 		return
 	}
 	logReturns(returns)
-	l.deleteReturned(ctx, ids)
+	l.deleteReturnedRecords(ctx, ids)
 }
 
-// deleteReturned deletes the records of machines that the cloud has taken back.
-func (l *leader) deleteReturned(ctx context.Context, ids []string) {
+// deleteReturnedRecords deletes the records of machines that the cloud has taken back.
+func (l *leader) deleteReturnedRecords(ctx context.Context, ids []string) {
 	changes := map[string]*records.MachineRecord{}
 	for _, id := range ids {
 		listing := l.listings[id]
@@ -139,7 +139,7 @@
 			changes[id] = nil
 		}
 	}
-	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
+	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
 		slog.Debug("records of returned machines not deleted", "err", err)
 	}
 }
--- a/internal/controller/machine_return_test.go
+++ b/internal/controller/machine_return_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each reason for a machine's return, and what is just short of it.
-func TestReasonsToReturnMachines(t *testing.T) {
+func TestReturnReasons(t *testing.T) {
 	const id = "m-1"
 	now := time.Unix(1000, 0)
 	fresh := records.MachineRecord{MachineType: "small", CreatedAtMS: now.UnixMilli()}
@@ -26,22 +26,22 @@
 		{name: "to be returned, but not released", record: records.MachineRecord{Desired: records.DesiredReturned, CreatedAtMS: now.UnixMilli()}},
 		{name: "moved", record: records.MachineRecord{Desired: records.DesiredMoved, Released: true, CreatedAtMS: now.UnixMilli()}},
 		{name: "failed", record: fresh, listing: machineListing{listed: true, state: wire.MachineFailed}, want: returnFailed},
-		{name: "missing from all lists", record: fresh, listing: machineListing{missed: 5}, want: returnNotListed},
-		{name: "missing from some lists", record: fresh, listing: machineListing{missed: 4}},
+		{name: "missing from all lists", record: fresh, listing: machineListing{missedListings: 5}, want: returnNotListed},
+		{name: "missing from some lists", record: fresh, listing: machineListing{missedListings: 4}},
 		{name: "unhealthy", record: fresh, digest: records.DigestUnhealthy | records.DigestReporting, want: returnUnhealthy},
-		{name: "never up", record: old, want: returnNeverUp},
+		{name: "never up", record: old, want: returnNotBooted},
 		{name: "up late, and reporting", record: old, digest: records.DigestReporting},
 		{name: "up late, and listed as running", record: old, listing: machineListing{listed: true, state: wire.MachineRunning}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			check := returnCheck{
-				now:       now,
-				listings:  map[string]machineListing{id: test.listing},
-				digests:   map[string]records.MachineDigest{id: test.digest},
-				bootS:     map[string]float64{"small": 10},
-				patience:  3,
-				listLagS:  5,
-				goneAfter: 5,
+				now:               now,
+				listings:          map[string]machineListing{id: test.listing},
+				digests:           map[string]records.MachineDigest{id: test.digest},
+				bootS:             map[string]float64{"small": 10},
+				bootPatience:      3,
+				listLagS:          5,
+				goneAfterListings: 5,
 			}
 			if got := check.reason(id, test.record); got != test.want {
 				t.Errorf("reason %q, want %q", got, test.want)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -123,7 +123,7 @@
 
 // waitForChange waits until the cluster's keys change or the next check is due.
 func (m *membership) waitForChange(ctx context.Context) {
-	changed := m.controller.cluster.changes()
+	changed := m.controller.cluster.nextChange()
 	timer := time.NewTimer(min(m.renewEvery, membershipInterval))
 	defer timer.Stop()
 	select {
@@ -138,7 +138,7 @@
 func (c *Controller) registerNode(ctx context.Context) bool {
 	put := wire.Write{
 		Put:     records.NodePrefix + c.settings.Node,
-		Value:   records.NodeRecord{Node: c.settings.Node, Level: c.supportedLevel},
+		Value:   records.NodeRecord{Node: c.settings.Node, Level: c.supportedFeatureLevel},
 		LeaseID: c.currentLease(),
 	}
 	_, err := c.store.Commit(ctx, wire.Txn{Writes: []wire.Write{put}})
--- a/internal/controller/offering_backoff.go
+++ b/internal/controller/offering_backoff.go
@@ -9,8 +9,8 @@
 
 // offeringBackoff is how long an offering that the cloud has refused is not rented.
 type offeringBackoff struct {
-	until   time.Time
-	seconds float64 // of the latest wait, which the next refusal doubles
+	until  time.Time
+	delayS float64 // of the latest wait, which the next refusal doubles
 }
 
 func (b offeringBackoff) active(now time.Time) bool { return now.Before(b.until) }
@@ -19,15 +19,15 @@
 func (l *leader) backOffOffering(offering autoscaler.Offering) {
 	tunables := l.controller.tuning
 	backoff := l.backoffs[offering]
-	if backoff.seconds == 0 {
-		backoff.seconds = tunables.RefusalS
+	if backoff.delayS == 0 {
+		backoff.delayS = tunables.RefusalS
 	} else {
-		backoff.seconds = min(2*backoff.seconds, tunables.RefusalMaxS)
+		backoff.delayS = min(2*backoff.delayS, tunables.RefusalMaxS)
 	}
-	backoff.until = time.Now().Add(tuning.Seconds(backoff.seconds))
+	backoff.until = time.Now().Add(tuning.Seconds(backoff.delayS))
 	l.backoffs[offering] = backoff
 	// The work need not wait: the next best offering may be had at once.
-	l.sizeAtOnce = true
+	l.sizingRequested = true
 }
 
 // unavailableOfferings returns the offerings that are not to be rented now.
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -80,7 +80,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.partition == nil {
-		o.pendingChanges[change.machine] = change
+		o.pendingChanges[change.machineID] = change
 		return
 	}
 	o.applyMachine(change)
@@ -88,11 +88,11 @@
 
 // applyMachine applies a change of a machine's record to the partition; o.mu must be held.
 func (o *ownedPartition) applyMachine(change machineChange) {
-	if change.gone {
-		o.partition.RemoveMachine(change.machine, time.Now())
+	if change.deleted {
+		o.partition.RemoveMachine(change.machineID, time.Now())
 		return
 	}
-	o.partition.SetMachine(change.machine, change.entry.record, change.entry.revision, time.Now())
+	o.partition.SetMachine(change.machineID, change.entry.record, change.entry.revision, time.Now())
 }
 
 // whenLoaded calls a function with the partition while o.mu is held, and reports whether it
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -72,7 +72,7 @@
 	if len(c.catalog()) == 0 {
 		return
 	}
-	snapshot, loaded := c.cluster.partitionOwners(c.partitions)
+	snapshot, loaded := c.cluster.partitionOwners(c.partitionCount)
 	if !loaded {
 		return
 	}
@@ -122,7 +122,7 @@
 	// with the same revision.
 	key := records.PartitionKey(partition)
 	if item, err := c.store.Get(ctx, key); err == nil {
-		c.cluster.apply(keyChange{key: key, value: item.Value, revision: item.Revision})
+		c.cluster.applyChange(keyChange{key: key, value: item.Value, revision: item.Revision})
 	}
 }
 
@@ -172,7 +172,7 @@
 
 // PartitionClaimed handles a peer's announcement that it owns a partition.
 func (c *Controller) PartitionClaimed(claim peerrpc.OwnershipClaim) {
-	if claim.Partition < 0 || claim.Partition >= c.partitions {
+	if claim.Partition < 0 || claim.Partition >= c.partitionCount {
 		return
 	}
 	c.cluster.setPartitionOwner(claim.Partition, ownership{node: claim.Node, revision: claim.Revision})
--- a/internal/controller/partition_claims_test.go
+++ b/internal/controller/partition_claims_test.go
@@ -91,7 +91,7 @@
 
 func (test *changeDuringReadTest) writeGroup() {
 	revision := test.write(wire.Write{Put: changedGroupKey, Value: test.group})
-	test.controller.cluster.apply(putChange(changedGroupKey, test.group, revision))
+	test.controller.cluster.applyChange(putChange(changedGroupKey, test.group, revision))
 }
 
 func (test *changeDuringReadTest) change() {
@@ -101,7 +101,7 @@
 		return
 	}
 	revision := test.write(wire.Write{Delete: changedGroupKey})
-	test.controller.cluster.apply(deletionOf(changedGroupKey, revision))
+	test.controller.cluster.applyChange(deletionOf(changedGroupKey, revision))
 }
 
 // writeGroupAndItsTask writes the group before the partition is read, and a task that runs
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -17,22 +17,22 @@
 	"ambersill/internal/wire"
 )
 
-// rentalRetry is how long an unanswered rental waits before the cloud is asked again.
-const rentalRetry = 2 * time.Second
+// rentalRetryDelay is how long an unanswered rental waits before the cloud is asked again.
+const rentalRetryDelay = 2 * time.Second
 
 // rentalProgress is what this term's leader knows of a recorded rental.
 type rentalProgress struct {
-	lastAttempt      time.Time // of calling the cloud; zero if this leader has not called
+	lastCall         time.Time // of calling the cloud; zero if this leader has not called
 	recordedThisTerm bool
 }
 
 // recordedRental is a rental whose record exists, since the cloud has not answered it.
 type recordedRental struct {
-	name string
+	id string
 	rentalEntry
 }
 
-func (r recordedRental) key() string { return records.RentalPrefix + r.name }
+func (r recordedRental) key() string { return records.RentalPrefix + r.id }
 
 func (r recordedRental) offering() autoscaler.Offering { return offeringOfRental(r.record) }
 
@@ -41,14 +41,14 @@
 func (r recordedRental) compare(other recordedRental) int {
 	return cmp.Or(
 		cmp.Compare(r.record.RecordedAtMS, other.record.RecordedAtMS),
-		cmp.Compare(len(r.name), len(other.name)),
-		cmp.Compare(r.name, other.name),
+		cmp.Compare(len(r.id), len(other.id)),
+		cmp.Compare(r.id, other.id),
 	)
 }
 
-// maxRentalCount returns how many machines one rental may have: their groups are recorded
+// maxMachinesPerRental returns how many machines one rental may have: their groups are recorded
 // in one transaction, which deletes the rental's record as well.
-func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
+func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
 	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
@@ -58,9 +58,9 @@
 // allow for.
 func (l *leader) recordRentals(ctx context.Context, rentals []autoscaler.Rental) {
 	for _, rental := range rentals {
-		most := l.maxRentalCount(rental.Offering)
-		for remaining := rental.Count; remaining > 0; remaining -= most {
-			l.recordRental(ctx, rental, min(remaining, most))
+		maxCount := l.maxMachinesPerRental(rental.Offering)
+		for remaining := rental.Count; remaining > 0; remaining -= maxCount {
+			l.recordRental(ctx, rental, min(remaining, maxCount))
 		}
 	}
 }
@@ -68,11 +68,11 @@
 // recordRental records a rental before the cloud is called, so that a later leader can
 // repeat the call under the same name.
 func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, count int) {
-	// The term's revision makes the name unique, whichever node leads and however late
+	// The term's revision makes the id unique, whichever node leads and however late
 	// the commit is executed.
-	name := fmt.Sprintf("r-%d-%d", l.revision, l.nextRental)
-	l.nextRental++
-	l.rentals[name] = rentalProgress{recordedThisTerm: true}
+	id := fmt.Sprintf("r-%d-%d", l.revision, l.nextRentalNumber)
+	l.nextRentalNumber++
+	l.rentals[id] = rentalProgress{recordedThisTerm: true}
 	record := records.RentalRecord{
 		MachineType:  rental.Offering.MachineType,
 		Zone:         rental.Offering.Zone,
@@ -81,68 +81,68 @@
 		Partition:    rental.Partition,
 		RecordedAtMS: time.Now().UnixMilli(),
 	}
-	key := records.RentalPrefix + name
+	key := records.RentalPrefix + id
 	compares := []wire.Compare{{Key: key, Revision: 0}}
 	writes := []wire.Write{{Put: key, Value: record}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rental not recorded", "request", name, "err", err)
+		slog.Debug("rental not recorded", "request", id, "err", err)
 	}
 }
 
-// finishRentals calls the cloud for each recorded rental, also for those of earlier leaders,
+// executeRentals calls the cloud for each recorded rental, also for those of earlier leaders,
 // and again under the same name until there is an answer.
-func (l *leader) finishRentals(ctx context.Context) {
+func (l *leader) executeRentals(ctx context.Context) {
 	for _, rental := range l.controller.cluster.recordedRentals() {
-		last := l.rentals[rental.name].lastAttempt
-		if !last.IsZero() && time.Since(last) < rentalRetry {
+		last := l.rentals[rental.id].lastCall
+		if !last.IsZero() && time.Since(last) < rentalRetryDelay {
 			continue
 		}
 		if l.isObsolete(rental) {
-			l.dropRental(ctx, rental)
+			l.deleteObsoleteRental(ctx, rental)
 			continue
 		}
 		if !l.mayCallCloud() {
 			return
 		}
-		l.finishRental(ctx, rental)
+		l.executeRental(ctx, rental)
 	}
 }
 
 // isObsolete reports whether the cloud has refused a rental's offering since it was recorded,
 // and has certainly not received the rental: only this leader could have sent it.
 func (l *leader) isObsolete(rental recordedRental) bool {
-	progress := l.rentals[rental.name]
-	called := !progress.lastAttempt.IsZero()
+	progress := l.rentals[rental.id]
+	called := !progress.lastCall.IsZero()
 	return !called && progress.recordedThisTerm && l.backoffs[rental.offering()].active(time.Now())
 }
 
-// dropRental deletes the record of a rental for which the cloud was never called.
-func (l *leader) dropRental(ctx context.Context, rental recordedRental) {
+// deleteObsoleteRental deletes the record of a rental for which the cloud was never called.
+func (l *leader) deleteObsoleteRental(ctx context.Context, rental recordedRental) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("obsolete rental not deleted", "request", rental.name, "err", err)
+		slog.Debug("obsolete rental not deleted", "request", rental.id, "err", err)
 		return
 	}
-	delete(l.rentals, rental.name)
+	delete(l.rentals, rental.id)
 }
 
-// finishRental calls the cloud once, and records the machines in place of the rental.
-func (l *leader) finishRental(ctx context.Context, rental recordedRental) {
-	progress := l.rentals[rental.name]
-	progress.lastAttempt = time.Now()
-	l.rentals[rental.name] = progress
+// executeRental calls the cloud once, and records the machines in place of the rental.
+func (l *leader) executeRental(ctx context.Context, rental recordedRental) {
+	progress := l.rentals[rental.id]
+	progress.lastCall = time.Now()
+	l.rentals[rental.id] = progress
 
 	offering := rental.offering()
 	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{
-		RequestID:   rental.name,
+		RequestID:   rental.id,
 		MachineType: offering.MachineType,
 		Zone:        offering.Zone,
 		Spot:        offering.Spot,
 		Count:       rental.record.Count,
 	})
 	if l.handleRentResponse(rental, ids, err) {
-		l.replaceRental(ctx, rental, ids)
+		l.replaceRentalWithMachines(ctx, rental, ids)
 	}
 }
 
@@ -155,10 +155,10 @@
 		l.backOffOffering(offering)
 		slog.Info("rental refused", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
 	case err != nil:
-		slog.Debug("rental unanswered", "request", rental.name, "err", err)
+		slog.Debug("rental unanswered", "request", rental.id, "err", err)
 		return false
 	default:
-		slog.Info("rented", "request", rental.name, "type", offering.MachineType, "zone", offering.Zone,
+		slog.Info("rented", "request", rental.id, "type", offering.MachineType, "zone", offering.Zone,
 			"spot", offering.Spot, "asked", rental.record.Count, "got", len(ids))
 		if len(ids) < rental.record.Count {
 			l.backOffOffering(offering)
@@ -169,32 +169,32 @@
 	return true
 }
 
-// replaceRental deletes a rental's record, and writes those of its machines that are not
+// replaceRentalWithMachines deletes a rental's record, and writes those of its machines that are not
 // known yet.
-func (l *leader) replaceRental(ctx context.Context, rental recordedRental, ids []string) {
+func (l *leader) replaceRentalWithMachines(ctx context.Context, rental recordedRental, machineIDs []string) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	machines := map[string]records.MachineRecord{}
-	for _, id := range ids {
-		if _, known := l.controller.cluster.machine(id); !known {
-			machines[id] = newMachineRecord(rental.record)
+	for _, machineID := range machineIDs {
+		if _, known := l.controller.cluster.machine(machineID); !known {
+			machines[machineID] = rentedMachineRecord(rental.record)
 		}
 	}
-	ids = slices.Sorted(maps.Keys(machines))
-	for _, group := range l.divideIntoGroups(rental.offering(), ids, machines) {
-		compare, write := newGroup(group)
+	machineIDs = slices.Sorted(maps.Keys(machines))
+	for _, group := range l.divideIntoGroups(rental.offering(), machineIDs, machines) {
+		compare, write := newGroupWrite(group)
 		compares = append(compares, compare)
 		writes = append(writes, write)
 	}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rented machines not recorded", "request", rental.name, "err", err)
+		slog.Debug("rented machines not recorded", "request", rental.id, "err", err)
 		return
 	}
-	delete(l.rentals, rental.name)
+	delete(l.rentals, rental.id)
 }
 
-// newMachineRecord returns the record of a machine that a rental has brought.
-func newMachineRecord(rental records.RentalRecord) records.MachineRecord {
+// rentedMachineRecord returns the record of a machine that a rental has brought.
+func rentedMachineRecord(rental records.RentalRecord) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: rental.MachineType,
 		Zone:        rental.Zone,
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -299,7 +299,7 @@
 	host := cluster.network.Host(cluster.nodes[node].Name)
 	controller := New(cluster.settings(node), cluster.tuning, host)
 	if cluster.oldNodes[node] {
-		controller.supportedLevel = records.FeatureInitialFormat
+		controller.supportedFeatureLevel = records.FeatureInitialFormat
 	}
 	ended := make(chan struct{})
 	var crashed atomic.Bool
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -18,14 +18,14 @@
 	return autoscaler.Offering{MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot}
 }
 
-func offeringOfListed(machine wire.CloudMachine) autoscaler.Offering {
+func offeringOfListedMachine(machine wire.CloudMachine) autoscaler.Offering {
 	return autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
 }
 
 // needsFirstMachine reports whether tasks wait while there is no machine and no rental, so
 // that sizing the fleet at once spares them the wait for the next regular sizing.
 func (l *leader) needsFirstMachine() bool {
-	if l.controller.cluster.hasFleet() {
+	if l.controller.cluster.hasMachinesOrRentals() {
 		return false
 	}
 	for _, summary := range l.summaries {
@@ -36,9 +36,9 @@
 	return false
 }
 
-// runSizing sizes the fleet: it records rentals, which finishRentals executes, and the
+// sizeFleet sizes the fleet: it records rentals, which executeRentals executes, and the
 // desired states of machines, which the partitions' owners bring about.
-func (l *leader) runSizing(ctx context.Context) {
+func (l *leader) sizeFleet(ctx context.Context) {
 	types := l.controller.catalog()
 	if len(types) == 0 {
 		return
@@ -47,7 +47,7 @@
 	ids, machines := l.controller.cluster.recordedMachines()
 	plan := l.autoscaler.Plan(autoscaler.Input{
 		MachineTypes:   types,
-		Machines:       l.sizingMachines(ids, machines),
+		Machines:       l.autoscalerMachines(ids, machines),
 		PendingRentals: l.pendingRentals(),
 		Summaries:      l.summaries,
 		Unavailable:    l.unavailableOfferings(now),
@@ -56,14 +56,14 @@
 		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns,
 		"machines", len(ids))
 	l.recordRentals(ctx, plan.Rentals)
-	changes := desiredChanges(plan, machines)
-	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
+	changes := desiredStateChanges(plan, machines)
+	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
 		slog.Debug("desired states of machines not recorded", "err", err)
 	}
 }
 
-// sizingMachines returns the recorded machines for the autoscaler.
-func (l *leader) sizingMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
+// autoscalerMachines returns the recorded machines for the autoscaler.
+func (l *leader) autoscalerMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
 	digests := l.machineDigests()
 	sizing := make([]autoscaler.Machine, 0, len(ids))
 	for _, id := range ids {
@@ -96,8 +96,8 @@
 	return pending
 }
 
-// desiredChanges returns the records of the machines that a plan moves or returns.
-func desiredChanges(
+// desiredStateChanges returns the records of the machines that a plan moves or returns.
+func desiredStateChanges(
 	plan autoscaler.Plan, machines map[string]machineEntry,
 ) map[string]*records.MachineRecord {
 	changes := map[string]*records.MachineRecord{}
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -20,7 +20,7 @@
 	for _, item := range items {
 		values[item.Key] = item.Value
 	}
-	for partition := range l.controller.partitions {
+	for partition := range l.controller.partitionCount {
 		if summary, ok := decodeSummary(partition, values); ok {
 			l.summaries[partition] = summary
 		}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -284,7 +284,7 @@
 	controller.setLease(leaseID, time.Now())
 	controller.claimUnownedPartition(ctx, 0)
 	if raisedMeanwhile {
-		controller.cluster.apply(putChange(records.FeatureLevelKey, level.Value, 50))
+		controller.cluster.applyChange(putChange(records.FeatureLevelKey, level.Value, 50))
 	}
 	time.Sleep(3 * time.Second)
 	owned := controller.ownedPartition(0)
@@ -303,12 +303,12 @@
 	for i := range 40 {
 		names = append(names, fmt.Sprint("n", i))
 		record := records.NodeRecord{Node: names[i], Level: records.CurrentFeatureLevel}
-		cache.apply(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
+		cache.applyChange(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
 	}
-	if conditions, ready := cache.readyFor(records.CurrentFeatureLevel, names); !ready || len(conditions) != len(names) {
+	if conditions, ready := cache.readyForLevel(records.CurrentFeatureLevel, names); !ready || len(conditions) != len(names) {
 		t.Errorf("ready %v, %d conditions", ready, len(conditions))
 	}
-	if _, ready := cache.readyFor(records.CurrentFeatureLevel, append(names, "away")); ready {
+	if _, ready := cache.readyForLevel(records.CurrentFeatureLevel, append(names, "away")); ready {
 		t.Error("ready without a node that is away")
 	}
 }
