--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -1,7 +1,7 @@
 package controller
 
-// recordAddress stores where a machine can be reached. Nothing is stored of machines without
-// a record: the cloud's listing still shows those that were returned, and nothing would
+// recordAddress stores the address of a machine's worker. It ignores machines without a
+// record: the cloud's listing may still show machines that were returned, and nothing would
 // remove their addresses.
 func (c *Controller) recordAddress(machine, address string) {
 	if _, known := c.cluster.machine(machine); !known || address == "" {
@@ -12,15 +12,15 @@
 	c.addresses[machine] = address
 }
 
-// address returns where a machine can be reached, "" if that is not known yet.
+// address returns the address of a machine's worker, or "" if it is not known yet.
 func (c *Controller) address(machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addresses[machine]
 }
 
-// machineChanged handles a change of a machine's record in the cluster cache: whatever is
-// kept of a machine that is gone is removed, and the owned partitions are updated.
+// machineChanged handles a change of a machine's record in the cluster cache. It discards the
+// state that this node keeps of a machine that was removed, and updates the owned partitions.
 func (c *Controller) machineChanged(change machineChange) {
 	if change.deleted {
 		c.forgetMachine(change.machineID)
@@ -31,7 +31,8 @@
 	}
 }
 
-// forgetMachine drops what the node itself keeps of a machine.
+// forgetMachine discards the state that the controller keeps of a machine outside its
+// partitions.
 func (c *Controller) forgetMachine(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/addresses_test.go
+++ b/internal/controller/addresses_test.go
@@ -7,9 +7,9 @@
 	"ambersill/internal/records"
 )
 
-// However many machines come and go, the addresses of those that exist are known, also of
-// far more than 4,000 at a time, and none is kept of those that are gone, though the
-// cloud's listing still shows them for a while.
+// The addresses of all existing machines are known, even of far more than 4,000 at a time. No
+// address is kept of a machine whose record was deleted, even if the cloud's listing still
+// shows the machine for a while.
 func TestAddressesKeptOnlyForExistingMachines(t *testing.T) {
 	c := isolatedController()
 	const generations, machines = 4, 6000
@@ -24,15 +24,15 @@
 			c.cluster.applyChange(putChange(records.MachinePrefix+id, group, revision))
 			c.recordAddress(id, address)
 			if c.address(id) == "" {
-				t.Fatalf("the address of machine %d is not known", i)
+				t.Fatalf("address of recorded machine %d is empty, want the stored one", i)
 			}
 		}
 		for _, id := range ids {
 			c.cluster.applyChange(deletionOf(records.MachinePrefix+id, revision))
-			c.recordAddress(id, address) // from a listing that lags
+			c.recordAddress(id, address) // from an outdated listing
 		}
 	}
 	if n := len(c.addresses); n > 0 {
-		t.Errorf("%d addresses of machines that are gone", n)
+		t.Errorf("%d addresses kept after all machines were removed, want 0", n)
 	}
 }
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// catalogRetryDelay is the wait after a failed reading of the catalog. It is short,
-	// since a node without a catalog takes no requests and claims no partitions.
+	// catalogRetryDelay is the pause after a failed attempt to read the catalog. It is
+	// short, since a node without a catalog accepts no requests and claims no partitions.
 	catalogRetryDelay = time.Second
-	// catalogInterval is the time between two readings; only prices change, and slowly.
+	// catalogInterval is the time between two reads of the catalog. Only prices change, and
+	// they change slowly.
 	catalogInterval = 30 * time.Second
 )
 
-// runCatalog reads the cloud's machine types and follows their prices.
+// runCatalog reads the cloud's machine types, and reads them again at regular intervals to
+// update their prices. It returns when the context ends.
 func (c *Controller) runCatalog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		types, err := c.cloud.Catalog(ctx)
 		if err != nil || len(types) == 0 {
-			slog.Debug("catalog not read", "err", err)
+			slog.Debug("failed to read the cloud's catalog", "err", err)
 			transport.Pause(ctx, catalogRetryDelay)
 			continue
 		}
@@ -33,8 +35,8 @@
 	return nil
 }
 
-// setCatalog stores the machine types and passes them on to the owned partitions. One that
-// is loaded later starts with them.
+// setCatalog stores the machine types and passes them on to the owned partitions that are
+// loaded. A partition that is loaded later takes them from the controller.
 func (c *Controller) setCatalog(types []wire.MachineType) {
 	c.mu.Lock()
 	c.machineTypes = types
@@ -44,7 +46,7 @@
 	}
 }
 
-// catalog returns the machine types; none until they are read.
+// catalog returns the machine types, or none if they have not been read yet.
 func (c *Controller) catalog() []wire.MachineType {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -11,49 +11,49 @@
 	"ambersill/internal/wire"
 )
 
-// ownership is the owner of a partition, or the leader.
+// ownership is the ownership of a partition or of leadership.
 type ownership struct {
-	node     string // empty without an owner
+	node     string // empty if there is no owner
 	revision uint64 // of the key, or of its deletion
 }
 
-// machineEntry is a machine's record together with the group that holds it.
+// machineEntry is a machine's cached record, and the group that contains it.
 type machineEntry struct {
 	record   records.MachineRecord
-	group    string
+	group    string // name of the group
 	revision uint64 // of the group's key
 }
 
-// nodeEntry is what a live node has published about itself.
+// nodeEntry is the cached record of a live node.
 type nodeEntry struct {
 	featureLevel records.FeatureLevel
 	revision     uint64
 }
 
-// rentalEntry is a rental that the cloud has not answered yet, as far as is known.
+// rentalEntry is the cached record of a rental.
 type rentalEntry struct {
 	record   records.RentalRecord
 	revision uint64
 }
 
-// clusterCache is a copy of the cluster's keys, kept up to date by a watch. It lags behind
-// the key-value store, so that decisions based on it are only ever committed on the
-// condition that the revisions it shows are still current.
+// clusterCache is a copy of the keys below records.ClusterPrefix, updated by a watch. It lags
+// behind the key-value store. Decisions based on it are therefore committed only on the
+// condition that the cached revisions are still current.
 type clusterCache struct {
-	// mu guards all fields below but the callbacks.
+	// mu guards all fields below except the callbacks.
 	mu         sync.Mutex
-	loaded     bool // the first listing is in the copy
+	loaded     bool // the first listing was applied
 	leader     ownership
-	partitions map[int]ownership
+	partitions map[int]ownership    // by partition
 	nodes      map[string]nodeEntry // live nodes, by name
 	level      records.FeatureLevel
 	groups     map[string]groupEntry   // groups of machines, by name
 	machines   map[string]machineEntry // the machines of all groups, by machine ID
 	rentals    map[string]rentalEntry  // by rental ID
-	revision   uint64                  // all changes up to this revision are in the copy
-	changed    chan struct{}           // closed and replaced at every change
+	revision   uint64                  // all changes up to this revision were applied
+	changed    chan struct{}           // closed and replaced on every change
 
-	// The callbacks are set before the first use and called without mu held.
+	// The callbacks are set before the first use, and are called while mu is not held.
 	onMachineChange func(change machineChange)
 	onOwnerChange   func(partition int, owner ownership)
 	onLevelChange   func(level records.FeatureLevel)
@@ -70,29 +70,29 @@
 	}
 }
 
-// watchHandler returns the handler that keeps the copy up to date.
+// watchHandler returns the handler of the watch that updates the cache.
 func (c *clusterCache) watchHandler() watchHandler {
 	return watchHandler{onListing: c.replaceAll, onEvent: c.applyEvent, onRevision: c.advanceRevision}
 }
 
-// nextChange returns a channel that is closed at the next change of the copy.
+// nextChange returns a channel that is closed on the next change of the cache.
 func (c *clusterCache) nextChange() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-// signalChange wakes those that wait for a change; c.mu must be held.
+// signalChange wakes the goroutines that wait for a change; c.mu must be held.
 func (c *clusterCache) signalChange() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// keyChange is a change of one key of the cluster.
+// keyChange is a change of one key.
 type keyChange struct {
 	key      string
 	value    wire.Raw // nil if deleted
-	revision uint64   // of the value, or of the deletion
+	revision uint64   // at which the value was written or the key was deleted
 	deleted  bool
 }
 
@@ -108,14 +108,14 @@
 	c.applyChange(keyChange{key: event.Put, value: event.Value, revision: event.Revision})
 }
 
-// applyChange updates the copy by the change of one key, and then calls the callback that the
-// change concerns.
+// applyChange applies the change of one key to the cache, and then calls the callback for that
+// kind of change.
 func (c *clusterCache) applyChange(change keyChange) {
 	c.update(func() (notify func()) { return c.applyByKey(change) })
 }
 
-// setLeader updates the copy by a claim of leadership whose outcome is known before the
-// watch delivers it.
+// setLeader applies a successful claim of leadership to the cache, so that it is visible
+// before the watch delivers it.
 func (c *clusterCache) setLeader(owner ownership) {
 	c.update(func() (notify func()) {
 		c.applyLeader(owner)
@@ -123,14 +123,14 @@
 	})
 }
 
-// setPartitionOwner updates the copy by a claim of a partition whose outcome is known before
-// the watch delivers it.
+// setPartitionOwner applies a successful claim of a partition to the cache, so that it is
+// visible before the watch delivers it.
 func (c *clusterCache) setPartitionOwner(partition int, owner ownership) {
 	c.update(func() (notify func()) { return c.applyPartitionOwner(partition, owner) })
 }
 
-// update runs a step that changes the copy with mu held, signals the change, and then calls
-// what the step returned, if anything, with mu free again.
+// update runs a function that changes the cache while mu is held, and signals the change. It
+// then releases mu and calls the function that step returned, if any.
 func (c *clusterCache) update(step func() (notify func())) {
 	c.mu.Lock()
 	notify := step()
@@ -141,8 +141,8 @@
 	}
 }
 
-// applyByKey applies a change by the kind of its key; c.mu must be held. It returns what
-// is to be called once c.mu is free again, nil if nothing is.
+// applyByKey applies a change according to the prefix of its key; c.mu must be held. It
+// returns the function to call after c.mu is released, or nil if there is none.
 func (c *clusterCache) applyByKey(change keyChange) (notify func()) {
 	switch change.key {
 	case records.LeaderKey:
@@ -171,15 +171,16 @@
 	return nil
 }
 
-// applyLeader ignores changes older than the one known: a claim's answer and its event
-// arrive in either order.
+// applyLeader ignores a change that is older than the cached one, since the response to a
+// claim and events of the watch arrive in either order.
 func (c *clusterCache) applyLeader(owner ownership) {
 	if owner.revision >= c.leader.revision {
 		c.leader = owner
 	}
 }
 
-// applyPartitionOwner ignores changes older than the one known, as applyLeader does.
+// applyPartitionOwner ignores a change that is older than the cached one, for the same reason
+// as applyLeader.
 func (c *clusterCache) applyPartitionOwner(partition int, owner ownership) (notify func()) {
 	if owner.revision < c.partitions[partition].revision {
 		return nil
@@ -191,8 +192,8 @@
 	return func() { c.onOwnerChange(partition, owner) }
 }
 
-// applyNode keeps a node whose record cannot be decoded, at the lowest feature level: it is
-// live all the same.
+// applyNode stores or removes a node. A node whose record cannot be decoded is stored with the
+// lowest feature level, since the existence of its key shows that it is live.
 func (c *clusterCache) applyNode(name string, change keyChange) {
 	if change.deleted {
 		delete(c.nodes, name)
@@ -200,12 +201,13 @@
 	}
 	var record records.NodeRecord
 	if err := wire.Unmarshal(change.value, &record); err != nil {
-		slog.Error("record not understood", "key", change.key, "err", err)
+		slog.Error("failed to decode record", "key", change.key, "err", err)
 	}
 	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
 }
 
-// applyFeatureLevel applies the feature level, which never goes down.
+// applyFeatureLevel stores the feature level unless it is lower than the cached one, since a
+// cluster's level never decreases.
 func (c *clusterCache) applyFeatureLevel(change keyChange) (notify func()) {
 	var record records.LevelRecord
 	if wire.Unmarshal(change.value, &record) != nil || record.Level <= c.level {
@@ -229,8 +231,8 @@
 	}
 }
 
-// decodeOwnership returns an ownership without a node if the key was deleted, or if its
-// record cannot be decoded.
+// decodeOwnership returns the ownership that a change shows. Its node is empty if the key was
+// deleted or its record cannot be decoded.
 func decodeOwnership(change keyChange) ownership {
 	owner := ownership{revision: change.revision}
 	if change.deleted {
@@ -243,10 +245,10 @@
 	return owner
 }
 
-// replaceAll replaces the copy by a listing of all keys as of a revision.
+// replaceAll replaces the content of the cache by a listing of all keys as of a revision.
 func (c *clusterCache) replaceAll(items []wire.KeyValue, revision uint64) {
 	listed := make(map[string]bool, len(items))
-	// In descending order of their names, for the reason given at sortEvents.
+	// In descending order of the keys, for the reason given at sortEvents.
 	for _, item := range slices.Backward(items) {
 		listed[item.Key] = true
 		c.applyChange(keyChange{key: item.Key, value: item.Value, revision: item.Revision})
@@ -260,8 +262,8 @@
 	c.advanceRevision(revision)
 }
 
-// keysMissingFrom returns the keys of the copy that a listing as of a revision lacks: they
-// were deleted before it.
+// keysMissingFrom returns the cached keys that a listing as of a revision lacks, since they
+// were deleted before that revision.
 func (c *clusterCache) keysMissingFrom(listed map[string]bool, revision uint64) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,7 +285,7 @@
 		addUnlessListed(records.NodePrefix + name)
 	}
 	for name, group := range c.groups {
-		// A newer group was written by this node after the listing.
+		// This node has written a group with a higher revision after the listing.
 		if group.revision <= revision {
 			addUnlessListed(records.MachinePrefix + name)
 		}
@@ -294,7 +296,7 @@
 	return missing
 }
 
-// advanceRevision records that all changes up to a revision are in the copy.
+// advanceRevision records that all changes up to a revision were applied.
 func (c *clusterCache) advanceRevision(revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_queries.go
+++ b/internal/controller/cluster_queries.go
@@ -7,8 +7,8 @@
 	"ambersill/internal/records"
 )
 
-// The queries below return what the cluster cache holds at present, which may be outdated
-// when the caller uses it.
+// The methods below return the present content of the cluster cache. It may be outdated when
+// the caller uses it.
 
 // featureLevel returns the cluster's feature level as far as this node knows it.
 func (c *clusterCache) featureLevel() records.FeatureLevel {
@@ -30,7 +30,7 @@
 	return entry, ok
 }
 
-// recordedMachines returns the machines of all groups, and their IDs in order.
+// recordedMachines returns the machines of all groups, and their IDs in ascending order.
 func (c *clusterCache) recordedMachines() (ids []string, machines map[string]machineEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,7 +38,7 @@
 	return slices.Sorted(maps.Keys(machines)), machines
 }
 
-// recordedRentals returns the rentals without an answer in the order of their recording.
+// recordedRentals returns the recorded rentals in the order in which they were recorded.
 func (c *clusterCache) recordedRentals() []recordedRental {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,29 +50,28 @@
 	return rentals
 }
 
-// hasRentals reports whether there are rentals without an answer.
+// hasRentals reports whether any rental is recorded.
 func (c *clusterCache) hasRentals() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.rentals) > 0
 }
 
-// hasMachinesOrRentals reports whether there is any machine, or a rental that may bring one.
+// hasMachinesOrRentals reports whether any machine or rental is recorded.
 func (c *clusterCache) hasMachinesOrRentals() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.machines)+len(c.rentals) > 0
 }
 
-// leadership returns the owner of the leader's key. It returns false while the copy is
-// being loaded.
+// leadership returns the leader, and whether the cache has been loaded.
 func (c *clusterCache) leadership() (owner ownership, loaded bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.leader, c.loaded
 }
 
-// caughtUpTo reports whether all changes up to a revision are in the copy.
+// caughtUpTo reports whether the cache contains all changes up to a revision.
 func (c *clusterCache) caughtUpTo(revision uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/cluster_watch.go
+++ b/internal/controller/cluster_watch.go
@@ -14,32 +14,33 @@
 const (
 	// watchTimeout is how long one watch request stays open.
 	watchTimeout = 20 * time.Second
-	// listRetryDelay is the wait after a failed listing, which is a large request.
+	// listRetryDelay is the pause after a failed listing. It is longer than watchRetryDelay,
+	// since a listing is a large request.
 	listRetryDelay = 500 * time.Millisecond
-	// watchRetryDelay is the wait after a failed watch. It is short, since decisions are
-	// made on an older copy in the meantime.
+	// watchRetryDelay is the pause after a failed watch request. It is short, since decisions
+	// are based on outdated keys in the meantime.
 	watchRetryDelay = 300 * time.Millisecond
 )
 
-// watchHandler receives what a watch of a key prefix delivers. All functions are called
-// from the watching goroutine, one at a time.
+// watchHandler contains the callbacks of a watch of a key prefix. They are called from the
+// watching goroutine, one at a time.
 type watchHandler struct {
-	// onListing receives all keys of the prefix as of a revision. It is needed by
-	// watchPrefix only.
+	// onListing receives all keys of the prefix as of a revision. Only watchPrefix calls it.
 	onListing func(items []wire.KeyValue, revision uint64)
 	// onEvent receives one change.
 	onEvent func(event wire.Event)
-	// onRevision, if set, receives the revision up to which all changes were delivered.
+	// onRevision, if not nil, receives the revision up to which all changes were delivered.
 	onRevision func(revision uint64)
 }
 
-// watchPrefix lists a prefix and then follows its changes until the context ends. It lists
-// the prefix again whenever the changes were compacted before they could be read.
+// watchPrefix lists the keys of a prefix and then watches their changes until the context
+// ends. It lists the keys again whenever the key-value store has compacted changes before they
+// could be read.
 func watchPrefix(ctx context.Context, store *kvstore.Client, prefix string, handler watchHandler) {
 	for ctx.Err() == nil {
 		items, revision, err := store.List(ctx, prefix)
 		if err != nil {
-			slog.Debug("listing failed", "prefix", prefix, "err", err)
+			slog.Debug("failed to list keys", "prefix", prefix, "err", err)
 			transport.Pause(ctx, listRetryDelay)
 			continue
 		}
@@ -48,8 +49,8 @@
 	}
 }
 
-// watchPrefixFrom follows the changes of a prefix after a revision. It returns when the
-// context ends, or when the next changes were compacted.
+// watchPrefixFrom watches the changes of a prefix after a revision. It returns when the
+// context ends, or when the key-value store has compacted the next changes.
 func watchPrefixFrom(
 	ctx context.Context, store *kvstore.Client, prefix string, revision uint64, handler watchHandler,
 ) {
@@ -59,7 +60,7 @@
 			return
 		}
 		if err != nil {
-			slog.Debug("watch failed", "prefix", prefix, "err", err)
+			slog.Debug("failed to watch keys", "prefix", prefix, "err", err)
 			transport.Pause(ctx, watchRetryDelay)
 			continue
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,6 +1,6 @@
-// Package controller is one node of the control plane. It keeps this node's lease in the
-// key-value store, claims partitions and leadership under it, and runs what it has claimed:
-// the scheduling of its partitions' jobs, and the sizing of the fleet.
+// Package controller implements a node of the control plane. A controller keeps a lease in the
+// key-value store and claims partitions and leadership under it. It schedules the jobs of the
+// partitions that it owns and, as the leader, sizes the fleet.
 package controller
 
 import (
@@ -21,47 +21,48 @@
 	"ambersill/internal/wire"
 )
 
-// Controller is one node.
+// Controller is one node of the control plane.
 type Controller struct {
-	// Settings, which do not change after New.
+	// Settings. They do not change after New.
 	settings       *config.Settings
 	tuning         tuning.Tuning
 	partitionCount int // number of partitions, the same on all nodes
-	// limits are the key-value store's limits that all writes keep to.
+	// limits are the limits of the key-value store that this node keeps to: the lower of the
+	// present and the announced ones.
 	limits config.StateLimits
 	// supportedFeatureLevel is the highest feature level that this node supports.
 	supportedFeatureLevel records.FeatureLevel
 
-	// Clients of other services, each with locks of its own.
+	// Clients of other services. They are safe for concurrent use.
 	net     transport.Net
 	store   *kvstore.Client
 	cloud   *cloud.Client
 	workers *agentclient.Client
 
-	// Other nodes, by name; the maps do not change after New.
+	// Clients of the other nodes, by node name. The maps do not change after New.
 	peers map[string]*peerrpc.Peer
-	// forwarders forward heartbeats, each to one other node.
+	// forwarders forward heartbeats, each to one node.
 	forwarders map[string]*forwarder
 
-	// State with locks of its own.
+	// State that is safe for concurrent use.
 	cluster      *clusterCache
 	finalJobs    *finalJobCache
 	commandSlots *commandSlots
-	// announcementSlots is a semaphore for announcements of cancellations.
+	// announcementSlots is a semaphore that limits concurrent announcements of cancellations.
 	announcementSlots chan struct{}
 
 	// mu guards the fields below. It is never held together with cluster.mu.
 	mu           sync.Mutex
-	machineTypes []wire.MachineType // the cloud's catalog; empty until it is read
+	machineTypes []wire.MachineType // the cloud's catalog; empty until read
 	owned        map[int]*ownedPartition
-	leaseID      uint64    // 0 without a lease
-	leaseExpiry  time.Time // until then the lease surely lasts, even without contact
+	leaseID      uint64    // 0 if there is no lease
+	leaseExpiry  time.Time // the lease lasts at least until then, even without contact
 	leading      bool
-	addresses    map[string]string // by machine, from heartbeats or the cloud's listing
-	visits       map[string]visit  // by machine: workers that are assigned to other nodes
+	addresses    map[string]string // by machine ID, from heartbeats or the cloud's listing
+	visits       map[string]visit  // by machine ID: workers assigned to other nodes
 }
 
-// New returns a controller that has not started yet.
+// New returns a controller. Run starts it.
 func New(settings *config.Settings, tunables tuning.Tuning, network transport.Net) *Controller {
 	limits := settings.WriteLimits()
 	c := &Controller{
@@ -111,8 +112,8 @@
 	})
 }
 
-// createPeerClients makes the clients of the other nodes. Forwarders have a connection of their
-// own each, which no other call can delay.
+// createPeerClients creates the clients of the other nodes. Each forwarder has its own
+// connection, so that other calls cannot delay heartbeats.
 func (c *Controller) createPeerClients() {
 	for _, member := range c.settings.Members {
 		c.peers[member.Node] = &peerrpc.Peer{Member: member, Net: c.net}
@@ -120,19 +121,19 @@
 	}
 }
 
-// backgroundTask is a goroutine that runs for as long as the controller. If it returns an
-// error before, the controller stops.
+// backgroundTask is a function that runs in a goroutine until the controller stops. If it
+// returns an error before that, the controller stops.
 type backgroundTask struct {
-	name string // as logged
+	name string // for the log
 	run  func(context.Context) error
 }
 
-// Run serves until the context ends, or until a background task fails; it returns that
-// task's error.
+// Run starts the background tasks and waits until the context ends or one of them fails. It
+// then releases this node's partitions and lease, and returns the failed task's error, if any.
 func (c *Controller) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	slog.Info("starting", "node", c.settings.Node, "partitions", c.partitionCount,
+	slog.Info("controller starting", "node", c.settings.Node, "partitions", c.partitionCount,
 		"public_sockets", c.publicSockets(), "command_slots", c.commandSlots.limit)
 	var running sync.WaitGroup
 	for _, task := range c.backgroundTasks(ctx) {
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// backgroundTasks returns the tasks in the order in which they are started.
+// backgroundTasks returns the controller's tasks in the order in which they are started.
 func (c *Controller) backgroundTasks(ctx context.Context) []backgroundTask {
 	var tasks []backgroundTask
 	for _, forwarder := range c.forwarders {
@@ -179,8 +180,8 @@
 	return nil
 }
 
-// releaseOwnership stops the scheduling of all partitions and revokes the lease, so that other
-// nodes can take over without waiting for its expiry.
+// releaseOwnership stops the scheduling of all owned partitions and revokes the lease, so that
+// other nodes can take over without waiting for the lease to expire.
 func (c *Controller) releaseOwnership(ctx context.Context) {
 	c.mu.Lock()
 	leaseID := c.leaseID
@@ -191,13 +192,13 @@
 	if leaseID != 0 {
 		ctx, cancel := context.WithTimeout(ctx, tuning.Seconds(c.tuning.StateTimeoutS))
 		defer cancel()
-		// If it fails, the lease expires.
+		// An error needs no handling, because the lease expires.
 		_ = c.store.RevokeLease(ctx, leaseID)
 	}
-	slog.Info("stopped", "node", c.settings.Node)
+	slog.Info("controller stopped", "node", c.settings.Node)
 }
 
-// ownedPartitions lists the partitions that this node owns in order.
+// ownedPartitions returns the partitions that this node owns, in ascending order.
 func (c *Controller) ownedPartitions() []*ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,7 +211,7 @@
 	return all
 }
 
-// ownedPartition returns a partition that this node owns, nil if it does not own it.
+// ownedPartition returns a partition that this node owns, or nil if it does not own it.
 func (c *Controller) ownedPartition(partition int) *ownedPartition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -11,17 +11,18 @@
 	"ambersill/internal/wire"
 )
 
-// featureLevelRaised passes a new feature level on to the owned partitions.
+// featureLevelRaised passes a new feature level on to the owned partitions that are loaded.
 func (c *Controller) featureLevelRaised(level records.FeatureLevel) {
-	slog.Info("feature level", "level", level)
+	slog.Info("feature level raised", "level", level)
 	for _, owned := range c.ownedPartitions() {
 		owned.whenLoaded(func(partition *scheduler.Partition) { partition.SetLevel(level) })
 	}
 }
 
-// raiseFeatureLevel raises the feature level once every configured node is live and supports the
-// higher one. The commit compares the revision of each node's record, so that it fails if
-// one has come back with an older program meanwhile.
+// raiseFeatureLevel raises the cluster's feature level to CurrentFeatureLevel if every
+// configured node is live and supports it. The commit compares the revisions of the nodes'
+// records, so that it fails if a node has been restarted with an older program in the
+// meantime.
 func (l *leader) raiseFeatureLevel(ctx context.Context) {
 	compares, ready := l.controller.cluster.readyForLevel(records.CurrentFeatureLevel, l.controller.configuredNodeNames())
 	if !ready {
@@ -31,12 +32,13 @@
 	level := records.LevelRecord{Level: records.CurrentFeatureLevel}
 	writes := []wire.Write{{Put: records.FeatureLevelKey, Value: level}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("feature level not raised", "err", err)
+		slog.Debug("failed to raise feature level", "err", err)
 	}
 }
 
-// refreshFeatureLevel reads the feature level: a cache that is behind must not make a partition
-// write formats that are too large by now.
+// refreshFeatureLevel reads the feature level from the key-value store into the cluster cache.
+// With an outdated level, a partition could write records in an earlier format that are too
+// large at the current level.
 func (c *Controller) refreshFeatureLevel(ctx context.Context) error {
 	item, err := c.store.Get(ctx, records.FeatureLevelKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -49,15 +51,16 @@
 	return nil
 }
 
-// comparesPerWrite is how many compares of a transaction the key-value store allows for each
-// write that it allows.
+// comparesPerWrite is the ratio between the maximum number of compares in a transaction and
+// the maximum number of writes, as the key-value store limits them.
 const comparesPerWrite = 4
 
-// maxCompares returns how many compares a transaction may have beside the leader's fence. In
-// a cluster of more nodes, the cache alone decides about the rest.
+// maxCompares returns the maximum number of compares in a transaction besides the leader's
+// fence. In a cluster with more nodes than that, the remaining nodes' records are checked in
+// the cache only.
 func (l *leader) maxCompares() int { return comparesPerWrite*l.controller.limits.TxnOps - 1 }
 
-// configuredNodeNames returns the names of all configured nodes.
+// configuredNodeNames returns the names of this node and of all other members in the settings.
 func (c *Controller) configuredNodeNames() []string {
 	names := []string{c.settings.Node}
 	for _, member := range c.settings.Members {
@@ -66,8 +69,9 @@
 	return names
 }
 
-// readyForLevel reports whether the feature level is below the given one and all nodes named are
-// live and support it, and returns the compares under which that still holds.
+// readyForLevel reports whether the cluster's feature level is below the given level and all
+// named nodes are live and support the given level. The returned compares fail if the record
+// of a node has changed since.
 func (c *clusterCache) readyForLevel(level records.FeatureLevel, names []string) ([]wire.Compare, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +89,8 @@
 	return compares, true
 }
 
-// divideOversizedGroup divides one group of machines that exceeds the size limit, so that all are
-// small before one has to change.
+// divideOversizedGroup splits one machine group that exceeds the size limit. It is called
+// regularly, so that the groups are small before one of their machines changes.
 func (l *leader) divideOversizedGroup(ctx context.Context) {
 	machines := l.controller.cluster.machinesOfOversizedGroups(l.controller.maxGroupBytes())
 	if len(machines) == 0 {
@@ -97,9 +101,9 @@
 	if !ok {
 		return
 	}
-	// Rewriting any of its machines, if unchanged, divides the group.
+	// Writing any machine's record, even unchanged, splits the group.
 	changes := map[string]*records.MachineRecord{id: &entry.record}
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("group of machines not divided", "err", err)
+		slog.Debug("failed to split oversized machine group", "err", err)
 	}
 }
--- a/internal/controller/fenced_commit.go
+++ b/internal/controller/fenced_commit.go
@@ -7,8 +7,9 @@
 	"ambersill/internal/wire"
 )
 
-// commitFenced commits a transaction under the fence of the leader or of a partition's owner,
-// and applies it to the cluster cache at once, so that the next decision is based on it.
+// commitFenced commits a transaction on the condition of a fence, that of the leader or of a
+// partition's owner. It applies the writes to the cluster cache without waiting for the watch,
+// so that the next decision takes them into account.
 func (c *Controller) commitFenced(
 	ctx context.Context, fence wire.Compare, compares []wire.Compare, writes []wire.Write,
 ) error {
@@ -30,8 +31,8 @@
 	return nil
 }
 
-// encodeWrites returns the changes of keys that writes make, in their order and still
-// without a revision.
+// encodeWrites returns the changes of keys that writes make, in the order of the writes. Their
+// revision is not set.
 func encodeWrites(writes []wire.Write) ([]keyChange, error) {
 	changes := make([]keyChange, 0, len(writes))
 	for _, write := range writes {
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -9,14 +9,16 @@
 	"ambersill/internal/tuning"
 )
 
-// fencingRetryInterval is the wait between two rounds over the machines that have not shown the
-// owner's fencing token yet: a small fraction of a lease, since a machine may need several.
+// fencingRetryInterval is the pause between two attempts to fence the machines that have not
+// acknowledged the owner's fencing token yet. It is a small fraction of the workers' lease,
+// since a machine may need several attempts.
 const fencingRetryInterval = 200 * time.Millisecond
 
-// fenceMachines raises the fencing token of every machine with work of a former owner, and
-// repeats this until all have shown it. Waiting for their next heartbeats is not enough:
-// workers that send them to a former owner, which is partitioned away and does not know that
-// it was replaced, cannot learn of this owner in any other way.
+// fenceMachines raises the fencing token of every machine with tasks of a former owner, and
+// repeats this until all machines have acknowledged the token. Waiting for their next
+// heartbeats is not enough: a worker may send its heartbeats to a former owner that is cut
+// off by a network partition and does not know that it was replaced. Such a worker learns of
+// the new owner only by this request.
 func (o *ownedPartition) fenceMachines(ctx context.Context) {
 	var lookup addressLookup
 	for ctx.Err() == nil {
@@ -34,15 +36,16 @@
 	}
 }
 
-// addressLookup reads the machines' addresses from the cloud's list, once with success: a
-// new owner may know none, and learns later ones from heartbeats.
+// addressLookup reads the machines' addresses from the cloud's listing until it has succeeded
+// once. A new owner may know no addresses; it learns those of later machines from heartbeats.
 type addressLookup struct {
 	succeeded bool
-	// notBefore is when the next attempt may be made.
+	// notBefore is the earliest time of the next attempt.
 	notBefore time.Time
 }
 
-// run reads the list, unless that has succeeded or the last attempt was just made.
+// run reads the listing, unless an earlier attempt has succeeded or the latest one was made
+// less than a heartbeat interval ago.
 func (l *addressLookup) run(ctx context.Context, c *Controller) {
 	now := time.Now()
 	if l.succeeded || !now.After(l.notBefore) {
@@ -56,8 +59,9 @@
 	l.notBefore = now.Add(tuning.Seconds(c.settings.Cluster.Workers.ReportS))
 }
 
-// fenceMachine raises one machine's fencing token, and reports whether the worker has
-// executed the request. The response is reconciled like a heartbeat.
+// fenceMachine sends the current fencing token to the worker of one machine, and reports
+// whether the worker has executed the request. The response contains the state of the
+// machine's tasks and is handled like a heartbeat.
 func (o *ownedPartition) fenceMachine(ctx context.Context, id, address string) (executed bool) {
 	o.mu.Lock()
 	request, ok := o.partition.FencingRequest(id)
@@ -65,12 +69,13 @@
 	if !ok {
 		return false
 	}
-	// A machine that is up answers in milliseconds; others must not occupy slots for long.
+	// A machine that is up answers within milliseconds. One that is down must not occupy a
+	// command slot for long.
 	ctx, cancel := context.WithTimeout(ctx, tuning.TakeoverTimeout)
 	defer cancel()
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
-		slog.Debug("machine not fenced yet", "machine", id, "err", err)
+		slog.Debug("failed to raise fencing token of machine; will retry", "machine", id, "err", err)
 		return executed
 	}
 	o.mu.Lock()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,17 +15,19 @@
 )
 
 const (
-	// leadershipPollInterval is the time between two checks whether leadership is free: a
-	// failover may take that much longer.
+	// leadershipPollInterval is the time between two checks of whether another node leads. It
+	// adds up to one interval to the duration of a failover.
 	leadershipPollInterval = 300 * time.Millisecond
-	// leaderStepInterval is the time between two steps of the leader; rentals wait that much
-	// longer at most.
+	// leaderStepInterval is the pause between two steps of the leader. It delays a rental by
+	// up to one interval.
 	leaderStepInterval = 250 * time.Millisecond
-	// cachePollInterval is the time between two checks whether the cache has caught up.
+	// cachePollInterval is the time between two checks of whether the cluster cache has
+	// caught up with a new term.
 	cachePollInterval = 50 * time.Millisecond
 )
 
-// runLeadership claims leadership when it is free, and leads while this node holds it.
+// runLeadership repeatedly tries to become the leader, and leads while this node is. It
+// returns when the context ends.
 func (c *Controller) runLeadership(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.claimAndLead(ctx)
@@ -34,7 +36,8 @@
 	return nil
 }
 
-// claimAndLead claims leadership unless another node has it, and returns when it is lost.
+// claimAndLead claims leadership unless another node holds it. If the claim succeeds, it
+// leads until leadership is lost or the context ends.
 func (c *Controller) claimAndLead(ctx context.Context) {
 	current, loaded := c.cluster.leadership()
 	leaseID := c.currentLease()
@@ -44,12 +47,12 @@
 	}
 	var expected uint64
 	if current.node != "" {
-		// The key is from an earlier process of this node, which has surely ended.
+		// An earlier process of this node, which must have ended by now, wrote the key.
 		expected = current.revision
 	}
 	revision, err := c.claimKey(ctx, records.LeaderKey, expected, leaseID)
 	if err != nil {
-		slog.Debug("leadership not claimed", "err", err)
+		slog.Debug("failed to claim leadership", "err", err)
 		return
 	}
 	c.cluster.setLeader(ownership{node: c.settings.Node, revision: revision})
@@ -65,8 +68,8 @@
 	c.updateRateShare()
 }
 
-// claimKey writes this node's name under its lease if the key has the given revision, and
-// returns the key's new one.
+// claimKey writes this node's name to the key, attached to the lease, if the key still has
+// the given revision. It returns the key's new revision.
 func (c *Controller) claimKey(ctx context.Context, key string, revision, leaseID uint64) (uint64, error) {
 	revision, err := c.store.Commit(ctx, wire.Txn{
 		Compares: []wire.Compare{{Key: key, Revision: revision}},
@@ -75,7 +78,7 @@
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return revision, err
 	}
-	// The commit may have been executed: the key shows whether it was.
+	// The key shows whether the commit was executed.
 	item, getErr := c.store.Get(ctx, key)
 	if getErr != nil || item.LeaseID != leaseID {
 		return 0, err
@@ -83,24 +86,24 @@
 	return item.Revision, nil
 }
 
-// leader sizes the fleet during one term of leadership. Its fields belong to the goroutine
-// that runs it.
+// leader sizes the fleet during one term of leadership. Its fields are used only by the
+// goroutine that executes run.
 type leader struct {
 	controller *Controller
-	revision   uint64 // of the leader's key: the term, and the fence of all commits
-	leaseID    uint64 // that leadership was claimed under
+	revision   uint64 // revision of the leader's key: identifies the term and fences all commits
+	leaseID    uint64 // the lease under which leadership was claimed
 	autoscaler *autoscaler.Autoscaler
 
-	summaries map[int]records.PartitionSummary // latest, by partition
-	listings  map[string]machineListing        // by machine
+	summaries map[int]records.PartitionSummary // the latest that was read, by partition
+	listings  map[string]machineListing        // by machine ID
 	backoffs  map[autoscaler.Offering]offeringBackoff
-	rentals   map[string]rentalProgress // by the rental's name
+	rentals   map[string]rentalProgress // by rental ID
 
-	nextRentalNumber int // number of the next rental of this term
+	nextRentalNumber int // sequence number within this term
 	lastListing      time.Time
 	lastSummaries    time.Time
 	lastSizing       time.Time
-	sizingRequested  bool // without waiting for the next regular sizing
+	sizingRequested  bool // size the fleet in the next step, before RoundS has passed
 }
 
 func newLeader(c *Controller, revision, leaseID uint64) *leader {
@@ -116,48 +119,50 @@
 	}
 }
 
-// isLeader reports whether the leader's key still shows this term.
+// isLeader reports whether this term still lasts, according to the cached leader's key and
+// the node's current lease.
 func (l *leader) isLeader() bool {
 	current, _ := l.controller.cluster.leadership()
 	return current.revision == l.revision && l.controller.currentLease() == l.leaseID
 }
 
-// mayCallCloud reports whether no other node can lead by now. Calls to the cloud have no
-// fence: a leader that was partitioned away, and whose cache has not caught up yet, would
-// return what its successor has rented meanwhile.
+// mayCallCloud reports whether this node leads and its lease cannot have expired, so that no
+// other node can be the leader. Calls to the cloud cannot be fenced: a leader that comes back
+// from a network partition, with a cache that does not show its successor yet, would return
+// the machines that the successor has rented.
 func (l *leader) mayCallCloud() bool { return l.isLeader() && l.controller.leaseHeld(l.leaseID) }
 
-// cacheCaughtUp reports whether the cache holds all that was written before this term.
+// cacheCaughtUp reports whether the cluster cache contains all writes from before this term.
 func (l *leader) cacheCaughtUp() bool {
 	return l.controller.cluster.caughtUpTo(l.revision)
 }
 
-// run leads until leadership is lost or the context ends.
+// run executes the steps of the leader until leadership is lost or the context ends.
 func (l *leader) run(ctx context.Context) {
-	slog.Info("leading", "revision", l.revision)
+	slog.Info("became leader", "revision", l.revision)
 	l.waitForCache(ctx)
 	for ctx.Err() == nil && l.isLeader() {
-		// A leader without contact may have a successor: its calls would use up the
-		// successor's rate limit at the cloud, and return machines that the successor
-		// needs.
+		// A leader without contact to the key-value store may have a successor. Its calls
+		// would use up the successor's rate limit at the cloud, and return machines that the
+		// successor needs.
 		if l.controller.checkContact() == nil && l.mayCallCloud() {
 			l.step(ctx, time.Now())
 		}
 		transport.Pause(ctx, leaderStepInterval)
 	}
-	slog.Info("no longer leading", "revision", l.revision)
+	slog.Info("stopped leading", "revision", l.revision)
 }
 
-// waitForCache waits until the cache holds what earlier leaders have written. Otherwise their
-// machines would be adopted once more.
+// waitForCache waits until the cluster cache contains the writes of earlier leaders. With an
+// older cache, this leader would adopt machines that earlier leaders have already recorded.
 func (l *leader) waitForCache(ctx context.Context) {
 	for ctx.Err() == nil && l.isLeader() && !l.cacheCaughtUp() {
 		transport.Pause(ctx, cachePollInterval)
 	}
 }
 
-// step lists the machines, reads the summaries and sizes the fleet, each when it is due, and
-// calls the cloud for the recorded rentals.
+// step lists the cloud's machines, reads the partitions' summaries and sizes the fleet, each
+// at its own interval, and calls the cloud for the recorded rentals.
 func (l *leader) step(ctx context.Context, now time.Time) {
 	tunables := l.controller.tuning
 	if now.Sub(l.lastListing) >= tuning.Seconds(tunables.ListS) {
@@ -168,7 +173,8 @@
 	if now.Sub(l.lastSummaries) >= tuning.Seconds(tunables.SummaryS) {
 		l.lastSummaries = now
 		l.readSummaries(ctx)
-		// Returns depend on summaries and listings only, and check every machine.
+		// Which machines are returned depends on summaries and listings only, and each
+		// check examines all machines, so it need not run more often.
 		l.returnMachines(ctx)
 		l.raiseFeatureLevel(ctx)
 		l.divideOversizedGroup(ctx)
@@ -180,11 +186,12 @@
 	}
 }
 
+// fence returns the condition that this node is still the leader in the same term.
 func (l *leader) fence() wire.Compare {
 	return wire.Compare{Key: records.LeaderKey, Revision: l.revision}
 }
 
-// commit commits a transaction fenced by the leader's key.
+// commit commits a transaction on the condition that this term still lasts.
 func (l *leader) commit(ctx context.Context, compares []wire.Compare, writes []wire.Write) error {
 	return l.controller.commitFenced(ctx, l.fence(), compares, writes)
 }
--- a/internal/controller/leader_lease_test.go
+++ b/internal/controller/leader_lease_test.go
@@ -8,10 +8,10 @@
 	"ambersill/internal/tuning"
 )
 
-// Calls to the cloud have no fencing token. A leader that was cut off for a while and has
-// regained contact, but whose cache does not show its successor yet, once returned the 100
-// machines that the successor had rented meanwhile: it may act only while its own lease
-// surely lasts.
+// A leader may call the cloud only while its lease cannot have expired, since calls to the
+// cloud carry no fencing token. Guards against a leader that regains contact after a network
+// partition, with a cache that does not show its successor yet: such a leader returned the 100
+// machines that its successor had rented.
 func TestLeaderCallsCloudOnlyUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := isolatedController()
@@ -19,19 +19,19 @@
 		c.setLease(1, time.Now())
 		l := newLeader(c, 5, 1)
 		if !l.mayCallCloud() {
-			t.Fatal("a leader does not act under its lease")
+			t.Fatal("mayCallCloud = false under a valid lease, want true")
 		}
 		time.Sleep(tuning.Seconds(c.tuning.HoldS))
 		if l.mayCallCloud() {
-			t.Error("acts although its lease may have expired")
+			t.Error("mayCallCloud = true although the lease may have expired, want false")
 		}
-		c.setLease(1, time.Now()) // renewed after all, as after an outage
+		c.setLease(1, time.Now()) // the same lease is renewed late, as after an outage
 		if !l.mayCallCloud() {
-			t.Error("does not act under its renewed lease")
+			t.Error("mayCallCloud = false after the lease was renewed, want true")
 		}
 		c.setLease(2, time.Now())
 		if l.mayCallCloud() || l.isLeader() {
-			t.Error("acts under another lease than that of its leadership")
+			t.Error("mayCallCloud or isLeader = true under a lease other than that of the term, want both false")
 		}
 	})
 }
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -11,31 +11,32 @@
 	"ambersill/internal/wire"
 )
 
-// readoptionDelay is how long the cloud's list may go on to show a machine that was
-// returned; it must not be adopted then.
+// readoptionDelay is the time after a machine's return during which it is not adopted, since
+// the cloud's listing may still show it.
 const readoptionDelay = 2 * time.Minute
 
 const millisecondsPerSecond = 1000
 
-// machineListing is what the leader knows of a machine from the cloud's lists.
+// machineListing is what the leader knows about a machine from the cloud's listings.
 type machineListing struct {
-	listed         bool      // in the latest list
-	state          string    // in the latest list; empty if it is not listed
-	everListed     bool      // in any list of this term
-	missedListings int       // lists in a row that lack the machine, which was once listed
-	returnedAt     time.Time // zero unless it was returned shortly before
+	listed         bool      // in the latest listing
+	state          string    // in the latest listing; empty if the machine is not in it
+	everListed     bool      // in any listing of this term
+	missedListings int       // consecutive listings without the machine; 0 if it was never listed
+	returnedAt     time.Time // zero unless it was returned less than readoptionDelay ago
 }
 
-// reconcileListing compares the cloud's list with the records.
+// reconcileListing lists the cloud's machines and compares them with the records: it adopts
+// machines without a record, and returns those that have failed.
 func (l *leader) reconcileListing(ctx context.Context) {
 	list, err := l.controller.cloud.List(ctx)
 	if err != nil {
-		slog.Debug("machines not listed", "err", err)
+		slog.Debug("failed to list the cloud's machines", "err", err)
 		return
 	}
 	l.updateListings(list, time.Now())
 	if l.controller.cluster.hasRentals() {
-		// Machines without a record may be theirs.
+		// Machines without a record may belong to these rentals.
 		return
 	}
 	_, machines := l.controller.cluster.recordedMachines()
@@ -44,7 +45,8 @@
 	}
 }
 
-// returnFailedUnrecorded returns the listed machines that have failed and have no record.
+// returnFailedUnrecorded returns to the cloud the listed machines that have failed and have no
+// record.
 func (l *leader) returnFailedUnrecorded(
 	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
 ) {
@@ -55,8 +57,8 @@
 	}
 }
 
-// updateListings records which machines the cloud lists, and counts how often in a row the
-// others are missing.
+// updateListings updates the listing state and the address of each listed machine, and counts
+// the consecutive listings from which the other machines are missing.
 func (l *leader) updateListings(list []wire.CloudMachine, now time.Time) {
 	l.resetListed(now)
 	for _, machine := range list {
@@ -69,7 +71,8 @@
 	l.countMissedListings()
 }
 
-// resetListed resets what only the latest list shows.
+// resetListed resets the fields that describe the latest listing, and times of return that
+// are older than readoptionDelay.
 func (l *leader) resetListed(now time.Time) {
 	for id, listing := range l.listings {
 		listing.listed, listing.state = false, ""
@@ -80,7 +83,8 @@
 	}
 }
 
-// countMissedListings counts for each recorded machine how many lists in a row lack it.
+// countMissedListings updates, for each recorded machine, the number of consecutive listings
+// that lack it.
 func (l *leader) countMissedListings() {
 	ids, _ := l.controller.cluster.recordedMachines()
 	for _, id := range ids {
@@ -94,10 +98,10 @@
 	}
 }
 
-// adoptMachines records listed machines that have no record: rented by a request that was
-// lost or late, or there from the start. Sizing returns those that are not needed.
-// adoptMachines adds them to the given machines, and returns false if some could not be
-// recorded.
+// adoptMachines records listed machines that have no record. Such machines were rented by a
+// request whose answer was lost or late, or existed before the cluster started. sizeFleet
+// returns those that are not needed. adoptMachines adds the machines to the given map, and
+// returns false if some could not be recorded.
 func (l *leader) adoptMachines(
 	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
 ) bool {
@@ -118,7 +122,7 @@
 		for _, group := range l.divideIntoGroups(offering, ids, adopted) {
 			compare, write := newGroupWrite(group)
 			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
-				slog.Debug("machines not adopted", "err", err)
+				slog.Debug("failed to record adopted machines", "err", err)
 				return false
 			}
 			slog.Info("machines adopted", "count", len(group.Machines))
@@ -127,13 +131,14 @@
 	return true
 }
 
-// isAdoptable reports whether a machine without a record is to be adopted.
+// isAdoptable reports whether a listed machine without a record may be adopted: it has not
+// failed and was not returned recently.
 func (l *leader) isAdoptable(machine wire.CloudMachine) bool {
 	returned := !l.listings[machine.ID].returnedAt.IsZero()
 	return !returned && machine.State != wire.MachineFailed
 }
 
-// adoptedMachineRecord returns the record of a machine that was found in the cloud's list.
+// adoptedMachineRecord returns the record of a machine that was found in the cloud's listing.
 func adoptedMachineRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: machine.MachineType,
@@ -144,13 +149,14 @@
 	}
 }
 
-// machinesPerGroup returns how many machines of an offering one group's record holds.
+// machinesPerGroup returns the number of machines of an offering that fit into the record of
+// one group.
 func (l *leader) machinesPerGroup(offering autoscaler.Offering) int {
 	return records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)
 }
 
-// divideIntoGroups divides new machines of one offering into groups whose records fit a
-// value.
+// divideIntoGroups divides new machines of one offering into groups. The record of each group
+// fits into one value of the key-value store.
 func (l *leader) divideIntoGroups(
 	offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord,
 ) []records.MachineGroupRecord {
@@ -165,8 +171,8 @@
 	return groups
 }
 
-// smallestPartition returns the partition with the fewest machines, so that adopted ones are
-// spread.
+// smallestPartition returns the partition with the fewest machines. Adopted machines are
+// assigned to it, which spreads them evenly.
 func smallestPartition(machines map[string]machineEntry, partitions int) int {
 	counts := make([]int, partitions)
 	for _, entry := range machines {
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -11,13 +11,14 @@
 	"ambersill/internal/wire"
 )
 
-// groupEntry is the cached record of a group of machines.
+// groupEntry is the cached record of a machine group.
 type groupEntry struct {
 	record   records.MachineGroupRecord
 	revision uint64
 }
 
-// groupDiff is the changes of machines that follow from a new state of their group.
+// groupDiff contains the machines whose records change, or that are removed, when the record
+// of their group is replaced.
 type groupDiff struct {
 	changed map[string]machineEntry
 	removed []string
@@ -26,12 +27,12 @@
 // machineChange is a change of a machine's record.
 type machineChange struct {
 	machineID string
-	entry     machineEntry // empty if the machine is gone
+	entry     machineEntry // empty if deleted
 	deleted   bool
 }
 
-// applyGroup applies a change of a group of machines, and returns what notifies the
-// listener; nil if there is nothing to do.
+// applyGroup applies a change of a machine group; c.mu must be held. It returns a function
+// that notifies the listener, or nil if there is nothing to notify it of.
 func (c *clusterCache) applyGroup(name string, change keyChange) (notify func()) {
 	old := c.groups[name]
 	if change.revision < old.revision {
@@ -41,7 +42,7 @@
 	if !change.deleted {
 		var err error
 		if group, err = records.DecodeMachineGroup(name, change.value, change.revision); err != nil {
-			slog.Error("record not understood", "key", change.key, "err", err)
+			slog.Error("failed to decode record", "key", change.key, "err", err)
 			return nil
 		}
 	}
@@ -57,8 +58,8 @@
 	return func() { difference.notify(c.onMachineChange) }
 }
 
-// replaceGroupMachines replaces the machines of a group. A machine that is in another group
-// by now is not removed: its former group was divided.
+// replaceGroupMachines replaces the cached machines of a group; c.mu must be held. It does
+// not remove a machine that another group contains by now, because the group was split.
 func (c *clusterCache) replaceGroupMachines(
 	name string, old, group records.MachineGroupRecord, revision uint64,
 ) groupDiff {
@@ -88,15 +89,17 @@
 	}
 }
 
-// groupChange is a change of a group's record, to be committed as a whole: a group that
-// exceeds the size limit is divided into several.
+// groupChange is the part of a transaction that changes one or more machine groups. The
+// change of a group must be committed as a whole, because it may split the group into several
+// records.
 type groupChange struct {
 	compares []wire.Compare
 	writes   []wire.Write
 }
 
-// groupChanges returns the writes that change machines' records; nil removes one. Groups
-// that are no longer in the cache are left out. No group is larger than the limit.
+// groupChanges returns, for each group concerned, the writes that change the given records of
+// machines; a nil record removes the machine. Machines that are no longer in the cache are
+// ignored. No group that is written is larger than maxBytes.
 func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, maxBytes int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +129,8 @@
 	return changes
 }
 
-// newGroupChange returns the writes that replace one group.
+// newGroupChange returns the writes that replace the record of one group. They delete the
+// record if the group is empty, and split the group if it is larger than maxBytes.
 func newGroupChange(name string, revision uint64, group records.MachineGroupRecord, maxBytes int) groupChange {
 	key := records.MachinePrefix + name
 	change := groupChange{compares: []wire.Compare{{Key: key, Revision: revision}}}
@@ -144,9 +148,10 @@
 	return change
 }
 
-// maxGroupBytes returns the size of the largest group that may be written, in bytes. Programs of
-// the first feature level could take a machine for removed while its group is divided, so
-// that none is divided for being large as long as there may be such programs.
+// maxGroupBytes returns the maximum size of a group's record, in bytes. Programs of the first
+// feature level may conclude that a machine was removed while its group is being split. Until
+// the cluster's feature level is higher, the limit is therefore the key-value store's present
+// one, and groups are not split to keep to a lower limit that is announced for the future.
 func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
@@ -154,13 +159,14 @@
 	return records.ValueBytes(c.limits.ValueKB)
 }
 
-// groupsPerTxn returns how many groups of up to the given number of bytes may be written in
-// one transaction without making it too large; one may always be written.
+// groupsPerTxn returns the number of groups, each of up to the given number of bytes, that may
+// be written in one transaction without exceeding tuning.TxnBytes. It is at least 1.
 func groupsPerTxn(groupBytes int) int { return max(1, tuning.TxnBytes/groupBytes) }
 
-// sortEvents sorts events so that they can be applied one after the other: by revision, and
-// the pieces of a divided group, whose names are higher, before the rest of it. Otherwise
-// the machines of the pieces would be missing in between, and be taken for removed.
+// sortEvents returns the events in the order in which they can be applied one by one: by
+// ascending revision, then by descending key. When a group is split, the new groups have
+// higher names than the rest of it, which keeps its name. If the rest were applied first, the
+// machines of the new groups would be missing in between and count as removed.
 func sortEvents(events []wire.Event) []wire.Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b wire.Event) int {
@@ -169,19 +175,20 @@
 	return sorted
 }
 
-// newGroupWrite returns the write of a new group, which is named after its first machine, and the
-// compare that no group has that name.
+// newGroupWrite returns the write that creates a group, named after its lowest machine ID, and
+// the compare that no group of that name exists.
 func newGroupWrite(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
 	key := records.MachinePrefix + lowestMachineID(group)
 	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: group}
 }
 
-// lowestMachineID returns the lowest ID of a group's machines.
+// lowestMachineID returns the lowest ID of the machines in a group, which must not be empty.
 func lowestMachineID(group records.MachineGroupRecord) string {
 	return slices.Min(slices.Collect(maps.Keys(group.Machines)))
 }
 
-// machinesOfOversizedGroups returns the first machine of each group that exceeds the limit.
+// machinesOfOversizedGroups returns the lowest machine ID of each group whose size may exceed
+// maxBytes, in the order of the groups' names.
 func (c *clusterCache) machinesOfOversizedGroups(maxBytes int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -8,8 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// groupEvents returns the events of one commit that divides a group of machines, in the
-// order of their keys.
+// groupEvents returns the events of one commit that writes the given machine groups, in the
+// order of the groups.
 func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
 	for _, group := range pieces {
@@ -19,9 +19,10 @@
 	return events
 }
 
-// A group that is divided loses none of its machines, not for a moment either: a machine
-// without a record counts as returned, and its tasks would be started elsewhere while they
-// still run. Neither a watch nor a listing need deliver the pieces first.
+// While the split of a group is applied to the cache, none of its machines may be missing,
+// not even for a moment: a machine without a record counts as returned, and its tasks would be
+// started elsewhere while they still run. Neither a watch nor a listing need deliver the new
+// groups first.
 func TestDividingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
@@ -30,11 +31,11 @@
 	const limit = 2 << 10 // bytes
 	pieces := whole.Split(limit)
 	if len(pieces) < 3 {
-		t.Fatalf("%d pieces", len(pieces))
+		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
 	for i, piece := range pieces {
 		if piece.SizeBound() > limit {
-			t.Errorf("piece %d has %d bytes", i, piece.SizeBound())
+			t.Errorf("piece %d has up to %d bytes, want at most the limit of 2 KiB", i, piece.SizeBound())
 		}
 	}
 	divided := groupEvents(pieces, 8)
@@ -58,12 +59,12 @@
 		}
 		c.onMachineChange = func(change machineChange) {
 			if change.deleted {
-				t.Errorf("%s: %s is gone", name, change.machineID)
+				t.Errorf("%s: machine %s was removed while its group was split", name, change.machineID)
 			}
 		}
 		applyPieces(c)
 		if len(c.machines) != len(whole.Machines) {
-			t.Errorf("%s: %d machines", name, len(c.machines))
+			t.Errorf("%s: cache has %d machines after the split, want all 40", name, len(c.machines))
 		}
 	}
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -8,8 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// updateMachineRecords releases the empty machines that the leader wants back or moved, and
-// raises the fencing tokens of machines with a command of unknown outcome, after which that
+// updateMachineRecords releases the empty machines that the leader wants returned or moved. It
+// also raises the fencing tokens of machines with a command of unknown outcome, so that the
 // command can no longer be executed.
 func (o *ownedPartition) updateMachineRecords(ctx context.Context) {
 	changes := o.machineRecordChanges()
@@ -17,7 +17,7 @@
 		record.FencingToken = o.nextFencingToken(id)
 	}
 	if err := o.controller.commitMachineRecords(ctx, o.fence(), changes); err != nil {
-		slog.Debug("machines' records not rewritten", "partition", o.index, "err", err)
+		slog.Debug("failed to update machine records", "partition", o.index, "err", err)
 	}
 }
 
@@ -26,7 +26,8 @@
 	return wire.Compare{Key: records.PartitionKey(o.index), Revision: o.revision}
 }
 
-// machineRecordChanges returns the machines' records to be rewritten, by machine.
+// machineRecordChanges returns the records that updateMachineRecords has to write, by machine
+// ID.
 func (o *ownedPartition) machineRecordChanges() map[string]*records.MachineRecord {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,16 +44,17 @@
 	return changes
 }
 
-// nextFencingToken returns a token for a machine that is above all that was committed
-// before, and no higher than the revision of the commit that writes it, so that any later
-// claim of the partition is above it.
+// nextFencingToken returns a fencing token for a machine. It is higher than all revisions that
+// this node knows of, and no higher than the revision of the commit that writes it. A later
+// claim of the partition therefore has a higher revision than the token.
 func (o *ownedPartition) nextFencingToken(machine string) uint64 {
 	entry, _ := o.controller.cluster.machine(machine)
 	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
 }
 
-// commitMachineRecords changes machines' records, in as many transactions as necessary, under the
-// fence of the partition's owner or of the leader; a nil record removes the machine.
+// commitMachineRecords changes machines' records, in as many transactions as their limits
+// require. Each is committed on the condition of the given fence, that of the leader or of a
+// partition's owner. A nil record removes the machine.
 func (c *Controller) commitMachineRecords(
 	ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord,
 ) error {
@@ -72,7 +74,7 @@
 	return c.commitGroupChange(ctx, fence, batch)
 }
 
-// commitGroupChange commits a change of groups of machines, if there is any.
+// commitGroupChange commits a change of machine groups unless it is empty.
 func (c *Controller) commitGroupChange(ctx context.Context, fence wire.Compare, change groupChange) error {
 	if len(change.writes) == 0 {
 		return nil
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -12,30 +12,31 @@
 	"ambersill/internal/wire"
 )
 
-// missedListingsUntilGone is how many lists in a row must lack a machine before it counts as
-// gone, beside those that may be out of date.
+// missedListingsUntilGone is the number of consecutive listings that must lack a machine
+// before the cloud counts as having taken it back. newReturnCheck adds the number of listings
+// that may be outdated.
 const missedListingsUntilGone = 3
 
-// returnReason is why a machine is returned, as the log shows it.
+// returnReason is the reason for returning a machine, as it is logged.
 type returnReason string
 
 const (
 	returnNone      returnReason = ""
-	returnReleased  returnReason = "released"         // its partition's owner has released it
-	returnFailed    returnReason = "failed"           // the cloud says so
-	returnNotListed returnReason = "no longer listed" // taken by the cloud
-	returnUnhealthy returnReason = "faulty or silent" // by its partition's owner
-	returnNotBooted returnReason = "did not come up"  // within a multiple of its boot time
+	returnReleased  returnReason = "released"         // released by its partition's owner
+	returnFailed    returnReason = "failed"           // listed by the cloud as failed
+	returnNotListed returnReason = "no longer listed" // taken back by the cloud
+	returnUnhealthy returnReason = "faulty or silent" // according to its partition's owner
+	returnNotBooted returnReason = "did not come up"  // within BootPatience times its boot time
 )
 
-// machineReturn is a machine to be returned.
+// machineReturn is a machine to be returned to the cloud.
 type machineReturn struct {
 	id     string
 	reason returnReason
 }
 
-// returnMachines returns machines that their owners have released, that are lost, or that
-// never came up.
+// returnMachines returns to the cloud, in one request, the machines for which
+// returnCheck.reason gives a reason, up to the limit of a request.
 func (l *leader) returnMachines(ctx context.Context) {
 	ids, machines := l.controller.cluster.recordedMachines()
 	check := l.newReturnCheck(time.Now())
@@ -53,15 +54,15 @@
 	}
 }
 
-// returnCheck decides which machines are to be returned.
+// returnCheck contains what the decision to return a machine depends on.
 type returnCheck struct {
 	now               time.Time
 	listings          map[string]machineListing
 	digests           map[string]records.MachineDigest
-	bootS             map[string]float64 // seconds, by machine type
-	bootPatience      float64            // multiple of the boot time until a machine has to be up
-	listLagS          float64            // seconds by which the cloud's list may be out of date
-	goneAfterListings int                // lists in a row without a machine
+	bootS             map[string]float64 // boot time in seconds, by machine type
+	bootPatience      float64            // multiple of the boot time after which a machine must be up
+	listLagS          float64            // maximum age of the cloud's listing, in seconds
+	goneAfterListings int                // consecutive listings without a machine that is gone
 }
 
 func (l *leader) newReturnCheck(now time.Time) returnCheck {
@@ -74,8 +75,9 @@
 		bootS:        map[string]float64{},
 		bootPatience: tunables.BootPatience,
 		listLagS:     listLagS,
-		// A list may be older than the one before by as much as it lags, so that a
-		// machine can be missing from some although it is there.
+		// Each listing may be outdated by up to ListLagS, and may even be older than the
+		// previous one. A machine that exists can therefore be missing from all listings
+		// within that time.
 		goneAfterListings: missedListingsUntilGone + int(listLagS/tunables.ListS),
 	}
 	for _, machineType := range l.controller.catalog() {
@@ -84,7 +86,8 @@
 	return check
 }
 
-// reason returns why a machine is to be returned; returnNone if it stays.
+// reason returns the reason for which a machine must be returned, or returnNone if there is
+// none.
 func (c *returnCheck) reason(id string, record records.MachineRecord) returnReason {
 	listing, digest := c.listings[id], c.digests[id]
 	switch {
@@ -102,14 +105,15 @@
 	return returnNone
 }
 
-// bootOverdue reports whether a machine would have to be up, and listed as such, by now.
+// bootOverdue reports whether a machine was created so long ago that it should be up, and
+// listed as running.
 func (c *returnCheck) bootOverdue(record records.MachineRecord) bool {
 	age := c.now.Sub(time.UnixMilli(record.CreatedAtMS))
 	return age > tuning.Seconds(c.bootPatience*c.bootS[record.MachineType]+c.listLagS)
 }
 
-// returnToCloud returns machines. Their records are deleted only once the cloud has
-// answered: by then the machines are gone, and no task can still run on them.
+// returnToCloud returns machines. It deletes their records only after the cloud has answered,
+// because only then is it certain that no task still runs on them.
 func (l *leader) returnToCloud(ctx context.Context, returns []machineReturn) {
 	if !l.mayCallCloud() {
 		return
@@ -119,7 +123,7 @@
 		ids = append(ids, machine.id)
 	}
 	if err := l.controller.cloud.Return(ctx, ids); err != nil {
-		slog.Debug("machines not returned", "machines", ids, "err", err)
+		slog.Debug("failed to return machines to the cloud", "machines", ids, "err", err)
 		return
 	}
 	logReturns(returns)
@@ -134,23 +138,23 @@
 		listing.returnedAt = time.Now()
 		l.listings[id] = listing
 		if entry, ok := l.controller.cluster.machine(id); ok {
-			// The cloud has capacity for another one of its kind now.
+			// The returned machine is capacity that the cloud can rent out again.
 			delete(l.backoffs, offeringOfMachine(entry.record))
 			changes[id] = nil
 		}
 	}
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("records of returned machines not deleted", "err", err)
+		slog.Debug("failed to delete records of returned machines", "err", err)
 	}
 }
 
-// logReturns writes one line for each reason.
+// logReturns logs one line for each reason, with the IDs of the machines.
 func logReturns(returns []machineReturn) {
 	byReason := map[returnReason][]string{}
 	for _, machine := range returns {
 		byReason[machine.reason] = append(byReason[machine.reason], machine.id)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(byReason)) {
-		slog.Info("returned", "machines", byReason[reason], "why", string(reason))
+		slog.Info("machines returned", "machines", byReason[reason], "why", string(reason))
 	}
 }
--- a/internal/controller/machine_return_test.go
+++ b/internal/controller/machine_return_test.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/wire"
 )
 
-// Each reason for a machine's return, and what is just short of it.
+// Each reason for returning a machine applies, and does not apply just below its threshold.
 func TestReturnReasons(t *testing.T) {
 	const id = "m-1"
 	now := time.Unix(1000, 0)
@@ -44,7 +44,7 @@
 				goneAfterListings: 5,
 			}
 			if got := check.reason(id, test.record); got != test.want {
-				t.Errorf("reason %q, want %q", got, test.want)
+				t.Errorf("reason = %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/offering_backoff.go
+++ b/internal/controller/offering_backoff.go
@@ -7,15 +7,17 @@
 	"ambersill/internal/tuning"
 )
 
-// offeringBackoff is how long an offering that the cloud has refused is not rented.
+// offeringBackoff is the back-off of an offering for which the cloud had no capacity. The
+// offering is not rented until the back-off ends.
 type offeringBackoff struct {
 	until  time.Time
-	delayS float64 // of the latest wait, which the next refusal doubles
+	delayS float64 // latest duration in seconds; the next refusal doubles it
 }
 
 func (b offeringBackoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// backOffOffering records that the cloud has no more machines of an offering for now.
+// backOffOffering starts or prolongs the back-off of an offering after the cloud has run out
+// of its machines.
 func (l *leader) backOffOffering(offering autoscaler.Offering) {
 	tunables := l.controller.tuning
 	backoff := l.backoffs[offering]
@@ -26,11 +28,12 @@
 	}
 	backoff.until = time.Now().Add(tuning.Seconds(backoff.delayS))
 	l.backoffs[offering] = backoff
-	// The work need not wait: the next best offering may be had at once.
+	// Size the fleet again at once, since another offering may be available for the
+	// waiting tasks.
 	l.sizingRequested = true
 }
 
-// unavailableOfferings returns the offerings that are not to be rented now.
+// unavailableOfferings returns the offerings whose back-off has not ended.
 func (l *leader) unavailableOfferings(now time.Time) map[autoscaler.Offering]bool {
 	unavailable := map[autoscaler.Offering]bool{}
 	for offering, backoff := range l.backoffs {
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -17,16 +17,17 @@
 	"ambersill/internal/wire"
 )
 
-// rentalRetryDelay is how long an unanswered rental waits before the cloud is asked again.
+// rentalRetryDelay is the least time between two calls of the cloud for the same rental.
 const rentalRetryDelay = 2 * time.Second
 
-// rentalProgress is what this term's leader knows of a recorded rental.
+// rentalProgress is the state of a recorded rental that this term's leader keeps in memory.
 type rentalProgress struct {
-	lastCall         time.Time // of calling the cloud; zero if this leader has not called
+	lastCall         time.Time // latest call of the cloud; zero if this leader has made none
 	recordedThisTerm bool
 }
 
-// recordedRental is a rental whose record exists, since the cloud has not answered it.
+// recordedRental is a rental that is recorded in the key-value store. The record exists until
+// the cloud has answered the rental and its machines are recorded.
 type recordedRental struct {
 	id string
 	rentalEntry
@@ -36,8 +37,9 @@
 
 func (r recordedRental) offering() autoscaler.Offering { return offeringOfRental(r.record) }
 
-// compare orders rentals by when they were recorded, which is the order of need. The names of
-// one term differ in a number, so that shorter ones come first.
+// compare orders rentals by the time at which they were recorded, which is the order in which
+// they are needed. IDs of one term differ in their sequence number only, so a shorter ID has
+// the lower number and comes first.
 func (r recordedRental) compare(other recordedRental) int {
 	return cmp.Or(
 		cmp.Compare(r.record.RecordedAtMS, other.record.RecordedAtMS),
@@ -46,16 +48,16 @@
 	)
 }
 
-// maxMachinesPerRental returns how many machines one rental may have: their groups are recorded
-// in one transaction, which deletes the rental's record as well.
+// maxMachinesPerRental returns the maximum number of machines of an offering in one rental.
+// Their groups must fit into one transaction that also deletes the rental's record.
 func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
 	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
 }
 
-// recordRentals records rentals, divided into as many as the cloud and the key-value store
-// allow for.
+// recordRentals records rentals. It splits those that have more machines than
+// maxMachinesPerRental allows.
 func (l *leader) recordRentals(ctx context.Context, rentals []autoscaler.Rental) {
 	for _, rental := range rentals {
 		maxCount := l.maxMachinesPerRental(rental.Offering)
@@ -66,10 +68,10 @@
 }
 
 // recordRental records a rental before the cloud is called, so that a later leader can
-// repeat the call under the same name.
+// repeat the call with the same request ID.
 func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, count int) {
-	// The term's revision makes the id unique, whichever node leads and however late
-	// the commit is executed.
+	// The revision of the term makes the ID unique across leaders, even if this commit is
+	// executed after another leader has taken over.
 	id := fmt.Sprintf("r-%d-%d", l.revision, l.nextRentalNumber)
 	l.nextRentalNumber++
 	l.rentals[id] = rentalProgress{recordedThisTerm: true}
@@ -85,12 +87,12 @@
 	compares := []wire.Compare{{Key: key, Revision: 0}}
 	writes := []wire.Write{{Put: key, Value: record}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rental not recorded", "request", id, "err", err)
+		slog.Debug("failed to record rental", "request", id, "err", err)
 	}
 }
 
-// executeRentals calls the cloud for each recorded rental, also for those of earlier leaders,
-// and again under the same name until there is an answer.
+// executeRentals calls the cloud for each recorded rental, including those of earlier
+// leaders. Calls are repeated with the same request ID until the cloud answers.
 func (l *leader) executeRentals(ctx context.Context) {
 	for _, rental := range l.controller.cluster.recordedRentals() {
 		last := l.rentals[rental.id].lastCall
@@ -108,8 +110,9 @@
 	}
 }
 
-// isObsolete reports whether the cloud has refused a rental's offering since it was recorded,
-// and has certainly not received the rental: only this leader could have sent it.
+// isObsolete reports whether the cloud has refused a rental's offering since the rental was
+// recorded, and cannot have received the rental: it was recorded in this term, and this
+// leader has not called the cloud for it.
 func (l *leader) isObsolete(rental recordedRental) bool {
 	progress := l.rentals[rental.id]
 	called := !progress.lastCall.IsZero()
@@ -121,13 +124,14 @@
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("obsolete rental not deleted", "request", rental.id, "err", err)
+		slog.Debug("failed to delete record of obsolete rental", "request", rental.id, "err", err)
 		return
 	}
 	delete(l.rentals, rental.id)
 }
 
-// executeRental calls the cloud once, and records the machines in place of the rental.
+// executeRental calls the cloud once for a rental. If the cloud answers, it replaces the
+// rental's record by those of the machines.
 func (l *leader) executeRental(ctx context.Context, rental recordedRental) {
 	progress := l.rentals[rental.id]
 	progress.lastCall = time.Now()
@@ -147,18 +151,19 @@
 }
 
 // handleRentResponse updates the back-off of a rental's offering, and reports whether the
-// cloud has answered. Fewer machines than requested mean that its capacity is exhausted.
+// cloud has answered. If it has rented out fewer machines than requested, the capacity of the
+// offering is exhausted.
 func (l *leader) handleRentResponse(rental recordedRental, ids []string, err error) (answered bool) {
 	offering := rental.offering()
 	switch {
 	case errors.Is(err, cloud.ErrNoCapacity):
 		l.backOffOffering(offering)
-		slog.Info("rental refused", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
+		slog.Info("rental refused: cloud has no capacity", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
 	case err != nil:
-		slog.Debug("rental unanswered", "request", rental.id, "err", err)
+		slog.Debug("rental request failed; will retry", "request", rental.id, "err", err)
 		return false
 	default:
-		slog.Info("rented", "request", rental.id, "type", offering.MachineType, "zone", offering.Zone,
+		slog.Info("machines rented", "request", rental.id, "type", offering.MachineType, "zone", offering.Zone,
 			"spot", offering.Spot, "asked", rental.record.Count, "got", len(ids))
 		if len(ids) < rental.record.Count {
 			l.backOffOffering(offering)
@@ -169,8 +174,8 @@
 	return true
 }
 
-// replaceRentalWithMachines deletes a rental's record, and writes those of its machines that are not
-// known yet.
+// replaceRentalWithMachines deletes a rental's record and, in the same transaction, writes
+// records of the rented machines that have none yet.
 func (l *leader) replaceRentalWithMachines(ctx context.Context, rental recordedRental, machineIDs []string) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
@@ -187,13 +192,13 @@
 		writes = append(writes, write)
 	}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rented machines not recorded", "request", rental.id, "err", err)
+		slog.Debug("failed to record rented machines", "request", rental.id, "err", err)
 		return
 	}
 	delete(l.rentals, rental.id)
 }
 
-// rentedMachineRecord returns the record of a machine that a rental has brought.
+// rentedMachineRecord returns the record of a machine that was rented just now.
 func rentedMachineRecord(rental records.RentalRecord) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: rental.MachineType,
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -22,8 +22,8 @@
 	return autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// needsFirstMachine reports whether tasks wait while there is no machine and no rental, so
-// that sizing the fleet at once spares them the wait for the next regular sizing.
+// needsFirstMachine reports whether tasks wait although there is neither a machine nor a
+// rental. The fleet is then sized at once, rather than after RoundS.
 func (l *leader) needsFirstMachine() bool {
 	if l.controller.cluster.hasMachinesOrRentals() {
 		return false
@@ -36,8 +36,9 @@
 	return false
 }
 
-// sizeFleet sizes the fleet: it records rentals, which executeRentals executes, and the
-// desired states of machines, which the partitions' owners bring about.
+// sizeFleet plans the size of the fleet and records the plan: rentals, which executeRentals
+// requests from the cloud, and desired states of machines, which the owners of their
+// partitions act on.
 func (l *leader) sizeFleet(ctx context.Context) {
 	types := l.controller.catalog()
 	if len(types) == 0 {
@@ -52,25 +53,25 @@
 		Summaries:      l.summaries,
 		Unavailable:    l.unavailableOfferings(now),
 	}, now)
-	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines,
+	slog.Debug("fleet size planned", "target", plan.TargetMachines, "booked", plan.BookedMachines,
 		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns,
 		"machines", len(ids))
 	l.recordRentals(ctx, plan.Rentals)
 	changes := desiredStateChanges(plan, machines)
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("desired states of machines not recorded", "err", err)
+		slog.Debug("failed to record desired states of machines", "err", err)
 	}
 }
 
-// autoscalerMachines returns the recorded machines for the autoscaler.
+// autoscalerMachines returns the recorded machines in the form that the autoscaler takes.
 func (l *leader) autoscalerMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
 	digests := l.machineDigests()
 	sizing := make([]autoscaler.Machine, 0, len(ids))
 	for _, id := range ids {
 		record, digest := machines[id].record, digests[id]
-		// A machine that is up, but has sent no heartbeat since its partition's owner
-		// changed, is partitioned away or hangs. It must not count as still to come, or
-		// no other would be rented instead.
+		// A machine that the cloud lists as running, but that has sent no heartbeat since
+		// its partition's owner changed, is unreachable or hangs. If it counted as booting,
+		// no replacement would be rented.
 		silent := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
 		sizing = append(sizing, autoscaler.Machine{
 			ID:        id,
@@ -84,7 +85,7 @@
 	return sizing
 }
 
-// pendingRentals returns an entry for each machine of the recorded rentals.
+// pendingRentals returns one entry for each machine of the recorded rentals.
 func (l *leader) pendingRentals() []autoscaler.Machine {
 	var pending []autoscaler.Machine
 	for _, rental := range l.controller.cluster.recordedRentals() {
@@ -96,7 +97,8 @@
 	return pending
 }
 
-// desiredStateChanges returns the records of the machines that a plan moves or returns.
+// desiredStateChanges returns the new records of the machines that a plan moves or returns,
+// by machine ID.
 func desiredStateChanges(
 	plan autoscaler.Plan, machines map[string]machineEntry,
 ) map[string]*records.MachineRecord {
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -8,12 +8,12 @@
 	"ambersill/internal/wire"
 )
 
-// readSummaries reads the partitions' summaries. Of those that cannot be read the leader
-// keeps the former one.
+// readSummaries reads the summaries of all partitions. If the summary of a partition cannot be
+// read, the leader keeps the previous one.
 func (l *leader) readSummaries(ctx context.Context) {
 	items, _, err := l.controller.store.List(ctx, records.SummaryPrefix)
 	if err != nil {
-		slog.Debug("summaries not read", "err", err)
+		slog.Debug("failed to read partition summaries", "err", err)
 		return
 	}
 	values := make(map[string]wire.Raw, len(items))
@@ -27,7 +27,8 @@
 	}
 }
 
-// decodeSummary joins the records of a partition's summary, and reports whether it has one.
+// decodeSummary combines the records of a partition's summary. It returns false if the
+// partition has no summary, or if its main record cannot be decoded.
 func decodeSummary(partition int, values map[string]wire.Raw) (records.PartitionSummary, bool) {
 	var summary records.PartitionSummary
 	value, ok := values[records.SummaryKey(partition)]
@@ -36,25 +37,25 @@
 	}
 	summary.MachineDigests = map[string]records.MachineDigest{}
 	for i := range summary.DigestRecords {
-		// All into the same map: no machine is in two records.
+		// All records are decoded into the same map, since no machine is in two of them.
 		key := records.MachineDigestsKey(partition, i)
 		if err := wire.Unmarshal(values[key], &summary.MachineDigests); err != nil {
-			slog.Debug("machine digests not read", "partition", partition, "err", err)
+			slog.Debug("failed to decode machine digests", "partition", partition, "err", err)
 		}
 	}
 	for i := range summary.OverflowRecords {
 		var overflow []records.Demand
 		key := records.WaitingKey(partition, i)
 		if err := wire.Unmarshal(values[key], &overflow); err != nil {
-			slog.Debug("demands not read", "partition", partition, "err", err)
+			slog.Debug("failed to decode waiting demands", "partition", partition, "err", err)
 		}
 		summary.Waiting = append(summary.Waiting, overflow...)
 	}
 	return summary, true
 }
 
-// machineDigests joins the digests of all partitions. While a machine moves, two may have
-// one of it.
+// machineDigests combines the digests of all partitions, by machine ID. While a machine is
+// being moved, two partitions may have a digest of it; their bits are combined.
 func (l *leader) machineDigests() map[string]records.MachineDigest {
 	digests := map[string]records.MachineDigest{}
 	for _, summary := range l.summaries {
