--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -131,9 +131,9 @@
 
 // update runs a function that changes the cache while mu is held, and signals the change. It
 // then releases mu and calls the function that step returned, if any.
-func (c *clusterCache) update(step func() (notify func())) {
+func (c *clusterCache) update(mutate func() (notify func())) {
 	c.mu.Lock()
-	notify := step()
+	notify := mutate()
 	c.signalChange()
 	c.mu.Unlock()
 	if notify != nil {
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -89,9 +89,9 @@
 	return compares, true
 }
 
-// divideOversizedGroup splits one machine group that exceeds the size limit. It is called
+// splitOversizedGroup splits one machine group that exceeds the size limit. It is called
 // regularly, so that the groups are small before one of their machines changes.
-func (l *leader) divideOversizedGroup(ctx context.Context) {
+func (l *leader) splitOversizedGroup(ctx context.Context) {
 	machines := l.controller.cluster.machinesOfOversizedGroups(l.controller.maxGroupBytes())
 	if len(machines) == 0 {
 		return
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -28,7 +28,7 @@
 		if len(ids) == 0 {
 			return
 		}
-		lookup.run(ctx, o.controller)
+		lookup.readAddresses(ctx, o.controller)
 		for _, id := range ids {
 			o.startRequest(ctx, id, o.fenceMachine)
 		}
@@ -44,9 +44,9 @@
 	notBefore time.Time
 }
 
-// run reads the listing, unless an earlier attempt has succeeded or the latest one was made
-// less than a heartbeat interval ago.
-func (l *addressLookup) run(ctx context.Context, c *Controller) {
+// readAddresses reads the listing, unless an earlier attempt has succeeded or the latest one
+// was made less than a heartbeat interval ago.
+func (l *addressLookup) readAddresses(ctx context.Context, c *Controller) {
 	now := time.Now()
 	if l.succeeded || !now.After(l.notBefore) {
 		return
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -177,7 +177,7 @@
 		// check examines all machines, so it need not run more often.
 		l.returnMachines(ctx)
 		l.raiseFeatureLevel(ctx)
-		l.divideOversizedGroup(ctx)
+		l.splitOversizedGroup(ctx)
 	}
 	sizingDue := now.Sub(l.lastSizing) >= tuning.Seconds(tunables.RoundS)
 	if sizingDue || l.sizingRequested || l.needsFirstMachine() {
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -29,28 +29,28 @@
 // reconcileListing lists the cloud's machines and compares them with the records: it adopts
 // machines without a record, and returns those that have failed.
 func (l *leader) reconcileListing(ctx context.Context) {
-	list, err := l.controller.cloud.List(ctx)
+	cloudMachines, err := l.controller.cloud.List(ctx)
 	if err != nil {
 		slog.Debug("failed to list the cloud's machines", "err", err)
 		return
 	}
-	l.updateListings(list, time.Now())
+	l.updateListings(cloudMachines, time.Now())
 	if l.controller.cluster.hasRentals() {
 		// Machines without a record may belong to these rentals.
 		return
 	}
 	_, machines := l.controller.cluster.recordedMachines()
-	if l.adoptMachines(ctx, list, machines) {
-		l.returnFailedUnrecorded(ctx, list, machines)
+	if l.adoptMachines(ctx, cloudMachines, machines) {
+		l.returnFailedUnrecorded(ctx, cloudMachines, machines)
 	}
 }
 
 // returnFailedUnrecorded returns to the cloud the listed machines that have failed and have no
 // record.
 func (l *leader) returnFailedUnrecorded(
-	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+	ctx context.Context, cloudMachines []wire.CloudMachine, machines map[string]machineEntry,
 ) {
-	for _, machine := range list {
+	for _, machine := range cloudMachines {
 		if _, known := machines[machine.ID]; !known && machine.State == wire.MachineFailed {
 			l.returnToCloud(ctx, []machineReturn{{id: machine.ID, reason: returnFailed}})
 		}
@@ -59,9 +59,9 @@
 
 // updateListings updates the listing state and the address of each listed machine, and counts
 // the consecutive listings from which the other machines are missing.
-func (l *leader) updateListings(list []wire.CloudMachine, now time.Time) {
+func (l *leader) updateListings(cloudMachines []wire.CloudMachine, now time.Time) {
 	l.resetListed(now)
-	for _, machine := range list {
+	for _, machine := range cloudMachines {
 		listing := l.listings[machine.ID]
 		listing.listed, listing.everListed = true, true
 		listing.state = machine.State
@@ -103,12 +103,12 @@
 // returns those that are not needed. adoptMachines adds the machines to the given map, and
 // returns false if some could not be recorded.
 func (l *leader) adoptMachines(
-	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+	ctx context.Context, cloudMachines []wire.CloudMachine, machines map[string]machineEntry,
 ) bool {
 	now := time.Now()
 	adopted := map[string]records.MachineRecord{}
 	byOffering := map[autoscaler.Offering][]string{}
-	for _, machine := range list {
+	for _, machine := range cloudMachines {
 		if _, known := machines[machine.ID]; known || !l.isAdoptable(machine) {
 			continue
 		}
@@ -119,7 +119,7 @@
 		byOffering[offering] = append(byOffering[offering], machine.ID)
 	}
 	for offering, ids := range byOffering {
-		for _, group := range l.divideIntoGroups(offering, ids, adopted) {
+		for _, group := range l.splitIntoGroups(offering, ids, adopted) {
 			compare, write := newGroupWrite(group)
 			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
 				slog.Debug("failed to record adopted machines", "err", err)
@@ -155,9 +155,9 @@
 	return records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)
 }
 
-// divideIntoGroups divides new machines of one offering into groups. The record of each group
+// splitIntoGroups divides new machines of one offering into groups. The record of each group
 // fits into one value of the key-value store.
-func (l *leader) divideIntoGroups(
+func (l *leader) splitIntoGroups(
 	offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord,
 ) []records.MachineGroupRecord {
 	var groups []records.MachineGroupRecord
@@ -173,10 +173,10 @@
 
 // smallestPartition returns the partition with the fewest machines. Adopted machines are
 // assigned to it, which spreads them evenly.
-func smallestPartition(machines map[string]machineEntry, partitions int) int {
-	counts := make([]int, partitions)
+func smallestPartition(machines map[string]machineEntry, partitionCount int) int {
+	counts := make([]int, partitionCount)
 	for _, entry := range machines {
-		if entry.record.Partition < partitions {
+		if entry.record.Partition < partitionCount {
 			counts[entry.record.Partition]++
 		}
 	}
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -46,7 +46,7 @@
 			return nil
 		}
 	}
-	difference := c.replaceGroupMachines(name, old.record, group, change.revision)
+	diff := c.replaceGroupMachines(name, old.record, group, change.revision)
 	if change.deleted {
 		delete(c.groups, name)
 	} else {
@@ -55,37 +55,37 @@
 	if c.onMachineChange == nil {
 		return nil
 	}
-	return func() { difference.notify(c.onMachineChange) }
+	return func() { diff.notify(c.onMachineChange) }
 }
 
-// replaceGroupMachines replaces the cached machines of a group; c.mu must be held. It does
-// not remove a machine that another group contains by now, because the group was split.
+// replaceGroupMachines replaces the cached machines of a group; c.mu must be held. A machine
+// that another group contains by now is kept, since it was moved there by a split.
 func (c *clusterCache) replaceGroupMachines(
 	name string, old, group records.MachineGroupRecord, revision uint64,
 ) groupDiff {
-	difference := groupDiff{changed: map[string]machineEntry{}}
+	diff := groupDiff{changed: map[string]machineEntry{}}
 	for id, record := range group.Machines {
 		entry := machineEntry{record: record, group: name, revision: revision}
 		if c.machines[id].record != record {
-			difference.changed[id] = entry
+			diff.changed[id] = entry
 		}
 		c.machines[id] = entry
 	}
 	for id := range old.Machines {
 		if _, ok := group.Machines[id]; !ok && c.machines[id].group == name {
 			delete(c.machines, id)
-			difference.removed = append(difference.removed, id)
+			diff.removed = append(diff.removed, id)
 		}
 	}
-	return difference
+	return diff
 }
 
-func (d groupDiff) notify(onMachine func(change machineChange)) {
+func (d groupDiff) notify(onMachineChange func(change machineChange)) {
 	for id, entry := range d.changed {
-		onMachine(machineChange{machineID: id, entry: entry})
+		onMachineChange(machineChange{machineID: id, entry: entry})
 	}
 	for _, id := range d.removed {
-		onMachine(machineChange{machineID: id, deleted: true})
+		onMachineChange(machineChange{machineID: id, deleted: true})
 	}
 }
 
@@ -104,7 +104,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	groups := map[string]records.MachineGroupRecord{}
-	var order []string
+	var groupNames []string
 	for _, id := range slices.Sorted(maps.Keys(machines)) {
 		entry, ok := c.machines[id]
 		if !ok {
@@ -114,7 +114,7 @@
 		if !ok {
 			group.Machines = maps.Clone(c.groups[entry.group].record.Machines)
 			groups[entry.group] = group
-			order = append(order, entry.group)
+			groupNames = append(groupNames, entry.group)
 		}
 		if record := machines[id]; record != nil {
 			group.Machines[id] = *record
@@ -122,8 +122,8 @@
 			delete(group.Machines, id)
 		}
 	}
-	changes := make([]groupChange, 0, len(order))
-	for _, name := range order {
+	changes := make([]groupChange, 0, len(groupNames))
+	for _, name := range groupNames {
 		changes = append(changes, newGroupChange(name, c.groups[name].revision, groups[name], maxBytes))
 	}
 	return changes
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -23,7 +23,7 @@
 // not even for a moment: a machine without a record counts as returned, and its tasks would be
 // started elsewhere while they still run. Neither a watch nor a listing need deliver the new
 // groups first.
-func TestDividingGroupRemovesNoMachine(t *testing.T) {
+func TestSplittingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
@@ -38,16 +38,16 @@
 			t.Errorf("piece %d has up to %d bytes, want at most the limit of 2 KiB", i, piece.SizeBound())
 		}
 	}
-	divided := groupEvents(pieces, 8)
+	splitEvents := groupEvents(pieces, 8)
 	for name, applyPieces := range map[string]func(c *clusterCache){
 		"watched": func(c *clusterCache) {
-			for _, event := range sortEvents(divided) {
+			for _, event := range sortEvents(splitEvents) {
 				c.applyEvent(event)
 			}
 		},
 		"listed": func(c *clusterCache) {
 			var items []wire.KeyValue
-			for _, event := range divided {
+			for _, event := range splitEvents {
 				items = append(items, wire.KeyValue{Key: event.Put, Value: event.Value, Revision: event.Revision})
 			}
 			c.replaceAll(items, 8)
@@ -59,7 +59,7 @@
 		}
 		c.onMachineChange = func(change machineChange) {
 			if change.deleted {
-				t.Errorf("%s: machine %s was removed while its group was split", name, change.machineID)
+				t.Errorf("%s: machine %s was removed while its group was split, want it kept", name, change.machineID)
 			}
 		}
 		applyPieces(c)
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -186,7 +186,7 @@
 		}
 	}
 	machineIDs = slices.Sorted(maps.Keys(machines))
-	for _, group := range l.divideIntoGroups(rental.offering(), machineIDs, machines) {
+	for _, group := range l.splitIntoGroups(rental.offering(), machineIDs, machines) {
 		compare, write := newGroupWrite(group)
 		compares = append(compares, compare)
 		writes = append(writes, write)
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -66,14 +66,14 @@
 // autoscalerMachines returns the recorded machines in the form that the autoscaler takes.
 func (l *leader) autoscalerMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
 	digests := l.machineDigests()
-	sizing := make([]autoscaler.Machine, 0, len(ids))
+	result := make([]autoscaler.Machine, 0, len(ids))
 	for _, id := range ids {
 		record, digest := machines[id].record, digests[id]
 		// A machine that the cloud lists as running, but that has sent no heartbeat since
 		// its partition's owner changed, is unreachable or hangs. If it counted as booting,
 		// no replacement would be rented.
 		silent := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
-		sizing = append(sizing, autoscaler.Machine{
+		result = append(result, autoscaler.Machine{
 			ID:        id,
 			Offering:  offeringOfMachine(record),
 			Partition: record.Partition,
@@ -82,7 +82,7 @@
 			Running:   digest&records.DigestReporting != 0 || silent,
 		})
 	}
-	return sizing
+	return result
 }
 
 // pendingRentals returns one entry for each machine of the recorded rentals.
