--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -27,7 +27,7 @@
 	}
 	for _, owned := range c.ownedPartitions() {
 		owned.machineChanged(change)
-		owned.wakeUp()
+		owned.requestCycle()
 	}
 }
 
@@ -37,6 +37,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.addresses, machine)
-	delete(c.visits, machine)
+	delete(c.redirectStates, machine)
 	c.commandSlots.forget(machine)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -52,14 +52,14 @@
 	announcementSlots chan struct{}
 
 	// mu guards the fields below. It is never held together with cluster.mu.
-	mu           sync.Mutex
-	machineTypes []wire.MachineType // the cloud's catalog; empty until read
-	owned        map[int]*ownedPartition
-	leaseID      uint64    // 0 if there is no lease
-	leaseExpiry  time.Time // the lease lasts at least until then, even without contact
-	leading      bool
-	addresses    map[string]string // by machine ID, from heartbeats or the cloud's listing
-	visits       map[string]visit  // by machine ID: workers assigned to other nodes
+	mu             sync.Mutex
+	machineTypes   []wire.MachineType // the cloud's catalog; empty until read
+	owned          map[int]*ownedPartition
+	leaseID        uint64    // 0 if there is no lease
+	leaseExpiry    time.Time // the lease lasts at least until then, even without contact
+	leading        bool
+	addresses      map[string]string        // by machine ID, from heartbeats or the cloud's listing
+	redirectStates map[string]redirectState // by machine ID: workers assigned to other nodes
 }
 
 // New returns a controller. Run starts it.
@@ -85,9 +85,9 @@
 		commandSlots:      newCommandSlots(settings.Cluster.Limits.MaxSockets),
 		announcementSlots: make(chan struct{}, maxAnnouncements),
 
-		owned:     map[int]*ownedPartition{},
-		addresses: map[string]string{},
-		visits:    map[string]visit{},
+		owned:          map[int]*ownedPartition{},
+		addresses:      map[string]string{},
+		redirectStates: map[string]redirectState{},
 	}
 	if c.partitionCount == 0 {
 		c.partitionCount = settings.Cluster.Count
@@ -96,7 +96,7 @@
 	c.cluster.onMachineChange = c.machineChanged
 	c.cluster.onOwnerChange = c.ownerChanged
 	c.cluster.onLevelChange = c.featureLevelRaised
-	c.updateRateShare()
+	c.updateRateLimits()
 	return c
 }
 
@@ -167,7 +167,7 @@
 		backgroundTask{"catalog", c.runCatalog},
 		backgroundTask{"membership", c.runMembership},
 		backgroundTask{"leadership", c.runLeadership},
-		backgroundTask{"counters", c.runCounters},
+		backgroundTask{"counters", c.logCounters},
 	)
 }
 
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -65,7 +65,7 @@
 	c.mu.Lock()
 	c.leading = leading
 	c.mu.Unlock()
-	c.updateRateShare()
+	c.updateRateLimits()
 }
 
 // claimKey writes this node's name to the key, attached to the lease, if the key still has
