--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -201,7 +201,7 @@
 	}
 	var record records.NodeRecord
 	if err := wire.Unmarshal(change.value, &record); err != nil {
-		slog.Error("failed to decode record", "key", change.key, "err", err)
+		slog.Error("record not decoded", "key", change.key, "err", err)
 	}
 	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
 }
--- a/internal/controller/cluster_watch.go
+++ b/internal/controller/cluster_watch.go
@@ -40,7 +40,7 @@
 	for ctx.Err() == nil {
 		items, revision, err := store.List(ctx, prefix)
 		if err != nil {
-			slog.Debug("failed to list keys", "prefix", prefix, "err", err)
+			slog.Debug("listing keys failed", "prefix", prefix, "err", err)
 			transport.Pause(ctx, listRetryDelay)
 			continue
 		}
@@ -60,7 +60,7 @@
 			return
 		}
 		if err != nil {
-			slog.Debug("failed to watch keys", "prefix", prefix, "err", err)
+			slog.Debug("watching keys failed", "prefix", prefix, "err", err)
 			transport.Pause(ctx, watchRetryDelay)
 			continue
 		}
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -32,7 +32,7 @@
 	level := records.LevelRecord{Level: records.CurrentFeatureLevel}
 	writes := []wire.Write{{Put: records.FeatureLevelKey, Value: level}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("failed to raise feature level", "err", err)
+		slog.Debug("raising feature level failed", "err", err)
 	}
 }
 
@@ -104,6 +104,6 @@
 	// Writing any machine's record, even unchanged, splits the group.
 	changes := map[string]*records.MachineRecord{id: &entry.record}
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("failed to split oversized machine group", "err", err)
+		slog.Debug("splitting oversized machine group failed", "err", err)
 	}
 }
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -75,7 +75,7 @@
 	defer cancel()
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
-		slog.Debug("failed to raise fencing token of machine; will retry", "machine", id, "err", err)
+		slog.Debug("raising fencing token of machine failed, retrying", "machine", id, "err", err)
 		return executed
 	}
 	o.mu.Lock()
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -52,7 +52,7 @@
 	}
 	revision, err := c.claimKey(ctx, records.LeaderKey, expected, leaseID)
 	if err != nil {
-		slog.Debug("failed to claim leadership", "err", err)
+		slog.Debug("claiming leadership failed", "err", err)
 		return
 	}
 	c.cluster.setLeader(ownership{node: c.settings.Node, revision: revision})
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -31,7 +31,7 @@
 func (l *leader) reconcileListing(ctx context.Context) {
 	cloudMachines, err := l.controller.cloud.List(ctx)
 	if err != nil {
-		slog.Debug("failed to list the cloud's machines", "err", err)
+		slog.Debug("listing the cloud's machines failed", "err", err)
 		return
 	}
 	l.updateListings(cloudMachines, time.Now())
@@ -122,7 +122,7 @@
 		for _, group := range l.splitIntoGroups(offering, ids, adopted) {
 			compare, write := newGroupWrite(group)
 			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
-				slog.Debug("failed to record adopted machines", "err", err)
+				slog.Debug("recording adopted machines failed", "err", err)
 				return false
 			}
 			slog.Info("machines adopted", "count", len(group.Machines))
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -42,7 +42,7 @@
 	if !change.deleted {
 		var err error
 		if group, err = records.DecodeMachineGroup(name, change.value, change.revision); err != nil {
-			slog.Error("failed to decode record", "key", change.key, "err", err)
+			slog.Error("record not decoded", "key", change.key, "err", err)
 			return nil
 		}
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -17,7 +17,7 @@
 		record.FencingToken = o.nextFencingToken(id)
 	}
 	if err := o.controller.commitMachineRecords(ctx, o.fence(), changes); err != nil {
-		slog.Debug("failed to update machine records", "partition", o.index, "err", err)
+		slog.Debug("updating machine records failed", "partition", o.index, "err", err)
 	}
 }
 
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -123,7 +123,7 @@
 		ids = append(ids, machine.id)
 	}
 	if err := l.controller.cloud.Return(ctx, ids); err != nil {
-		slog.Debug("failed to return machines to the cloud", "machines", ids, "err", err)
+		slog.Debug("returning machines to the cloud failed", "machines", ids, "err", err)
 		return
 	}
 	logReturns(returns)
@@ -144,7 +144,7 @@
 		}
 	}
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("failed to delete records of returned machines", "err", err)
+		slog.Debug("deleting records of returned machines failed", "err", err)
 	}
 }
 
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -87,7 +87,7 @@
 	compares := []wire.Compare{{Key: key, Revision: 0}}
 	writes := []wire.Write{{Put: key, Value: record}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("failed to record rental", "request", id, "err", err)
+		slog.Debug("recording rental failed", "request", id, "err", err)
 	}
 }
 
@@ -124,7 +124,7 @@
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("failed to delete record of obsolete rental", "request", rental.id, "err", err)
+		slog.Debug("deleting record of obsolete rental failed", "request", rental.id, "err", err)
 		return
 	}
 	delete(l.rentals, rental.id)
@@ -160,7 +160,7 @@
 		l.backOffOffering(offering)
 		slog.Info("rental refused: cloud has no capacity", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
 	case err != nil:
-		slog.Debug("rental request failed; will retry", "request", rental.id, "err", err)
+		slog.Debug("renting machines failed, retrying", "request", rental.id, "err", err)
 		return false
 	default:
 		slog.Info("machines rented", "request", rental.id, "type", offering.MachineType, "zone", offering.Zone,
@@ -192,7 +192,7 @@
 		writes = append(writes, write)
 	}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("failed to record rented machines", "request", rental.id, "err", err)
+		slog.Debug("recording rented machines failed", "request", rental.id, "err", err)
 		return
 	}
 	delete(l.rentals, rental.id)
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -59,7 +59,7 @@
 	l.recordRentals(ctx, plan.Rentals)
 	changes := desiredStateChanges(plan, machines)
 	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
-		slog.Debug("failed to record desired states of machines", "err", err)
+		slog.Debug("recording desired states of machines failed", "err", err)
 	}
 }
 
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -13,7 +13,7 @@
 func (l *leader) readSummaries(ctx context.Context) {
 	items, _, err := l.controller.store.List(ctx, records.SummaryPrefix)
 	if err != nil {
-		slog.Debug("failed to read partition summaries", "err", err)
+		slog.Debug("reading partition summaries failed", "err", err)
 		return
 	}
 	values := make(map[string]wire.Raw, len(items))
@@ -40,14 +40,14 @@
 		// All records are decoded into the same map, since no machine is in two of them.
 		key := records.MachineDigestsKey(partition, i)
 		if err := wire.Unmarshal(values[key], &summary.MachineDigests); err != nil {
-			slog.Debug("failed to decode machine digests", "partition", partition, "err", err)
+			slog.Debug("machine digests not decoded", "partition", partition, "err", err)
 		}
 	}
 	for i := range summary.OverflowRecords {
 		var overflow []records.Demand
 		key := records.WaitingKey(partition, i)
 		if err := wire.Unmarshal(values[key], &overflow); err != nil {
-			slog.Debug("failed to decode waiting demands", "partition", partition, "err", err)
+			slog.Debug("waiting demands not decoded", "partition", partition, "err", err)
 		}
 		summary.Waiting = append(summary.Waiting, overflow...)
 	}
