--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -11,27 +11,28 @@
 	"ambersill/internal/wire"
 )
 
-// groupEntry is the cached record of a group of machines.
+// groupEntry is the cached record of a machine group.
 type groupEntry struct {
 	record   records.MachineGroupRecord
 	revision uint64
 }
 
-// groupDifference is the changes of machines that follow from a new state of their group.
-type groupDifference struct {
+// groupDiff contains the machines whose records change, or that are removed, when the record
+// of their group is replaced.
+type groupDiff struct {
 	changed map[string]machineEntry
 	removed []string
 }
 
 // machineChange is a change of a machine's record.
 type machineChange struct {
-	machine string
-	entry   machineEntry // empty if the machine is gone
-	gone    bool
+	machineID string
+	entry     machineEntry // empty if deleted
+	deleted   bool
 }
 
-// applyGroup applies a change of a group of machines, and returns what notifies the
-// listener; nil if there is nothing to do.
+// applyGroup applies a change of a machine group; c.mu must be held. It returns a function
+// that notifies the listener, or nil if there is nothing to notify it of.
 func (c *clusterCache) applyGroup(name string, change keyChange) (notify func()) {
 	old := c.groups[name]
 	if change.revision < old.revision {
@@ -41,67 +42,69 @@
 	if !change.deleted {
 		var err error
 		if group, err = records.DecodeMachineGroup(name, change.value, change.revision); err != nil {
-			slog.Error("record not understood", "key", change.key, "err", err)
+			slog.Error("record not decoded", "key", change.key, "err", err)
 			return nil
 		}
 	}
-	difference := c.replaceGroupMachines(name, old.record, group, change.revision)
+	diff := c.replaceGroupMachines(name, old.record, group, change.revision)
 	if change.deleted {
 		delete(c.groups, name)
 	} else {
 		c.groups[name] = groupEntry{record: group, revision: change.revision}
 	}
-	if c.onMachine == nil {
+	if c.onMachineChange == nil {
 		return nil
 	}
-	return func() { difference.notify(c.onMachine) }
+	return func() { diff.notify(c.onMachineChange) }
 }
 
-// replaceGroupMachines replaces the machines of a group. A machine that is in another group
-// by now is not removed: its former group was divided.
+// replaceGroupMachines replaces the cached machines of a group; c.mu must be held. A machine
+// that another group contains by now is kept, since it was moved there by a split.
 func (c *clusterCache) replaceGroupMachines(
 	name string, old, group records.MachineGroupRecord, revision uint64,
-) groupDifference {
-	difference := groupDifference{changed: map[string]machineEntry{}}
+) groupDiff {
+	diff := groupDiff{changed: map[string]machineEntry{}}
 	for id, record := range group.Machines {
 		entry := machineEntry{record: record, group: name, revision: revision}
 		if c.machines[id].record != record {
-			difference.changed[id] = entry
+			diff.changed[id] = entry
 		}
 		c.machines[id] = entry
 	}
 	for id := range old.Machines {
 		if _, ok := group.Machines[id]; !ok && c.machines[id].group == name {
 			delete(c.machines, id)
-			difference.removed = append(difference.removed, id)
+			diff.removed = append(diff.removed, id)
 		}
 	}
-	return difference
+	return diff
 }
 
-func (d groupDifference) notify(onMachine func(change machineChange)) {
+func (d groupDiff) notify(onMachineChange func(change machineChange)) {
 	for id, entry := range d.changed {
-		onMachine(machineChange{machine: id, entry: entry})
+		onMachineChange(machineChange{machineID: id, entry: entry})
 	}
 	for _, id := range d.removed {
-		onMachine(machineChange{machine: id, gone: true})
+		onMachineChange(machineChange{machineID: id, deleted: true})
 	}
 }
 
-// groupChange is a change of a group's record, to be committed as a whole: a group that
-// exceeds the size limit is divided into several.
+// groupChange is the part of a transaction that changes one or more machine groups. The
+// change of a group must be committed as a whole, because it may split the group into several
+// records.
 type groupChange struct {
 	compares []wire.Compare
 	writes   []wire.Write
 }
 
-// groupChanges returns the writes that change machines' records; nil removes one. Groups
-// that are no longer in the cache are left out. No group is larger than the limit.
-func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, limit int) []groupChange {
+// groupChanges returns, for each group concerned, the writes that change the given records of
+// machines; a nil record removes the machine. Machines that are no longer in the cache are
+// ignored. No group that is written is larger than maxBytes.
+func (c *clusterCache) groupChanges(machines map[string]*records.MachineRecord, maxBytes int) []groupChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	groups := map[string]records.MachineGroupRecord{}
-	var order []string
+	var groupNames []string
 	for _, id := range slices.Sorted(maps.Keys(machines)) {
 		entry, ok := c.machines[id]
 		if !ok {
@@ -111,7 +114,7 @@
 		if !ok {
 			group.Machines = maps.Clone(c.groups[entry.group].record.Machines)
 			groups[entry.group] = group
-			order = append(order, entry.group)
+			groupNames = append(groupNames, entry.group)
 		}
 		if record := machines[id]; record != nil {
 			group.Machines[id] = *record
@@ -119,24 +122,25 @@
 			delete(group.Machines, id)
 		}
 	}
-	changes := make([]groupChange, 0, len(order))
-	for _, name := range order {
-		changes = append(changes, changeGroup(name, c.groups[name].revision, groups[name], limit))
+	changes := make([]groupChange, 0, len(groupNames))
+	for _, name := range groupNames {
+		changes = append(changes, newGroupChange(name, c.groups[name].revision, groups[name], maxBytes))
 	}
 	return changes
 }
 
-// changeGroup returns the writes that replace one group.
-func changeGroup(name string, revision uint64, group records.MachineGroupRecord, limit int) groupChange {
+// newGroupChange returns the writes that replace the record of one group. They delete the
+// record if the group is empty, and split the group if it is larger than maxBytes.
+func newGroupChange(name string, revision uint64, group records.MachineGroupRecord, maxBytes int) groupChange {
 	key := records.MachinePrefix + name
 	change := groupChange{compares: []wire.Compare{{Key: key, Revision: revision}}}
 	if len(group.Machines) == 0 {
 		change.writes = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := group.Split(limit)
+	pieces := group.Split(maxBytes)
 	for _, piece := range pieces[1:] {
-		compare, write := newGroup(piece)
+		compare, write := newGroupWrite(piece)
 		change.compares = append(change.compares, compare)
 		change.writes = append(change.writes, write)
 	}
@@ -144,23 +148,25 @@
 	return change
 }
 
-// groupLimit returns the size of the largest group that may be written, in bytes. Programs of
-// the first feature level could take a machine for removed while its group is divided, so
-// that none is divided for being large as long as there may be such programs.
-func (c *Controller) groupLimit() int {
+// maxGroupBytes returns the maximum size of a group's record, in bytes. Programs of the first
+// feature level may conclude that a machine was removed while its group is being split. Until
+// the cluster's feature level is higher, the limit is therefore the key-value store's present
+// one, and groups are not split to keep to a lower limit that is announced for the future.
+func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
 	}
 	return records.ValueBytes(c.limits.ValueKB)
 }
 
-// groupsPerTxn returns how many groups of up to the given number of bytes may be written in
-// one transaction without making it too large; one may always be written.
+// groupsPerTxn returns the number of groups, each of up to the given number of bytes, that may
+// be written in one transaction without exceeding tuning.TxnBytes. It is at least 1.
 func groupsPerTxn(groupBytes int) int { return max(1, tuning.TxnBytes/groupBytes) }
 
-// sortEvents sorts events so that they can be applied one after the other: by revision, and
-// the pieces of a divided group, whose names are higher, before the rest of it. Otherwise
-// the machines of the pieces would be missing in between, and be taken for removed.
+// sortEvents returns the events in the order in which they can be applied one by one: by
+// ascending revision, then by descending key. When a group is split, the new groups have
+// higher names than the rest of it, which keeps its name. If the rest were applied first, the
+// machines of the new groups would be missing in between and count as removed.
 func sortEvents(events []wire.Event) []wire.Event {
 	sorted := slices.Clone(events)
 	slices.SortStableFunc(sorted, func(a, b wire.Event) int {
@@ -169,26 +175,27 @@
 	return sorted
 }
 
-// newGroup returns the write of a new group, which is named after its first machine, and the
-// compare that no group has that name.
-func newGroup(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
-	key := records.MachinePrefix + firstMachine(group)
+// newGroupWrite returns the write that creates a group, named after its lowest machine ID, and
+// the compare that no group of that name exists.
+func newGroupWrite(group records.MachineGroupRecord) (wire.Compare, wire.Write) {
+	key := records.MachinePrefix + lowestMachineID(group)
 	return wire.Compare{Key: key, Revision: 0}, wire.Write{Put: key, Value: group}
 }
 
-// firstMachine returns the lowest ID of a group's machines.
-func firstMachine(group records.MachineGroupRecord) string {
+// lowestMachineID returns the lowest ID of the machines in a group, which must not be empty.
+func lowestMachineID(group records.MachineGroupRecord) string {
 	return slices.Min(slices.Collect(maps.Keys(group.Machines)))
 }
 
-// machinesOfOversizedGroups returns the first machine of each group that exceeds the limit.
-func (c *clusterCache) machinesOfOversizedGroups(limit int) []string {
+// machinesOfOversizedGroups returns the lowest machine ID of each group whose size may exceed
+// maxBytes, in the order of the groups' names.
+func (c *clusterCache) machinesOfOversizedGroups(maxBytes int) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var machines []string
 	for _, name := range slices.Sorted(maps.Keys(c.groups)) {
-		if group := c.groups[name].record; group.SizeBound() > limit {
-			machines = append(machines, firstMachine(group))
+		if group := c.groups[name].record; group.SizeBound() > maxBytes {
+			machines = append(machines, lowestMachineID(group))
 		}
 	}
 	return machines
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -8,21 +8,22 @@
 	"ambersill/internal/wire"
 )
 
-// groupEvents returns the events of one commit that divides a group of machines, in the
-// order of their keys.
+// groupEvents returns the events of one commit that writes the given machine groups, in the
+// order of the groups.
 func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
 	for _, group := range pieces {
-		_, write := newGroup(group)
+		_, write := newGroupWrite(group)
 		events = append(events, wire.Event{Put: write.Put, Value: must(wire.Marshal(write.Value)), Revision: revision})
 	}
 	return events
 }
 
-// A group that is divided loses none of its machines, not for a moment either: a machine
-// without a record counts as returned, and its tasks would be started elsewhere while they
-// still run. Neither a watch nor a listing need deliver the pieces first.
-func TestDividedGroupLosesNoMachine(t *testing.T) {
+// While the split of a group is applied to the cache, none of its machines may be missing,
+// not even for a moment: a machine without a record counts as returned, and its tasks would be
+// started elsewhere while they still run. Neither a watch nor a listing need deliver the new
+// groups first.
+func TestSplittingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
@@ -30,23 +31,23 @@
 	const limit = 2 << 10 // bytes
 	pieces := whole.Split(limit)
 	if len(pieces) < 3 {
-		t.Fatalf("%d pieces", len(pieces))
+		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
 	for i, piece := range pieces {
 		if piece.SizeBound() > limit {
-			t.Errorf("piece %d has %d bytes", i, piece.SizeBound())
+			t.Errorf("piece %d has up to %d bytes, want at most the limit of 2 KiB", i, piece.SizeBound())
 		}
 	}
-	divided := groupEvents(pieces, 8)
+	splitEvents := groupEvents(pieces, 8)
 	for name, applyPieces := range map[string]func(c *clusterCache){
 		"watched": func(c *clusterCache) {
-			for _, event := range sortEvents(divided) {
+			for _, event := range sortEvents(splitEvents) {
 				c.applyEvent(event)
 			}
 		},
 		"listed": func(c *clusterCache) {
 			var items []wire.KeyValue
-			for _, event := range divided {
+			for _, event := range splitEvents {
 				items = append(items, wire.KeyValue{Key: event.Put, Value: event.Value, Revision: event.Revision})
 			}
 			c.replaceAll(items, 8)
@@ -56,14 +57,14 @@
 		for _, event := range groupEvents([]records.MachineGroupRecord{whole}, 7) {
 			c.applyEvent(event)
 		}
-		c.onMachine = func(change machineChange) {
-			if change.gone {
-				t.Errorf("%s: %s is gone", name, change.machine)
+		c.onMachineChange = func(change machineChange) {
+			if change.deleted {
+				t.Errorf("%s: machine %s was removed while its group was split, want it kept", name, change.machineID)
 			}
 		}
 		applyPieces(c)
 		if len(c.machines) != len(whole.Machines) {
-			t.Errorf("%s: %d machines", name, len(c.machines))
+			t.Errorf("%s: cache has %d machines after the split, want all 40", name, len(c.machines))
 		}
 	}
 }
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -17,62 +17,64 @@
 	"ambersill/internal/wire"
 )
 
-// rentalRetry is how long an unanswered rental waits before the cloud is asked again.
-const rentalRetry = 2 * time.Second
+// rentalRetryDelay is the least time between two calls of the cloud for the same rental.
+const rentalRetryDelay = 2 * time.Second
 
-// rentalProgress is what this term's leader knows of a recorded rental.
+// rentalProgress is the state of a recorded rental that this term's leader keeps in memory.
 type rentalProgress struct {
-	lastAttempt      time.Time // of calling the cloud; zero if this leader has not called
+	lastCall         time.Time // latest call of the cloud; zero if this leader has made none
 	recordedThisTerm bool
 }
 
-// recordedRental is a rental whose record exists, since the cloud has not answered it.
+// recordedRental is a rental that is recorded in the key-value store. The record exists until
+// the cloud has answered the rental and its machines are recorded.
 type recordedRental struct {
-	name string
+	id string
 	rentalEntry
 }
 
-func (r recordedRental) key() string { return records.RentalPrefix + r.name }
+func (r recordedRental) key() string { return records.RentalPrefix + r.id }
 
 func (r recordedRental) offering() autoscaler.Offering { return offeringOfRental(r.record) }
 
-// compare orders rentals by when they were recorded, which is the order of need. The names of
-// one term differ in a number, so that shorter ones come first.
+// compare orders rentals by the time at which they were recorded, which is the order in which
+// they are needed. IDs of one term differ in their sequence number only, so a shorter ID has
+// the lower number and comes first.
 func (r recordedRental) compare(other recordedRental) int {
 	return cmp.Or(
 		cmp.Compare(r.record.RecordedAtMS, other.record.RecordedAtMS),
-		cmp.Compare(len(r.name), len(other.name)),
-		cmp.Compare(r.name, other.name),
+		cmp.Compare(len(r.id), len(other.id)),
+		cmp.Compare(r.id, other.id),
 	)
 }
 
-// maxRentalCount returns how many machines one rental may have: their groups are recorded
-// in one transaction, which deletes the rental's record as well.
-func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
+// maxMachinesPerRental returns the maximum number of machines of an offering in one rental.
+// Their groups must fit into one transaction that also deletes the rental's record.
+func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
 	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
 }
 
-// recordRentals records rentals, divided into as many as the cloud and the key-value store
-// allow for.
+// recordRentals records rentals. It splits those that have more machines than
+// maxMachinesPerRental allows.
 func (l *leader) recordRentals(ctx context.Context, rentals []autoscaler.Rental) {
 	for _, rental := range rentals {
-		most := l.maxRentalCount(rental.Offering)
-		for remaining := rental.Count; remaining > 0; remaining -= most {
-			l.recordRental(ctx, rental, min(remaining, most))
+		maxCount := l.maxMachinesPerRental(rental.Offering)
+		for remaining := rental.Count; remaining > 0; remaining -= maxCount {
+			l.recordRental(ctx, rental, min(remaining, maxCount))
 		}
 	}
 }
 
 // recordRental records a rental before the cloud is called, so that a later leader can
-// repeat the call under the same name.
+// repeat the call with the same request ID.
 func (l *leader) recordRental(ctx context.Context, rental autoscaler.Rental, count int) {
-	// The term's revision makes the name unique, whichever node leads and however late
-	// the commit is executed.
-	name := fmt.Sprintf("r-%d-%d", l.revision, l.nextRental)
-	l.nextRental++
-	l.rentals[name] = rentalProgress{recordedThisTerm: true}
+	// The revision of the term makes the ID unique across leaders, even if this commit is
+	// executed after another leader has taken over.
+	id := fmt.Sprintf("r-%d-%d", l.revision, l.nextRentalNumber)
+	l.nextRentalNumber++
+	l.rentals[id] = rentalProgress{recordedThisTerm: true}
 	record := records.RentalRecord{
 		MachineType:  rental.Offering.MachineType,
 		Zone:         rental.Offering.Zone,
@@ -81,84 +83,87 @@
 		Partition:    rental.Partition,
 		RecordedAtMS: time.Now().UnixMilli(),
 	}
-	key := records.RentalPrefix + name
+	key := records.RentalPrefix + id
 	compares := []wire.Compare{{Key: key, Revision: 0}}
 	writes := []wire.Write{{Put: key, Value: record}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rental not recorded", "request", name, "err", err)
+		slog.Debug("recording rental failed", "request", id, "err", err)
 	}
 }
 
-// finishRentals calls the cloud for each recorded rental, also for those of earlier leaders,
-// and again under the same name until there is an answer.
-func (l *leader) finishRentals(ctx context.Context) {
+// executeRentals calls the cloud for each recorded rental, including those of earlier
+// leaders. Calls are repeated with the same request ID until the cloud answers.
+func (l *leader) executeRentals(ctx context.Context) {
 	for _, rental := range l.controller.cluster.recordedRentals() {
-		last := l.rentals[rental.name].lastAttempt
-		if !last.IsZero() && time.Since(last) < rentalRetry {
+		last := l.rentals[rental.id].lastCall
+		if !last.IsZero() && time.Since(last) < rentalRetryDelay {
 			continue
 		}
 		if l.isObsolete(rental) {
-			l.dropRental(ctx, rental)
+			l.deleteObsoleteRental(ctx, rental)
 			continue
 		}
 		if !l.mayCallCloud() {
 			return
 		}
-		l.finishRental(ctx, rental)
+		l.executeRental(ctx, rental)
 	}
 }
 
-// isObsolete reports whether the cloud has refused a rental's offering since it was recorded,
-// and has certainly not received the rental: only this leader could have sent it.
+// isObsolete reports whether the cloud has refused a rental's offering since the rental was
+// recorded, and cannot have received the rental: it was recorded in this term, and this
+// leader has not called the cloud for it.
 func (l *leader) isObsolete(rental recordedRental) bool {
-	progress := l.rentals[rental.name]
-	called := !progress.lastAttempt.IsZero()
+	progress := l.rentals[rental.id]
+	called := !progress.lastCall.IsZero()
 	return !called && progress.recordedThisTerm && l.backoffs[rental.offering()].active(time.Now())
 }
 
-// dropRental deletes the record of a rental for which the cloud was never called.
-func (l *leader) dropRental(ctx context.Context, rental recordedRental) {
+// deleteObsoleteRental deletes the record of a rental for which the cloud was never called.
+func (l *leader) deleteObsoleteRental(ctx context.Context, rental recordedRental) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("obsolete rental not deleted", "request", rental.name, "err", err)
+		slog.Debug("deleting record of obsolete rental failed", "request", rental.id, "err", err)
 		return
 	}
-	delete(l.rentals, rental.name)
+	delete(l.rentals, rental.id)
 }
 
-// finishRental calls the cloud once, and records the machines in place of the rental.
-func (l *leader) finishRental(ctx context.Context, rental recordedRental) {
-	progress := l.rentals[rental.name]
-	progress.lastAttempt = time.Now()
-	l.rentals[rental.name] = progress
+// executeRental calls the cloud once for a rental. If the cloud answers, it replaces the
+// rental's record by those of the machines.
+func (l *leader) executeRental(ctx context.Context, rental recordedRental) {
+	progress := l.rentals[rental.id]
+	progress.lastCall = time.Now()
+	l.rentals[rental.id] = progress
 
 	offering := rental.offering()
 	ids, err := l.controller.cloud.Rent(ctx, wire.RentRequest{
-		RequestID:   rental.name,
+		RequestID:   rental.id,
 		MachineType: offering.MachineType,
 		Zone:        offering.Zone,
 		Spot:        offering.Spot,
 		Count:       rental.record.Count,
 	})
 	if l.handleRentResponse(rental, ids, err) {
-		l.replaceRental(ctx, rental, ids)
+		l.replaceRentalWithMachines(ctx, rental, ids)
 	}
 }
 
 // handleRentResponse updates the back-off of a rental's offering, and reports whether the
-// cloud has answered. Fewer machines than requested mean that its capacity is exhausted.
+// cloud has answered. If it has rented out fewer machines than requested, the capacity of the
+// offering is exhausted.
 func (l *leader) handleRentResponse(rental recordedRental, ids []string, err error) (answered bool) {
 	offering := rental.offering()
 	switch {
 	case errors.Is(err, cloud.ErrNoCapacity):
 		l.backOffOffering(offering)
-		slog.Info("rental refused", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
+		slog.Info("rental refused: cloud has no capacity", "type", offering.MachineType, "zone", offering.Zone, "spot", offering.Spot)
 	case err != nil:
-		slog.Debug("rental unanswered", "request", rental.name, "err", err)
+		slog.Debug("renting machines failed, retrying", "request", rental.id, "err", err)
 		return false
 	default:
-		slog.Info("rented", "request", rental.name, "type", offering.MachineType, "zone", offering.Zone,
+		slog.Info("machines rented", "request", rental.id, "type", offering.MachineType, "zone", offering.Zone,
 			"spot", offering.Spot, "asked", rental.record.Count, "got", len(ids))
 		if len(ids) < rental.record.Count {
 			l.backOffOffering(offering)
@@ -169,32 +174,32 @@
 	return true
 }
 
-// replaceRental deletes a rental's record, and writes those of its machines that are not
-// known yet.
-func (l *leader) replaceRental(ctx context.Context, rental recordedRental, ids []string) {
+// replaceRentalWithMachines deletes a rental's record and, in the same transaction, writes
+// records of the rented machines that have none yet.
+func (l *leader) replaceRentalWithMachines(ctx context.Context, rental recordedRental, machineIDs []string) {
 	compares := []wire.Compare{{Key: rental.key(), Revision: rental.revision}}
 	writes := []wire.Write{{Delete: rental.key()}}
 	machines := map[string]records.MachineRecord{}
-	for _, id := range ids {
-		if _, known := l.controller.cluster.machine(id); !known {
-			machines[id] = newMachineRecord(rental.record)
+	for _, machineID := range machineIDs {
+		if _, known := l.controller.cluster.machine(machineID); !known {
+			machines[machineID] = rentedMachineRecord(rental.record)
 		}
 	}
-	ids = slices.Sorted(maps.Keys(machines))
-	for _, group := range l.divideIntoGroups(rental.offering(), ids, machines) {
-		compare, write := newGroup(group)
+	machineIDs = slices.Sorted(maps.Keys(machines))
+	for _, group := range l.splitIntoGroups(rental.offering(), machineIDs, machines) {
+		compare, write := newGroupWrite(group)
 		compares = append(compares, compare)
 		writes = append(writes, write)
 	}
 	if err := l.commit(ctx, compares, writes); err != nil {
-		slog.Debug("rented machines not recorded", "request", rental.name, "err", err)
+		slog.Debug("recording rented machines failed", "request", rental.id, "err", err)
 		return
 	}
-	delete(l.rentals, rental.name)
+	delete(l.rentals, rental.id)
 }
 
-// newMachineRecord returns the record of a machine that a rental has brought.
-func newMachineRecord(rental records.RentalRecord) records.MachineRecord {
+// rentedMachineRecord returns the record of a machine that was rented just now.
+func rentedMachineRecord(rental records.RentalRecord) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: rental.MachineType,
 		Zone:        rental.Zone,
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -18,14 +18,14 @@
 	return autoscaler.Offering{MachineType: record.MachineType, Zone: record.Zone, Spot: record.Spot}
 }
 
-func offeringOfListed(machine wire.CloudMachine) autoscaler.Offering {
+func offeringOfListedMachine(machine wire.CloudMachine) autoscaler.Offering {
 	return autoscaler.Offering{MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot}
 }
 
-// needsFirstMachine reports whether tasks wait while there is no machine and no rental, so
-// that sizing the fleet at once spares them the wait for the next regular sizing.
+// needsFirstMachine reports whether tasks wait although there is neither a machine nor a
+// rental. The fleet is then sized at once, rather than after RoundS.
 func (l *leader) needsFirstMachine() bool {
-	if l.controller.cluster.hasFleet() {
+	if l.controller.cluster.hasMachinesOrRentals() {
 		return false
 	}
 	for _, summary := range l.summaries {
@@ -36,9 +36,10 @@
 	return false
 }
 
-// runSizing sizes the fleet: it records rentals, which finishRentals executes, and the
-// desired states of machines, which the partitions' owners bring about.
-func (l *leader) runSizing(ctx context.Context) {
+// sizeFleet plans the size of the fleet and records the plan: rentals, which executeRentals
+// requests from the cloud, and desired states of machines, which the owners of their
+// partitions act on.
+func (l *leader) sizeFleet(ctx context.Context) {
 	types := l.controller.catalog()
 	if len(types) == 0 {
 		return
@@ -47,32 +48,32 @@
 	ids, machines := l.controller.cluster.recordedMachines()
 	plan := l.autoscaler.Plan(autoscaler.Input{
 		MachineTypes:   types,
-		Machines:       l.sizingMachines(ids, machines),
+		Machines:       l.autoscalerMachines(ids, machines),
 		PendingRentals: l.pendingRentals(),
 		Summaries:      l.summaries,
 		Unavailable:    l.unavailableOfferings(now),
 	}, now)
-	slog.Debug("sizing", "target", plan.TargetMachines, "booked", plan.BookedMachines,
+	slog.Debug("fleet size planned", "target", plan.TargetMachines, "booked", plan.BookedMachines,
 		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns,
 		"machines", len(ids))
 	l.recordRentals(ctx, plan.Rentals)
-	changes := desiredChanges(plan, machines)
-	if err := l.controller.rewriteMachines(ctx, l.fence(), changes); err != nil {
-		slog.Debug("desired states of machines not recorded", "err", err)
+	changes := desiredStateChanges(plan, machines)
+	if err := l.controller.commitMachineRecords(ctx, l.fence(), changes); err != nil {
+		slog.Debug("recording desired states of machines failed", "err", err)
 	}
 }
 
-// sizingMachines returns the recorded machines for the autoscaler.
-func (l *leader) sizingMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
+// autoscalerMachines returns the recorded machines in the form that the autoscaler takes.
+func (l *leader) autoscalerMachines(ids []string, machines map[string]machineEntry) []autoscaler.Machine {
 	digests := l.machineDigests()
-	sizing := make([]autoscaler.Machine, 0, len(ids))
+	result := make([]autoscaler.Machine, 0, len(ids))
 	for _, id := range ids {
 		record, digest := machines[id].record, digests[id]
-		// A machine that is up, but has sent no heartbeat since its partition's owner
-		// changed, is partitioned away or hangs. It must not count as still to come, or
-		// no other would be rented instead.
+		// A machine that the cloud lists as running, but that has sent no heartbeat since
+		// its partition's owner changed, is unreachable or hangs. If it counted as booting,
+		// no replacement would be rented.
 		silent := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
-		sizing = append(sizing, autoscaler.Machine{
+		result = append(result, autoscaler.Machine{
 			ID:        id,
 			Offering:  offeringOfMachine(record),
 			Partition: record.Partition,
@@ -81,10 +82,10 @@
 			Running:   digest&records.DigestReporting != 0 || silent,
 		})
 	}
-	return sizing
+	return result
 }
 
-// pendingRentals returns an entry for each machine of the recorded rentals.
+// pendingRentals returns one entry for each machine of the recorded rentals.
 func (l *leader) pendingRentals() []autoscaler.Machine {
 	var pending []autoscaler.Machine
 	for _, rental := range l.controller.cluster.recordedRentals() {
@@ -96,8 +97,9 @@
 	return pending
 }
 
-// desiredChanges returns the records of the machines that a plan moves or returns.
-func desiredChanges(
+// desiredStateChanges returns the new records of the machines that a plan moves or returns,
+// by machine ID.
+func desiredStateChanges(
 	plan autoscaler.Plan, machines map[string]machineEntry,
 ) map[string]*records.MachineRecord {
 	changes := map[string]*records.MachineRecord{}
