--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -52,8 +52,8 @@
 	if len(zones) == 0 {
 		return ErrNoMachineTypeFits
 	}
-	allocation := &quota.Team{Team: team}
-	if !allocation.WithinLimit(simultaneousRequest(job)) {
+	emptyTeam := &quota.Team{Team: team}
+	if !emptyTeam.WithinLimit(concurrentRequest(job)) {
 		return ErrTeamLimitExceeded
 	}
 	if mustSpread(job) && (job.SingleZone || len(zones) < minSpreadZones) {
@@ -66,7 +66,7 @@
 // capacity for it.
 func typeFits(job *wire.Job, machineType wire.MachineType) bool {
 	return resource.TypeAllowed(job.MachineTypes, machineType.Name) &&
-		resource.OfMachineType(machineType).Contains(resource.TaskRequest(job))
+		resource.MachineCapacity(machineType).Contains(resource.TaskRequest(job))
 }
 
 // feasibleZones returns the zones in which machines that fit a job can be rented.
@@ -85,9 +85,9 @@
 	return zones
 }
 
-// simultaneousRequest returns what a job must be able to allocate at once: all tasks of a
+// concurrentRequest returns what a job must be able to allocate at once: all tasks of a
 // gang and all replicas of a service run at the same time, an array's can take turns.
-func simultaneousRequest(job *wire.Job) resource.Vector {
+func concurrentRequest(job *wire.Job) resource.Vector {
 	request := resource.TaskRequest(job)
 	if job.IsGang() || job.IsService() {
 		return request.Scale(job.Tasks)
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,7 +24,7 @@
 
 // Jobs that compete for the same machines are meant for the same type, and work without
 // GPUs is not meant for machines with GPUs.
-func TestPrimaryMachineTypeGroupsCompetingJobs(t *testing.T) {
+func TestPrimaryMachineTypeIsSharedByCompetingJobs(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		job  wire.Job
@@ -85,7 +85,7 @@
 }
 
 // The reasons are part of the answers that users get.
-func TestReasonsKeepTheirTexts(t *testing.T) {
+func TestErrorTextsSentToUsers(t *testing.T) {
 	for err, want := range map[error]string{
 		ErrUnknownTeam:        "unknown team",
 		ErrNoMachineTypeFits:  "a task fits no allowed machine type",
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -79,14 +79,14 @@
 // Autoscaler sizes the rented fleet. It is not safe for concurrent use.
 type Autoscaler struct {
 	tuning *tuning.Tuning
-	// belowTargetSince is when the target of a machine type fell below the number of
+	// surplusSince is when the target of a machine type fell below the number of
 	// its machines, while it stays there.
-	belowTargetSince map[string]time.Time
+	surplusSince map[string]time.Time
 }
 
 // New returns an Autoscaler that has not observed a surplus of machines yet.
 func New(tunables *tuning.Tuning) *Autoscaler {
-	return &Autoscaler{tuning: tunables, belowTargetSince: map[string]time.Time{}}
+	return &Autoscaler{tuning: tunables, surplusSince: map[string]time.Time{}}
 }
 
 // Plan sizes the fleet. The target of a machine type is its in-flight term, that is
@@ -96,37 +96,37 @@
 // full. Machines above the target are returned when the surplus has lasted for GiveBackS.
 // The target may be zero.
 func (a *Autoscaler) Plan(input Input, now time.Time) Plan {
-	round := newSizingRound(a.tuning, input)
+	builder := newPlanBuilder(a.tuning, input)
 	for _, demand := range waitingDemands(input.Summaries) {
-		round.placeDemand(demand)
+		builder.placeDemand(demand)
 	}
-	booked := sumBooked(input.Summaries)
-	round.plan.BookedMachines = booked.machinesByType()
+	booked := sumBookedCapacity(input.Summaries)
+	builder.plan.BookedMachines = booked.machinesByType()
 	for _, machineType := range input.MachineTypes {
-		a.sizeType(round, machineType, booked, now)
+		a.sizeType(builder, machineType, booked, now)
 	}
-	return round.plan
+	return builder.plan
 }
 
 // sizeType sets the target of one machine type, and plans the rentals and returns to reach it.
-func (a *Autoscaler) sizeType(round *sizingRound, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
-	fleet := round.fleetOf(machineType.Name)
-	use := booked.byType[machineType.Name]
-	target := a.machinesFor(use.machines)
-	if fleet.queued > 0 {
-		target = max(target, fleet.machines+fleet.queued)
+func (a *Autoscaler) sizeType(builder *planBuilder, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
+	fleet := builder.fleetCountsOf(machineType.Name)
+	typeBooked := booked.byType[machineType.Name]
+	target := a.machinesFor(typeBooked.machines)
+	if fleet.addedForQueue > 0 {
+		target = max(target, fleet.machines+fleet.addedForQueue)
 	}
-	round.plan.TargetMachines[machineType.Name] = target
-	if missing := target - fleet.machines - fleet.queued; missing > 0 {
+	builder.plan.TargetMachines[machineType.Name] = target
+	if missing := target - fleet.machines - fleet.addedForQueue; missing > 0 {
 		// Work that may not run on spot machines needs capacity on the others.
-		spot := use.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
-		round.rentInEmptiestZone(machineType, spot, booked.busiestPartition, missing)
+		spot := typeBooked.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
+		builder.rentInZoneWithFewest(machineType, spot, booked.busiestPartition, missing)
 	}
 	surplus := machineSurplus{
 		total:    fleet.machines - target,
-		onDemand: fleet.onDemand - a.machinesFor(use.onDemand),
+		onDemand: fleet.onDemand - a.machinesFor(typeBooked.onDemand),
 	}
-	a.scaleIn(round, machineType.Name, surplus, now)
+	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
 // machinesFor returns how many machines the booked capacity needs at the in-flight target.
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -105,7 +105,7 @@
 }
 
 // Plan agrees with the two terms of the formula, for equal tasks of one machine type.
-func TestPlanMatchesNaiveFormula(t *testing.T) {
+func TestPlanMatchesTargetFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tunables := tuning.Default()
 		tunables.InFlightTarget = rapid.SampledFrom([]float64{0.8, 1}).Draw(t, "target")
@@ -128,7 +128,7 @@
 // A gang that must be spread over zones waited forever when one machine had the capacity
 // for all of it.
 func TestPlanSpreadsGangOverZones(t *testing.T) {
-	tune := tuning.Default()
+	tunables := tuning.Default()
 	gang := records.Demand{
 		CPUs:          1,
 		MemoryGB:      1,
@@ -142,40 +142,40 @@
 		Machines:     []Machine{emptyMachine()},
 		Summaries:    map[int]records.PartitionSummary{0: {Waiting: []records.Demand{gang}}},
 	}
-	p := New(&tune).Plan(input, time.Unix(0, 0))
-	if len(p.Rentals) != 1 || p.Rentals[0].Offering.Zone != "b" {
-		t.Fatalf("rentals %+v", p.Rentals)
+	plan := New(&tunables).Plan(input, time.Unix(0, 0))
+	if len(plan.Rentals) != 1 || plan.Rentals[0].Offering.Zone != "b" {
+		t.Fatalf("rentals %+v", plan.Rentals)
 	}
 }
 
 // Empty machines are returned only once the surplus has lasted for GiveBackS.
 func TestScaleInWaitsForLastingSurplus(t *testing.T) {
-	tune := tuning.Default()
-	sizer := New(&tune)
+	tunables := tuning.Default()
+	scaler := New(&tunables)
 	input := Input{
 		MachineTypes: testTypes,
 		Machines:     []Machine{emptyMachine()},
 		Summaries:    map[int]records.PartitionSummary{0: {}},
 	}
 	now := time.Unix(0, 0)
-	if p := sizer.Plan(input, now); len(p.Returns) != 0 {
+	if p := scaler.Plan(input, now); len(p.Returns) != 0 {
 		t.Fatal("returned at once")
 	}
-	if p := sizer.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS-1))); len(p.Returns) != 0 {
+	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS-1))); len(p.Returns) != 0 {
 		t.Fatal("returned before the surplus had lasted")
 	}
-	if p := sizer.Plan(input, now.Add(tuning.Seconds(tune.GiveBackS))); len(p.Returns) != 1 {
+	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS))); len(p.Returns) != 1 {
 		t.Fatal("not returned")
 	}
 }
 
-// planAfterSurplus returns the second of two plans between which a surplus has lasted.
-func planAfterSurplus(input Input) Plan {
-	tune := tuning.Default()
-	sizer := New(&tune)
+// planAfterLastingSurplus returns the second of two plans between which a surplus has lasted.
+func planAfterLastingSurplus(input Input) Plan {
+	tunables := tuning.Default()
+	scaler := New(&tunables)
 	start := time.Unix(0, 0)
-	sizer.Plan(input, start)
-	return sizer.Plan(input, start.Add(tuning.Seconds(tune.GiveBackS)))
+	scaler.Plan(input, start)
+	return scaler.Plan(input, start.Add(tuning.Seconds(tunables.GiveBackS)))
 }
 
 // On-demand machines cost more than spot machines and are returned first, except as many
@@ -203,7 +203,7 @@
 				BookedMachines: map[string]float64{"cpu": test.booked},
 				BookedOnDemand: map[string]float64{"cpu": test.bookedOnDemand},
 			}
-			plan := planAfterSurplus(Input{
+			plan := planAfterLastingSurplus(Input{
 				MachineTypes: testTypes,
 				Machines:     machines,
 				Summaries:    map[int]records.PartitionSummary{0: summary},
--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -15,8 +15,8 @@
 	offering  Offering
 	partition int
 	remaining resource.Vector
-	used      bool // tasks are assigned to it, or it is returned
-	queued    bool // its rental is part of the plan
+	usedByPlan      bool // tasks are assigned to it, or it is returned
+	rentalPlanned    bool // its rental is part of the plan
 }
 
 // placement is a number of a demand's tasks in one bin.
@@ -43,13 +43,13 @@
 
 // assign finds bins for the tasks of a demand and adds what has to be rented. A demand that
 // must stay in one zone gets the one where most of it can be, at the least rentals.
-func (r *sizingRound) assign(demand partitionDemand) assignment {
+func (b *planBuilder) assign(demand partitionDemand) assignment {
 	if !demand.SingleZone || demand.Zone != "" {
-		return r.assignInZone(demand, demand.Zone)
+		return b.assignInZone(demand, demand.Zone)
 	}
 	var best assignment
-	for _, zone := range r.zones() {
-		if candidate := r.assignInZone(demand, zone); candidate.betterThan(best) {
+	for _, zone := range b.zones() {
+		if candidate := b.assignInZone(demand, zone); candidate.betterThan(best) {
 			best = candidate
 		}
 	}
@@ -57,9 +57,9 @@
 }
 
 // zones returns the names of all zones in order.
-func (r *sizingRound) zones() []string {
+func (b *planBuilder) zones() []string {
 	names := map[string]bool{}
-	for _, machineType := range r.input.MachineTypes {
+	for _, machineType := range b.input.MachineTypes {
 		for _, zone := range machineType.Zones {
 			names[zone] = true
 		}
@@ -69,8 +69,8 @@
 
 // assignInZone finds bins in a zone, or in any if it is empty. The partition's own machines
 // come first, then empty ones of other partitions, then rentals.
-func (r *sizingRound) assignInZone(demand partitionDemand, zone string) assignment {
-	p := newPacking(r, demand, zone)
+func (b *planBuilder) assignInZone(demand partitionDemand, zone string) assignment {
+	p := newPacking(b, demand, zone)
 	p.fillBins(p.usableInPartition)
 	p.fillBins(p.usableByReassignment)
 	p.fillRentals()
@@ -79,32 +79,32 @@
 
 // packing is one attempt to assign the tasks of a demand to bins. It changes no bin.
 type packing struct {
-	round    *sizingRound
+	builder    *planBuilder
 	demand   partitionDemand
 	request  resource.Vector
 	zone     string         // the only zone allowed; empty for any
 	unplaced int            // tasks without a bin
 	inZone   map[string]int // tasks assigned in each zone
-	// queued counts the planned rentals by offering, those of this attempt included.
-	queued     map[Offering]int
+	// plannedRentals counts the planned rentals by offering, those of this attempt included.
+	plannedRentals     map[Offering]int
 	assignment assignment
 }
 
 // newPacking returns a packing without assignments.
-func newPacking(round *sizingRound, demand partitionDemand, zone string) *packing {
+func newPacking(builder *planBuilder, demand partitionDemand, zone string) *packing {
 	return &packing{
-		round:    round,
+		builder:    builder,
 		demand:   demand,
 		request:  demand.Request(),
 		zone:     zone,
-		unplaced: round.concurrentTasks(demand.Demand),
+		unplaced: builder.concurrentTasks(demand.Demand),
 		inZone:   map[string]int{},
-		queued:   maps.Clone(round.queued),
+		plannedRentals:   maps.Clone(builder.plannedRentals),
 	}
 }
 
-// allowedIn returns how many more tasks may go to a zone.
-func (p *packing) allowedIn(zone string) int {
+// assignableTasksIn returns how many more tasks may go to a zone.
+func (p *packing) assignableTasksIn(zone string) int {
 	if p.demand.MaxPerZone == 0 {
 		return p.unplaced
 	}
@@ -113,7 +113,7 @@
 
 // fill assigns as many tasks to a bin as may go there and fit.
 func (p *packing) fill(bin *capacityBin) {
-	tasks := min(p.allowedIn(bin.offering.Zone), bin.remaining.CountOf(p.request))
+	tasks := min(p.assignableTasksIn(bin.offering.Zone), bin.remaining.FitCount(p.request))
 	if tasks <= 0 {
 		return
 	}
@@ -125,20 +125,20 @@
 
 // fillBins assigns tasks to the usable bins, in order, until all are placed.
 func (p *packing) fillBins(usable func(*capacityBin) bool) {
-	for _, bin := range p.round.bins {
+	for _, bin := range p.builder.bins {
 		if p.unplaced == 0 {
 			return
 		}
-		if p.suits(bin) && usable(bin) {
+		if p.mayUse(bin) && usable(bin) {
 			p.fill(bin)
 		}
 	}
 }
 
-// suits reports whether the demand's tasks may use a bin's machine. Work without GPUs stays
+// mayUse reports whether the demand's tasks may use a bin's machine. Work without GPUs stays
 // off machines with GPUs, which cost more.
-func (p *packing) suits(bin *capacityBin) bool {
-	if p.demand.GPUs == 0 && p.round.types[bin.offering.MachineType].GPUs > 0 {
+func (p *packing) mayUse(bin *capacityBin) bool {
+	if p.demand.GPUs == 0 && p.builder.typesByName[bin.offering.MachineType].GPUs > 0 {
 		return false
 	}
 	return offeringAllowed(p.demand.Demand, bin.offering, p.zone)
@@ -157,7 +157,7 @@
 
 // usableByReassignment reports whether a bin is an unused machine of another partition.
 func (p *packing) usableByReassignment(bin *capacityBin) bool {
-	return bin.partition != p.demand.partition && !bin.used && bin.machine != nil
+	return bin.partition != p.demand.partition && !bin.usedByPlan && bin.machine != nil
 }
 
 // fillRentals rents machines for the tasks that are left.
@@ -167,9 +167,9 @@
 		if !ok {
 			return
 		}
-		p.queued[offering]++
+		p.plannedRentals[offering]++
 		p.assignment.newRentals++
-		p.fill(p.round.newBin(offering, p.demand.partition))
+		p.fill(p.builder.newBin(offering, p.demand.partition))
 	}
 }
 
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -36,29 +36,29 @@
 
 // concurrentTasks returns how many of a demand's tasks are to run at once: short tasks of an
 // array run one after the other on the same capacity within the horizon.
-func (r *sizingRound) concurrentTasks(demand records.Demand) int {
-	if demand.Gang || demand.EstimatedRunS >= r.tuning.HorizonS {
+func (b *planBuilder) concurrentTasks(demand records.Demand) int {
+	if demand.Gang || demand.EstimatedRunS >= b.tuning.HorizonS {
 		return demand.Tasks
 	}
-	slots := float64(demand.Tasks) * demand.EstimatedRunS / r.tuning.HorizonS / r.tuning.QueueTarget
+	slots := float64(demand.Tasks) * demand.EstimatedRunS / b.tuning.HorizonS / b.tuning.QueueTarget
 	return max(1, int(math.Ceil(slots)))
 }
 
-// bookedType is the capacity in use of one machine type, in machines.
-type bookedType struct {
+// bookedTypeCapacity is the capacity in use of one machine type, in machines.
+type bookedTypeCapacity struct {
 	machines float64
 	onDemand float64 // of this, for jobs that may not use spot machines
 }
 
 // bookedCapacity is the capacity in use in all partitions.
 type bookedCapacity struct {
-	byType           map[string]bookedType
+	byType           map[string]bookedTypeCapacity
 	busiestPartition int // the one with the most capacity in use
 }
 
-// sumBooked adds up the capacity in use in all partitions, in the order of their numbers.
-func sumBooked(summaries map[int]records.PartitionSummary) bookedCapacity {
-	booked := bookedCapacity{byType: map[string]bookedType{}}
+// sumBookedCapacity adds up the capacity in use in all partitions, in the order of their numbers.
+func sumBookedCapacity(summaries map[int]records.PartitionSummary) bookedCapacity {
+	booked := bookedCapacity{byType: map[string]bookedTypeCapacity{}}
 	most := -1.0 // below the sum of a partition that uses nothing
 	for _, partition := range sortedPartitions(summaries) {
 		summary := summaries[partition]
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -8,47 +8,47 @@
 	"ambersill/internal/wire"
 )
 
-// bootCostS is the boot time, in seconds, that doubles the cost of a machine: one that boots
+// costDoublingBootS is the boot time, in seconds, that doubles the cost of a machine: one that boots
 // faster may cost more.
-const bootCostS = 300
+const costDoublingBootS = 300
 
 // offeringCost is an offering with what decides whether it is rented.
 type offeringCost struct {
 	offering Offering
-	cost     float64 // of the waiting work, per task
+	costPerTask     float64 // of the waiting work, per task
 	machines int     // of this offering, existing or planned
 }
 
 // betterThan reports whether an offering is cheaper than another, or as cheap with fewer
 // machines, which spreads machines of one type over the zones.
 func (c offeringCost) betterThan(other offeringCost) bool {
-	if c.cost < other.cost-resource.Epsilon {
+	if c.costPerTask < other.costPerTask-resource.Epsilon {
 		return true
 	}
-	return c.cost < other.cost+resource.Epsilon && c.machines < other.machines
+	return c.costPerTask < other.costPerTask+resource.Epsilon && c.machines < other.machines
 }
 
 // cheapestOffering returns the offering whose machines run the tasks that are left at the
 // lowest cost, and whether there is one.
 func (p *packing) cheapestOffering() (Offering, bool) {
-	best := offeringCost{cost: math.Inf(1)}
-	for _, machineType := range p.round.input.MachineTypes {
+	best := offeringCost{costPerTask: math.Inf(1)}
+	for _, machineType := range p.builder.input.MachineTypes {
 		tasksPerMachine := p.tasksPerMachine(machineType)
 		if tasksPerMachine == 0 {
 			continue
 		}
-		for _, offering := range p.openOfferings(machineType) {
+		for _, offering := range p.usableOfferings(machineType) {
 			candidate := offeringCost{
 				offering: offering,
-				cost:     p.costPerTask(machineType, offering.Spot, tasksPerMachine),
-				machines: p.queued[offering] + p.round.existing[offering],
+				costPerTask:     p.costPerTask(machineType, offering.Spot, tasksPerMachine),
+				machines: p.plannedRentals[offering] + p.builder.existingMachines[offering],
 			}
 			if candidate.betterThan(best) {
 				best = candidate
 			}
 		}
 	}
-	return best.offering, !math.IsInf(best.cost, 1)
+	return best.offering, !math.IsInf(best.costPerTask, 1)
 }
 
 // tasksPerMachine returns how many of the demand's tasks fit a machine of a type; 0 if it
@@ -60,30 +60,30 @@
 	if p.demand.GPUs == 0 && machineType.GPUs > 0 && p.fitsWithoutGPUs() {
 		return 0
 	}
-	return resource.OfMachineType(machineType).CountOf(p.request)
+	return resource.MachineCapacity(machineType).FitCount(p.request)
 }
 
 func (p *packing) fitsWithoutGPUs() bool {
-	types := slices.Values(p.round.input.MachineTypes)
+	types := slices.Values(p.builder.input.MachineTypes)
 	return resource.CPUOnlyTypeFits(p.request, p.demand.MachineTypes, types)
 }
 
-// openOfferings returns the offerings of a machine type that the demand may use and the
+// usableOfferings returns the offerings of a machine type that the demand may use and the
 // cloud may have, spot machines first.
-func (p *packing) openOfferings(machineType wire.MachineType) []Offering {
-	var open []Offering
+func (p *packing) usableOfferings(machineType wire.MachineType) []Offering {
+	var usable []Offering
 	for _, zone := range machineType.Zones {
-		if p.allowedIn(zone) <= 0 {
+		if p.assignableTasksIn(zone) <= 0 {
 			continue
 		}
 		for _, spot := range []bool{spotMachines, onDemandMachines} {
 			offering := Offering{MachineType: machineType.Name, Zone: zone, Spot: spot}
-			if offeringAllowed(p.demand.Demand, offering, p.zone) && !p.round.input.Unavailable[offering] {
-				open = append(open, offering)
+			if offeringAllowed(p.demand.Demand, offering, p.zone) && !p.builder.input.Unavailable[offering] {
+				usable = append(usable, offering)
 			}
 		}
 	}
-	return open
+	return usable
 }
 
 // costPerTask returns the hourly price of the machines for all tasks that are left, divided
@@ -94,33 +94,33 @@
 		price = machineType.HourlySpotPrice
 	}
 	machines := (p.unplaced + tasksPerMachine - 1) / tasksPerMachine
-	return price * float64(machines) / float64(p.unplaced) * (1 + machineType.BootS/bootCostS)
+	return price * float64(machines) / float64(p.unplaced) * (1 + machineType.BootS/costDoublingBootS)
 }
 
-// rentInEmptiestZone plans the rental of machines that the in-flight term asks for, in the
+// rentInZoneWithFewest plans the rental of machines that the in-flight term asks for, in the
 // zone that has the fewest of them. If no spot machines are available, on-demand machines
 // are rented.
-func (r *sizingRound) rentInEmptiestZone(machineType wire.MachineType, spot bool, partition, count int) {
-	offering, ok := r.offeringWithFewest(machineType, spot)
+func (b *planBuilder) rentInZoneWithFewest(machineType wire.MachineType, spot bool, partition, count int) {
+	offering, ok := b.offeringWithFewest(machineType, spot)
 	if !ok && spot {
-		offering, ok = r.offeringWithFewest(machineType, onDemandMachines)
+		offering, ok = b.offeringWithFewest(machineType, onDemandMachines)
 	}
 	if ok {
-		r.rent(offering, partition, count)
+		b.rent(offering, partition, count)
 	}
 }
 
 // offeringWithFewest returns the available offering that has the fewest machines, and
 // whether there is one.
-func (r *sizingRound) offeringWithFewest(machineType wire.MachineType, spot bool) (Offering, bool) {
+func (b *planBuilder) offeringWithFewest(machineType wire.MachineType, spot bool) (Offering, bool) {
 	var best Offering
 	found := false
 	for _, zone := range machineType.Zones {
 		offering := Offering{MachineType: machineType.Name, Zone: zone, Spot: spot}
-		if r.input.Unavailable[offering] {
+		if b.input.Unavailable[offering] {
 			continue
 		}
-		if !found || r.existing[offering] < r.existing[best] {
+		if !found || b.existingMachines[offering] < b.existingMachines[best] {
 			best, found = offering, true
 		}
 	}
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -15,48 +15,48 @@
 
 // scaleIn plans the return of empty machines once a surplus has lasted. On-demand machines
 // are returned first, since they cost more.
-func (a *Autoscaler) scaleIn(round *sizingRound, machineType string, surplus machineSurplus, now time.Time) {
+func (a *Autoscaler) scaleIn(builder *planBuilder, machineType string, surplus machineSurplus, now time.Time) {
 	if !a.surplusHasLasted(machineType, surplus.total, now) {
 		return
 	}
-	returned := round.returnEmpty(machineType, onDemandMachines, min(surplus.total, surplus.onDemand))
-	round.returnEmpty(machineType, spotMachines, surplus.total-returned)
+	returned := builder.returnEmptyMachines(machineType, onDemandMachines, min(surplus.total, surplus.onDemand))
+	builder.returnEmptyMachines(machineType, spotMachines, surplus.total-returned)
 }
 
 // surplusHasLasted reports whether a machine type has had a surplus for GiveBackS. It
 // records when the surplus began.
 func (a *Autoscaler) surplusHasLasted(machineType string, total int, now time.Time) bool {
 	if total <= 0 {
-		delete(a.belowTargetSince, machineType)
+		delete(a.surplusSince, machineType)
 		return false
 	}
-	since, ok := a.belowTargetSince[machineType]
+	since, ok := a.surplusSince[machineType]
 	if !ok {
-		a.belowTargetSince[machineType] = now
+		a.surplusSince[machineType] = now
 		return false
 	}
 	return now.Sub(since) >= tuning.Seconds(a.tuning.GiveBackS)
 }
 
-// returnEmpty plans the return of at most the given number of unused machines, and returns
+// returnEmptyMachines plans the return of at most the given number of unused machines, and returns
 // how many there are.
-func (r *sizingRound) returnEmpty(machineType string, spot bool, limit int) int {
+func (b *planBuilder) returnEmptyMachines(machineType string, spot bool, limit int) int {
 	returned := 0
-	for _, bin := range r.bins {
+	for _, bin := range b.bins {
 		if returned >= limit {
 			break
 		}
-		if bin.offering.MachineType != machineType || bin.offering.Spot != spot || !bin.isUnusedMachine() {
+		if bin.offering.MachineType != machineType || bin.offering.Spot != spot || !bin.isReturnable() {
 			continue
 		}
-		bin.used = true
+		bin.usedByPlan = true
 		returned++
-		r.plan.Returns = append(r.plan.Returns, bin.machine.ID)
+		b.plan.Returns = append(b.plan.Returns, bin.machine.ID)
 	}
 	return returned
 }
 
-// isUnusedMachine reports whether a bin is a machine that runs, is empty and stays so.
-func (b *capacityBin) isUnusedMachine() bool {
-	return b.machine != nil && b.machine.Empty && !b.used
+// isReturnable reports whether a bin is a machine that runs, is empty and stays so.
+func (b *capacityBin) isReturnable() bool {
+	return b.machine != nil && b.machine.Empty && !b.usedByPlan
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -27,14 +27,14 @@
 // resource.Unlimited where no limit applies.
 func (t *Team) RemainingTasks(request resource.Vector) int {
 	count := min(
-		remainingTasks(t.CPUsMax, t.Allocated.CPUs, request.CPUs),
-		remainingTasks(t.GPUsMax, t.Allocated.GPUs, request.GPUs),
+		tasksWithinLimit(t.CPUsMax, t.Allocated.CPUs, request.CPUs),
+		tasksWithinLimit(t.GPUsMax, t.Allocated.GPUs, request.GPUs),
 	)
 	return max(0, count)
 }
 
-// remainingTasks is RemainingTasks in one dimension; a limit of 0 is none.
-func remainingTasks(limit, allocated, requested float64) int {
+// tasksWithinLimit is RemainingTasks in one dimension; a limit of 0 is none.
+func tasksWithinLimit(limit, allocated, requested float64) int {
 	if limit <= 0 || requested <= resource.Epsilon {
 		return resource.Unlimited
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -7,7 +7,7 @@
 	"ambersill/internal/resource"
 )
 
-func TestRemainingTasksAreBoundByTheLimits(t *testing.T) {
+func TestRemainingTasksIsBoundedByLimits(t *testing.T) {
 	limited := config.Team{CPUsMax: 10, GPUsMax: 3}
 	for _, c := range []struct {
 		name      string
--- a/internal/resource/machinetype.go
+++ b/internal/resource/machinetype.go
@@ -17,7 +17,7 @@
 // allowed.
 func CPUOnlyTypeFits(request Vector, allowed []string, types iter.Seq[wire.MachineType]) bool {
 	for machineType := range types {
-		if machineType.GPUs == 0 && TypeAllowed(allowed, machineType.Name) && OfMachineType(machineType).Contains(request) {
+		if machineType.GPUs == 0 && TypeAllowed(allowed, machineType.Name) && MachineCapacity(machineType).Contains(request) {
 			return true
 		}
 	}
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -53,18 +53,18 @@
 		request.MemoryGB <= v.MemoryGB+Epsilon
 }
 
-// CountOf returns how many times request fits into v, Unlimited for an empty request.
-func (v Vector) CountOf(request Vector) int {
-	count := math.Min(countIn(v.CPUs, request.CPUs), countIn(v.GPUs, request.GPUs))
-	count = math.Min(count, countIn(v.MemoryGB, request.MemoryGB))
+// FitCount returns how many times request fits into v, Unlimited for an empty request.
+func (v Vector) FitCount(request Vector) int {
+	count := math.Min(fitCountIn(v.CPUs, request.CPUs), fitCountIn(v.GPUs, request.GPUs))
+	count = math.Min(count, fitCountIn(v.MemoryGB, request.MemoryGB))
 	if math.IsInf(count, 1) {
 		return Unlimited
 	}
 	return max(0, int(count))
 }
 
-// countIn returns how many times requested fits into available, in one dimension.
-func countIn(available, requested float64) float64 {
+// fitCountIn returns how many times requested fits into available, in one dimension.
+func fitCountIn(available, requested float64) float64 {
 	if requested <= Epsilon {
 		return math.Inf(1)
 	}
@@ -74,12 +74,12 @@
 // DominantShare returns the share of a machine of capacity v that used takes, in the
 // dimension of which it takes the most.
 func (v Vector) DominantShare(used Vector) float64 {
-	share := math.Max(shareOf(v.CPUs, used.CPUs), shareOf(v.GPUs, used.GPUs))
-	return math.Max(share, shareOf(v.MemoryGB, used.MemoryGB))
+	share := math.Max(usedFraction(v.CPUs, used.CPUs), usedFraction(v.GPUs, used.GPUs))
+	return math.Max(share, usedFraction(v.MemoryGB, used.MemoryGB))
 }
 
-// shareOf returns the share of capacity that used takes, in one dimension.
-func shareOf(capacity, used float64) float64 {
+// usedFraction returns the share of capacity that used takes, in one dimension.
+func usedFraction(capacity, used float64) float64 {
 	if capacity <= Epsilon {
 		return 0
 	}
@@ -91,7 +91,7 @@
 	return Vector{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
 
-// OfMachineType returns the capacity of a machine of a type.
-func OfMachineType(machineType wire.MachineType) Vector {
+// MachineCapacity returns the capacity of a machine of a type.
+func MachineCapacity(machineType wire.MachineType) Vector {
 	return Vector{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
--- a/internal/resource/vector_test.go
+++ b/internal/resource/vector_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestCountOfIsBoundByTheScarcestDimension(t *testing.T) {
+func TestFitCountIsBoundedByScarcestResource(t *testing.T) {
 	machine := Vector{CPUs: 8, GPUs: 4, MemoryGB: 32}
 	for _, c := range []struct {
 		name    string
@@ -16,13 +16,13 @@
 		{"rounding", Vector{CPUs: 8.0 / 3}, 3},
 		{"nothing requested", Vector{}, Unlimited},
 	} {
-		if got := machine.CountOf(c.request); got != c.want {
+		if got := machine.FitCount(c.request); got != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-func TestDominantShareIsOfTheDimensionUsedMost(t *testing.T) {
+func TestDominantShareIsOfMostUsedResource(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		capacity, used Vector
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -103,7 +103,7 @@
 	machine.Record = record
 	machine.revision = revision
 	machine.machineType = p.machineTypes[record.MachineType]
-	machine.capacity = resource.OfMachineType(machine.machineType)
+	machine.capacity = resource.MachineCapacity(machine.machineType)
 	// Each ownership has a higher revision than the ones before, so it fences them.
 	machine.token.raise(max(p.Revision, record.FencingToken))
 	p.capacityVersion++
