--- a/cmd/ambersill/controller.go
+++ b/cmd/ambersill/controller.go
@@ -46,5 +46,5 @@
 // rest of the memory is for what the runtime does not account for.
 func configureGarbageCollection(machineMemoryMB float64) {
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(machineMemoryMB * tuning.HeapShare * bytesPerMB))
+	debug.SetMemoryLimit(int64(machineMemoryMB * tuning.MemoryLimitFraction * bytesPerMB))
 }
--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -33,10 +33,10 @@
 
 // New returns a client that waits for a response for at most the given time.
 func New(n transport.Net, timeout time.Duration) *Client {
-	connectTimeout := min(timeout, tuning.TakeoverTimeout)
+	connectTimeout := min(timeout, tuning.FencingTimeout)
 	return &Client{
 		timeout: timeout,
-		http:    transport.Client(n, connsPerAgent, tuning.IdleOrders, connectTimeout),
+		http:    transport.Client(n, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
 	}
 }
 
--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -11,12 +11,12 @@
 // capacityBin is the free capacity of a machine that is empty, still booting, or to be
 // rented.
 type capacityBin struct {
-	machine   *Machine // nil if it has no ID yet
-	offering  Offering
-	partition int
-	remaining resource.Vector
-	usedByPlan      bool // tasks are assigned to it, or it is returned
-	rentalPlanned    bool // its rental is part of the plan
+	machine       *Machine // nil if it has no ID yet
+	offering      Offering
+	partition     int
+	remaining     resource.Vector
+	usedByPlan    bool // tasks are assigned to it, or it is returned
+	rentalPlanned bool // its rental is part of the plan
 }
 
 // placement is a number of a demand's tasks in one bin.
@@ -79,27 +79,27 @@
 
 // packing is one attempt to assign the tasks of a demand to bins. It changes no bin.
 type packing struct {
-	builder    *planBuilder
+	builder  *planBuilder
 	demand   partitionDemand
 	request  resource.Vector
 	zone     string         // the only zone allowed; empty for any
 	unplaced int            // tasks without a bin
 	inZone   map[string]int // tasks assigned in each zone
 	// plannedRentals counts the planned rentals by offering, those of this attempt included.
-	plannedRentals     map[Offering]int
-	assignment assignment
+	plannedRentals map[Offering]int
+	assignment     assignment
 }
 
 // newPacking returns a packing without assignments.
 func newPacking(builder *planBuilder, demand partitionDemand, zone string) *packing {
 	return &packing{
-		builder:    builder,
-		demand:   demand,
-		request:  demand.Request(),
-		zone:     zone,
-		unplaced: builder.concurrentTasks(demand.Demand),
-		inZone:   map[string]int{},
-		plannedRentals:   maps.Clone(builder.plannedRentals),
+		builder:        builder,
+		demand:         demand,
+		request:        demand.Request(),
+		zone:           zone,
+		unplaced:       builder.concurrentTasks(demand.Demand),
+		inZone:         map[string]int{},
+		plannedRentals: maps.Clone(builder.plannedRentals),
 	}
 }
 
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -14,9 +14,9 @@
 
 // offeringCost is an offering with what decides whether it is rented.
 type offeringCost struct {
-	offering Offering
-	costPerTask     float64 // of the waiting work, per task
-	machines int     // of this offering, existing or planned
+	offering    Offering
+	costPerTask float64 // of the waiting work, per task
+	machines    int     // of this offering, existing or planned
 }
 
 // betterThan reports whether an offering is cheaper than another, or as cheap with fewer
@@ -39,9 +39,9 @@
 		}
 		for _, offering := range p.usableOfferings(machineType) {
 			candidate := offeringCost{
-				offering: offering,
-				costPerTask:     p.costPerTask(machineType, offering.Spot, tasksPerMachine),
-				machines: p.plannedRentals[offering] + p.builder.existingMachines[offering],
+				offering:    offering,
+				costPerTask: p.costPerTask(machineType, offering.Spot, tasksPerMachine),
+				machines:    p.plannedRentals[offering] + p.builder.existingMachines[offering],
 			}
 			if candidate.betterThan(best) {
 				best = candidate
--- a/internal/autoscaler/planbuilder.go
+++ b/internal/autoscaler/planbuilder.go
@@ -11,15 +11,15 @@
 
 // fleetCounts counts the machines of one type.
 type fleetCounts struct {
-	machines int // rented or pending, except those that are being returned
-	onDemand int // of these, the ones that are not spot machines
-	addedForQueue   int // additional ones that the waiting tasks need
+	machines      int // rented or pending, except those that are being returned
+	onDemand      int // of these, the ones that are not spot machines
+	addedForQueue int // additional ones that the waiting tasks need
 }
 
 // planBuilder is the state of one sizing of the fleet.
 type planBuilder struct {
-	tuning *tuning.Tuning
-	input  Input
+	tuning       *tuning.Tuning
+	input        Input
 	typesByName  map[string]wire.MachineType
 	fleetsByType map[string]*fleetCounts // by machine type
 	// existingMachines counts the machines of each offering, those being returned included but
@@ -27,19 +27,19 @@
 	existingMachines map[Offering]int
 	// plannedRentals counts the rentals that this round has planned for waiting tasks.
 	plannedRentals map[Offering]int
-	bins   []*capacityBin
-	plan   Plan
+	bins           []*capacityBin
+	plan           Plan
 }
 
 func newPlanBuilder(tunables *tuning.Tuning, input Input) *planBuilder {
 	b := &planBuilder{
-		tuning:   tunables,
-		input:    input,
-		typesByName:    map[string]wire.MachineType{},
-		fleetsByType:   map[string]*fleetCounts{},
+		tuning:           tunables,
+		input:            input,
+		typesByName:      map[string]wire.MachineType{},
+		fleetsByType:     map[string]*fleetCounts{},
 		existingMachines: map[Offering]int{},
 		plannedRentals:   map[Offering]int{},
-		plan:     Plan{TargetMachines: map[string]int{}},
+		plan:             Plan{TargetMachines: map[string]int{}},
 	}
 	for _, machineType := range input.MachineTypes {
 		b.typesByName[machineType.Name] = machineType
--- a/internal/controller/command_slots.go
+++ b/internal/controller/command_slots.go
@@ -54,7 +54,7 @@
 // newCommandSlots returns slots for a fraction of the given number of sockets.
 func newCommandSlots(sockets int) *commandSlots {
 	return &commandSlots{
-		limit:    max(minCommandSlots, int(float64(sockets)*tuning.OrderShare)),
+		limit:    max(minCommandSlots, int(float64(sockets)*tuning.CommandSocketFraction)),
 		inFlight: map[string]*inFlightCommand{},
 		backoff:  map[string]commandBackoff{},
 	}
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -98,7 +98,7 @@
 	for limit := 250; limit < 5000; limit += 50 {
 		c.settings.Cluster.Limits.MaxSockets = limit
 		c.commandSlots = newCommandSlots(limit)
-		sum := c.publicSockets() + tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
+		sum := c.publicSockets() + tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
 		if sum > limit {
 			t.Errorf("%d sockets of %d", sum, limit)
 		}
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	// A machine that is up answers in milliseconds; others must not occupy slots for long.
-	ctx, cancel := context.WithTimeout(ctx, tuning.TakeoverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.FencingTimeout)
 	defer cancel()
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -92,7 +92,7 @@
 // with a job revision was rewritten by an owner, which has known the job since.
 func submittedChunk(item wire.KeyValue) (*records.ChunkRecord, bool) {
 	_, name, ok := records.ParseChunkKey(item.Key)
-	if !ok || !records.IsFirstChunk(name) {
+	if !ok || !records.IsFirstChunkName(name) {
 		return nil, false
 	}
 	var chunk records.ChunkRecord
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -134,7 +134,7 @@
 		change.writes = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := group.Split(limit)
+	pieces := group.SplitBySize(limit)
 	for _, piece := range pieces[1:] {
 		compare, write := newGroup(piece)
 		change.compares = append(change.compares, compare)
@@ -149,14 +149,14 @@
 // that none is divided for being large as long as there may be such programs.
 func (c *Controller) groupLimit() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
-		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
+		return records.MaxValueBytes(c.settings.Cluster.State.ValueKB)
 	}
-	return records.ValueBytes(c.limits.ValueKB)
+	return records.MaxValueBytes(c.limits.ValueKB)
 }
 
 // groupsPerTxn returns how many groups of up to the given number of bytes may be written in
 // one transaction without making it too large; one may always be written.
-func groupsPerTxn(groupBytes int) int { return max(1, tuning.TxnBytes/groupBytes) }
+func groupsPerTxn(groupBytes int) int { return max(1, tuning.MaxTxnBytes/groupBytes) }
 
 // sortEvents sorts events so that they can be applied one after the other: by revision, and
 // the pieces of a divided group, whose names are higher, before the rest of it. Otherwise
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -28,7 +28,7 @@
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
 	const limit = 2 << 10 // bytes
-	pieces := whole.Split(limit)
+	pieces := whole.SplitBySize(limit)
 	if len(pieces) < 3 {
 		t.Fatalf("%d pieces", len(pieces))
 	}
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -41,7 +41,7 @@
 	check := l.newReturnCheck(time.Now())
 	var returns []machineReturn
 	for _, id := range ids {
-		if len(returns) == tuning.MaxReturn {
+		if len(returns) == tuning.MaxMachinesPerReturn {
 			break
 		}
 		if reason := check.reason(id, machines[id].record); reason != returnNone {
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -16,7 +16,7 @@
 	nodes := float64(c.settings.Cluster.Count)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	share := tuning.BaseShare/nodes + (1-tuning.BaseShare)*float64(len(c.owned))/float64(c.partitions)
+	share := tuning.EqualRateFraction/nodes + (1-tuning.EqualRateFraction)*float64(len(c.owned))/float64(c.partitions)
 	if c.leading {
 		share = min(1, share+c.tuning.LeaderShare)
 	}
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -50,8 +50,8 @@
 // in one transaction, which deletes the rental's record as well.
 func (l *leader) maxRentalCount(offering autoscaler.Offering) int {
 	limits := l.controller.limits
-	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
-	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
+	groups := min(limits.TxnOps-1, groupsPerTxn(records.MaxValueBytes(limits.ValueKB)))
+	return min(tuning.MaxMachinesPerRental, groups*l.machinesPerGroup(offering))
 }
 
 // recordRentals records rentals, divided into as many as the cloud and the key-value store
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -58,6 +58,6 @@
 // publicSockets returns how many connections users and workers may hold together: those
 // that the controller does not need for itself and for commands to workers.
 func (c *Controller) publicSockets() int {
-	reserved := tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
+	reserved := tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
 	return max(c.settings.Cluster.Limits.MaxSockets-reserved, minPublicSockets)
 }
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -35,16 +35,16 @@
 		return summary, false
 	}
 	summary.MachineDigests = map[string]records.MachineDigest{}
-	for i := range summary.DigestRecords {
+	for i := range summary.DigestRecordCount {
 		// All into the same map: no machine is in two records.
 		key := records.MachineDigestsKey(partition, i)
 		if err := wire.Unmarshal(values[key], &summary.MachineDigests); err != nil {
 			slog.Debug("machine digests not read", "partition", partition, "err", err)
 		}
 	}
-	for i := range summary.OverflowRecords {
+	for i := range summary.OverflowRecordCount {
 		var overflow []records.Demand
-		key := records.WaitingKey(partition, i)
+		key := records.OverflowDemandKey(partition, i)
 		if err := wire.Unmarshal(values[key], &overflow); err != nil {
 			slog.Debug("demands not read", "partition", partition, "err", err)
 		}
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -94,12 +94,12 @@
 	for i, digest := range digests {
 		values[records.MachineDigestsKey(o.index, i)] = digest
 	}
-	summary.DigestRecords = len(digests)
-	overflow := summary.SplitWaiting(valueKB)
+	summary.DigestRecordCount = len(digests)
+	overflow := summary.SplitOverflowDemand(valueKB)
 	for i, waiting := range overflow {
-		values[records.WaitingKey(o.index, i)] = waiting
+		values[records.OverflowDemandKey(o.index, i)] = waiting
 	}
-	summary.OverflowRecords = len(overflow)
+	summary.OverflowRecordCount = len(overflow)
 	values[records.SummaryKey(o.index)] = summary
 	return values
 }
@@ -108,5 +108,5 @@
 // fraction of the store's rate of changes, since all other writes are more urgent.
 func (c *Controller) summaryGap(changes int) time.Duration {
 	least := tuning.Seconds(c.tuning.SummaryS)
-	return max(least, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
+	return max(least, tuning.Seconds(float64(changes)/(tuning.SummaryWriteFraction*c.limits.WriteRPS)))
 }
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -55,7 +55,7 @@
 // TasksPerChunk returns the number of tasks in a chunk of the initial format. All controllers
 // must derive it from the same setting.
 func TasksPerChunk(settings *config.Settings) int {
-	return max(1, ValueBytes(settings.Cluster.State.ValueKB)/tuning.TaskBytes)
+	return max(1, MaxValueBytes(settings.Cluster.State.ValueKB)/tuning.ReservedTaskBytes)
 }
 
 // HasExplicitRange reports whether the record contains the range of its tasks.
--- a/internal/records/journal.go
+++ b/internal/records/journal.go
@@ -25,7 +25,7 @@
 // SizeBound returns an upper bound of the entry's size in bytes, as the key-value store counts.
 func (e *JournalEntry) SizeBound() int {
 	size := JournalEntryOverheadBytes + len(e.Job)
-	size += rangesBytes(e.DoneRanges) + rangesBytes(e.WaitingRanges)
+	size += rangesSizeBound(e.DoneRanges) + rangesSizeBound(e.WaitingRanges)
 	for _, placement := range e.Placements {
 		size += placement.SizeBound()
 	}
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -64,8 +64,8 @@
 // FirstChunkKey returns the key of the chunk that contains a job's description.
 func FirstChunkKey(partition int, id string) string { return ChunkKey(partition, id, firstChunkName) }
 
-// IsFirstChunk reports whether a chunk's name is that of a job's first one.
-func IsFirstChunk(name string) bool { return name == firstChunkName }
+// IsFirstChunkName reports whether a chunk's name is that of a job's first one.
+func IsFirstChunkName(name string) bool { return name == firstChunkName }
 
 // ExplicitChunkName returns the name of a chunk with an explicit range that begins at a task.
 // It is not a number, so that it never equals the name of a chunk of the initial format.
@@ -89,9 +89,11 @@
 // MachineDigestsKey returns the key of the i-th record of a partition's machine digests.
 func MachineDigestsKey(partition, i int) string { return SummaryKey(partition) + "/" + strconv.Itoa(i) }
 
-// WaitingKey returns the key of the i-th record of the demand that does not fit a partition's
+// OverflowDemandKey returns the key of the i-th record of the demand that does not fit a partition's
 // summary.
-func WaitingKey(partition, i int) string { return SummaryKey(partition) + "/w" + strconv.Itoa(i) }
+func OverflowDemandKey(partition, i int) string {
+	return SummaryKey(partition) + "/w" + strconv.Itoa(i)
+}
 
 // partitionedPrefix returns the prefix of one partition's keys of a kind.
 func partitionedPrefix(prefix string, partition int) string {
--- a/internal/records/keys_test.go
+++ b/internal/records/keys_test.go
@@ -18,7 +18,7 @@
 }
 
 // Stored keys must be found by later versions of the program.
-func TestKeysKeepTheirForm(t *testing.T) {
+func TestStoredKeyFormats(t *testing.T) {
 	keys := map[string]string{
 		PartitionKey(3):                "c/p/3",
 		JobKey("req-1"):                "j/req-1",
@@ -28,7 +28,7 @@
 		JournalPrefix(3):               "g/3/",
 		SummaryKey(3):                  "s/3",
 		MachineDigestsKey(3, 1):        "s/3/1",
-		WaitingKey(3, 1):               "s/3/w1",
+		OverflowDemandKey(3, 1):        "s/3/w1",
 		ExplicitChunkName(300):         "t300",
 		LeaderKey + " " + RentalPrefix: "c/lead c/h/",
 	}
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -65,9 +65,9 @@
 	return group, nil
 }
 
-// machineRecordBytes bounds a machine's size in its group without its names, with all fields
+// machineOverheadBytes bounds a machine's size in its group without its names, with all fields
 // that may be written later.
-const machineRecordBytes = 150
+const machineOverheadBytes = 150
 
 // MachinesPerGroup returns how many machines of a type and zone a record of the given size in
 // KiB can contain, one at least.
@@ -77,7 +77,9 @@
 }
 
 // SizeBound returns an upper bound of the machine's size in its group, in bytes.
-func (r *MachineRecord) SizeBound() int { return machineRecordBytes + len(r.MachineType) + len(r.Zone) }
+func (r *MachineRecord) SizeBound() int {
+	return machineOverheadBytes + len(r.MachineType) + len(r.Zone)
+}
 
 // SizeBound returns an upper bound of the record's size in bytes.
 func (g *MachineGroupRecord) SizeBound() int {
@@ -88,9 +90,9 @@
 	return size
 }
 
-// Split divides a group into pieces whose sizes are within a limit in bytes, in the order of
+// SplitBySize divides a group into pieces whose sizes are within a limit in bytes, in the order of
 // the machines' names. A piece contains one machine at least.
-func (g *MachineGroupRecord) Split(limit int) []MachineGroupRecord {
+func (g *MachineGroupRecord) SplitBySize(limit int) []MachineGroupRecord {
 	var pieces []MachineGroupRecord
 	size := limit // so that the first machine begins a piece
 	for _, id := range slices.Sorted(maps.Keys(g.Machines)) {
--- a/internal/records/ranges_test.go
+++ b/internal/records/ranges_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestDamagedRangesAreBounded(t *testing.T) {
+func TestForEachInRangesBoundsCorruptRange(t *testing.T) {
 	visited := 0
 	ForEachInRanges([]int{0, 1 << 40, 7}, func(int) { visited++ })
 	if visited != maxRangeLength {
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -11,15 +11,15 @@
 // bytesPerKiB converts limits, which settings give in KiB.
 const bytesPerKiB = 1024
 
-// ValueBytes returns the size of the largest value in bytes for a limit in KiB.
-func ValueBytes(valueKB float64) int { return int(valueKB * bytesPerKiB) }
+// MaxValueBytes returns the size of the largest value in bytes for a limit in KiB.
+func MaxValueBytes(valueKB float64) int { return int(valueKB * bytesPerKiB) }
 
 // Bounds of sizes in bytes, as the key-value store counts them: by the length as JSON.
 const (
 	// ChunkOverheadBytes bounds a chunk's record without its tasks and the job's description.
 	ChunkOverheadBytes = 128
-	// RangeBytes bounds a range of tasks: two numbers of up to six digits.
-	RangeBytes = 14
+	// MaxRangeBytes bounds a range of tasks: two numbers of up to six digits.
+	MaxRangeBytes = 14
 	// jobDescriptionOverheadBytes bounds a job's description without its names.
 	jobDescriptionOverheadBytes = 560
 	// placementOverheadBytes is the punctuation of a placement.
@@ -32,12 +32,12 @@
 
 // SizeBound returns an upper bound of the record's size in bytes.
 func (r *ChunkRecord) SizeBound() int {
-	size := ChunkOverheadBytes + rangesBytes(r.DoneRanges)
+	size := ChunkOverheadBytes + rangesSizeBound(r.DoneRanges)
 	for _, placement := range r.Placements {
 		size += placement.SizeBound()
 	}
 	if r.Job != nil {
-		size += JobDescriptionBytes(r.Job)
+		size += JobDescriptionSizeBound(r.Job)
 	}
 	return size
 }
@@ -47,23 +47,23 @@
 	return placementOverheadBytes + digits(uint64(r.Task)) + digits(r.Attempt) + len(r.Machine) + digits(r.Incarnation)
 }
 
-// JobDescriptionBytes returns an upper bound of the size of a job's description.
-func JobDescriptionBytes(job *wire.Job) int {
+// JobDescriptionSizeBound returns an upper bound of the size of a job's description.
+func JobDescriptionSizeBound(job *wire.Job) int {
 	names := len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
-	return jobDescriptionOverheadBytes + names + namesBytes(job.MachineTypes)
+	return jobDescriptionOverheadBytes + names + nameListBytes(job.MachineTypes)
 }
 
 // JobFitsRecord reports whether a record has enough space for a job's description and a task.
 func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
-	size := ChunkOverheadBytes + JobDescriptionBytes(job) + tuning.TaskBytes
-	return size <= ValueBytes(settings.WriteLimits().ValueKB)
+	size := ChunkOverheadBytes + JobDescriptionSizeBound(job) + tuning.ReservedTaskBytes
+	return size <= MaxValueBytes(settings.WriteLimits().ValueKB)
 }
 
-// rangesBytes bounds the size of flattened ranges.
-func rangesBytes(ranges []int) int { return RangeBytes / 2 * len(ranges) }
+// rangesSizeBound bounds the size of flattened ranges.
+func rangesSizeBound(ranges []int) int { return MaxRangeBytes / 2 * len(ranges) }
 
-// namesBytes returns the size of a list of names.
-func namesBytes(names []string) int {
+// nameListBytes returns the size of a list of names.
+func nameListBytes(names []string) int {
 	size := 0
 	for _, name := range names {
 		size += len(name) + listItemOverheadBytes
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -20,11 +20,11 @@
 	// MachineDigests are those of the machines with anything to report. They are stored in
 	// records of their own, since their number has no bound.
 	MachineDigests map[string]MachineDigest `cbor:"-"`
-	// DigestRecords is the number of these records.
-	DigestRecords int `cbor:"notes"`
-	// OverflowRecords is the number of further records of waiting demand. Programs of the
+	// DigestRecordCount is the number of these records.
+	DigestRecordCount int `cbor:"notes"`
+	// OverflowRecordCount is the number of further records of waiting demand. Programs of the
 	// initial format size the fleet for what the summary's own record contains.
-	OverflowRecords int `cbor:"more,omitempty"`
+	OverflowRecordCount int `cbor:"more,omitempty"`
 }
 
 // MachineDigest is the state of a machine as reported by its partition's owner, a set of flags.
@@ -61,24 +61,24 @@
 
 // Sizes in bytes, as the key-value store counts them.
 const (
-	// demandBytes bounds a demand without its names.
-	demandBytes = 130
+	// demandOverheadBytes bounds a demand without its names.
+	demandOverheadBytes = 130
 	// summaryOverheadBytes is set aside for what a summary's record contains beside the
 	// waiting demand.
 	summaryOverheadBytes = 1024
-	// digestBytes bounds a machine's digest without its name.
-	digestBytes = 6
+	// digestOverheadBytes bounds a machine's digest without its name.
+	digestOverheadBytes = 6
 )
 
-// runSecondsPrecision is the number of steps in a second to which merged run times are rounded,
+// runTimeStepsPerSecond is the number of steps in a second to which merged run times are rounded,
 // so that their length in a record is bounded.
-const runSecondsPrecision = 10
+const runTimeStepsPerSecond = 10
 
 // Merge adds the tasks of another demand with the same requirements.
 func (d *Demand) Merge(other *Demand) {
-	tasks, more := float64(d.Tasks), float64(other.Tasks)
-	mean := (d.EstimatedRunS*tasks + other.EstimatedRunS*more) / (tasks + more)
-	d.EstimatedRunS = math.Round(mean*runSecondsPrecision) / runSecondsPrecision
+	tasks, otherTasks := float64(d.Tasks), float64(other.Tasks)
+	mean := (d.EstimatedRunS*tasks + other.EstimatedRunS*otherTasks) / (tasks + otherTasks)
+	d.EstimatedRunS = math.Round(mean*runTimeStepsPerSecond) / runTimeStepsPerSecond
 	d.Tasks += other.Tasks
 }
 
@@ -88,12 +88,14 @@
 }
 
 // SizeBound returns an upper bound of the demand's size in bytes.
-func (d *Demand) SizeBound() int { return demandBytes + len(d.Zone) + namesBytes(d.MachineTypes) }
+func (d *Demand) SizeBound() int {
+	return demandOverheadBytes + len(d.Zone) + nameListBytes(d.MachineTypes)
+}
 
-// SplitWaiting keeps those demands in the summary that fit its record, and returns the rest,
+// SplitOverflowDemand keeps those demands in the summary that fit its record, and returns the rest,
 // divided into further records. valueKB is the size of a value in KiB.
-func (s *PartitionSummary) SplitWaiting(valueKB float64) [][]Demand {
-	limit := ValueBytes(valueKB)
+func (s *PartitionSummary) SplitOverflowDemand(valueKB float64) [][]Demand {
+	limit := MaxValueBytes(valueKB)
 	all := s.Waiting
 	s.Waiting = nil
 	var overflow [][]Demand
@@ -119,18 +121,18 @@
 // machines' names. valueKB is the size of a value in KiB.
 func (s *PartitionSummary) SplitMachineDigests(valueKB float64) []map[string]MachineDigest {
 	ids := slices.Sorted(maps.Keys(s.MachineDigests))
-	longestName := 0
+	longestID := 0
 	for _, id := range ids {
-		longestName = max(longestName, len(id))
+		longestID = max(longestID, len(id))
 	}
-	perRecord := max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/(longestName+digestBytes))
-	var out []map[string]MachineDigest
-	for names := range slices.Chunk(ids, perRecord) {
-		digests := make(map[string]MachineDigest, len(names))
-		for _, id := range names {
+	perRecord := max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/(longestID+digestOverheadBytes))
+	var digestRecords []map[string]MachineDigest
+	for group := range slices.Chunk(ids, perRecord) {
+		digests := make(map[string]MachineDigest, len(group))
+		for _, id := range group {
 			digests[id] = s.MachineDigests[id]
 		}
-		out = append(out, digests)
+		digestRecords = append(digestRecords, digests)
 	}
-	return out
+	return digestRecords
 }
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -104,7 +104,7 @@
 
 // isFull reports whether the batch may have left out changes for lack of capacity.
 func (b *batchBuilder) isFull() bool {
-	return !b.canWrite(finalWrites) || b.size+tuning.MinJournalBytes > tuning.TxnBytes
+	return !b.canWrite(finalWrites) || b.size+tuning.MinJournalBytes > tuning.MaxTxnBytes
 }
 
 // endJob commits the end of the first job that is complete. A batch ends one job only, which
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -151,7 +151,7 @@
 	if placement := c.job.unfinishedPlacement(task); placement != nil {
 		return placement.record().SizeBound()
 	}
-	return records.RangeBytes
+	return records.MaxRangeBytes
 }
 
 // usualTaskBytes is the usual size of a placement in a chunk's record, in bytes. A waiting task
@@ -161,7 +161,7 @@
 // recordedTaskBytes bounds the size of a task in the chunk's record.
 func (c *chunk) recordedTaskBytes(task int) int {
 	if c.job.taskStates[task] == taskDone {
-		return records.RangeBytes
+		return records.MaxRangeBytes
 	}
 	if placement := c.job.placements[task]; placement != nil {
 		return max(placement.record().SizeBound(), usualTaskBytes)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -11,7 +11,7 @@
 func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, fresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
-		if len(commands) >= tuning.MaxCommands {
+		if len(commands) >= tuning.MaxCommandsPerResponse {
 			return commands
 		}
 		if command, due := p.endCommand(machine, &heartbeat.Tasks[i], now); due {
@@ -64,7 +64,7 @@
 // the commands of the last response.
 func appendStartCommands(commands []wire.Command, machine *Machine, sequence uint64) []wire.Command {
 	for _, key := range machine.startableTasks() {
-		if len(commands) >= tuning.MaxCommands {
+		if len(commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		placement := machine.placements[key]
@@ -185,7 +185,7 @@
 	}
 	request := machine.newCommandRequest()
 	for _, key := range sortedTaskAttempts(machine.placements) {
-		if len(request.Commands) >= tuning.MaxCommands {
+		if len(request.Commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		if command, due := machine.placements[key].directCommand(key, fresh); due {
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -30,7 +30,7 @@
 
 // due reports whether the next record may be rewritten.
 func (f *formatConversion) due(now time.Time) bool {
-	return now.Sub(f.lastRewrite) >= tuning.ConversionGap
+	return now.Sub(f.lastRewrite) >= tuning.MinConversionInterval
 }
 
 // compact adds the records of chunks whose journaled changes the ring will soon overwrite. It
@@ -167,7 +167,7 @@
 // batch without other changes accepts a record of any size, or it could never be written.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
 	size := record.SizeBound()
-	if b.size > 0 && b.size+size > tuning.TxnBytes {
+	if b.size > 0 && b.size+size > tuning.MaxTxnBytes {
 		return
 	}
 	b.size += size
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -64,7 +64,7 @@
 
 // beginRecord begins a record, and reports whether the batch has capacity for one.
 func (w *journalWriter) beginRecord() bool {
-	if !w.builder.canWrite(1) || w.builder.size+tuning.MinJournalBytes > tuning.TxnBytes {
+	if !w.builder.canWrite(1) || w.builder.size+tuning.MinJournalBytes > tuning.MaxTxnBytes {
 		return false
 	}
 	w.record = &records.JournalRecord{Sequence: w.builder.partition.journal.nextSequence()}
@@ -75,7 +75,7 @@
 // bytesLeft returns how many bytes the record may still grow by.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
-	return min(valueBytes, tuning.TxnBytes-w.builder.size) - w.size
+	return min(valueBytes, tuning.MaxTxnBytes-w.builder.size) - w.size
 }
 
 // appendEntry adds the present state of some of a chunk's tasks to the record.
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -67,7 +67,7 @@
 }
 
 // maxValueBytes returns the size of the largest value that may be written.
-func (l *chunkLayout) maxValueBytes() int { return records.ValueBytes(l.limits.ValueKB) }
+func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
@@ -211,7 +211,7 @@
 	limit := l.maxValueBytes()
 	size := records.ChunkOverheadBytes
 	if c.from == 0 {
-		size += records.JobDescriptionBytes(c.job.Job)
+		size += records.JobDescriptionSizeBound(c.job.Job)
 	}
 	var cuts []int
 	for task := c.from; task < c.to; task++ {
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -44,7 +44,7 @@
 		loaded := &chunks[i]
 		r.partition.journal.observeSequence(loaded.Record.JournalSequence)
 		chunksByJob[loaded.JobID] = append(chunksByJob[loaded.JobID], loaded)
-		if !records.IsFirstChunk(loaded.Name) || loaded.Record.Job == nil {
+		if !records.IsFirstChunkName(loaded.Name) || loaded.Record.Job == nil {
 			continue
 		}
 		submittedAt := time.UnixMilli(loaded.Record.SubmittedAtMS)
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -176,23 +176,23 @@
 
 // Limits of the protocol's requests.
 const (
-	// MaxRent is the number of machines in one rental, by the protocol. It is lower if their
+	// MaxMachinesPerRental is the number of machines in one rental, by the protocol. It is lower if their
 	// group's record would not fit into one value.
-	MaxRent = 50
-	// MaxReturn is the number of machines returned in one request, by the protocol.
-	MaxReturn = 100
-	// MaxCommands is the number of commands in one response to a worker. At about 80 bytes
+	MaxMachinesPerRental = 50
+	// MaxMachinesPerReturn is the number of machines returned in one request, by the protocol.
+	MaxMachinesPerReturn = 100
+	// MaxCommandsPerResponse is the number of commands in one response to a worker. At about 80 bytes
 	// each, they stay well below the protocol's 64 KiB.
-	MaxCommands = 200
+	MaxCommandsPerResponse = 200
 )
 
 // Sizes and rates of records in the key-value store.
 const (
-	// TaskBytes is the size reserved in a record for one task, in bytes; a placement takes
+	// ReservedTaskBytes is the size reserved in a record for one task, in bytes; a placement takes
 	// about 40.
-	TaskBytes = 64
-	// TxnBytes is the size that one transaction may have, in bytes; the store allows 64 KiB.
-	TxnBytes = 48 << 10
+	ReservedTaskBytes = 64
+	// MaxTxnBytes is the size that one transaction may have, in bytes; the store allows 64 KiB.
+	MaxTxnBytes = 48 << 10
 	// JournalSlots is the number of records in a partition's journal before its slots are
 	// reused. At ten records a second a chunk is compacted every 20 s, and a failover reads a
 	// few hundred keys at most.
@@ -200,16 +200,16 @@
 	// MinJournalBytes is the size that a transaction must have left, in bytes, for a journal
 	// record to be added to it.
 	MinJournalBytes = 1 << 10
-	// BaseShare is the fraction of the store's rate limits that all controllers have alike,
+	// EqualRateFraction is the fraction of the store's rate limits that all controllers have alike,
 	// for users' requests; the rest is divided among the owners of partitions. Writes for
 	// users may exceed the limit for a short time, so it need not cover their peaks.
-	BaseShare = 0.2
-	// SummaryShare is the fraction of the store's write rate that summaries may use.
-	SummaryShare = 0.15
-	// ConversionGap is the least time between two records that are rewritten only for their
+	EqualRateFraction = 0.2
+	// SummaryWriteFraction is the fraction of the store's write rate that summaries may use.
+	SummaryWriteFraction = 0.15
+	// MinConversionInterval is the least time between two records that are rewritten only for their
 	// format. At four a second, a few hundred are converted within a minute or two beside the
 	// usual writes.
-	ConversionGap = 250 * time.Millisecond
+	MinConversionInterval = 250 * time.Millisecond
 )
 
 // Memory of a controller.
@@ -217,26 +217,26 @@
 	// GCPercent is the growth of the heap between two garbage collections, in percent of the
 	// live heap, which takes a tenth to a third of the memory on the deployments served.
 	GCPercent = 400
-	// HeapShare is the fraction of the machine's memory above which collections are more
+	// MemoryLimitFraction is the fraction of the machine's memory above which collections are more
 	// frequent.
-	HeapShare = 0.6
+	MemoryLimitFraction = 0.6
 )
 
 // Sockets of a controller, and timeouts that keep peers from occupying them.
 const (
-	// OrderShare is the fraction of the sockets for commands sent directly to workers. It is
+	// CommandSocketFraction is the fraction of the sockets for commands sent directly to workers. It is
 	// enough for all machines of a zone to fail at the same time, each of which occupies a
 	// socket until its request times out.
-	OrderShare = 0.1
-	// IdleOrders is the number of idle connections to workers that are kept open.
-	IdleOrders = 64
-	// OwnSockets is the number of sockets reserved for the key-value store, the cloud and the
+	CommandSocketFraction = 0.1
+	// MaxIdleWorkerConns is the number of idle connections to workers that are kept open.
+	MaxIdleWorkerConns = 64
+	// ReservedSockets is the number of sockets reserved for the key-value store, the cloud and the
 	// other controllers, so that connections of users and workers can't keep a controller from
 	// renewing its lease.
-	OwnSockets = 100
-	// TakeoverTimeout is the timeout of a command that only raises the fencing token, and of
+	ReservedSockets = 100
+	// FencingTimeout is the timeout of a command that only raises the fencing token, and of
 	// connecting to a worker; one that is up answers within milliseconds.
-	TakeoverTimeout = time.Second
+	FencingTimeout = time.Second
 	// ReadTimeout is the timeout of reading a request, so that slow senders do not occupy
 	// sockets.
 	ReadTimeout = 10 * time.Second
