--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -113,11 +113,11 @@
 	fleet := builder.fleetCountsOf(machineType.Name)
 	typeBooked := booked.byType[machineType.Name]
 	target := a.machinesFor(typeBooked.machines)
-	if fleet.addedForQueue > 0 {
-		target = max(target, fleet.machines+fleet.addedForQueue)
+	if fleet.planned > 0 {
+		target = max(target, fleet.machines+fleet.planned)
 	}
 	builder.plan.TargetMachines[machineType.Name] = target
-	if missing := target - fleet.machines - fleet.addedForQueue; missing > 0 {
+	if missing := target - fleet.machines - fleet.planned; missing > 0 {
 		// Work that may not run on spot machines needs capacity on the others.
 		spot := typeBooked.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
 		builder.rentInZoneWithFewest(machineType, spot, booked.busiestPartition, missing)
--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -11,12 +11,12 @@
 // capacityBin is the free capacity of a machine that is empty, still booting, or to be
 // rented.
 type capacityBin struct {
-	machine       *Machine // nil if it has no ID yet
-	offering      Offering
-	partition     int
-	remaining     resource.Vector
-	usedByPlan    bool // tasks are assigned to it, or it is returned
-	rentalPlanned bool // its rental is part of the plan
+	machine    *Machine // nil if it has no ID yet
+	offering   Offering
+	partition  int
+	remaining  resource.Vector
+	usedByPlan bool // tasks are assigned to it, or it is returned
+	planned    bool // its rental is part of the plan
 }
 
 // placement is a number of a demand's tasks in one bin.
@@ -85,21 +85,21 @@
 	zone     string         // the only zone allowed; empty for any
 	unplaced int            // tasks without a bin
 	inZone   map[string]int // tasks assigned in each zone
-	// plannedRentals counts the planned rentals by offering, those of this attempt included.
-	plannedRentals map[Offering]int
-	assignment     assignment
+	// planned counts the planned rentals by offering, those of this attempt included.
+	planned    map[Offering]int
+	assignment assignment
 }
 
 // newPacking returns a packing without assignments.
 func newPacking(builder *planBuilder, demand partitionDemand, zone string) *packing {
 	return &packing{
-		builder:        builder,
-		demand:         demand,
-		request:        demand.Request(),
-		zone:           zone,
-		unplaced:       builder.concurrentTasks(demand.Demand),
-		inZone:         map[string]int{},
-		plannedRentals: maps.Clone(builder.plannedRentals),
+		builder:  builder,
+		demand:   demand,
+		request:  demand.Request(),
+		zone:     zone,
+		unplaced: builder.concurrentTasks(demand.Demand),
+		inZone:   map[string]int{},
+		planned:  maps.Clone(builder.planned),
 	}
 }
 
@@ -167,7 +167,7 @@
 		if !ok {
 			return
 		}
-		p.plannedRentals[offering]++
+		p.planned[offering]++
 		p.assignment.newRentals++
 		p.fill(p.builder.newBin(offering, p.demand.partition))
 	}
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -14,24 +14,24 @@
 
 // offeringCost is an offering with what decides whether it is rented.
 type offeringCost struct {
-	offering    Offering
-	costPerTask float64 // of the waiting work, per task
-	machines    int     // of this offering, existing or planned
+	offering Offering
+	taskCost float64 // of the waiting work, per task
+	machines int     // of this offering, existing or planned
 }
 
 // betterThan reports whether an offering is cheaper than another, or as cheap with fewer
 // machines, which spreads machines of one type over the zones.
 func (c offeringCost) betterThan(other offeringCost) bool {
-	if c.costPerTask < other.costPerTask-resource.Epsilon {
+	if c.taskCost < other.taskCost-resource.Epsilon {
 		return true
 	}
-	return c.costPerTask < other.costPerTask+resource.Epsilon && c.machines < other.machines
+	return c.taskCost < other.taskCost+resource.Epsilon && c.machines < other.machines
 }
 
 // cheapestOffering returns the offering whose machines run the tasks that are left at the
 // lowest cost, and whether there is one.
 func (p *packing) cheapestOffering() (Offering, bool) {
-	best := offeringCost{costPerTask: math.Inf(1)}
+	best := offeringCost{taskCost: math.Inf(1)}
 	for _, machineType := range p.builder.input.MachineTypes {
 		tasksPerMachine := p.tasksPerMachine(machineType)
 		if tasksPerMachine == 0 {
@@ -39,16 +39,16 @@
 		}
 		for _, offering := range p.usableOfferings(machineType) {
 			candidate := offeringCost{
-				offering:    offering,
-				costPerTask: p.costPerTask(machineType, offering.Spot, tasksPerMachine),
-				machines:    p.plannedRentals[offering] + p.builder.existingMachines[offering],
+				offering: offering,
+				taskCost: p.costPerTask(machineType, offering.Spot, tasksPerMachine),
+				machines: p.planned[offering] + p.builder.existingMachines[offering],
 			}
 			if candidate.betterThan(best) {
 				best = candidate
 			}
 		}
 	}
-	return best.offering, !math.IsInf(best.costPerTask, 1)
+	return best.offering, !math.IsInf(best.taskCost, 1)
 }
 
 // tasksPerMachine returns how many of the demand's tasks fit a machine of a type; 0 if it
--- a/internal/autoscaler/planbuilder.go
+++ b/internal/autoscaler/planbuilder.go
@@ -11,9 +11,9 @@
 
 // fleetCounts counts the machines of one type.
 type fleetCounts struct {
-	machines      int // rented or pending, except those that are being returned
-	onDemand      int // of these, the ones that are not spot machines
-	addedForQueue int // additional ones that the waiting tasks need
+	machines int // rented or pending, except those that are being returned
+	onDemand int // of these, the ones that are not spot machines
+	planned  int // additional ones that the waiting tasks need
 }
 
 // planBuilder is the state of one sizing of the fleet.
@@ -25,10 +25,10 @@
 	// existingMachines counts the machines of each offering, those being returned included but
 	// not the pending rentals.
 	existingMachines map[Offering]int
-	// plannedRentals counts the rentals that this round has planned for waiting tasks.
-	plannedRentals map[Offering]int
-	bins           []*capacityBin
-	plan           Plan
+	// planned counts the rentals that this round has planned for waiting tasks.
+	planned map[Offering]int
+	bins    []*capacityBin
+	plan    Plan
 }
 
 func newPlanBuilder(tunables *tuning.Tuning, input Input) *planBuilder {
@@ -38,7 +38,7 @@
 		typesByName:      map[string]wire.MachineType{},
 		fleetsByType:     map[string]*fleetCounts{},
 		existingMachines: map[Offering]int{},
-		plannedRentals:   map[Offering]int{},
+		planned:          map[Offering]int{},
 		plan:             Plan{TargetMachines: map[string]int{}},
 	}
 	for _, machineType := range input.MachineTypes {
@@ -105,7 +105,7 @@
 	for _, placement := range b.assign(demand).placements {
 		bin := placement.bin
 		switch {
-		case bin.machine == nil && !bin.rentalPlanned:
+		case bin.machine == nil && !bin.planned:
 			b.rentForWaitingTasks(bin, demand.partition)
 		case bin.machine != nil && bin.partition != demand.partition:
 			b.reassign(bin, demand.partition)
@@ -118,10 +118,10 @@
 // rentForWaitingTasks plans a rental for waiting tasks. Its first use queues the bin of a pending
 // rental as well, although that machine is asked for already.
 func (b *planBuilder) rentForWaitingTasks(bin *capacityBin, partition int) {
-	bin.rentalPlanned = true
+	bin.planned = true
 	b.bins = append(b.bins, bin)
-	b.plannedRentals[bin.offering]++
-	b.fleetCountsOf(bin.offering.MachineType).addedForQueue++
+	b.planned[bin.offering]++
+	b.fleetCountsOf(bin.offering.MachineType).planned++
 	b.rent(bin.offering, partition, 1)
 }
 
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -56,7 +56,7 @@
 	return !known || forget.ready()
 }
 
-// appendStartCommands appends the starts of the machine's tasks, up to MaxCommands in all.
+// appendStartCommands appends the starts of the machine's tasks, up to MaxCommandsPerResponse in all.
 // sequence is that of the heartbeat which is answered.
 //
 // A start that no heartbeat has shown is repeated, as its response may have been lost. The
