--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides which jobs are accepted, and for which machine type each is
-// meant.
+// Package admission checks whether submitted jobs can ever run, and determines each job's
+// primary machine type.
 package admission
 
 import (
@@ -12,7 +12,7 @@
 	"ambersill/internal/wire"
 )
 
-// Reasons why a job can never run. Their texts are sent to users as the answer to the
+// Reasons why a job can never run. Their texts are sent to users in the response to the
 // submission.
 var (
 	ErrUnknownTeam        = errors.New("unknown team")
@@ -21,12 +21,12 @@
 	ErrGangCannotBeSpread = errors.New("the gang can't be spread")
 )
 
-// minSpreadZones is the number of zones that a gang needs at least to be spread.
+// minSpreadZones is the minimum number of zones over which a gang can be spread.
 const minSpreadZones = 2
 
-// PrimaryMachineType returns the index, in the catalog's order, of the first machine type
-// that a job is meant for, 0 if it fits none. Types with GPUs are not meant for work
-// without, if a type without GPUs fits.
+// PrimaryMachineType returns the index in types, which is in the order of the catalog, of the
+// first type that fits a job, or 0 if none does. For a job without GPUs, types with GPUs are
+// skipped if an allowed type without GPUs fits.
 func PrimaryMachineType(job *wire.Job, types []wire.MachineType) int {
 	request := resource.TaskRequest(job)
 	cpuOnlyTypeFits := resource.CPUOnlyTypeFits(request, job.MachineTypes, slices.Values(types))
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// Check returns the reason why a job can never run, nil if it can.
+// Check returns the reason why a job can never run, or nil if it can run.
 func Check(job *wire.Job, settings *config.Settings, types []wire.MachineType) error {
 	team, ok := settings.Team(job.Team)
 	if !ok {
@@ -62,14 +62,15 @@
 	return nil
 }
 
-// typeFits reports whether a machine of a type may run a task of a job, and has the
-// capacity for it.
+// typeFits reports whether a job allows a machine type and one machine of it has the capacity
+// for a task.
 func typeFits(job *wire.Job, machineType wire.MachineType) bool {
 	return resource.TypeAllowed(job.MachineTypes, machineType.Name) &&
 		resource.MachineCapacity(machineType).Contains(resource.TaskRequest(job))
 }
 
-// feasibleZones returns the zones in which machines that fit a job can be rented.
+// feasibleZones returns the zones allowed by a job in which a machine type that fits its tasks
+// is offered.
 func feasibleZones(job *wire.Job, types []wire.MachineType) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range types {
@@ -85,8 +86,9 @@
 	return zones
 }
 
-// concurrentRequest returns what a job must be able to allocate at once: all tasks of a
-// gang and all replicas of a service run at the same time, an array's can take turns.
+// concurrentRequest returns the resources that a job needs at the same time in order to run:
+// those of all tasks for a gang or a service, and of one task for an array, whose tasks can
+// run one after another.
 func concurrentRequest(job *wire.Job) resource.Vector {
 	request := resource.TaskRequest(job)
 	if job.IsGang() || job.IsService() {
@@ -95,8 +97,7 @@
 	return request
 }
 
-// mustSpread reports whether the job's tasks have to run in different zones at the same
-// time.
+// mustSpread reports whether the job's tasks must run in different zones at the same time.
 func mustSpread(job *wire.Job) bool {
 	return job.SpreadZones && job.IsGang() && job.Tasks > 1
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,8 +22,8 @@
 	return settings
 }
 
-// Jobs that compete for the same machines are meant for the same type, and work without
-// GPUs is not meant for machines with GPUs.
+// Jobs that compete for the same machines must have the same primary type. It must have no GPUs
+// for jobs without GPUs, unless they fit or allow only a type with GPUs.
 func TestPrimaryMachineTypeIsSharedByCompetingJobs(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,7 +37,7 @@
 		{"too large for the type without GPUs", wire.Job{CPUs: 12}, 1},
 	} {
 		if got := PrimaryMachineType(&c.job, testTypes); got != c.want {
-			t.Errorf("%s: type %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: primary machine type: got index %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -59,12 +59,12 @@
 		{"gang spread over one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
 	} {
 		if err := Check(&c.job, settings, testTypes); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: Check: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// All replicas together must be within the team's limit, for all run at the same time.
+// All replicas together must be within the team's limit, since they run at the same time.
 func TestCheckRejectsServiceAboveItsTeamsLimit(t *testing.T) {
 	settings := testSettings()
 	for replicas, want := range map[int]error{2: nil, 3: ErrTeamLimitExceeded} {
@@ -79,12 +79,12 @@
 			Image:    "i",
 		}
 		if err := Check(&job, settings, testTypes); !errors.Is(err, want) {
-			t.Errorf("%d replicas of 4 CPUs with a limit of 10: %v, want %v", replicas, err, want)
+			t.Errorf("Check of %d replicas of 4 CPUs with a limit of 10: got error %v, want %v", replicas, err, want)
 		}
 	}
 }
 
-// The reasons are part of the answers that users get.
+// The texts of the reasons are part of the responses sent to users and must not change.
 func TestErrorTextsSentToUsers(t *testing.T) {
 	for err, want := range map[error]string{
 		ErrUnknownTeam:        "unknown team",
@@ -93,7 +93,7 @@
 		ErrGangCannotBeSpread: "the gang can't be spread",
 	} {
 		if err.Error() != want {
-			t.Errorf("%q, want %q", err, want)
+			t.Errorf("error text sent to users: got %q, want %q", err, want)
 		}
 	}
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,6 +1,6 @@
-// Package autoscaler decides how many machines of which type the cluster rents. It does no
-// input or output: the leader passes in the state of the fleet and the waiting demand, and
-// carries out the Plan that is returned.
+// Package autoscaler decides how many machines of each type the cluster rents. It performs no
+// I/O: the leader passes in the state of the fleet and the waiting demand, and executes the
+// returned Plan.
 package autoscaler
 
 import (
@@ -13,8 +13,8 @@
 	"ambersill/internal/wire"
 )
 
-// Offering identifies what the cloud rents out: machines of one type and price class in
-// one zone.
+// Offering identifies machines that the cloud rents out: those of one type in one zone,
+// either spot or on-demand.
 type Offering struct {
 	MachineType string
 	Zone        string
@@ -27,74 +27,75 @@
 	spotMachines     = true
 )
 
-// Machine is a rented machine as the leader knows it. One that is rented but whose ID
-// the cloud has not returned yet has neither an ID nor a state.
+// Machine is a rented machine as the leader knows it. In Input.PendingRentals only Offering
+// and Partition are set, since the cloud has not returned an ID yet.
 type Machine struct {
 	ID        string
 	Offering  Offering
 	Partition int
 	Desired   records.DesiredState
-	Empty     bool // usable and without tasks, by the summary of its partition
-	Running   bool // has sent heartbeats
+	Empty     bool // its partition's summary reports it as usable and without tasks
+	Running   bool // it has sent heartbeats
 }
 
-// Input is the state of the cluster that one sizing of the fleet is based on.
+// Input is the state of the cluster from which a Plan is computed.
 type Input struct {
 	MachineTypes []wire.MachineType
 	Machines     []Machine
-	// PendingRentals has one entry for each machine of the recorded rentals that the cloud
+	// PendingRentals contains one entry per machine of each recorded rental that the cloud
 	// has not answered yet.
 	PendingRentals []Machine
-	// Summaries of the partitions, by partition.
+	// Summaries contains the partitions' summaries by partition number.
 	Summaries map[int]records.PartitionSummary
-	// Unavailable offerings are not to be rented now.
+	// Unavailable contains the offerings that must not be rented now.
 	Unavailable map[Offering]bool
 }
 
-// Rental asks for new machines for a partition.
+// Rental is a request to rent Count machines for a partition.
 type Rental struct {
 	Offering  Offering
 	Partition int
 	Count     int
 }
 
-// Reassignment moves an empty machine to another partition.
+// Reassignment is a request to move an empty machine to another partition.
 type Reassignment struct {
 	MachineID   string
 	ToPartition int
 }
 
-// Plan is what has to be done to size the fleet, in the order of need.
+// Plan lists the changes that bring the fleet to its target size. Rentals and reassignments
+// for waiting work are ordered by the priority of the work.
 type Plan struct {
-	// TargetMachines is the number of machines aimed at, by machine type.
+	// TargetMachines is the target number of machines by machine type.
 	TargetMachines map[string]int
-	// BookedMachines is the capacity in use, in machines, by machine type; types that
-	// nothing uses are left out.
+	// BookedMachines is the capacity in use by machine type, in machines. Unused types are
+	// omitted.
 	BookedMachines map[string]float64
 	Rentals        []Rental
 	Reassignments  []Reassignment
-	Returns        []string // IDs of machines
+	Returns        []string // IDs of the machines to return to the cloud
 }
 
 // Autoscaler sizes the rented fleet. It is not safe for concurrent use.
 type Autoscaler struct {
 	tuning *tuning.Tuning
-	// surplusSince is when the target of a machine type fell below the number of
-	// its machines, while it stays there.
+	// surplusSince maps a machine type to the time since which its target has been below
+	// the number of its machines. Types without a surplus are absent.
 	surplusSince map[string]time.Time
 }
 
-// New returns an Autoscaler that has not observed a surplus of machines yet.
+// New returns an Autoscaler that has not yet observed a surplus of machines.
 func New(tunables *tuning.Tuning) *Autoscaler {
 	return &Autoscaler{tuning: tunables, surplusSince: map[string]time.Time{}}
 }
 
-// Plan sizes the fleet. The target of a machine type is its in-flight term, that is
-// ceil(booked capacity / InFlightTarget). While work waits unplaced, the target is the
-// larger of that and machines + queue term. The queue term is the number of additional
-// machines that the waiting tasks fill once those that are empty or still to come are
-// full. Machines above the target are returned when the surplus has lasted for GiveBackS.
-// The target may be zero.
+// Plan computes the target number of machines of each type and the changes to reach it.
+// The target of a machine type is its in-flight term, ceil(booked capacity / InFlightTarget).
+// While tasks wait that need additional machines, the target is the larger of the in-flight
+// term and machines + queue term. The queue term is the number of additional machines that
+// the waiting tasks need once all empty, booting and pending machines are full. Machines above
+// the target are returned when the surplus has lasted for GiveBackS. The target may be zero.
 func (a *Autoscaler) Plan(input Input, now time.Time) Plan {
 	builder := newPlanBuilder(a.tuning, input)
 	for _, demand := range waitingDemands(input.Summaries) {
@@ -108,7 +109,7 @@
 	return builder.plan
 }
 
-// sizeType sets the target of one machine type, and plans the rentals and returns to reach it.
+// sizeType sets the target of one machine type and plans the rentals and returns to reach it.
 func (a *Autoscaler) sizeType(builder *planBuilder, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
 	fleet := builder.fleetCountsOf(machineType.Name)
 	typeBooked := booked.byType[machineType.Name]
@@ -118,7 +119,8 @@
 	}
 	builder.plan.TargetMachines[machineType.Name] = target
 	if missing := target - fleet.machines - fleet.planned; missing > 0 {
-		// Work that may not run on spot machines needs capacity on the others.
+		// On-demand machines are rented if those that exist do not cover the booked
+		// work that must not run on spot machines.
 		spot := typeBooked.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
 		builder.rentInZoneWithFewest(machineType, spot, booked.busiestPartition, missing)
 	}
@@ -129,7 +131,8 @@
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// machinesFor returns how many machines the booked capacity needs at the in-flight target.
+// machinesFor returns the number of machines at which the booked capacity, in machines, uses
+// at most the fraction InFlightTarget of them.
 func (a *Autoscaler) machinesFor(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -38,21 +38,22 @@
 	},
 }
 
-// emptyMachine returns an on-demand machine that runs and has no tasks.
+// emptyMachine returns a running on-demand machine without tasks.
 func emptyMachine() Machine {
 	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Running: true}
 }
 
-// gpuFleet is a fleet of GPU machines with work that takes parts of them.
+// gpuFleet is a fleet of GPU machines and its load: booked capacity, and waiting tasks of
+// which each takes a fraction of a machine.
 type gpuFleet struct {
 	machines        int
-	booting         int // of the machines
-	booked          float64
+	booting         int     // how many of the machines are booting
+	booked          float64 // capacity in use, in machines
 	tasksPerMachine int
 	waitingTasks    int
 }
 
-// drawGPUFleet returns any small fleet.
+// drawGPUFleet draws a fleet of up to 6 machines and 20 waiting tasks.
 func drawGPUFleet(t *rapid.T) gpuFleet {
 	machines := rapid.IntRange(0, 6).Draw(t, "machines")
 	booting := rapid.IntRange(0, machines).Draw(t, "booting")
@@ -94,7 +95,7 @@
 	return input
 }
 
-// target returns the number of machines to aim at by the two terms of the formula.
+// target computes the target number of machines from the in-flight term and the queue term.
 func (f gpuFleet) target(inFlightTarget float64) int {
 	target := int(math.Ceil(f.booked/inFlightTarget - 1e-6))
 	neededByQueue := (f.waitingTasks + f.tasksPerMachine - 1) / f.tasksPerMachine
@@ -104,7 +105,8 @@
 	return target
 }
 
-// Plan agrees with the two terms of the formula, for equal tasks of one machine type.
+// For equal tasks and one machine type, the target of Plan must equal the larger of the
+// in-flight term and, if tasks need additional machines, machines + queue term.
 func TestPlanMatchesTargetFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tunables := tuning.Default()
@@ -113,20 +115,20 @@
 		plan := New(&tunables).Plan(fleet.input(), time.Unix(0, 0))
 		want := fleet.target(tunables.InFlightTarget)
 		if plan.TargetMachines["gpu"] != want {
-			t.Fatalf("target %d, want %d", plan.TargetMachines["gpu"], want)
+			t.Fatalf("target of type gpu: got %d machines, want %d", plan.TargetMachines["gpu"], want)
 		}
 		rented := 0
 		for _, rental := range plan.Rentals {
 			rented += rental.Count
 		}
 		if rented != max(0, want-fleet.machines) {
-			t.Fatalf("%d rented with %d there for a target of %d", rented, fleet.machines, want)
+			t.Fatalf("rented %d machines with %d existing and a target of %d, want max(0, target - existing)", rented, fleet.machines, want)
 		}
 	})
 }
 
-// A gang that must be spread over zones waited forever when one machine had the capacity
-// for all of it.
+// Guards against a gang that must be spread over zones waiting forever: no rental was planned
+// for it when a single empty machine had the capacity for all of its tasks.
 func TestPlanSpreadsGangOverZones(t *testing.T) {
 	tunables := tuning.Default()
 	gang := records.Demand{
@@ -144,11 +146,11 @@
 	}
 	plan := New(&tunables).Plan(input, time.Unix(0, 0))
 	if len(plan.Rentals) != 1 || plan.Rentals[0].Offering.Zone != "b" {
-		t.Fatalf("rentals %+v", plan.Rentals)
+		t.Fatalf("rentals for a gang with 2 of 4 tasks in zone a: got %+v, want one in zone b", plan.Rentals)
 	}
 }
 
-// Empty machines are returned only once the surplus has lasted for GiveBackS.
+// Empty machines must be returned only after the surplus has lasted for GiveBackS.
 func TestScaleInWaitsForLastingSurplus(t *testing.T) {
 	tunables := tuning.Default()
 	scaler := New(&tunables)
@@ -159,17 +161,18 @@
 	}
 	now := time.Unix(0, 0)
 	if p := scaler.Plan(input, now); len(p.Returns) != 0 {
-		t.Fatal("returned at once")
+		t.Fatal("machine returned by the first plan with a surplus, want none returned yet")
 	}
 	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS-1))); len(p.Returns) != 0 {
-		t.Fatal("returned before the surplus had lasted")
+		t.Fatal("machine returned 1 s before the surplus had lasted for GiveBackS")
 	}
 	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS))); len(p.Returns) != 1 {
-		t.Fatal("not returned")
+		t.Fatal("want one machine returned after the surplus had lasted for GiveBackS")
 	}
 }
 
-// planAfterLastingSurplus returns the second of two plans between which a surplus has lasted.
+// planAfterLastingSurplus computes two plans for the same input, GiveBackS apart, and returns the
+// second.
 func planAfterLastingSurplus(input Input) Plan {
 	tunables := tuning.Default()
 	scaler := New(&tunables)
@@ -178,8 +181,8 @@
 	return scaler.Plan(input, start.Add(tuning.Seconds(tunables.GiveBackS)))
 }
 
-// On-demand machines cost more than spot machines and are returned first, except as many
-// as the jobs need that may not use spot machines.
+// On-demand machines cost more than spot machines, so they must be returned first, except those
+// needed by jobs that must not use spot machines.
 func TestScaleInReturnsOnDemandMachinesFirst(t *testing.T) {
 	onDemand := Offering{MachineType: "cpu", Zone: "a"}
 	spot := Offering{MachineType: "cpu", Zone: "a", Spot: true}
@@ -209,7 +212,7 @@
 				Summaries:    map[int]records.PartitionSummary{0: summary},
 			})
 			if !slices.Equal(plan.Returns, test.want) {
-				t.Errorf("returns %q, want %q", plan.Returns, test.want)
+				t.Errorf("returned machines: got %q, want %q", plan.Returns, test.want)
 			}
 		})
 	}
--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -8,32 +8,31 @@
 	"ambersill/internal/resource"
 )
 
-// capacityBin is the free capacity of a machine that is empty, still booting, or to be
-// rented.
+// capacityBin is the remaining capacity of a machine that is empty, booting, pending, or
+// planned for rental.
 type capacityBin struct {
 	machine    *Machine // nil if it has no ID yet
 	offering   Offering
 	partition  int
 	remaining  resource.Vector
-	usedByPlan bool // tasks are assigned to it, or it is returned
-	planned    bool // its rental is part of the plan
+	usedByPlan bool // the plan assigns tasks to the machine or returns it
+	planned    bool // this plan rents the machine
 }
 
-// placement is a number of a demand's tasks in one bin.
+// placement assigns a number of a demand's tasks to one bin.
 type placement struct {
 	bin   *capacityBin
 	tasks int
 }
 
-// assignment is where the tasks of a demand would go.
+// assignment is a possible placement of a demand's tasks.
 type assignment struct {
 	placements []placement
 	tasks      int // in all placements
 	newRentals int
 }
 
-// betterThan reports whether an assignment places more tasks than another, or as many with
-// fewer rentals.
+// betterThan reports whether a places more tasks than other, or equally many with fewer rentals.
 func (a assignment) betterThan(other assignment) bool {
 	if a.tasks != other.tasks {
 		return a.tasks > other.tasks
@@ -41,8 +40,9 @@
 	return a.newRentals < other.newRentals
 }
 
-// assign finds bins for the tasks of a demand and adds what has to be rented. A demand that
-// must stay in one zone gets the one where most of it can be, at the least rentals.
+// assign places the tasks of a demand in existing bins and in bins for new rentals. If the
+// demand must stay in a single zone and names none, assign chooses the zone where the most
+// tasks can be placed, and among those the one with the fewest rentals.
 func (b *planBuilder) assign(demand partitionDemand) assignment {
 	if !demand.SingleZone || demand.Zone != "" {
 		return b.assignInZone(demand, demand.Zone)
@@ -56,7 +56,7 @@
 	return best
 }
 
-// zones returns the names of all zones in order.
+// zones returns the names of all zones in alphabetical order.
 func (b *planBuilder) zones() []string {
 	names := map[string]bool{}
 	for _, machineType := range b.input.MachineTypes {
@@ -67,8 +67,9 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// assignInZone finds bins in a zone, or in any if it is empty. The partition's own machines
-// come first, then empty ones of other partitions, then rentals.
+// assignInZone places the tasks of a demand in a zone, or in any zone if zone is empty. It
+// uses the partition's own machines first, then unused machines of other partitions, then
+// rentals.
 func (b *planBuilder) assignInZone(demand partitionDemand, zone string) assignment {
 	p := newPacking(b, demand, zone)
 	p.fillBins(p.usableInPartition)
@@ -77,20 +78,21 @@
 	return p.assignment
 }
 
-// packing is one attempt to assign the tasks of a demand to bins. It changes no bin.
+// packing is one attempt to assign the tasks of a demand to bins. It does not modify the
+// bins, so that attempts for several zones can be compared.
 type packing struct {
 	builder  *planBuilder
 	demand   partitionDemand
 	request  resource.Vector
-	zone     string         // the only zone allowed; empty for any
+	zone     string         // the only zone allowed; empty if all are
 	unplaced int            // tasks without a bin
 	inZone   map[string]int // tasks assigned in each zone
-	// planned counts the planned rentals by offering, those of this attempt included.
+	// planned is the number of planned rentals by offering, including those of this attempt.
 	planned    map[Offering]int
 	assignment assignment
 }
 
-// newPacking returns a packing without assignments.
+// newPacking returns a packing to which no tasks are assigned.
 func newPacking(builder *planBuilder, demand partitionDemand, zone string) *packing {
 	return &packing{
 		builder:  builder,
@@ -103,7 +105,8 @@
 	}
 }
 
-// assignableTasksIn returns how many more tasks may go to a zone.
+// assignableTasksIn returns how many of the unplaced tasks may be assigned to a zone: all of
+// them, unless MaxPerZone limits the number.
 func (p *packing) assignableTasksIn(zone string) int {
 	if p.demand.MaxPerZone == 0 {
 		return p.unplaced
@@ -111,7 +114,7 @@
 	return min(p.unplaced, p.demand.MaxPerZone-p.inZone[zone])
 }
 
-// fill assigns as many tasks to a bin as may go there and fit.
+// fill assigns as many unplaced tasks to a bin as its capacity and its zone's limit allow.
 func (p *packing) fill(bin *capacityBin) {
 	tasks := min(p.assignableTasksIn(bin.offering.Zone), bin.remaining.FitCount(p.request))
 	if tasks <= 0 {
@@ -123,7 +126,8 @@
 	p.unplaced -= tasks
 }
 
-// fillBins assigns tasks to the usable bins, in order, until all are placed.
+// fillBins assigns tasks to the bins for which usable returns true, in order, until all tasks
+// are placed.
 func (p *packing) fillBins(usable func(*capacityBin) bool) {
 	for _, bin := range p.builder.bins {
 		if p.unplaced == 0 {
@@ -135,8 +139,8 @@
 	}
 }
 
-// mayUse reports whether the demand's tasks may use a bin's machine. Work without GPUs stays
-// off machines with GPUs, which cost more.
+// mayUse reports whether the demand's tasks may run on a bin's machine. Tasks that need no
+// GPUs are kept off machines with GPUs, which cost more.
 func (p *packing) mayUse(bin *capacityBin) bool {
 	if p.demand.GPUs == 0 && p.builder.typesByName[bin.offering.MachineType].GPUs > 0 {
 		return false
@@ -144,9 +148,10 @@
 	return offeringAllowed(p.demand.Demand, bin.offering, p.zone)
 }
 
-// usableInPartition reports whether a bin of the demand's own partition can take tasks. The
-// partition's scheduler has not placed the waiting tasks on its empty machines, so these do
-// not fit them; only a gang of several tasks can use them together with other machines.
+// usableInPartition reports whether a bin belongs to the demand's own partition and can take
+// its tasks. The partition's scheduler has not placed the waiting tasks on its empty machines,
+// so a task by itself does not fit there. A gang of several tasks may still use the empty
+// machines in combination with others.
 func (p *packing) usableInPartition(bin *capacityBin) bool {
 	if bin.partition != p.demand.partition {
 		return false
@@ -155,12 +160,13 @@
 	return !empty || (p.demand.Gang && p.demand.Tasks > 1)
 }
 
-// usableByReassignment reports whether a bin is an unused machine of another partition.
+// usableByReassignment reports whether a bin is a machine of another partition that the plan
+// does not use yet.
 func (p *packing) usableByReassignment(bin *capacityBin) bool {
 	return bin.partition != p.demand.partition && !bin.usedByPlan && bin.machine != nil
 }
 
-// fillRentals rents machines for the tasks that are left.
+// fillRentals assigns the unplaced tasks to new rentals of the cheapest offerings.
 func (p *packing) fillRentals() {
 	for p.unplaced > 0 {
 		offering, ok := p.cheapestOffering()
@@ -173,8 +179,8 @@
 	}
 }
 
-// offeringAllowed reports whether a demand permits machines of an offering in a zone, or in any
-// if it is empty.
+// offeringAllowed reports whether a demand may use an offering, and the offering is in zone if
+// zone is not empty.
 func offeringAllowed(demand records.Demand, offering Offering, zone string) bool {
 	return resource.TypeAllowed(demand.MachineTypes, offering.MachineType) &&
 		(zone == "" || offering.Zone == zone) &&
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -9,14 +9,14 @@
 	"ambersill/internal/records"
 )
 
-// partitionDemand is the demand of tasks with the same requirements that wait in a partition.
+// partitionDemand is a demand that waits in a partition.
 type partitionDemand struct {
 	records.Demand
 	partition int
 }
 
-// waitingDemands returns all demands, the more urgent first, then those of larger tasks:
-// small tasks fit into what the large ones leave.
+// waitingDemands returns the demands of all partitions by descending priority, then by
+// descending size of a task, since small tasks fit into the capacity that large ones leave.
 func waitingDemands(summaries map[int]records.PartitionSummary) []partitionDemand {
 	var demands []partitionDemand
 	for _, partition := range sortedPartitions(summaries) {
@@ -34,8 +34,10 @@
 	return demands
 }
 
-// concurrentTasks returns how many of a demand's tasks are to run at once: short tasks of an
-// array run one after the other on the same capacity within the horizon.
+// concurrentTasks returns how many of a demand's tasks need capacity at the same time. All
+// tasks of a gang do, and all tasks that run for HorizonS or longer. Shorter tasks run one
+// after another on the same capacity within HorizonS: the result is
+// tasks * run time / HorizonS / QueueTarget, rounded up.
 func (b *planBuilder) concurrentTasks(demand records.Demand) int {
 	if demand.Gang || demand.EstimatedRunS >= b.tuning.HorizonS {
 		return demand.Tasks
@@ -44,22 +46,23 @@
 	return max(1, int(math.Ceil(slots)))
 }
 
-// bookedTypeCapacity is the capacity in use of one machine type, in machines.
+// bookedTypeCapacity is the capacity of one machine type that is in use, in machines.
 type bookedTypeCapacity struct {
 	machines float64
-	onDemand float64 // of this, for jobs that may not use spot machines
+	onDemand float64 // the part used by jobs that must not use spot machines
 }
 
-// bookedCapacity is the capacity in use in all partitions.
+// bookedCapacity is the sum of the capacity in use in all partitions.
 type bookedCapacity struct {
 	byType           map[string]bookedTypeCapacity
-	busiestPartition int // the one with the most capacity in use
+	busiestPartition int // the partition with the most capacity in use
 }
 
-// sumBookedCapacity adds up the capacity in use in all partitions, in the order of their numbers.
+// sumBookedCapacity adds up the capacity in use in all partitions, in ascending order of their
+// numbers so that the floating-point sums are deterministic.
 func sumBookedCapacity(summaries map[int]records.PartitionSummary) bookedCapacity {
 	booked := bookedCapacity{byType: map[string]bookedTypeCapacity{}}
-	most := -1.0 // below the sum of a partition that uses nothing
+	most := -1.0 // below the total of a partition with nothing in use
 	for _, partition := range sortedPartitions(summaries) {
 		summary := summaries[partition]
 		total := 0.0
@@ -81,7 +84,8 @@
 	return booked
 }
 
-// machinesByType returns the capacity in use of each machine type that has some.
+// machinesByType returns the capacity in use by machine type, in machines. Unused types are
+// omitted.
 func (b bookedCapacity) machinesByType() map[string]float64 {
 	machines := make(map[string]float64, len(b.byType))
 	for name, use := range b.byType {
@@ -92,8 +96,8 @@
 	return machines
 }
 
-// sortedPartitions returns the numbers of the partitions that have summaries, sorted, so that
-// plans are deterministic.
+// sortedPartitions returns the numbers of the partitions that have summaries in ascending
+// order, so that plans are deterministic.
 func sortedPartitions(summaries map[int]records.PartitionSummary) []int {
 	return slices.Sorted(maps.Keys(summaries))
 }
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -8,19 +8,19 @@
 	"ambersill/internal/wire"
 )
 
-// costDoublingBootS is the boot time, in seconds, that doubles the cost of a machine: one that boots
-// faster may cost more.
+// costDoublingBootS is the boot time, in seconds, that doubles the cost at which a machine is
+// compared with others, so that one that boots faster may have a higher price.
 const costDoublingBootS = 300
 
-// offeringCost is an offering with what decides whether it is rented.
+// offeringCost is an offering with the values by which offerings are compared.
 type offeringCost struct {
 	offering Offering
-	taskCost float64 // of the waiting work, per task
-	machines int     // of this offering, existing or planned
+	taskCost float64 // see costPerTask
+	machines int     // existing and planned machines of the offering
 }
 
-// betterThan reports whether an offering is cheaper than another, or as cheap with fewer
-// machines, which spreads machines of one type over the zones.
+// betterThan reports whether c is cheaper than other, or equally cheap with fewer machines.
+// The latter spreads machines of one type over the zones.
 func (c offeringCost) betterThan(other offeringCost) bool {
 	if c.taskCost < other.taskCost-resource.Epsilon {
 		return true
@@ -28,8 +28,8 @@
 	return c.taskCost < other.taskCost+resource.Epsilon && c.machines < other.machines
 }
 
-// cheapestOffering returns the offering whose machines run the tasks that are left at the
-// lowest cost, and whether there is one.
+// cheapestOffering returns the offering with the lowest cost for the unplaced tasks, and
+// reports whether any offering is usable.
 func (p *packing) cheapestOffering() (Offering, bool) {
 	best := offeringCost{taskCost: math.Inf(1)}
 	for _, machineType := range p.builder.input.MachineTypes {
@@ -51,8 +51,9 @@
 	return best.offering, !math.IsInf(best.taskCost, 1)
 }
 
-// tasksPerMachine returns how many of the demand's tasks fit a machine of a type; 0 if it
-// is not to be rented for them.
+// tasksPerMachine returns how many of the demand's tasks fit on one machine of a type, or 0 if
+// the type must not be rented for them. A type with GPUs is not rented for tasks that need
+// none if an allowed type without GPUs fits.
 func (p *packing) tasksPerMachine(machineType wire.MachineType) int {
 	if !resource.TypeAllowed(p.demand.MachineTypes, machineType.Name) {
 		return 0
@@ -68,8 +69,8 @@
 	return resource.CPUOnlyTypeFits(p.request, p.demand.MachineTypes, types)
 }
 
-// usableOfferings returns the offerings of a machine type that the demand may use and the
-// cloud may have, spot machines first.
+// usableOfferings returns the offerings of a machine type that the demand may use and that are
+// not marked unavailable, spot before on-demand in each zone.
 func (p *packing) usableOfferings(machineType wire.MachineType) []Offering {
 	var usable []Offering
 	for _, zone := range machineType.Zones {
@@ -86,8 +87,8 @@
 	return usable
 }
 
-// costPerTask returns the hourly price of the machines for all tasks that are left, divided
-// by these and weighted by the boot time.
+// costPerTask returns the hourly price of the machines that all unplaced tasks need, divided
+// by the number of these tasks and multiplied by 1 + boot time / costDoublingBootS.
 func (p *packing) costPerTask(machineType wire.MachineType, spot bool, tasksPerMachine int) float64 {
 	price := machineType.HourlyPrice
 	if spot {
@@ -97,9 +98,9 @@
 	return price * float64(machines) / float64(p.unplaced) * (1 + machineType.BootS/costDoublingBootS)
 }
 
-// rentInZoneWithFewest plans the rental of machines that the in-flight term asks for, in the
-// zone that has the fewest of them. If no spot machines are available, on-demand machines
-// are rented.
+// rentInZoneWithFewest plans the rental of count machines in the zone that has the fewest
+// machines of the same type and kind, spot or on-demand. If spot is true and no spot offering
+// is available, on-demand machines are rented.
 func (b *planBuilder) rentInZoneWithFewest(machineType wire.MachineType, spot bool, partition, count int) {
 	offering, ok := b.offeringWithFewest(machineType, spot)
 	if !ok && spot {
@@ -110,8 +111,8 @@
 	}
 }
 
-// offeringWithFewest returns the available offering that has the fewest machines, and
-// whether there is one.
+// offeringWithFewest returns the available offering of a machine type that has the fewest
+// existing machines, and reports whether any is available.
 func (b *planBuilder) offeringWithFewest(machineType wire.MachineType, spot bool) (Offering, bool) {
 	var best Offering
 	found := false
--- a/internal/autoscaler/planbuilder.go
+++ b/internal/autoscaler/planbuilder.go
@@ -11,21 +11,21 @@
 
 // fleetCounts counts the machines of one type.
 type fleetCounts struct {
-	machines int // rented or pending, except those that are being returned
-	onDemand int // of these, the ones that are not spot machines
-	planned  int // additional ones that the waiting tasks need
+	machines int // rented and pending machines, except those that are being returned
+	onDemand int // the on-demand machines among them
+	planned  int // additional machines that this plan rents for waiting tasks
 }
 
-// planBuilder is the state of one sizing of the fleet.
+// planBuilder accumulates the Plan for one Input.
 type planBuilder struct {
 	tuning       *tuning.Tuning
 	input        Input
 	typesByName  map[string]wire.MachineType
 	fleetsByType map[string]*fleetCounts // by machine type
-	// existingMachines counts the machines of each offering, those being returned included but
-	// not the pending rentals.
+	// existingMachines is the number of machines by offering, including those that are being
+	// returned and excluding pending rentals.
 	existingMachines map[Offering]int
-	// planned counts the rentals that this round has planned for waiting tasks.
+	// planned is the number of machines by offering that this plan rents for waiting tasks.
 	planned map[Offering]int
 	bins    []*capacityBin
 	plan    Plan
@@ -79,7 +79,7 @@
 	}
 }
 
-// fleetCountsOf returns the counts of a machine type, to be changed in place.
+// fleetCountsOf returns a pointer to the counts of a machine type, and adds them if absent.
 func (b *planBuilder) fleetCountsOf(machineType string) *fleetCounts {
 	counts, ok := b.fleetsByType[machineType]
 	if !ok {
@@ -89,7 +89,7 @@
 	return counts
 }
 
-// newBin returns the capacity of a whole machine.
+// newBin returns a bin with the whole capacity of a machine of the offering's type.
 func (b *planBuilder) newBin(offering Offering, partition int) *capacityBin {
 	return &capacityBin{
 		offering:  offering,
@@ -98,8 +98,8 @@
 	}
 }
 
-// placeDemand assigns the tasks of a demand to machines and plans the rentals and
-// reassignments that this takes.
+// placeDemand assigns the tasks of a demand to machines, and plans the rentals and
+// reassignments that the assignment needs.
 func (b *planBuilder) placeDemand(demand partitionDemand) {
 	request := demand.Request()
 	for _, placement := range b.assign(demand).placements {
@@ -115,8 +115,9 @@
 	}
 }
 
-// rentForWaitingTasks plans a rental for waiting tasks. Its first use queues the bin of a pending
-// rental as well, although that machine is asked for already.
+// rentForWaitingTasks plans the rental of the machine of a bin for waiting tasks. placeDemand
+// also calls it when a pending rental's bin is first used, so that one more machine is rented
+// although a rental of that machine is already recorded.
 func (b *planBuilder) rentForWaitingTasks(bin *capacityBin, partition int) {
 	bin.planned = true
 	b.bins = append(b.bins, bin)
@@ -131,8 +132,8 @@
 	bin.partition = partition
 }
 
-// rent plans a rental, or enlarges the one that is planned for the same offering and
-// partition.
+// rent plans a rental. If the plan already has one for the same offering and partition, its
+// count is increased instead.
 func (b *planBuilder) rent(offering Offering, partition, count int) {
 	i := slices.IndexFunc(b.plan.Rentals, func(rental Rental) bool {
 		return rental.Offering == offering && rental.Partition == partition
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -6,15 +6,15 @@
 	"ambersill/internal/tuning"
 )
 
-// machineSurplus is by how many machines a type exceeds what is needed; negative if some are
-// missing.
+// machineSurplus is the number of machines of a type in excess of those needed. It is negative
+// if machines are missing.
 type machineSurplus struct {
 	total    int
-	onDemand int // beyond what jobs need that may not use spot machines
+	onDemand int // on-demand machines not needed by jobs that must not use spot machines
 }
 
-// scaleIn plans the return of empty machines once a surplus has lasted. On-demand machines
-// are returned first, since they cost more.
+// scaleIn plans the return of empty machines once a surplus has lasted for GiveBackS.
+// On-demand machines are returned first, since they cost more.
 func (a *Autoscaler) scaleIn(builder *planBuilder, machineType string, surplus machineSurplus, now time.Time) {
 	if !a.surplusHasLasted(machineType, surplus.total, now) {
 		return
@@ -23,8 +23,8 @@
 	builder.returnEmptyMachines(machineType, spotMachines, surplus.total-returned)
 }
 
-// surplusHasLasted reports whether a machine type has had a surplus for GiveBackS. It
-// records when the surplus began.
+// surplusHasLasted reports whether a machine type has had a surplus for GiveBackS. It records
+// when a surplus begins, and forgets that time when the surplus ends.
 func (a *Autoscaler) surplusHasLasted(machineType string, total int, now time.Time) bool {
 	if total <= 0 {
 		delete(a.surplusSince, machineType)
@@ -38,8 +38,8 @@
 	return now.Sub(since) >= tuning.Seconds(a.tuning.GiveBackS)
 }
 
-// returnEmptyMachines plans the return of at most the given number of unused machines, and returns
-// how many there are.
+// returnEmptyMachines plans the return of up to limit empty machines that the plan does not use,
+// and returns the number of planned returns.
 func (b *planBuilder) returnEmptyMachines(machineType string, spot bool, limit int) int {
 	returned := 0
 	for _, bin := range b.bins {
@@ -56,7 +56,7 @@
 	return returned
 }
 
-// isReturnable reports whether a bin is a machine that runs, is empty and stays so.
+// isReturnable reports whether a bin is an empty machine that the plan does not use.
 func (b *capacityBin) isReturnable() bool {
 	return b.machine != nil && b.machine.Empty && !b.usedByPlan
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,4 +1,4 @@
-// Package quota compares what each team has allocated with its guarantee and its limit.
+// Package quota compares the resources allocated to each team with its guarantee and its limit.
 package quota
 
 import (
@@ -6,25 +6,26 @@
 	"ambersill/internal/resource"
 )
 
-// Team is a team's quota with what its tasks have allocated.
+// Team is a team's quota and the resources allocated to its tasks.
 type Team struct {
 	config.Team
 	Allocated resource.Vector
 }
 
-// WithinLimit reports whether the team may allocate request on top of what it has.
+// WithinLimit reports whether the team stays within its limit if request is allocated in
+// addition to what its tasks have.
 func (t *Team) WithinLimit(request resource.Vector) bool {
 	total := t.Allocated.Add(request)
 	return withinMax(total.CPUs, t.CPUsMax) && withinMax(total.GPUs, t.GPUsMax)
 }
 
-// withinMax reports whether an amount stays within a limit; 0 is no limit.
+// withinMax reports whether amount is at most limit. A limit of 0 means no limit.
 func withinMax(amount, limit float64) bool {
 	return limit == 0 || amount <= limit+resource.Epsilon
 }
 
-// RemainingTasks returns how many tasks with the given request the team may still start,
-// resource.Unlimited where no limit applies.
+// RemainingTasks returns how many more tasks with the given request the team may start within
+// its limit, or resource.Unlimited if no limit applies.
 func (t *Team) RemainingTasks(request resource.Vector) int {
 	count := min(
 		tasksWithinLimit(t.CPUsMax, t.Allocated.CPUs, request.CPUs),
@@ -33,7 +34,8 @@
 	return max(0, count)
 }
 
-// tasksWithinLimit is RemainingTasks in one dimension; a limit of 0 is none.
+// tasksWithinLimit returns how many more tasks the limit of one resource allows. A limit of 0
+// means no limit.
 func tasksWithinLimit(limit, allocated, requested float64) int {
 	if limit <= 0 || requested <= resource.Epsilon {
 		return resource.Unlimited
@@ -41,8 +43,9 @@
 	return min(resource.Unlimited, int((limit-allocated+resource.Epsilon)/requested))
 }
 
-// WithinGuarantee reports whether the team's guarantee covers request. A team without a
-// guarantee is guaranteed nothing, and one without guaranteed GPUs no work that needs any.
+// WithinGuarantee reports whether the team's guarantee covers request. A guarantee of 0 CPUs
+// covers any number of CPUs if GPUs are guaranteed, a guarantee of 0 GPUs covers no request for
+// GPUs, and a team without either is guaranteed nothing.
 func (t *Team) WithinGuarantee(request resource.Vector) bool {
 	if t.CPUs == 0 && t.GPUs == 0 {
 		return false
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -24,7 +24,7 @@
 	} {
 		team := Team{Team: c.team, Allocated: c.allocated}
 		if got := team.RemainingTasks(c.request); got != c.want {
-			t.Errorf("%s: %d tasks, want %d", c.name, got, c.want)
+			t.Errorf("%s: remaining tasks: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -45,7 +45,7 @@
 	} {
 		team := Team{Team: c.team}
 		if got := team.WithinGuarantee(c.request); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: within the guarantee: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -6,27 +6,30 @@
 	"ambersill/internal/wire"
 )
 
-// ChunkRecord is the state of some of a job's tasks. That of the first chunk also contains the
-// job's description, so that a new owner of the partition needs nothing else.
+// ChunkRecord is the state of a contiguous range of a job's tasks. The record of a job's first
+// chunk also contains the job's description, so that a new owner can restore its partition
+// without reading the JobRecords.
 type ChunkRecord struct {
 	Job           *wire.Job `cbor:"job,omitempty"`
 	SubmittedAtMS int64     `cbor:"at,omitempty"` // Unix time in milliseconds
-	// JobRevision is the revision of the job's record. It is left out until the first
-	// rewrite, since both records are created at the same revision.
+	// JobRevision is the revision of the JobRecord's key. It is omitted until the chunk is
+	// first rewritten, since both records are created at the same revision.
 	JobRevision    uint64            `cbor:"js,omitempty"`
 	HighestAttempt uint64            `cbor:"try"`            // highest attempt of any task of the job
-	DoneRanges     []int             `cbor:"done,omitempty"` // flattened ranges of the tasks that are done
+	DoneRanges     []int             `cbor:"done,omitempty"` // finished tasks, as flattened ranges
 	Placements     []PlacementRecord `cbor:"live,omitempty"`
-	// JournalSequence is that of the newest journal record whose changes are all included.
+	// JournalSequence is the sequence of the newest journal record up to which all changes
+	// of the chunk are included.
 	JournalSequence uint64 `cbor:"q,omitempty"`
-	// From and To are the range of tasks that the record contains, [From, To). Records of
-	// the initial format lack them: those contain TasksPerChunk tasks each, in the order of
-	// the numbers in their keys.
+	// From and To are the range of tasks [From, To) that the record covers. They are omitted
+	// in the initial format, where chunk number i covers TasksPerChunk tasks from task
+	// i * TasksPerChunk on; the number is the chunk's name in the key.
 	From int `cbor:"from,omitempty"`
 	To   int `cbor:"to,omitempty"`
 }
 
-// PlacementRecord is a placement that may be in effect. It is encoded as an array.
+// PlacementRecord is a placement of a task on a machine that may still be in effect. It is
+// encoded as an array.
 type PlacementRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Task        int
@@ -35,7 +38,8 @@
 	Incarnation uint64 // of the worker
 }
 
-// LoadedChunk is a chunk's record with what its key contains, and the key's revision.
+// LoadedChunk is a ChunkRecord read from the key-value store, with the job and the chunk's name
+// from its key, and the key's revision.
 type LoadedChunk struct {
 	JobID    string
 	Name     string
@@ -43,7 +47,8 @@
 	Record   ChunkRecord
 }
 
-// NewFirstChunk returns the record of a job's first chunk as it is created on submission.
+// NewFirstChunk returns the record of a job's first chunk, which is created on submission. The
+// record contains an explicit range of tasks from FeatureExplicitChunks on.
 func NewFirstChunk(record *JobRecord, level FeatureLevel, settings *config.Settings) ChunkRecord {
 	chunk := ChunkRecord{Job: record.Job, SubmittedAtMS: record.SubmittedAtMS}
 	if level >= FeatureExplicitChunks {
@@ -52,11 +57,11 @@
 	return chunk
 }
 
-// TasksPerChunk returns the number of tasks in a chunk of the initial format. All controllers
-// must derive it from the same setting.
+// TasksPerChunk returns the number of tasks in a chunk of the initial format. Such records do not
+// contain their range of tasks, so all controllers must derive it from the same setting.
 func TasksPerChunk(settings *config.Settings) int {
 	return max(1, MaxValueBytes(settings.Cluster.State.ValueKB)/tuning.ReservedTaskBytes)
 }
 
-// HasExplicitRange reports whether the record contains the range of its tasks.
+// HasExplicitRange reports whether the record contains its range of tasks.
 func (r *ChunkRecord) HasExplicitRange() bool { return r.To > 0 }
--- a/internal/records/doc.go
+++ b/internal/records/doc.go
@@ -1,11 +1,12 @@
-// Package records defines what controllers store in the key-value store: keys, values, and
-// bounds of their sizes. Values are CBOR maps with the field names of the struct tags, which must
-// not change, since an older version of the program may have written or may still read them.
+// Package records defines the keys and values that controllers write to the key-value store, and
+// upper bounds of the values' sizes. Values are CBOR maps whose field names are given by the
+// struct tags. The names must not change, because older versions of the program may have written
+// the values and may still read them.
 //
-// Every transaction names the revisions that its keys must be at (compare-and-swap). A record
-// is fenced by a key if every transaction that writes it also requires that key to be at the
-// revision at which its writer became leader or owner; a writer that has been replaced
-// cannot commit any more. P is the number of a partition.
+// Every transaction states the revisions at which it expects its keys (compare-and-swap). The
+// column Fence names the key that fences a record: every transaction that writes the record also
+// requires the fence to be at the revision at which the writer became leader or owner, so that a
+// replaced writer can no longer commit. P is the number of a partition.
 //
 //	Key            Value                     Writer                      Fence
 //	c/lead         OwnerRecord               the node that claims it     its own revision; the node's lease
@@ -27,6 +28,6 @@
 //	s/P/N          map[string]MachineDigest  partition owner             c/p/P
 //	s/P/wN         []Demand                  partition owner             c/p/P
 //
-// Records with a lease are deleted when it expires. JobRecords are never deleted; chunks and
-// cancellations are deleted after the job's end.
+// Records attached to a node's lease are deleted when the lease expires. JobRecords are never
+// deleted. Chunks and cancellations are deleted after the job has ended.
 package records
--- a/internal/records/jobs.go
+++ b/internal/records/jobs.go
@@ -2,7 +2,7 @@
 
 import "ambersill/internal/wire"
 
-// JobRecord is a job as users see it. It is never deleted.
+// JobRecord is the state of a job that users can query. It is never deleted.
 type JobRecord struct {
 	Job           *wire.Job     `cbor:"job"`
 	Phase         wire.JobPhase `cbor:"ph"`
--- a/internal/records/journal.go
+++ b/internal/records/journal.go
@@ -1,28 +1,30 @@
 package records
 
-// JournalRecord is one record of a partition's journal. Its sequence orders it: the state of a
-// task in a record is overridden by one with a higher sequence, and a chunk's record contains
-// everything up to its own JournalSequence.
+// JournalRecord is one record of a partition's journal. Records are ordered by sequence: the state
+// of a task in one record is overridden by that in a record with a higher sequence. A ChunkRecord
+// includes the changes of all records up to its JournalSequence.
 type JournalRecord struct {
 	Sequence uint64         `cbor:"q"`
 	Entries  []JournalEntry `cbor:"e"`
 }
 
-// JournalEntry is the state of some tasks of a chunk. It is encoded as an array.
+// JournalEntry is the new state of the tasks of a chunk that have changed. It is encoded as an
+// array.
 type JournalEntry struct {
 	_              struct{} `cbor:",toarray"`
 	Job            string
 	Chunk          int    // the chunk's number in the initial format
 	HighestAttempt uint64 // highest attempt of any task of the job
 	Placements     []PlacementRecord
-	DoneRanges     []int // flattened ranges of the tasks that are done
-	WaitingRanges  []int // flattened ranges of the tasks that wait again
+	DoneRanges     []int // finished tasks, as flattened ranges
+	WaitingRanges  []int // tasks that wait again, as flattened ranges
 }
 
-// JournalEntryOverheadBytes bounds an entry's size without its job's name and tasks.
+// JournalEntryOverheadBytes is an upper bound of an entry's size without its job ID and tasks.
 const JournalEntryOverheadBytes = 40
 
-// SizeBound returns an upper bound of the entry's size in bytes, as the key-value store counts.
+// SizeBound returns an upper bound of the entry's size in bytes, as the key-value store counts
+// them: by the length as JSON.
 func (e *JournalEntry) SizeBound() int {
 	size := JournalEntryOverheadBytes + len(e.Job)
 	size += rangesSizeBound(e.DoneRanges) + rangesSizeBound(e.WaitingRanges)
@@ -32,7 +34,7 @@
 	return size
 }
 
-// LoadedJournalRecord is a journal record with the revision of its key.
+// LoadedJournalRecord is a JournalRecord read from the key-value store, with its key's revision.
 type LoadedJournalRecord struct {
 	Revision uint64
 	Record   JournalRecord
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Prefixes of the keys of partitions, jobs and their tasks.
+// Prefixes of the keys of jobs, chunks, cancellations and journals.
 const (
 	jobPrefix          = "j/"
 	chunkPrefix        = "a/"
@@ -13,7 +13,8 @@
 	journalPrefix      = "g/"
 )
 
-// Keys of the cluster: leader, owners, live nodes, machines and rentals.
+// Keys and prefixes of the cluster's state: the leader, the partitions' owners, live nodes,
+// machines, rentals and summaries.
 const (
 	// ClusterPrefix is the prefix of all keys that every controller watches.
 	ClusterPrefix = "c/"
@@ -21,19 +22,22 @@
 	LeaderKey = "c/lead"
 	// FeatureLevelKey is the key of the LevelRecord.
 	FeatureLevelKey = "c/level"
-	// NodePrefix, with a node's name, is the key of its NodeRecord.
+	// NodePrefix followed by a node's name is the key of its NodeRecord.
 	NodePrefix = "c/n/"
-	// PartitionPrefix is the prefix of the partitions' OwnerRecords; see PartitionKey.
+	// PartitionPrefix is the prefix of the keys of the partitions' OwnerRecords; see
+	// PartitionKey.
 	PartitionPrefix = "c/p/"
-	// MachinePrefix, with the name of a group, is the key of its MachineGroupRecord.
+	// MachinePrefix followed by the name of a machine group is the key of its
+	// MachineGroupRecord.
 	MachinePrefix = "c/m/"
-	// RentalPrefix, with the name of a rental, is the key of its RentalRecord.
+	// RentalPrefix followed by the name of a rental is the key of its RentalRecord.
 	RentalPrefix = "c/h/"
-	// SummaryPrefix is the prefix of all summaries and their further records.
+	// SummaryPrefix is the prefix of the keys of all summaries, including their digest and
+	// overflow records.
 	SummaryPrefix = "s/"
 )
 
-// PartitionKey returns the key of the OwnerRecord of a partition's owner.
+// PartitionKey returns the key of a partition's OwnerRecord.
 func PartitionKey(partition int) string { return PartitionPrefix + strconv.Itoa(partition) }
 
 // JobKey returns the key of a job's JobRecord.
@@ -48,8 +52,8 @@
 // chunkKeyComponents is the number of components of a chunk's key: prefix, partition, job, name.
 const chunkKeyComponents = 4
 
-// ParseChunkKey returns the job and the name that a chunk's key contains, and reports whether
-// the key has the form of one.
+// ParseChunkKey returns the job ID and the chunk's name from a chunk's key. ok is false if the key
+// does not have four components.
 func ParseChunkKey(key string) (id, name string, ok bool) {
 	components := strings.Split(key, "/")
 	if len(components) != chunkKeyComponents {
@@ -64,11 +68,11 @@
 // FirstChunkKey returns the key of the chunk that contains a job's description.
 func FirstChunkKey(partition int, id string) string { return ChunkKey(partition, id, firstChunkName) }
 
-// IsFirstChunkName reports whether a chunk's name is that of a job's first one.
+// IsFirstChunkName reports whether name is the name of a job's first chunk.
 func IsFirstChunkName(name string) bool { return name == firstChunkName }
 
-// ExplicitChunkName returns the name of a chunk with an explicit range that begins at a task.
-// It is not a number, so that it never equals the name of a chunk of the initial format.
+// ExplicitChunkName returns the name of a chunk with an explicit range that begins at task from.
+// The name is not a number, so that it differs from every chunk name of the initial format.
 func ExplicitChunkName(from int) string { return "t" + strconv.Itoa(from) }
 
 // CancellationPrefix returns the prefix of the keys of all cancellations in a partition.
@@ -76,26 +80,27 @@
 	return partitionedPrefix(cancellationPrefix, partition)
 }
 
-// CancellationKey returns the key that shows a cancelled job to its partition's owner. Its value
-// is true.
+// CancellationKey returns the key whose presence tells a partition's owner that a job has been
+// cancelled. Its value is true.
 func CancellationKey(partition int, id string) string { return CancellationPrefix(partition) + id }
 
-// JournalPrefix returns the prefix of the keys of a partition's journal; a slot's number follows.
+// JournalPrefix returns the prefix of the keys of a partition's journal. It is followed by the
+// number of a slot.
 func JournalPrefix(partition int) string { return partitionedPrefix(journalPrefix, partition) }
 
 // SummaryKey returns the key of a partition's PartitionSummary.
 func SummaryKey(partition int) string { return SummaryPrefix + strconv.Itoa(partition) }
 
-// MachineDigestsKey returns the key of the i-th record of a partition's machine digests.
+// MachineDigestsKey returns the key of record i, counted from 0, of a partition's machine digests.
 func MachineDigestsKey(partition, i int) string { return SummaryKey(partition) + "/" + strconv.Itoa(i) }
 
-// OverflowDemandKey returns the key of the i-th record of the demand that does not fit a partition's
-// summary.
+// OverflowDemandKey returns the key of record i, counted from 0, of the waiting demand that does
+// not fit into a partition's summary.
 func OverflowDemandKey(partition, i int) string {
 	return SummaryKey(partition) + "/w" + strconv.Itoa(i)
 }
 
-// partitionedPrefix returns the prefix of one partition's keys of a kind.
+// partitionedPrefix returns the prefix of a partition's keys among the keys with the given prefix.
 func partitionedPrefix(prefix string, partition int) string {
 	return prefix + strconv.Itoa(partition) + "/"
 }
--- a/internal/records/keys_test.go
+++ b/internal/records/keys_test.go
@@ -7,17 +7,17 @@
 		key := ChunkKey(3, "req-1", name)
 		id, parsedName, ok := ParseChunkKey(key)
 		if id != "req-1" || parsedName != name || !ok {
-			t.Errorf("%s: parsed as job %q, name %q, %v", key, id, parsedName, ok)
+			t.Errorf("ParseChunkKey(%q): got job %q, name %q, %v, want job req-1 and the name in the key", key, id, parsedName, ok)
 		}
 	}
 	for _, key := range []string{"", JobKey("req-1"), JournalPrefix(3) + "4", ChunkKey(3, "req-1", "0/1")} {
 		if id, name, ok := ParseChunkKey(key); ok {
-			t.Errorf("%q: parsed as job %q, name %q", key, id, name)
+			t.Errorf("ParseChunkKey(%q): got job %q, name %q, want not ok", key, id, name)
 		}
 	}
 }
 
-// Stored keys must be found by later versions of the program.
+// The formats of stored keys must not change, since later versions of the program must find them.
 func TestStoredKeyFormats(t *testing.T) {
 	keys := map[string]string{
 		PartitionKey(3):                "c/p/3",
@@ -34,7 +34,7 @@
 	}
 	for got, want := range keys {
 		if got != want {
-			t.Errorf("key %q, want %q", got, want)
+			t.Errorf("format of a stored key: got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/wire"
 )
 
-// MachineRecord assigns a machine to a partition.
+// MachineRecord is the state of a rented machine, including the partition that it is assigned to.
 type MachineRecord struct {
 	MachineType string `cbor:"type"`
 	Zone        string `cbor:"zone"`
@@ -16,14 +16,14 @@
 	Partition   int    `cbor:"part"`
 	// Desired is the state that the leader wants the machine to reach.
 	Desired DesiredState `cbor:"wish,omitempty"`
-	// MoveTo is the partition that the machine moves to, for DesiredMoved.
+	// MoveTo is the partition to which the machine is to move if Desired is DesiredMoved.
 	MoveTo int `cbor:"to,omitempty"`
-	// Released is set by the owner of the partition once nothing that it placed on the
-	// machine can be in effect any more; the leader may then return or move the machine.
+	// Released is set by the partition's owner once none of its placements on the machine
+	// can still be in effect. The leader may then return or move the machine.
 	Released    bool  `cbor:"free,omitempty"`
 	CreatedAtMS int64 `cbor:"born"` // Unix time in milliseconds
-	// FencingToken is the lowest that commands to the machine carry. It is raised above all
-	// earlier ones when the machine moves, or when the outcome of a command is unknown.
+	// FencingToken is the lowest fencing token of commands to the machine. It is raised above
+	// all earlier tokens when the machine moves or the outcome of a command is unknown.
 	FencingToken uint64 `cbor:"tok,omitempty"`
 }
 
@@ -32,22 +32,27 @@
 
 // The states that the leader writes.
 const (
-	// DesiredInService leaves the machine in its partition.
+	// DesiredInService keeps the machine in its partition.
 	DesiredInService DesiredState = ""
-	// DesiredReturned asks the owner to release the machine for its return to the cloud.
+	// DesiredReturned asks the partition's owner to release the machine so that it can be
+	// returned to the cloud.
 	DesiredReturned DesiredState = "return"
-	// DesiredMoved asks the owner to release the machine for another partition.
+	// DesiredMoved asks the partition's owner to release the machine so that it can be moved
+	// to the partition MoveTo.
 	DesiredMoved DesiredState = "move"
 )
 
-// MachineGroupRecord contains machines that were rented or adopted together, so that a fleet
-// that starts or ends at once costs one put for dozens of them, not one for each.
+// MachineGroupRecord contains the machines that were rented or adopted together, by machine ID.
+// Grouping reduces the number of writes when many machines start or end at the same time: one put
+// covers dozens of machines.
 type MachineGroupRecord struct {
 	Machines map[string]MachineRecord `cbor:"ms"`
 }
 
-// DecodeMachineGroup decodes the record of a group. Versions before groups kept a record for
-// each machine, whose revision was its fencing token; it is read as a group of one.
+// DecodeMachineGroup decodes a MachineGroupRecord. Versions of the program without groups stored
+// one MachineRecord per machine and used its revision as the fencing token; such a record is
+// decoded as a group of one machine. id is the last component of the key, which is the machine's
+// ID in that case.
 func DecodeMachineGroup(id string, value wire.Raw, revision uint64) (MachineGroupRecord, error) {
 	var group MachineGroupRecord
 	if err := wire.Unmarshal(value, &group); err != nil {
@@ -65,12 +70,12 @@
 	return group, nil
 }
 
-// machineOverheadBytes bounds a machine's size in its group without its names, with all fields
-// that may be written later.
+// machineOverheadBytes is an upper bound of the size of a machine in its group, without the names
+// of its type and zone. It includes all fields that are empty at first and may be set later.
 const machineOverheadBytes = 150
 
-// MachinesPerGroup returns how many machines of a type and zone a record of the given size in
-// KiB can contain, one at least.
+// MachinesPerGroup returns how many machines of a type and zone fit into a group's record of at
+// most valueKB KiB. The result is at least 1.
 func MachinesPerGroup(valueKB float64, machineType, zone string) int {
 	record := MachineRecord{MachineType: machineType, Zone: zone}
 	return max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/record.SizeBound())
@@ -90,11 +95,11 @@
 	return size
 }
 
-// SplitBySize divides a group into pieces whose sizes are within a limit in bytes, in the order of
-// the machines' names. A piece contains one machine at least.
+// SplitBySize divides a group into pieces of at most limit bytes each, in the order of the machine
+// IDs. A piece contains at least one machine, even if that exceeds the limit.
 func (g *MachineGroupRecord) SplitBySize(limit int) []MachineGroupRecord {
 	var pieces []MachineGroupRecord
-	size := limit // so that the first machine begins a piece
+	size := limit // makes the first machine begin a piece
 	for _, id := range slices.Sorted(maps.Keys(g.Machines)) {
 		machine := g.Machines[id]
 		if size+machine.SizeBound() > limit {
@@ -107,8 +112,9 @@
 	return pieces
 }
 
-// RentalRecord is written before the cloud is called, so that a rental whose answer is lost can
-// be repeated by any leader as an idempotent request, under the name in the record's key.
+// RentalRecord describes a rental request. It is written before the request is sent to the cloud,
+// so that any leader can repeat the request if the response is lost. The name in the record's key
+// is the request ID, which makes the request idempotent.
 type RentalRecord struct {
 	MachineType  string `cbor:"type"`
 	Zone         string `cbor:"zone"`
--- a/internal/records/owners.go
+++ b/internal/records/owners.go
@@ -1,7 +1,8 @@
 package records
 
-// OwnerRecord names the node that owns a partition, or the leader. The revision of its key is
-// the fence of everything that the node writes in that role.
+// OwnerRecord names the node that owns a partition or is the leader. Every transaction that the
+// node commits in that role requires the record's key to be at the revision at which the node
+// claimed it.
 type OwnerRecord struct {
 	Node string `cbor:"node"`
 }
--- a/internal/records/ranges.go
+++ b/internal/records/ranges.go
@@ -1,12 +1,14 @@
 package records
 
-// Sets of tasks are stored as flattened ranges: [from, to, from, to, ...] in ascending order,
-// each to exclusive.
+// Sets of tasks are stored as flattened ranges: [from, to, from, to, ...] in ascending order, where
+// each pair stands for the tasks from <= task < to.
 
-// maxRangeLength bounds a range that is read from a record, so that a damaged one does no harm.
+// maxRangeLength is the number of tasks up to which a range read from a record is visited, so that
+// a corrupt range cannot cause an almost endless loop.
 const maxRangeLength = 1 << 17
 
-// ForEachInRanges calls visit for each task of flattened ranges.
+// ForEachInRanges calls visit for each task in flattened ranges, and for at most maxRangeLength
+// tasks of each range.
 func ForEachInRanges(ranges []int, visit func(task int)) {
 	for i := 0; i+1 < len(ranges); i += 2 {
 		from, to := ranges[i], ranges[i+1]
@@ -16,7 +18,8 @@
 	}
 }
 
-// EncodeRanges returns the tasks of [from, to) that are included as flattened ranges.
+// EncodeRanges returns the flattened ranges of those tasks in [from, to) for which included returns
+// true.
 func EncodeRanges(from, to int, included func(task int) bool) []int {
 	var ranges []int
 	for task := from; task < to; task++ {
@@ -27,7 +30,8 @@
 	return ranges
 }
 
-// AppendToRanges adds a task to flattened ranges; it must be above all others.
+// AppendToRanges returns flattened ranges with a task added, which must be greater than all tasks
+// in them.
 func AppendToRanges(ranges []int, task int) []int {
 	if n := len(ranges); n > 0 && ranges[n-1] == task {
 		ranges[n-1] = task + 1
--- a/internal/records/ranges_test.go
+++ b/internal/records/ranges_test.go
@@ -20,12 +20,12 @@
 		t.Run(name, func(t *testing.T) {
 			ranges := EncodeRanges(0, 10, func(task int) bool { return slices.Contains(test.tasks, task) })
 			if !slices.Equal(ranges, test.ranges) {
-				t.Errorf("ranges %v, want %v", ranges, test.ranges)
+				t.Errorf("EncodeRanges: got %v, want %v", ranges, test.ranges)
 			}
 			var tasks []int
 			ForEachInRanges(ranges, func(task int) { tasks = append(tasks, task) })
 			if !slices.Equal(tasks, test.tasks) {
-				t.Errorf("tasks %v, want %v", tasks, test.tasks)
+				t.Errorf("ForEachInRanges: visited %v, want %v", tasks, test.tasks)
 			}
 		})
 	}
@@ -35,6 +35,6 @@
 	visited := 0
 	ForEachInRanges([]int{0, 1 << 40, 7}, func(int) { visited++ })
 	if visited != maxRangeLength {
-		t.Errorf("%d tasks visited, want %d", visited, maxRangeLength)
+		t.Errorf("ForEachInRanges with a corrupt range: visited %d tasks, want %d", visited, maxRangeLength)
 	}
 }
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -8,25 +8,26 @@
 	"ambersill/internal/wire"
 )
 
-// bytesPerKiB converts limits, which settings give in KiB.
+// bytesPerKiB converts the limits in the settings, which are in KiB, to bytes.
 const bytesPerKiB = 1024
 
-// MaxValueBytes returns the size of the largest value in bytes for a limit in KiB.
+// MaxValueBytes returns the maximum size of a value in bytes for a limit of valueKB KiB.
 func MaxValueBytes(valueKB float64) int { return int(valueKB * bytesPerKiB) }
 
-// Bounds of sizes in bytes, as the key-value store counts them: by the length as JSON.
+// Upper bounds of sizes in bytes. The key-value store measures a value by its length as JSON.
 const (
-	// ChunkOverheadBytes bounds a chunk's record without its tasks and the job's description.
+	// ChunkOverheadBytes bounds a ChunkRecord without its tasks and the job's description.
 	ChunkOverheadBytes = 128
 	// MaxRangeBytes bounds a range of tasks: two numbers of up to six digits.
 	MaxRangeBytes = 14
-	// jobDescriptionOverheadBytes bounds a job's description without its names.
+	// jobDescriptionOverheadBytes bounds a job's description without the strings that
+	// JobDescriptionSizeBound adds.
 	jobDescriptionOverheadBytes = 560
-	// placementOverheadBytes is the punctuation of a placement.
+	// placementOverheadBytes is the punctuation of a PlacementRecord.
 	placementOverheadBytes = 8
-	// listItemOverheadBytes is the punctuation of a name in a list.
+	// listItemOverheadBytes is the punctuation of a name in a list: two quotes and a comma.
 	listItemOverheadBytes = 3
-	// collectionOverheadBytes bounds a record of a map or a list without its entries.
+	// collectionOverheadBytes bounds a record that is a map or a list, without its entries.
 	collectionOverheadBytes = 64
 )
 
@@ -42,27 +43,28 @@
 	return size
 }
 
-// SizeBound returns the placement's size in bytes.
+// SizeBound returns an upper bound of the placement's size in bytes.
 func (r PlacementRecord) SizeBound() int {
 	return placementOverheadBytes + digits(uint64(r.Task)) + digits(r.Attempt) + len(r.Machine) + digits(r.Incarnation)
 }
 
-// JobDescriptionSizeBound returns an upper bound of the size of a job's description.
+// JobDescriptionSizeBound returns an upper bound of the size of a job's description in bytes.
 func JobDescriptionSizeBound(job *wire.Job) int {
 	names := len(job.ID) + len(job.Class) + len(job.Team) + len(job.Image) + len(job.Zone)
 	return jobDescriptionOverheadBytes + names + nameListBytes(job.MachineTypes)
 }
 
-// JobFitsRecord reports whether a record has enough space for a job's description and a task.
+// JobFitsRecord reports whether a job's description and at least one task fit into a ChunkRecord of
+// the maximum size.
 func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
 	size := ChunkOverheadBytes + JobDescriptionSizeBound(job) + tuning.ReservedTaskBytes
 	return size <= MaxValueBytes(settings.WriteLimits().ValueKB)
 }
 
-// rangesSizeBound bounds the size of flattened ranges.
+// rangesSizeBound returns an upper bound of the size of flattened ranges in bytes.
 func rangesSizeBound(ranges []int) int { return MaxRangeBytes / 2 * len(ranges) }
 
-// nameListBytes returns the size of a list of names.
+// nameListBytes returns the size of a list of names in bytes.
 func nameListBytes(names []string) int {
 	size := 0
 	for _, name := range names {
@@ -71,5 +73,5 @@
 	return size
 }
 
-// digits returns the number of decimal digits of a number.
+// digits returns the number of decimal digits of n.
 func digits(n uint64) int { return len(strconv.FormatUint(n, 10)) }
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -8,48 +8,54 @@
 	"ambersill/internal/resource"
 )
 
-// PartitionSummary is the state of a partition from which the leader sizes the fleet. The
-// partition's owner writes it.
+// PartitionSummary is the state of a partition that the leader needs to size the fleet. It is
+// written by the partition's owner.
 type PartitionSummary struct {
-	// BookedMachines is the booked capacity by machine type, in machines.
+	// BookedMachines is the capacity in use by machine type, in machines.
 	BookedMachines map[string]float64 `cbor:"booked"`
-	// BookedOnDemand is the capacity in it of jobs that may not use spot instances.
+	// BookedOnDemand is the part of BookedMachines that is used by jobs that must not use
+	// spot machines.
 	BookedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
-	// MachineDigests are those of the machines with anything to report. They are stored in
-	// records of their own, since their number has no bound.
+	// MachineDigests contains the digests with at least one flag set, by machine ID. They are
+	// stored in separate records, since their number is not bounded.
 	MachineDigests map[string]MachineDigest `cbor:"-"`
-	// DigestRecordCount is the number of these records.
+	// DigestRecordCount is the number of records that contain MachineDigests.
 	DigestRecordCount int `cbor:"notes"`
-	// OverflowRecordCount is the number of further records of waiting demand. Programs of the
-	// initial format size the fleet for what the summary's own record contains.
+	// OverflowRecordCount is the number of records with waiting demand that does not fit into
+	// the summary's own record. Programs of the initial format ignore these records and size
+	// the fleet for the demand in the summary's own record.
 	OverflowRecordCount int `cbor:"more,omitempty"`
 }
 
-// MachineDigest is the state of a machine as reported by its partition's owner, a set of flags.
+// MachineDigest is a set of flags that describe the state of a machine to the leader.
 type MachineDigest uint8
 
 // The flags of a MachineDigest.
 const (
-	// DigestReporting is set if the machine has reported to this owner.
+	// DigestReporting is set if the machine has sent a heartbeat to the partition's current
+	// owner.
 	DigestReporting MachineDigest = 1 << iota
-	// DigestEmpty is set if the machine may be moved or returned.
+	// DigestEmpty is set if the machine is usable, not reserved and without tasks, so that
+	// it may be moved or returned.
 	DigestEmpty
-	// DigestNeverReported is set if the machine was assigned long ago and has never reported.
+	// DigestNeverReported is set if the machine has never sent a heartbeat although it was
+	// assigned longer ago than a worker's lease lasts.
 	DigestNeverReported
-	// DigestUnhealthy is set if the machine is to be returned: it is faulty, unresponsive, or
-	// silent beyond its lease.
+	// DigestUnhealthy is set if the machine must be returned because it is faulty, does not
+	// respond to its owner, or has been silent since its worker's lease expired for longer
+	// than its type takes to boot.
 	DigestUnhealthy
 )
 
-// Demand is a number of waiting tasks with the same requirements.
+// Demand is the demand of a number of waiting tasks with the same requirements.
 type Demand struct {
 	MachineTypes  []string `cbor:"t,omitempty"`
 	Zone          string   `cbor:"z,omitempty"`
 	AllowSpot     bool     `cbor:"s"`
 	SingleZone    bool     `cbor:"o"`
-	MaxPerZone    int      `cbor:"zm,omitempty"` // limit of tasks in one zone; 0: none
+	MaxPerZone    int      `cbor:"zm,omitempty"` // maximum number of tasks in one zone; 0 means no limit
 	Gang          bool     `cbor:"g"`
 	CPUs          float64  `cbor:"c"`
 	GPUs          float64  `cbor:"gp"`
@@ -59,22 +65,23 @@
 	Priority      int      `cbor:"l"`
 }
 
-// Sizes in bytes, as the key-value store counts them.
+// Sizes in bytes. The key-value store measures a value by its length as JSON.
 const (
-	// demandOverheadBytes bounds a demand without its names.
+	// demandOverheadBytes bounds a Demand without the names of its zone and machine types.
 	demandOverheadBytes = 130
-	// summaryOverheadBytes is set aside for what a summary's record contains beside the
-	// waiting demand.
+	// summaryOverheadBytes is the size reserved for all fields of a summary's record except
+	// the waiting demand.
 	summaryOverheadBytes = 1024
-	// digestOverheadBytes bounds a machine's digest without its name.
+	// digestOverheadBytes bounds a machine's digest without the machine's ID.
 	digestOverheadBytes = 6
 )
 
-// runTimeStepsPerSecond is the number of steps in a second to which merged run times are rounded,
-// so that their length in a record is bounded.
+// runTimeStepsPerSecond sets the precision to which merged run times are rounded, a tenth of a
+// second, so that their encoded length is bounded.
 const runTimeStepsPerSecond = 10
 
-// Merge adds the tasks of another demand with the same requirements.
+// Merge adds the tasks of another demand with the same requirements. The estimated run time becomes
+// the mean over all tasks.
 func (d *Demand) Merge(other *Demand) {
 	tasks, otherTasks := float64(d.Tasks), float64(other.Tasks)
 	mean := (d.EstimatedRunS*tasks + other.EstimatedRunS*otherTasks) / (tasks + otherTasks)
@@ -82,7 +89,7 @@
 	d.Tasks += other.Tasks
 }
 
-// Request returns the resources that one task of the demand takes.
+// Request returns the resources that one task of the demand requests.
 func (d *Demand) Request() resource.Vector {
 	return resource.Vector{CPUs: d.CPUs, GPUs: d.GPUs, MemoryGB: d.MemoryGB}
 }
@@ -92,8 +99,9 @@
 	return demandOverheadBytes + len(d.Zone) + nameListBytes(d.MachineTypes)
 }
 
-// SplitOverflowDemand keeps those demands in the summary that fit its record, and returns the rest,
-// divided into further records. valueKB is the size of a value in KiB.
+// SplitOverflowDemand keeps the first demands in Waiting, as many as fit into the summary's record,
+// and returns the others, divided into overflow records. valueKB is the maximum size of a value
+// in KiB.
 func (s *PartitionSummary) SplitOverflowDemand(valueKB float64) [][]Demand {
 	limit := MaxValueBytes(valueKB)
 	all := s.Waiting
@@ -117,8 +125,8 @@
 	return overflow
 }
 
-// SplitMachineDigests divides the digests into records that fit a value, in the order of the
-// machines' names. valueKB is the size of a value in KiB.
+// SplitMachineDigests divides the digests into records that fit into a value, in the order of the
+// machine IDs. valueKB is the maximum size of a value in KiB.
 func (s *PartitionSummary) SplitMachineDigests(valueKB float64) []map[string]MachineDigest {
 	ids := slices.Sorted(maps.Keys(s.MachineDigests))
 	longestID := 0
--- a/internal/resource/machinetype.go
+++ b/internal/resource/machinetype.go
@@ -7,14 +7,13 @@
 	"ambersill/internal/wire"
 )
 
-// TypeAllowed reports whether a job that names the machine types in allowed, or none for
-// any, may run on the type called name.
+// TypeAllowed reports whether a job that allows the given machine types may run on the type
+// called name. An empty list allows all types.
 func TypeAllowed(allowed []string, name string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, name)
 }
 
-// CPUOnlyTypeFits reports whether request fits a machine type without GPUs among those
-// allowed.
+// CPUOnlyTypeFits reports whether request fits on a machine of an allowed type without GPUs.
 func CPUOnlyTypeFits(request Vector, allowed []string, types iter.Seq[wire.MachineType]) bool {
 	for machineType := range types {
 		if machineType.GPUs == 0 && TypeAllowed(allowed, machineType.Name) && MachineCapacity(machineType).Contains(request) {
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -1,4 +1,4 @@
-// Package resource does arithmetic on the amounts of machines that tasks take, and matches
+// Package resource provides arithmetic on amounts of machine resources, and matches tasks'
 // requests to machine types.
 package resource
 
@@ -8,17 +8,18 @@
 	"ambersill/internal/wire"
 )
 
-// Epsilon absorbs rounding where amounts are added and subtracted again.
+// Epsilon is the tolerance for comparing amounts, which are subject to rounding errors when
+// they are repeatedly added and subtracted.
 const Epsilon = 1e-6
 
-// Unlimited is the count of tasks where nothing limits it: more than any job has, and still
-// far from overflow where counts are added.
+// Unlimited stands for a number of tasks that nothing limits. It is larger than any job's
+// number of tasks, and small enough that sums of such counts do not overflow.
 const Unlimited = 1 << 20
 
-// Vector is an amount of each of a machine's resources.
+// Vector is an amount of each resource.
 type Vector struct{ CPUs, GPUs, MemoryGB float64 }
 
-// Add returns the sum of both amounts.
+// Add returns v + other.
 func (v Vector) Add(other Vector) Vector {
 	return Vector{
 		CPUs:     v.CPUs + other.CPUs,
@@ -27,7 +28,7 @@
 	}
 }
 
-// Sub returns what remains of v without other.
+// Sub returns v - other.
 func (v Vector) Sub(other Vector) Vector {
 	return Vector{
 		CPUs:     v.CPUs - other.CPUs,
@@ -36,7 +37,7 @@
 	}
 }
 
-// Scale returns v count times.
+// Scale returns v multiplied by count.
 func (v Vector) Scale(count int) Vector {
 	factor := float64(count)
 	return Vector{
@@ -46,14 +47,14 @@
 	}
 }
 
-// Contains reports whether request fits into v.
+// Contains reports whether request is at most v in each resource.
 func (v Vector) Contains(request Vector) bool {
 	return request.CPUs <= v.CPUs+Epsilon &&
 		request.GPUs <= v.GPUs+Epsilon &&
 		request.MemoryGB <= v.MemoryGB+Epsilon
 }
 
-// FitCount returns how many times request fits into v, Unlimited for an empty request.
+// FitCount returns how many times request fits into v, or Unlimited for an empty request.
 func (v Vector) FitCount(request Vector) int {
 	count := math.Min(fitCountIn(v.CPUs, request.CPUs), fitCountIn(v.GPUs, request.GPUs))
 	count = math.Min(count, fitCountIn(v.MemoryGB, request.MemoryGB))
@@ -63,7 +64,8 @@
 	return max(0, int(count))
 }
 
-// fitCountIn returns how many times requested fits into available, in one dimension.
+// fitCountIn returns how many times the requested amount of one resource fits into the
+// available amount, or infinity if none is requested.
 func fitCountIn(available, requested float64) float64 {
 	if requested <= Epsilon {
 		return math.Inf(1)
@@ -71,14 +73,14 @@
 	return math.Floor((available + Epsilon) / requested)
 }
 
-// DominantShare returns the share of a machine of capacity v that used takes, in the
-// dimension of which it takes the most.
+// DominantShare returns the largest used fraction among the resources of a machine with
+// capacity v.
 func (v Vector) DominantShare(used Vector) float64 {
 	share := math.Max(usedFraction(v.CPUs, used.CPUs), usedFraction(v.GPUs, used.GPUs))
 	return math.Max(share, usedFraction(v.MemoryGB, used.MemoryGB))
 }
 
-// usedFraction returns the share of capacity that used takes, in one dimension.
+// usedFraction returns the used fraction of one resource, or 0 if the machine has none of it.
 func usedFraction(capacity, used float64) float64 {
 	if capacity <= Epsilon {
 		return 0
@@ -86,12 +88,12 @@
 	return math.Max(0, used/capacity)
 }
 
-// TaskRequest returns what one task of a job requests.
+// TaskRequest returns the resources that one task of a job requests.
 func TaskRequest(job *wire.Job) Vector {
 	return Vector{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
 
-// MachineCapacity returns the capacity of a machine of a type.
+// MachineCapacity returns the capacity of one machine of a type.
 func MachineCapacity(machineType wire.MachineType) Vector {
 	return Vector{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
--- a/internal/resource/vector_test.go
+++ b/internal/resource/vector_test.go
@@ -17,7 +17,7 @@
 		{"nothing requested", Vector{}, Unlimited},
 	} {
 		if got := machine.FitCount(c.request); got != c.want {
-			t.Errorf("%s: %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: fit count: got %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 		{"unknown type", Vector{}, Vector{CPUs: 2}, 0},
 	} {
 		if got := c.capacity.DominantShare(c.used); got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: dominant share: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,125 +1,133 @@
-// Package tuning has ambersill's tunables and fixed limits, each with its unit and the reason
-// for its value. Operators override tunables by name in a policy script.
+// Package tuning defines ambersill's tunables and fixed limits, with their units and the reasons
+// for their values. Operators override tunables by name in a policy script.
 package tuning
 
 import "time"
 
-// Tuning are the tunables. Durations are in seconds, so that a script can state them as plain
-// numbers.
+// Tuning contains the tunables. Durations are numbers of seconds, so that a policy script can set
+// them as plain numbers.
 type Tuning struct {
-	// Parts is the number of partitions that jobs are divided into; 0 means one for each
-	// controller.
+	// Parts is the number of partitions into which jobs are divided. If it is 0, there is one
+	// partition for each controller.
 	Parts int
 	// HoldS is the time to live of a controller's lease in the key-value store. The
-	// partitions of a controller that fails are idle for this long; if it were much shorter,
-	// one slow response would cost a controller its partitions.
+	// partitions of a failed controller remain idle for this long. If it were much shorter, a
+	// single slow response would cost a controller its partitions.
 	HoldS float64
 	// StateTimeoutS is the timeout of a request to the key-value store. Most responses take
-	// 10 ms, a few take some hundred.
+	// 10 ms, a few take several hundred milliseconds.
 	StateTimeoutS float64
-	// FreshS is the age of an owner's newest reading of the cancellations up to which it
-	// starts tasks, and of the newest served request up to which a controller accepts users'
-	// requests.
+	// FreshS limits how old information from the key-value store may be. A partition's owner
+	// starts tasks only if it has read the cancellations within this time, and a controller
+	// accepts users' requests only if the store has served it within this time.
 	FreshS float64
-	// NewsS is the time between two readings of the cancellations, whose age also decides
-	// whether heartbeats may be answered. It is a third of FreshS, so that one slow response
-	// does not keep tasks from starting.
+	// NewsS is the interval at which a partition's owner reads the cancellations. The age of
+	// the last reading also decides whether the owner may answer heartbeats. NewsS is a third
+	// of FreshS, so that a single slow response does not prevent tasks from starting.
 	NewsS float64
-	// MarginS is added wherever a worker's lease is waited for.
+	// MarginS is the safety margin added to every wait for a worker's lease to expire.
 	MarginS float64
-	// Drift is the fraction by which the clocks of two machines may drift apart: the platform
-	// allows 0.05% for each.
+	// Drift is the largest relative difference between the rates of two machines' clocks.
+	// Each clock may run up to 0.05% fast or slow.
 	Drift float64
 
-	// TickS is the time between two scheduling cycles without events.
+	// TickS is the interval between scheduling cycles while no event triggers one.
 	TickS float64
-	// PassGapS is the least time between two scheduling cycles of a busy partition; changes of
-	// one chunk within it share a write.
+	// PassGapS is the minimum interval between two scheduling cycles of a partition. Changes
+	// to the same chunk within this interval share a write.
 	PassGapS float64
-	// RoundS is the time between two sizings of the fleet, as designed.
+	// RoundS is the interval at which the leader sizes the fleet.
 	RoundS float64
-	// InFlightTarget is the fraction of a machine's capacity in use that sizing aims at, as
-	// designed.
+	// InFlightTarget is the target fraction of the fleet's capacity in use: the in-flight
+	// term of a machine type's target is ceil(booked capacity / InFlightTarget).
 	InFlightTarget float64
-	// QueueTarget is the number of machines' worth of queued work per additional machine, as
-	// designed.
+	// QueueTarget is the amount of queued work per additional machine, in machines: the
+	// number of short tasks that need capacity at the same time is divided by it.
 	QueueTarget float64
-	// HorizonS is the time within which short tasks of a job array are expected to run one
-	// after another on the same capacity. It is about the time of a boot, since a machine that
-	// is ready only after they have finished is wasted.
+	// HorizonS is the period within which short tasks of a job array are expected to run one
+	// after another on the same capacity. It is about the time that a machine takes to boot,
+	// since a machine that becomes ready after the tasks have finished is wasted.
 	HorizonS float64
-	// GiveBackS is how long a lower target must last before the fleet is scaled in, as
-	// designed.
+	// GiveBackS is how long the target of a machine type must stay below the number of its
+	// machines before empty machines are returned.
 	GiveBackS float64
-	// ListS is the time between two listings of the cloud's machines.
+	// ListS is the interval at which the leader lists the machines in the cloud.
 	ListS float64
-	// SummaryS is the least time between two summaries of a partition.
+	// SummaryS is the minimum interval between two writes of a partition's summary.
 	SummaryS float64
 	// BootPatience is the multiple of a machine type's boot time after which a machine that
-	// has not come up is returned; most come up within 1.5.
+	// has not come up is returned. Most machines come up within 1.5 times the boot time.
 	BootPatience float64
-	// RefusalS is how long an offering that the cloud has refused is not requested again. It
-	// doubles with each refusal, up to RefusalMaxS.
+	// RefusalS is the back-off, after the cloud first refused to rent an offering, before it
+	// is requested again. It doubles with each further refusal, up to RefusalMaxS.
 	RefusalS    float64
 	RefusalMaxS float64
 
-	// ErrorBackoffS is the back-off of a job after a task failed with an error. It doubles
-	// with each failure, up to ErrorBackoffMaxS.
+	// ErrorBackoffS is the back-off of a job after one of its tasks first failed with an
+	// error. It doubles with each further failure, up to ErrorBackoffMaxS.
 	ErrorBackoffS    float64
 	ErrorBackoffMaxS float64
-	// RestartBackoffS is the back-off of a service's replica that exited within SettledS of
-	// its start. It doubles with each exit, up to ErrorBackoffMaxS. It is short at first,
-	// since a single exit is mostly no sign of more.
+	// RestartBackoffS is the back-off before a service's replica is restarted that exited
+	// within SettledS of its start. It doubles with each further such exit, up to
+	// ErrorBackoffMaxS. It starts short because a single exit is rarely followed by others.
 	RestartBackoffS float64
-	// SickErrors is the number of consecutive failures of different jobs' tasks after which a
-	// machine is quarantined as faulty.
+	// SickErrors is the number of consecutive task failures of different jobs after which a
+	// machine is considered faulty and quarantined.
 	SickErrors int
 
-	// PreemptGapS is the least time between two preemptions for the same job.
+	// PreemptGapS is the minimum interval between two preemptions in favor of the same job.
 	PreemptGapS float64
-	// SearchGapS is the least time between two searches for tasks to preempt for a job, since
-	// a search examines every task of every machine that the job may use.
+	// SearchGapS is the minimum interval between two searches for tasks to preempt in favor
+	// of the same job. A search is expensive because it examines every task on every machine
+	// that the job may use.
 	SearchGapS float64
-	// WorkWeight is by how many seconds a job moves back in the queue for each CPU-second of
-	// its remaining work.
+	// WorkWeight is the number of seconds by which a job moves back in the queue for each
+	// CPU-second of its remaining work.
 	WorkWeight float64
-	// LoadStep is the difference in use, as a fraction of the guarantee, or of a usual machine
-	// for a team without one, up to which two teams rank alike in fair share.
+	// LoadStep is the step to which teams' fair share ratios are rounded down before they are
+	// compared, so that small differences do not affect the order. The ratio is a team's use
+	// relative to its guarantee, or to the size of a usual machine if it has no guarantee.
 	LoadStep float64
-	// StarveS is how long a job's size and the fair shares may delay its first start.
-	// Afterwards it goes ahead of other jobs of its priority, and capacity is reserved for it.
-	// If it were shorter, the oldest jobs of an overloaded class would go first, whether or
-	// not their image is cached, and all of the class would be late.
+	// StarveS is how long a job's size and the fair shares may delay its first start. After
+	// this time, the job precedes other jobs of its priority, and capacity is reserved for it.
+	// If StarveS were shorter, the oldest jobs of an overloaded priority class would run first
+	// whether or not their images are cached, and all jobs of the class would start late.
 	StarveS float64
-	// OverdueS is how long priorities and guarantees may delay a first start. Afterwards the
-	// job's first task goes ahead of all others on machines in use, and a gang on any machine.
+	// OverdueS is how long priorities and guarantees may delay a job's first start. After this
+	// time, the job's first task precedes all others on machines that are in use. A gang
+	// precedes them on any machine.
 	OverdueS float64
-	// ForceS is the time after which a job takes any machine, even from urgent jobs that need
-	// the whole machine, and is not preempted. Every job that can run must start within four
-	// minutes; this is shorter by the time that a start takes.
+	// ForceS is how long a job may wait for its first start before it may use any machine,
+	// even one that urgent jobs need as a whole, and is protected from preemption. Every job
+	// that can run must start within four minutes; ForceS is shorter by the time that a start
+	// takes.
 	ForceS float64
-	// ConsolidateS is the time between two attempts to drain a machine.
+	// ConsolidateS is the minimum interval between two attempts to drain a machine whose tasks
+	// fit on other machines in use.
 	ConsolidateS float64
-	// OrdinaryCostS is how many seconds of fetching an image are worth keeping work that may
-	// use spot instances off other machines, which can then be scaled in.
+	// OrdinaryCostS is the placement cost, in seconds of image fetch time, of running a task
+	// on an on-demand machine if it may use spot machines. It keeps such tasks off on-demand
+	// machines, which can then be returned.
 	OrdinaryCostS float64
-	// SettledS is the time after which a start counts even if the task is stopped later, by
-	// the protocol.
+	// SettledS is how long a task must run for its start to count as successful, even if the
+	// task is stopped later.
 	SettledS float64
-	// GraceS is the grace period beyond the time that a task needs to save a checkpoint.
+	// GraceS is the grace period for stopping a task, in addition to the time that it needs
+	// to save a checkpoint.
 	GraceS float64
 
-	// UserWaitS is the time within which a user's request is answered, or else refused. Users
-	// wait 2 s for a query and 5 s for other requests.
+	// UserWaitS is how long a controller works on a user's request before it refuses the
+	// request. Users wait 2 s for a query and 5 s for other requests.
 	UserWaitS float64
-	// RetryAfterS is after how many seconds a user whose request was refused should retry.
+	// RetryAfterS is the number of seconds after which a user should retry a refused request.
 	RetryAfterS int
-	// ShareReserve is the fraction of the key-value store's rate limits that is left unused,
-	// since controllers count their requests independently.
+	// ShareReserve is the fraction of the key-value store's rate limits that is left unused.
+	// The reserve is needed because controllers count their requests independently.
 	ShareReserve float64
 	// LeaderShare is the fraction of the key-value store's rate limits that the leader may use
-	// in addition to its own. Controllers seldom all use theirs at the same time, and requests
-	// that the store refuses are retried.
+	// in addition to its regular share. The limits are rarely exceeded, because the
+	// controllers seldom all use their shares at the same time, and requests that the store
+	// refuses are retried.
 	LeaderShare float64
 	// FinalCache is the number of finished jobs whose status a controller caches.
 	FinalCache int
@@ -174,76 +182,83 @@
 	}
 }
 
-// Limits of the protocol's requests.
+// Limits of requests to the cloud and of responses to workers.
 const (
-	// MaxMachinesPerRental is the number of machines in one rental, by the protocol. It is lower if their
-	// group's record would not fit into one value.
+	// MaxMachinesPerRental is the largest number of machines that the cloud rents out in one
+	// request. Fewer are requested if the records of their groups would not fit into the key-value
+	// store's limits for a value and a transaction.
 	MaxMachinesPerRental = 50
-	// MaxMachinesPerReturn is the number of machines returned in one request, by the protocol.
+	// MaxMachinesPerReturn is the largest number of machines that the cloud takes back in one
+	// request.
 	MaxMachinesPerReturn = 100
-	// MaxCommandsPerResponse is the number of commands in one response to a worker. At about 80 bytes
-	// each, they stay well below the protocol's 64 KiB.
+	// MaxCommandsPerResponse is the maximum number of commands in one response or request to a
+	// worker. At about 80 bytes each, they stay well below the maximum body size of 64 KiB.
 	MaxCommandsPerResponse = 200
 )
 
 // Sizes and rates of records in the key-value store.
 const (
-	// ReservedTaskBytes is the size reserved in a record for one task, in bytes; a placement takes
-	// about 40.
+	// ReservedTaskBytes is the size in bytes that a record reserves for each task. A placement
+	// takes about 40 bytes.
 	ReservedTaskBytes = 64
-	// MaxTxnBytes is the size that one transaction may have, in bytes; the store allows 64 KiB.
+	// MaxTxnBytes is the maximum size of a transaction in bytes. The key-value store allows
+	// 64 KiB.
 	MaxTxnBytes = 48 << 10
-	// JournalSlots is the number of records in a partition's journal before its slots are
-	// reused. At ten records a second a chunk is compacted every 20 s, and a failover reads a
-	// few hundred keys at most.
+	// JournalSlots is the number of records in a partition's journal, after which the oldest
+	// slots are reused. At ten records per second, a chunk is compacted every 20 s. A failover
+	// reads a few hundred keys at most.
 	JournalSlots = 256
-	// MinJournalBytes is the size that a transaction must have left, in bytes, for a journal
+	// MinJournalBytes is the minimum free space in a transaction, in bytes, for a journal
 	// record to be added to it.
 	MinJournalBytes = 1 << 10
-	// EqualRateFraction is the fraction of the store's rate limits that all controllers have alike,
-	// for users' requests; the rest is divided among the owners of partitions. Writes for
-	// users may exceed the limit for a short time, so it need not cover their peaks.
+	// EqualRateFraction is the fraction of the key-value store's rate limits that is divided
+	// equally among all controllers, for users' requests. The rest is divided in proportion to
+	// the partitions that each controller owns. The equal part need not cover peaks, since
+	// writes for users may exceed the limit for a short time.
 	EqualRateFraction = 0.2
-	// SummaryWriteFraction is the fraction of the store's write rate that summaries may use.
+	// SummaryWriteFraction is the fraction of the key-value store's write rate limit that
+	// summaries may use.
 	SummaryWriteFraction = 0.15
-	// MinConversionInterval is the least time between two records that are rewritten only for their
-	// format. At four a second, a few hundred are converted within a minute or two beside the
-	// usual writes.
+	// MinConversionInterval is the minimum interval between two rewrites of records that only
+	// convert their format. At four records per second, a few hundred are converted within one
+	// or two minutes in addition to the usual writes.
 	MinConversionInterval = 250 * time.Millisecond
 )
 
-// Memory of a controller.
+// Memory limits of a controller.
 const (
-	// GCPercent is the growth of the heap between two garbage collections, in percent of the
-	// live heap, which takes a tenth to a third of the memory on the deployments served.
+	// GCPercent is the growth of the heap that triggers a garbage collection, in percent of
+	// the live heap. The live heap takes a tenth to a third of a machine's memory in existing
+	// deployments.
 	GCPercent = 400
-	// MemoryLimitFraction is the fraction of the machine's memory above which collections are more
-	// frequent.
+	// MemoryLimitFraction is the fraction of the machine's memory that is set as the Go
+	// runtime's memory limit, near which garbage collections become more frequent.
 	MemoryLimitFraction = 0.6
 )
 
-// Sockets of a controller, and timeouts that keep peers from occupying them.
+// Limits of a controller's sockets, and timeouts that prevent peers from occupying them.
 const (
-	// CommandSocketFraction is the fraction of the sockets for commands sent directly to workers. It is
-	// enough for all machines of a zone to fail at the same time, each of which occupies a
-	// socket until its request times out.
+	// CommandSocketFraction is the fraction of the sockets reserved for commands sent directly
+	// to workers. It suffices when all machines of a zone fail at the same time and each of
+	// them occupies a socket until its request times out.
 	CommandSocketFraction = 0.1
-	// MaxIdleWorkerConns is the number of idle connections to workers that are kept open.
+	// MaxIdleWorkerConns is the maximum number of idle connections to workers that are kept
+	// open.
 	MaxIdleWorkerConns = 64
-	// ReservedSockets is the number of sockets reserved for the key-value store, the cloud and the
-	// other controllers, so that connections of users and workers can't keep a controller from
-	// renewing its lease.
+	// ReservedSockets is the number of sockets reserved for connections to the key-value store,
+	// the cloud and the other controllers, so that connections from users and workers cannot
+	// prevent a controller from renewing its lease.
 	ReservedSockets = 100
-	// FencingTimeout is the timeout of a command that only raises the fencing token, and of
-	// connecting to a worker; one that is up answers within milliseconds.
+	// FencingTimeout is the timeout of a request that only raises a worker's fencing token, and
+	// of connecting to a worker. A worker that is up responds within milliseconds.
 	FencingTimeout = time.Second
-	// ReadTimeout is the timeout of reading a request, so that slow senders do not occupy
+	// ReadTimeout is the timeout of reading a request. It prevents slow senders from occupying
 	// sockets.
 	ReadTimeout = 10 * time.Second
-	// IdleTimeout is the timeout of a connection without requests. Workers and users that are
-	// up send some every few seconds.
+	// IdleTimeout is how long a connection without requests is kept open. Workers and users
+	// that are up send requests every few seconds.
 	IdleTimeout = 45 * time.Second
 )
 
-// Seconds converts a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
