--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -33,7 +33,7 @@
 		{"small", wire.Job{CPUs: 1}, 0},
 		{"with a GPU", wire.Job{CPUs: 1, GPUs: 1}, 1},
 		{"whole GPU machine", wire.Job{CPUs: 16, GPUs: 4}, 1},
-		{"named type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
+		{"restricted to the GPU type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
 		{"too large for the type without GPUs", wire.Job{CPUs: 12}, 1},
 	} {
 		if got := PrimaryMachineType(&c.job, testTypes); got != c.want {
@@ -54,9 +54,9 @@
 		{"too large", wire.Job{Team: "free", Tasks: 1, CPUs: 17}, ErrNoMachineTypeFits},
 		{"unknown type", wire.Job{Team: "free", Tasks: 1, CPUs: 1, MachineTypes: []string{"x"}}, ErrNoMachineTypeFits},
 		{"unknown zone", wire.Job{Team: "free", Tasks: 1, CPUs: 1, Zone: "x"}, ErrNoMachineTypeFits},
-		{"array beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
-		{"gang beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
-		{"gang spread over one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
+		{"array that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
+		{"gang that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
+		{"spread gang restricted to one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
 	} {
 		if err := Check(&c.job, settings, testTypes); !errors.Is(err, c.want) {
 			t.Errorf("%s: Check: got error %v, want %v", c.name, err, c.want)
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -131,8 +131,8 @@
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// machinesFor returns the number of machines at which the booked capacity, in machines, uses
-// at most the fraction InFlightTarget of them.
+// machinesFor returns the smallest number of machines of which the booked capacity, in machines,
+// takes up at most the fraction InFlightTarget.
 func (a *Autoscaler) machinesFor(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,8 +16,8 @@
 		request   resource.Vector
 		want      int
 	}{
-		{"by CPUs", limited, resource.Vector{CPUs: 4}, resource.Vector{CPUs: 2}, 3},
-		{"by GPUs", limited, resource.Vector{}, resource.Vector{CPUs: 1, GPUs: 1}, 3},
+		{"limited by CPUs", limited, resource.Vector{CPUs: 4}, resource.Vector{CPUs: 2}, 3},
+		{"limited by GPUs", limited, resource.Vector{}, resource.Vector{CPUs: 1, GPUs: 1}, 3},
 		{"used up", limited, resource.Vector{CPUs: 10}, resource.Vector{CPUs: 1}, 0},
 		{"above the limit", limited, resource.Vector{CPUs: 14}, resource.Vector{CPUs: 1}, 0},
 		{"no limit", config.Team{}, resource.Vector{CPUs: 100}, resource.Vector{CPUs: 1}, resource.Unlimited},
@@ -39,8 +39,8 @@
 		{"no guarantee", config.Team{}, resource.Vector{CPUs: 1}, false},
 		{"within its CPUs", config.Team{CPUs: 4}, resource.Vector{CPUs: 4}, true},
 		{"beyond its CPUs", config.Team{CPUs: 4}, resource.Vector{CPUs: 5}, false},
-		{"GPUs with CPUs guaranteed only", config.Team{CPUs: 4}, resource.Vector{CPUs: 1, GPUs: 1}, false},
-		{"any CPUs with its GPUs", config.Team{GPUs: 2}, resource.Vector{CPUs: 50, GPUs: 2}, true},
+		{"GPUs without a GPU guarantee", config.Team{CPUs: 4}, resource.Vector{CPUs: 1, GPUs: 1}, false},
+		{"any CPUs with only GPUs guaranteed", config.Team{GPUs: 2}, resource.Vector{CPUs: 50, GPUs: 2}, true},
 		{"beyond its GPUs", config.Team{GPUs: 2}, resource.Vector{CPUs: 1, GPUs: 3}, false},
 	} {
 		team := Team{Team: c.team}
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -38,8 +38,8 @@
 	PassGapS float64
 	// RoundS is the interval at which the leader sizes the fleet.
 	RoundS float64
-	// InFlightTarget is the target fraction of the fleet's capacity in use: the in-flight
-	// term of a machine type's target is ceil(booked capacity / InFlightTarget).
+	// InFlightTarget is the fraction of the fleet's capacity that should be in use: the target
+	// number of machines of a type is at least ceil(booked capacity / InFlightTarget).
 	InFlightTarget float64
 	// QueueTarget is the amount of queued work per additional machine, in machines: the
 	// number of short tasks that need capacity at the same time is divided by it.
