--- a/internal/autoscaler/binpacking.go
+++ b/internal/autoscaler/binpacking.go
@@ -28,7 +28,7 @@
 // assignment is a possible placement of a demand's tasks.
 type assignment struct {
 	placements []placement
-	tasks      int // in all placements
+	tasks      int // sum over all placements
 	newRentals int
 }
 
@@ -86,7 +86,7 @@
 	request  resource.Vector
 	zone     string         // the only zone allowed; empty if all are
 	unplaced int            // tasks without a bin
-	inZone   map[string]int // tasks assigned in each zone
+	inZone   map[string]int // assigned tasks by zone
 	// planned is the number of planned rentals by offering, including those of this attempt.
 	planned    map[Offering]int
 	assignment assignment
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -15,7 +15,7 @@
 // offeringCost is an offering with the values by which offerings are compared.
 type offeringCost struct {
 	offering Offering
-	taskCost float64 // see costPerTask
+	taskCost float64 // as returned by costPerTask
 	machines int     // existing and planned machines of the offering
 }
 
