--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -146,7 +146,7 @@
 	}
 	plan := New(&tunables).Plan(input, time.Unix(0, 0))
 	if len(plan.Rentals) != 1 || plan.Rentals[0].Offering.Zone != "b" {
-		t.Fatalf("rentals for a gang with 2 of 4 tasks in zone a: got %+v, want one in zone b", plan.Rentals)
+		t.Fatalf("rentals for a gang with at most 2 tasks per zone and an empty machine in zone a: got %+v, want one in zone b", plan.Rentals)
 	}
 }
 
