--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -101,7 +101,7 @@
 		"partition", p.partition,
 		"jobs", p.jobs,
 		"machines", p.machines,
-		"started", p.scheduling.Started,
+		"started", p.scheduling.Placed,
 		"finished", p.scheduling.Finished,
 		"requeued", p.scheduling.Requeued,
 		"preempted", p.scheduling.Preempted,
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -55,7 +55,7 @@
 	case wire.JobQueued:
 		o.partition.AddJob(record.Job, time.UnixMilli(record.SubmittedAtMS), event.Revision)
 	case wire.JobCancelled:
-		o.partition.Cancel(record.Job.ID, time.Now())
+		o.partition.CancelJob(record.Job.ID, time.Now())
 	case wire.JobRunning, wire.JobDone:
 		// JobDone is written by this owner itself, and JobRunning is never stored.
 	}
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -11,114 +11,118 @@
 	"ambersill/internal/wire"
 )
 
-// returnedStillListed is how long the cloud's list may go on to show a machine that was
-// returned; it must not be adopted then.
-const returnedStillListed = 2 * time.Minute
+// readoptionDelay is the time after a machine's return during which it is not adopted, since
+// the cloud's listing may still show it.
+const readoptionDelay = 2 * time.Minute
 
 const millisecondsPerSecond = 1000
 
-// machineListing is what the leader knows of a machine from the cloud's lists.
+// machineListing is what the leader knows about a machine from the cloud's listings.
 type machineListing struct {
-	listed     bool      // in the latest list
-	state      string    // in the latest list; empty if it is not listed
-	everListed bool      // in any list of this term
-	missed     int       // lists in a row that lack the machine, which was once listed
-	returnedAt time.Time // zero unless it was returned shortly before
+	listed         bool      // in the latest listing
+	state          string    // in the latest listing; empty if the machine is not in it
+	everListed     bool      // in any listing of this term
+	missedListings int       // consecutive listings without the machine; 0 if it was never listed
+	returnedAt     time.Time // zero unless it was returned less than readoptionDelay ago
 }
 
-// readListing compares the cloud's list with the records.
-func (l *leader) readListing(ctx context.Context) {
-	list, err := l.controller.cloud.List(ctx)
+// reconcileListing lists the cloud's machines and compares them with the records: it adopts
+// machines without a record, and returns those that have failed.
+func (l *leader) reconcileListing(ctx context.Context) {
+	cloudMachines, err := l.controller.cloud.List(ctx)
 	if err != nil {
-		slog.Debug("machines not listed", "err", err)
+		slog.Debug("listing the cloud's machines failed", "err", err)
 		return
 	}
-	l.recordListing(list, time.Now())
+	l.updateListings(cloudMachines, time.Now())
 	if l.controller.cluster.hasRentals() {
-		// Machines without a record may be theirs.
+		// Machines without a record may belong to these rentals.
 		return
 	}
 	_, machines := l.controller.cluster.recordedMachines()
-	if l.adoptMachines(ctx, list, machines) {
-		l.returnUnrecordedFailed(ctx, list, machines)
+	if l.adoptMachines(ctx, cloudMachines, machines) {
+		l.returnFailedUnrecorded(ctx, cloudMachines, machines)
 	}
 }
 
-// returnUnrecordedFailed returns the listed machines that have failed and have no record.
-func (l *leader) returnUnrecordedFailed(
-	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+// returnFailedUnrecorded returns to the cloud the listed machines that have failed and have no
+// record.
+func (l *leader) returnFailedUnrecorded(
+	ctx context.Context, cloudMachines []wire.CloudMachine, machines map[string]machineEntry,
 ) {
-	for _, machine := range list {
+	for _, machine := range cloudMachines {
 		if _, known := machines[machine.ID]; !known && machine.State == wire.MachineFailed {
 			l.returnToCloud(ctx, []machineReturn{{id: machine.ID, reason: returnFailed}})
 		}
 	}
 }
 
-// recordListing records which machines the cloud lists, and counts how often in a row the
-// others are missing.
-func (l *leader) recordListing(list []wire.CloudMachine, now time.Time) {
-	l.clearListed(now)
-	for _, machine := range list {
+// updateListings updates the listing state and the address of each listed machine, and counts
+// the consecutive listings from which the other machines are missing.
+func (l *leader) updateListings(cloudMachines []wire.CloudMachine, now time.Time) {
+	l.resetListed(now)
+	for _, machine := range cloudMachines {
 		listing := l.listings[machine.ID]
 		listing.listed, listing.everListed = true, true
 		listing.state = machine.State
 		l.listings[machine.ID] = listing
 		l.controller.recordAddress(machine.ID, machine.Address)
 	}
-	l.countMissed()
+	l.countMissedListings()
 }
 
-// clearListed resets what only the latest list shows.
-func (l *leader) clearListed(now time.Time) {
+// resetListed resets the fields that describe the latest listing, and times of return that
+// are older than readoptionDelay.
+func (l *leader) resetListed(now time.Time) {
 	for id, listing := range l.listings {
 		listing.listed, listing.state = false, ""
-		if now.Sub(listing.returnedAt) > returnedStillListed {
+		if now.Sub(listing.returnedAt) > readoptionDelay {
 			listing.returnedAt = time.Time{}
 		}
 		l.listings[id] = listing
 	}
 }
 
-// countMissed counts for each recorded machine how many lists in a row lack it.
-func (l *leader) countMissed() {
+// countMissedListings updates, for each recorded machine, the number of consecutive listings
+// that lack it.
+func (l *leader) countMissedListings() {
 	ids, _ := l.controller.cluster.recordedMachines()
 	for _, id := range ids {
 		listing := l.listings[id]
 		if listing.listed || !listing.everListed {
-			listing.missed = 0
+			listing.missedListings = 0
 		} else {
-			listing.missed++
+			listing.missedListings++
 		}
 		l.listings[id] = listing
 	}
 }
 
-// adoptMachines records listed machines that have no record: rented by a request that was
-// lost or late, or there from the start. Sizing returns those that are not needed.
-// adoptMachines adds them to the given machines, and returns false if some could not be
-// recorded.
+// adoptMachines records listed machines that have no record. Such machines were rented by a
+// request whose answer was lost or late, or existed before the cluster started. sizeFleet
+// returns those that are not needed. adoptMachines adds the machines to the given map, and
+// returns false if some could not be recorded.
 func (l *leader) adoptMachines(
-	ctx context.Context, list []wire.CloudMachine, machines map[string]machineEntry,
+	ctx context.Context, cloudMachines []wire.CloudMachine, machines map[string]machineEntry,
 ) bool {
 	now := time.Now()
 	adopted := map[string]records.MachineRecord{}
 	byOffering := map[autoscaler.Offering][]string{}
-	for _, machine := range list {
-		if _, known := machines[machine.ID]; known || !l.adoptable(machine) {
+	for _, machine := range cloudMachines {
+		if _, known := machines[machine.ID]; known || !l.isAdoptable(machine) {
 			continue
 		}
-		record := adoptedRecord(machine, smallestPartition(machines, l.controller.partitions), now)
+		record := adoptedMachineRecord(machine, smallestPartition(machines, l.controller.partitionCount), now)
 		machines[machine.ID] = machineEntry{record: record}
 		adopted[machine.ID] = record
-		offering := offeringOfListed(machine)
+		offering := offeringOfListedMachine(machine)
 		byOffering[offering] = append(byOffering[offering], machine.ID)
 	}
 	for offering, ids := range byOffering {
-		for _, group := range l.divideIntoGroups(offering, ids, adopted) {
-			compare, write := newGroup(group)
+		for _, group := range l.splitIntoGroups(offering, ids, adopted) {
+			compare, write := newGroupWrite(group)
 			if err := l.commit(ctx, []wire.Compare{compare}, []wire.Write{write}); err != nil {
-				slog.Debug("machines not adopted", "err", err)
+				slog.Debug("recording adopted machines failed", "err", err)
 				return false
 			}
 			slog.Info("machines adopted", "count", len(group.Machines))
@@ -127,14 +131,15 @@
 	return true
 }
 
-// adoptable reports whether a machine without a record is to be adopted.
-func (l *leader) adoptable(machine wire.CloudMachine) bool {
+// isAdoptable reports whether a listed machine without a record may be adopted: it has not
+// failed and was not returned recently.
+func (l *leader) isAdoptable(machine wire.CloudMachine) bool {
 	returned := !l.listings[machine.ID].returnedAt.IsZero()
 	return !returned && machine.State != wire.MachineFailed
 }
 
-// adoptedRecord returns the record of a machine that was found in the cloud's list.
-func adoptedRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
+// adoptedMachineRecord returns the record of a machine that was found in the cloud's listing.
+func adoptedMachineRecord(machine wire.CloudMachine, partition int, now time.Time) records.MachineRecord {
 	return records.MachineRecord{
 		MachineType: machine.MachineType,
 		Zone:        machine.Zone,
@@ -144,14 +149,15 @@
 	}
 }
 
-// machinesPerGroup returns how many machines of an offering one group's record holds.
+// machinesPerGroup returns the number of machines of an offering that fit into the record of
+// one group.
 func (l *leader) machinesPerGroup(offering autoscaler.Offering) int {
 	return records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)
 }
 
-// divideIntoGroups divides new machines of one offering into groups whose records fit a
-// value.
-func (l *leader) divideIntoGroups(
+// splitIntoGroups divides new machines of one offering into groups. The record of each group
+// fits into one value of the key-value store.
+func (l *leader) splitIntoGroups(
 	offering autoscaler.Offering, ids []string, machines map[string]records.MachineRecord,
 ) []records.MachineGroupRecord {
 	var groups []records.MachineGroupRecord
@@ -165,12 +171,12 @@
 	return groups
 }
 
-// smallestPartition returns the partition with the fewest machines, so that adopted ones are
-// spread.
-func smallestPartition(machines map[string]machineEntry, partitions int) int {
-	counts := make([]int, partitions)
+// smallestPartition returns the partition with the fewest machines. Adopted machines are
+// assigned to it, which spreads them evenly.
+func smallestPartition(machines map[string]machineEntry, partitionCount int) int {
+	counts := make([]int, partitionCount)
 	for _, entry := range machines {
-		if entry.record.Partition < partitions {
+		if entry.record.Partition < partitionCount {
 			counts[entry.record.Partition]++
 		}
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -10,28 +10,28 @@
 	"ambersill/internal/tuning"
 )
 
-// minRemainingS is how long a task that has exceeded its estimated run time is still expected
-// to run.
+// minRemainingS is the expected remaining run time of a task that has exceeded its estimated run
+// time, in seconds.
 const minRemainingS = 1
 
-// futureSlot is capacity for one task of a job that a machine will have.
+// futureSlot is capacity for one task of a job that is available on a machine now or later.
 type futureSlot struct {
 	machine      *Machine
-	availableInS float64 // seconds until then, by the estimates of what runs there
+	availableInS float64 // seconds until the slot is expected to be available
 }
 
-// futureZone is what a zone will have for a gang.
+// futureZone contains the slots that a zone has for a gang, now or later.
 type futureZone struct {
 	slots []futureSlot
-	// reserved: a machine of the zone is reserved for another job. Only one gang at a time
-	// gets reservations in a zone, since two could wait for each other.
-	reserved bool
+	// reservedForOther is set if a machine in the zone is reserved for another job. Only one
+	// gang at a time may reserve machines in a zone, since two gangs could block each other.
+	reservedForOther bool
 }
 
-// reserveForGang reserves machines for a gang that has waited long, where all the capacity
-// that it needs becomes free the soonest as the tasks there end. No task is stopped for it.
-// Without reservations small jobs would use each slot as it becomes free, and a gang of many
-// machines would never find them free together.
+// reserveForGang reserves machines for a starved gang. It selects the zone in which all slots that
+// the gang needs become available the soonest as running tasks end; it does not stop tasks.
+// Without reservations, small jobs would occupy each slot as it becomes free, and a gang that
+// needs many machines would never find all of them free at the same time.
 func (p *Partition) reserveForGang(job *Job, count int, now time.Time) {
 	if !job.IsGang() || !job.cycle.starved || now.Before(job.reservedUntil) {
 		return
@@ -40,7 +40,7 @@
 	if slots == nil {
 		return
 	}
-	waitS := min(slots[count-1].availableInS, p.tuning.StarveS) + p.heartbeatToleranceS()
+	waitS := min(slots[count-1].availableInS, p.tuning.StarveS) + p.heartbeatToleranceSeconds()
 	job.reservedUntil = now.Add(tuning.Seconds(waitS))
 	for _, slot := range slots {
 		slot.machine.reserve(job.ID, job.reservedUntil)
@@ -48,11 +48,11 @@
 	p.Counters.GangReservations++
 }
 
-// futureZones are the zones by name. For a job that may be in several zones, all slots are under
-// the empty name.
+// futureZones maps zone names to zones. For a job that may run in several zones, all slots are
+// listed under the empty name.
 type futureZones map[string]*futureZone
 
-// zone returns the zone of a name, to be changed in place.
+// zone returns a pointer to the entry of a zone, and adds the entry if it is missing.
 func (z futureZones) zone(name string) *futureZone {
 	if z[name] == nil {
 		z[name] = &futureZone{}
@@ -60,16 +60,16 @@
 	return z[name]
 }
 
-// futureZones returns the capacity that machines will have for a job.
+// futureZones returns the slots that the machines have for a job, now or later.
 func (p *Partition) futureZones(job *Job, now time.Time) futureZones {
 	zones := futureZones{}
 	for _, machine := range p.machines.all() {
-		if !machineSuitable(job, machine) {
+		if !machineUsableBy(job, machine) {
 			continue
 		}
 		if machine.isReservedForOther(job, now) {
 			if machine.reservedFor != reservedForDrain {
-				zones.zone(machine.Record.Zone).reserved = true
+				zones.zone(machine.Record.Zone).reservedForOther = true
 			}
 			continue
 		}
@@ -83,12 +83,12 @@
 	return zones
 }
 
-// earliestSlots returns the slots, by when they are available, of the zone that has count
-// of them the soonest; nil if none ever has.
+// earliestSlots returns the first count slots, sorted by availability, of the zone where they are
+// available the soonest. It returns nil if no zone has enough slots.
 func earliestSlots(job *Job, count int, zones futureZones) []futureSlot {
 	var best []futureSlot
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
-		if zones[name].reserved {
+		if zones[name].reservedForOther {
 			continue
 		}
 		slots := firstSlots(job, count, zones[name].slots)
@@ -102,7 +102,8 @@
 	return best
 }
 
-// firstSlots returns the first slots to be available, up to count of them.
+// firstSlots returns up to count slots in order of availability, within the limit per zone of a
+// job that is spread over zones.
 func firstSlots(job *Job, count int, slots []futureSlot) []futureSlot {
 	slices.SortStableFunc(slots, func(a, b futureSlot) int { return cmp.Compare(a.availableInS, b.availableInS) })
 	var first []futureSlot
@@ -121,21 +122,22 @@
 	return first
 }
 
-// taskEnd is capacity that a task will release.
+// taskEnd is the expected end of a task, which frees the capacity that it requested.
 type taskEnd struct {
-	inS     float64 // seconds until then
+	endsInS float64 // seconds until the expected end
 	request resource.Vector
 }
 
-// futureSlots returns when a machine will have capacity for one task of a job, for a second
-// one, and so on, if nothing else is placed there.
+// futureSlots returns the slots that a machine has for tasks of a job, now or as its tasks end, in
+// order of availability and at most one per task of the job. It assumes that no other task is
+// placed on the machine.
 func (p *Partition) futureSlots(job *Job, machine *Machine, now time.Time) []futureSlot {
 	request := resource.TaskRequest(job.Job)
-	free := machine.free()
+	freeCapacity := machine.freeCapacity()
 	var slots []futureSlot
 	addSlots := func(availableInS float64) {
-		for free.Contains(request) && len(slots) < job.Tasks {
-			free = free.Sub(request)
+		for freeCapacity.Contains(request) && len(slots) < job.Tasks {
+			freeCapacity = freeCapacity.Sub(request)
 			slots = append(slots, futureSlot{machine: machine, availableInS: availableInS})
 		}
 	}
@@ -144,29 +146,29 @@
 		if len(slots) == job.Tasks {
 			break
 		}
-		free = free.Add(end.request)
-		addSlots(end.inS)
+		freeCapacity = freeCapacity.Add(end.request)
+		addSlots(end.endsInS)
 	}
 	return slots
 }
 
-// taskEnds returns when the machine's tasks are expected to end, the first one first.
+// taskEnds returns the expected ends of the machine's tasks, earliest first.
 func (p *Partition) taskEnds(machine *Machine, now time.Time) []taskEnd {
 	var ends []taskEnd
 	for _, key := range sortedTaskAttempts(machine.placements) {
 		placement := machine.placements[key]
 		ends = append(ends, taskEnd{
-			inS:     p.remainingSeconds(placement, now),
+			endsInS: p.remainingRunSeconds(placement, now),
 			request: resource.TaskRequest(placement.job.Job),
 		})
 	}
-	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.inS, b.inS) })
+	slices.SortStableFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.endsInS, b.endsInS) })
 	return ends
 }
 
-// remainingSeconds returns how long a placement is expected to stay.
-func (p *Partition) remainingSeconds(placement *Placement, now time.Time) float64 {
-	expected := runSeconds(placement.job.Job)
+// remainingRunSeconds returns the expected time until a placement's task ends.
+func (p *Partition) remainingRunSeconds(placement *Placement, now time.Time) float64 {
+	expected := expectedRunSeconds(placement.job.Job)
 	if placement.runningSince.IsZero() {
 		return expected + p.imageFetchSeconds(placement.job, placement.machine)
 	}
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// placementSlice is how many tasks of an array are placed before it is another team's
-	// turn: few enough that teams share a small capacity, many enough that a large array
-	// does not need a search for each task.
-	placementSlice = 8
-	// overdueSlice is how many tasks of an array take precedence because its first start is
-	// overdue; with the first of them it has begun.
-	overdueSlice = 1
-	// preemptionSlice is for how many tasks of a job work is preempted at once. Preempted work
-	// stops only after its grace period, so capacity is requested ahead of the next turns.
-	preemptionSlice = 2 * placementSlice
-	// cachedImagesPerMachine is how many images a machine is assumed to cache, about as
-	// many as the cloud's machines do.
+	// maxTasksPerTurn is the maximum number of tasks of an array job or service that are
+	// placed before the next queue is selected. It is low enough that teams share scarce
+	// capacity, and high enough that a large job does not need a search for each task.
+	maxTasksPerTurn = 8
+	// maxOverdueTasksPerTurn is the maximum number of tasks placed in one turn for a job, gangs
+	// excepted, whose first start is overdue. One is enough: once it is placed, the job has
+	// started.
+	maxOverdueTasksPerTurn = 1
+	// maxTasksPerPreemption is the maximum number of tasks for which a single preemption frees
+	// capacity. Preempted tasks stop only after their grace period, so capacity is freed for
+	// more than one turn.
+	maxTasksPerPreemption = 2 * maxTasksPerTurn
+	// cachedImagesPerMachine is the number of images that a worker is assumed to cache. The
+	// machines of the cloud cache about as many.
 	cachedImagesPerMachine = 12
 )
 
-// Schedule runs a scheduling cycle. It places waiting tasks from a queue per team; the
-// queues take turns by urgency and fair share.
+// Schedule runs a scheduling cycle: it places waiting tasks, with one queue per team, and then
+// consolidates machines. The queue to serve next is selected by urgency and fair share.
 func (p *Partition) Schedule(now time.Time) {
-	p.cycleTime = now
+	p.cycleStartedAt = now
 	p.ExpireLeases(now)
 	p.collectCandidates()
-	p.placeQueues(p.buildQueues(now), now)
+	p.placeQueuedJobs(p.buildQueues(now), now)
 	p.consolidate(now)
 	p.scheduledVersion = p.capacityVersion
 }
 
 // NeedsScheduling reports whether a change since the last scheduling cycle requires another one
-// at once. What only the passing of time requires is left to the next regular cycle.
+// immediately. Changes that are due to elapsed time alone wait for the next periodic cycle.
 func (p *Partition) NeedsScheduling() bool {
 	return p.journal.hasDirtyChunks() || p.capacityVersion != p.scheduledVersion
 }
 
-// collectCandidates lists the machines with free capacity for this cycle.
+// collectCandidates sets p.candidates to the usable machines that have free CPUs.
 func (p *Partition) collectCandidates() {
 	p.candidates = p.candidates[:0]
 	for _, machine := range p.machines.all() {
-		if machine.usable() && machine.free().CPUs > resource.Epsilon {
+		if machine.usable() && machine.freeCapacity().CPUs > resource.Epsilon {
 			p.candidates = append(p.candidates, machine)
 		}
 	}
 }
 
-// placeQueues places the queues' jobs until nothing more can be placed.
-func (p *Partition) placeQueues(queues []*teamQueue, now time.Time) {
+// placeQueuedJobs places tasks of the queued jobs until no more can be placed.
+func (p *Partition) placeQueuedJobs(queues []*teamQueue, now time.Time) {
 	for len(queues) > 0 {
 		next := p.nextQueue(queues)
 		queue := queues[next]
-		if p.placeTasks(queue.jobs[0], queue.team, now) {
+		if p.placeJobTasks(queue.jobs[0], queue.team, now) {
 			continue
 		}
 		queue.jobs = queue.jobs[1:]
@@ -67,7 +69,7 @@
 	}
 }
 
-// nextQueue returns the index of the queue whose turn it is.
+// nextQueue returns the index of the queue to serve next.
 func (p *Partition) nextQueue(queues []*teamQueue) int {
 	next := 0
 	for i := 1; i < len(queues); i++ {
@@ -78,29 +80,29 @@
 	return next
 }
 
-// placeTasks places what it can of a job in this turn, and reports whether the job has
-// more to place in this cycle.
-func (p *Partition) placeTasks(job *Job, team *quota.Team, now time.Time) bool {
-	if job.noCapacityVersion == p.capacityVersion {
+// placeJobTasks places the tasks of a job that can be placed in one turn. It reports whether the
+// job may place more tasks in this cycle.
+func (p *Partition) placeJobTasks(job *Job, team *quota.Team, now time.Time) bool {
+	if job.failedSearchVersion == p.capacityVersion {
 		return false
 	}
-	count := tasksInTurn(job, team, now)
+	count := taskCountInTurn(job, team, now)
 	if count == 0 {
 		return false
 	}
-	machines := p.findMachines(job, count, now, p.candidates, (*Machine).free)
-	if !job.canStartOn(machines, count) {
-		p.requestCapacity(job, count, now)
+	machines := p.findMachines(job, count, now, p.candidates, (*Machine).freeCapacity)
+	if !job.canBePlacedOn(machines, count) {
+		p.preemptOrReserve(job, count, now)
 		return false
 	}
-	p.startTasks(job, machines, now)
-	return job.startableCount(now) > 0 && !job.IsGang()
+	p.placeOnMachines(job, machines, now)
+	return job.placeableTasks(now) > 0 && !job.IsGang()
 }
 
-// tasksInTurn returns how many tasks of a job may be placed in this turn. A gang's are all
-// or none.
-func tasksInTurn(job *Job, team *quota.Team, now time.Time) int {
-	count := min(job.startableCount(now), placementSlice)
+// taskCountInTurn returns the maximum number of tasks of a job to place in this turn. For a gang
+// it is either all tasks or 0.
+func taskCountInTurn(job *Job, team *quota.Team, now time.Time) int {
+	count := min(job.placeableTasks(now), maxTasksPerTurn)
 	if count == 0 {
 		return 0
 	}
@@ -112,59 +114,60 @@
 		return job.Tasks
 	}
 	if job.cycle.startOverdue {
-		count = min(count, overdueSlice)
+		count = min(count, maxOverdueTasksPerTurn)
 	}
 	return min(count, remaining)
 }
 
-// canStartOn reports whether the machines found for count tasks allow a start: some for any
-// job, all for a gang.
-func (j *Job) canStartOn(machines []*Machine, count int) bool {
+// canBePlacedOn reports whether the machines found for count tasks are sufficient to place tasks
+// of the job. A gang needs all count machines, any other job at least one.
+func (j *Job) canBePlacedOn(machines []*Machine, count int) bool {
 	if j.IsGang() && len(machines) < count {
 		return false
 	}
 	return len(machines) > 0
 }
 
-// requestCapacity preempts other work for a job that finds no capacity, or reserves machines
-// for it if it is a gang.
-func (p *Partition) requestCapacity(job *Job, count int, now time.Time) {
-	job.noCapacityVersion = p.capacityVersion
-	p.preempt(job, min(count, preemptionSlice), now)
-	if !job.preemption.awaiting {
+// preemptOrReserve preempts other tasks for a job for which no machines were found. If no
+// preemption is in progress, it reserves machines for the job if it is a starved gang.
+func (p *Partition) preemptOrReserve(job *Job, count int, now time.Time) {
+	job.failedSearchVersion = p.capacityVersion
+	p.preempt(job, min(count, maxTasksPerPreemption), now)
+	if !job.preemption.inProgress {
 		p.reserveForGang(job, count, now)
 	}
 }
 
-// startTasks places the job's first startable tasks under a new attempt, one for each of
-// the machines.
-func (p *Partition) startTasks(job *Job, machines []*Machine, now time.Time) {
+// placeOnMachines places the job's first placeable tasks under a new attempt number, one task
+// per entry of machines.
+func (p *Partition) placeOnMachines(job *Job, machines []*Machine, now time.Time) {
 	job.highestAttempt++
-	job.preemption.awaiting = false
+	job.preemption.inProgress = false
 	if job.GPUs > 0 {
-		// With fewer GPUs free, more of these machines' CPUs and memory is free for others.
+		// The share of CPUs and memory that is set aside for free GPUs shrinks, so jobs
+		// without GPUs may now fit on these machines.
 		p.capacityVersion++
 	}
 	for task := range job.taskStates {
 		if len(machines) == 0 {
 			return
 		}
-		if !job.startable(task, now) {
+		if !job.taskPlaceable(task, now) {
 			continue
 		}
-		p.startTask(job, task, machines[0], now)
+		p.placeTask(job, task, machines[0], now)
 		machines = machines[1:]
 	}
 }
 
-// startTask places a task on a machine.
-func (p *Partition) startTask(job *Job, task int, machine *Machine, now time.Time) {
+// placeTask places a task on a machine.
+func (p *Partition) placeTask(job *Job, task int, machine *Machine, now time.Time) {
 	placement := &Placement{
 		job:                 job,
 		task:                task,
 		attempt:             job.highestAttempt,
 		machine:             machine,
-		incarnation:         machine.latest.incarnation,
+		incarnation:         machine.newestMessage.incarnation,
 		preemptionProtected: job.cycle.startForced,
 	}
 	p.attach(placement)
@@ -176,20 +179,19 @@
 	if machine.reservedFor == job.ID {
 		machine.reservedFor = ""
 	}
-	p.Counters.Started++
+	p.Counters.Placed++
 }
 
-// trimCachedImages drops the least recently used images beyond what the machine is assumed
-// to cache.
+// trimCachedImages evicts the least recently used images beyond cachedImagesPerMachine.
 func (m *Machine) trimCachedImages() {
 	for len(m.cachedImages) > cachedImagesPerMachine {
-		delete(m.cachedImages, m.leastRecentImage())
+		delete(m.cachedImages, m.leastRecentlyUsedImage())
 	}
 }
 
-// leastRecentImage returns the cached image whose use is the longest ago, the first by name
-// among equals.
-func (m *Machine) leastRecentImage() string {
+// leastRecentlyUsedImage returns the least recently used cached image, or the first by name if
+// several have the same time of use.
+func (m *Machine) leastRecentlyUsedImage() string {
 	oldest := ""
 	for _, image := range slices.Sorted(maps.Keys(m.cachedImages)) {
 		if oldest == "" || m.cachedImages[image].Before(m.cachedImages[oldest]) {
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -90,7 +90,7 @@
 
 // contactDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
 func (p *Partition) contactDigest(machine *Machine, now time.Time) records.MachineDigest {
-	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
+	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceSeconds())
 	assignedLongAgo := now.Sub(machine.assignedAt) > patience
 	token := &machine.token
 	switch {
@@ -176,10 +176,10 @@
 
 // unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
 func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
-	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
+	if job.preemption.inProgress && now.Sub(job.preemption.lastPreemptedAt).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted work is about to free the capacity
 	}
-	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
+	count := min(job.placeableTasks(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
 		return 0
 	}
@@ -198,7 +198,7 @@
 		GPUs:          job.GPUs,
 		MemoryGB:      job.MemoryGB,
 		Tasks:         count,
-		EstimatedRunS: runSeconds(job.Job),
+		EstimatedRunS: expectedRunSeconds(job.Job),
 		Priority:      job.Priority.Value(),
 	}
 	if job.SpreadZones {
