--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -71,7 +71,7 @@
 	}
 	// A machine that is up answers within milliseconds. One that is down must not occupy a
 	// command slot for long.
-	ctx, cancel := context.WithTimeout(ctx, tuning.TakeoverTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.FencingTimeout)
 	defer cancel()
 	heartbeat, executed, err := o.controller.workers.SendCommands(ctx, address, request)
 	if err != nil {
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -29,7 +29,7 @@
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
 	const limit = 2 << 10 // bytes
-	pieces := whole.Split(limit)
+	pieces := whole.SplitBySize(limit)
 	if len(pieces) < 3 {
 		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -10,7 +10,7 @@
 }
 
 // rateLimitShare returns this node's share of the key-value store's rate limits, between 0 and 1.
-// The fraction BaseShare is divided equally among all nodes, for users' requests. The rest is
+// The fraction EqualRateFraction is divided equally among all nodes, for users' requests. The rest is
 // divided in proportion to the partitions that a node owns. The leader gets LeaderShare in
 // addition, which it uses only while it records many rentals: without it, recording the
 // rentals of a fleet that starts with no machines took 13 s on a store that accepts 25 changes
@@ -19,7 +19,7 @@
 	nodes := float64(c.settings.Cluster.Count)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	share := tuning.BaseShare/nodes + (1-tuning.BaseShare)*float64(len(c.owned))/float64(c.partitionCount)
+	share := tuning.EqualRateFraction/nodes + (1-tuning.EqualRateFraction)*float64(len(c.owned))/float64(c.partitionCount)
 	if c.leading {
 		share = min(1, share+c.tuning.LeaderShare)
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -60,6 +60,6 @@
 // together: the sockets that the controller needs neither for its own connections nor for
 // commands to workers, but at least minPublicSockets.
 func (c *Controller) publicSockets() int {
-	reserved := tuning.OwnSockets + tuning.IdleOrders + c.commandSlots.limit
+	reserved := tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
 	return max(c.settings.Cluster.Limits.MaxSockets-reserved, minPublicSockets)
 }
