--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -158,7 +158,7 @@
 // When the queue is full, forwarding fails at once.
 func TestForwardQueueIsBounded(t *testing.T) {
 	withForwarder(t, func(t *testing.T, f *forwardFixture) {
-		const beyond = 50
+		const excess = 50
 		var waiting sync.WaitGroup
 		waiting.Go(func() { f.forwardAll(t, 1) })
 		time.Sleep(forwardBatchDelay + time.Millisecond) // the first heartbeat is sent and not answered
@@ -167,7 +167,7 @@
 		}
 		synctest.Wait()
 		began := time.Now()
-		if n := f.forwardAll(t, beyond); n != 0 || time.Since(began) != 0 {
+		if n := f.forwardAll(t, excess); n != 0 || time.Since(began) != 0 {
 			t.Errorf("with a full queue %d heartbeats were answered after %v, want 0 answered after 0s", n, time.Since(began))
 		}
 		close(f.owner.unblock)
