--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -38,8 +38,9 @@
 // maxAgeToAnswerHeartbeats returns the age of the listing of cancellations up to which an owner
 // answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
 // as heartbeats are answered, and then until the end of the lease that the last answered
-// heartbeat has renewed, counted from when that heartbeat was sent. The sum must not exceed
-// the time CancelS within which a cancellation has to take effect.
+// heartbeat has renewed, counted from when that heartbeat was sent. The sum, plus the interval
+// ReportS between heartbeats and the margin MarginS, must not exceed the time CancelS within
+// which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.Workers
 	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
@@ -119,7 +120,8 @@
 }
 
 // cancelJob cancels a job whose cancellation is already committed. It does nothing while the
-// partition is being loaded, because the listing of cancellations contains the job.
+// partition is being loaded, because the listing of cancellations contains the job or the watch
+// of jobs delivers its cancellation.
 func (o *ownedPartition) cancelJob(id string) {
 	loaded := o.withLoadedPartition(func(partition *scheduler.Partition) {
 		partition.Cancel(id, time.Now())
--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -136,7 +136,7 @@
 
 // refreshKeys reads the keys of a batch whose commit was not confirmed. The next commit has the
 // revisions read here as its conditions, and once it is applied the store can no longer
-// execute this one.
+// execute the unconfirmed commit.
 func (o *ownedPartition) refreshKeys(ctx context.Context, batch *scheduler.Batch) {
 	for _, compare := range batch.Txn.Compares {
 		item, ok := o.readKeyWithRetries(ctx, compare.Key)
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -21,7 +21,8 @@
 	// maxForwardBatch bounds both the queue of heartbeats to be forwarded to a node and the
 	// heartbeats of one call. When the queue is full, workers are redirected to the owner.
 	maxForwardBatch = 256
-	// peerBackoff is how long no calls are made to a peer after a failed call.
+	// peerBackoff is how long no heartbeats are forwarded to a peer, and no cancellations
+	// announced to it, after a failed call.
 	peerBackoff = 2 * time.Second
 )
 
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -103,7 +103,7 @@
 // releaseIfSuperseded releases the partition if a worker has seen another owner's fencing token
 // and this node's listing of cancellations is outdated. Such a node may not be able to learn of
 // the other owner from the key-value store, and must not go on answering heartbeats of the
-// remaining machines in its place.
+// remaining machines in place of that owner.
 func (o *ownedPartition) releaseIfSuperseded(
 	verdict scheduler.HeartbeatVerdict, permissions ownerPermissions,
 ) {
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -13,16 +13,16 @@
 	// before it is redirected. The worker may have changed nodes because it cannot reach its
 	// assigned node, and may have used up most of its lease in the search.
 	redirectGrace = 30 * time.Second
-	// minNonOwnerNodes is the minimum number of live nodes besides a partition's owner for the
-	// owner to be assigned none of the partition's machines. A single other node could be
-	// overloaded just like the owner.
+	// minNonOwnerNodes is the smallest number of live nodes other than a partition's owner with
+	// which the owner is assigned none of the partition's machines. A single other node could
+	// be overloaded just like the owner.
 	minNonOwnerNodes = 2
 )
 
 // assignedNode returns the node to which a machine's worker should report. It selects one of
-// the live nodes by rendezvous hashing, so that the end of a node reassigns only the machines
-// of that node. The owner of the machine's partition also has to schedule and commit, so it is
-// excluded if there are at least minNonOwnerNodes other live nodes.
+// the live nodes by rendezvous hashing, so that when a node fails only the machines assigned to
+// it are reassigned. The owner of the machine's partition also has to schedule and commit, so it
+// is excluded if there are at least minNonOwnerNodes other live nodes.
 func (c *Controller) assignedNode(machine, owner string) string {
 	c.cluster.mu.Lock()
 	defer c.cluster.mu.Unlock()
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -8,9 +8,9 @@
 	"ambersill/internal/tuning"
 )
 
-// If a network partition hides some nodes, a worker may use up most of its lease before it
-// finds a node that answers, and it may still be unable to reach its assigned node. If it is
-// then redirected at its first heartbeat, its lease expires during the next search and its
+// If a network partition makes some nodes unreachable, a worker may use up most of its lease
+// before it finds a node that answers, and it may still be unable to reach its assigned node. If
+// it is then redirected at its first heartbeat, its lease expires during the next search and its
 // tasks are lost, which happened to 250 tasks at a time.
 func TestWorkersAreRedirectedAfterAGracePeriod(t *testing.T) {
 	c := isolatedController()
@@ -34,7 +34,7 @@
 	stepThroughGrace("within the grace period")
 	step(lease-time.Second, false, "back within its lease")
 	stepThroughGrace("while it cannot reach its assigned node")
-	step(lease+time.Second, false, "as if it were the first")
+	step(lease+time.Second, false, "the first heartbeat after its lease has expired")
 	for range 14 {
 		step(2*time.Second, false, "within the grace period")
 	}
--- a/internal/controller/job_watch.go
+++ b/internal/controller/job_watch.go
@@ -21,8 +21,8 @@
 func (o *ownedPartition) watchJobs(ctx context.Context, revision uint64) {
 	o.watchJobsFrom(ctx, revision)
 	for ctx.Err() == nil {
-		// The next changes were compacted. The partition's records contain the jobs and
-		// cancellations that the watch has missed.
+		// The store has compacted changes that the watch had not delivered. The partition's
+		// records contain the jobs and cancellations that the watch has missed.
 		revision, err := o.relistJobs(ctx)
 		if err != nil {
 			transport.Pause(ctx, relistRetryDelay)
@@ -33,7 +33,7 @@
 }
 
 // watchJobsFrom watches the records of jobs after the given revision. It returns when the
-// context ends, or when the next changes were compacted.
+// context ends, or when the store has compacted changes that the watch had not delivered.
 func (o *ownedPartition) watchJobsFrom(ctx context.Context, revision uint64) {
 	watchPrefixFrom(ctx, o.controller.store, jobPrefix, revision, watchHandler{onEvent: o.applyJobEvent})
 }
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -36,7 +36,7 @@
 	// owner cannot commit.
 	revision uint64
 	cancel   context.CancelFunc
-	// cycleRequests holds a value while a scheduling cycle is requested before the next tick.
+	// cycleRequests holds a value from a call of requestCycle until the next cycle begins.
 	cycleRequests chan struct{}
 
 	// summary is accessed only by the goroutine of run.
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -63,8 +63,8 @@
 	if listed.machines, _, err = store.List(ctx, records.MachinePrefix); err != nil {
 		return nil, err
 	}
-	// The revision to watch from is read before the jobs are listed, so that no job is
-	// submitted between the listing and the start of the watch.
+	// The revision to watch from is read before the jobs are listed, so that the watch
+	// delivers every job that is submitted too late for the listing.
 	if _, listed.revision, err = store.List(ctx, records.PartitionKey(o.index)); err != nil {
 		return nil, err
 	}
