--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -124,7 +124,7 @@
 // of jobs delivers its cancellation.
 func (o *ownedPartition) cancelJob(id string) {
 	loaded := o.withLoadedPartition(func(partition *scheduler.Partition) {
-		partition.Cancel(id, time.Now())
+		partition.CancelJob(id, time.Now())
 	})
 	if loaded {
 		o.requestCycle()
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -68,8 +68,8 @@
 	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	current, redirect := c.visits[machine].next(now, lease)
-	c.visits[machine] = current
+	current, redirect := c.redirectStates[machine].next(now, lease)
+	c.redirectStates[machine] = current
 	return redirect
 }
 
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -137,7 +137,7 @@
 	defer o.mu.Unlock()
 	o.partition = partition
 	o.cancellationsReadAt = cancellationsReadAt
-	// The feature level may have been raised since the partition was created. levelRaised
+	// The feature level may have been raised since the partition was created. featureLevelRaised
 	// passes it on only to partitions that are published.
 	o.partition.SetLevel(o.controller.cluster.featureLevel())
 	for _, id := range slices.Sorted(maps.Keys(o.pendingMachineChanges)) {
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -18,7 +18,7 @@
 	if batch.endedJob != nil {
 		p.finalizeJob(batch.endedJob)
 	}
-	p.finishedJobs = slices.DeleteFunc(p.finishedJobs, func(job *Job) bool {
+	p.finalizedJobs = slices.DeleteFunc(p.finalizedJobs, func(job *Job) bool {
 		return !slices.ContainsFunc(job.chunks, (*chunk).isLeftover)
 	})
 }
@@ -58,7 +58,7 @@
 	for _, chunk := range job.chunks {
 		p.journal.forget(chunk)
 	}
-	p.finishedJobs = append(p.finishedJobs, job)
+	p.finalizedJobs = append(p.finalizedJobs, job)
 }
 
 // RefreshKey applies what a read of one of a batch's keys found after an unknown outcome or a
@@ -85,7 +85,7 @@
 	case wire.JobDone:
 		p.finalizeJob(job)
 	case wire.JobCancelled:
-		p.Cancel(job.ID, now)
+		p.CancelJob(job.ID, now)
 	case wire.JobQueued, wire.JobRunning:
 		// The end is not committed; the next batch contains it again.
 	}
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -26,7 +26,7 @@
 	machine.lease.expired = true
 	machine.lease.expiredAt = now
 	p.capacityVersion++
-	p.requeueAll(machine, now)
+	p.requeueMachine(machine, now)
 }
 
 // leaseHasExpired reports whether a machine's lease has expired since the last call. Only
@@ -73,6 +73,6 @@
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
 	}
-	latest := &pl.machine.latest
-	return pl.incarnation == latest.incarnation && latest.heartbeatSequence > pl.start.heartbeatSequence
+	newestMessage := &pl.machine.newestMessage
+	return pl.incarnation == newestMessage.incarnation && newestMessage.heartbeatSequence > pl.start.heartbeatSequence
 }
