--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -126,7 +126,7 @@
 		slog.Debug("feature level not read", "err", err)
 	}
 	o.mu.Lock()
-	o.partition.ReduceLimits()
+	o.partition.ReduceWriteLimits()
 	o.mu.Unlock()
 }
 
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -21,7 +21,7 @@
 	var lookup addressLookup
 	for ctx.Err() == nil {
 		o.mu.Lock()
-		ids := o.partition.MachinesNotFenced()
+		ids := o.partition.UnfencedMachines()
 		o.mu.Unlock()
 		if len(ids) == 0 {
 			return
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -34,7 +34,7 @@
 	for id, record := range o.partition.ReleasableMachines() {
 		changes[id] = &record
 	}
-	for _, id := range o.partition.MachinesToRefence() {
+	for _, id := range o.partition.MachinesNeedingHigherToken() {
 		entry, known := o.controller.cluster.machine(id)
 		if known && entry.record.Partition == o.index && changes[id] == nil {
 			changes[id] = &entry.record
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -61,7 +61,7 @@
 	partition *Partition
 	batch     *Batch
 	maxWrites int // limit of changes in a transaction
-	size      int // bound of the bytes that the batch takes
+	sizeBound int // bound of the bytes that the batch takes
 }
 
 // canWrite reports whether the batch has capacity for some more changes.
@@ -92,11 +92,11 @@
 		maxWrites: p.layout.limits.TxnOps,
 	}
 	jobIDs := slices.Sorted(maps.Keys(p.jobs))
-	builder.endJob(jobIDs)
+	builder.addJobEnd(jobIDs)
 	if builder.compact() {
-		builder.appendJournal()
+		builder.appendJournalRecords()
 	}
-	builder.deleteFinishedJobs()
+	builder.deleteFinishedJobRecords()
 	builder.deleteCancelledJobs(jobIDs)
 	builder.batch.Full = builder.batch.Full || builder.isFull()
 	return builder.batch
@@ -104,33 +104,33 @@
 
 // isFull reports whether the batch may have left out changes for lack of capacity.
 func (b *batchBuilder) isFull() bool {
-	return !b.canWrite(finalWrites) || b.size+tuning.MinJournalBytes > tuning.TxnBytes
+	return !b.canWrite(finalWrites) || b.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes
 }
 
-// endJob commits the end of the first job that is complete. A batch ends one job only, which
+// addJobEnd commits the end of the first job that is complete. A batch ends one job only, which
 // keeps a conflict with a cancellation apart from other jobs' ends.
-func (b *batchBuilder) endJob(jobIDs []string) {
+func (b *batchBuilder) addJobEnd(jobIDs []string) {
 	for _, id := range jobIDs {
 		job := b.partition.jobs[id]
-		if !job.endUncommitted() {
+		if !job.hasUncommittedEnd() {
 			continue
 		}
 		if b.batch.endedJob != nil {
 			b.batch.Full = true
 			return
 		}
-		b.putEndedJob(job)
+		b.putJobEnd(job)
 	}
 }
 
-// endUncommitted reports whether all tasks are done and the job's record does not say so yet.
-func (j *Job) endUncommitted() bool {
+// hasUncommittedEnd reports whether all tasks are done and the job's record does not say so yet.
+func (j *Job) hasUncommittedEnd() bool {
 	return !j.finalized && !j.Cancelled && j.doneTasks >= j.Tasks
 }
 
-// putEndedJob adds a job's end: the final state for users, and the deletion of the first chunk,
+// putJobEnd adds a job's end: the final state for users, and the deletion of the first chunk,
 // from which a new owner would load the job.
-func (b *batchBuilder) putEndedJob(job *Job) {
+func (b *batchBuilder) putJobEnd(job *Job) {
 	record := records.JobRecord{
 		Job:           job.Job,
 		Phase:         wire.JobDone,
@@ -141,23 +141,23 @@
 	b.put(records.JobKey(job.ID), job.Revision, record)
 	b.delete(b.partition.layout.chunkKey(firstChunk), firstChunk.revision)
 	b.batch.endedJob = job
-	b.size += endedJobBytes
+	b.sizeBound += endedJobBytes
 }
 
-// deleteFinishedJobs deletes the records that are left of finished jobs.
-func (b *batchBuilder) deleteFinishedJobs() {
+// deleteFinishedJobRecords deletes the records that are left of finished jobs.
+func (b *batchBuilder) deleteFinishedJobRecords() {
 	for _, job := range b.partition.finishedJobs {
 		for _, chunk := range job.chunks {
-			if chunk.isLeftover() && b.canWrite(1) {
+			if chunk.hasLeftoverRecord() && b.canWrite(1) {
 				b.deleteChunk(chunk)
 			}
 		}
 	}
 }
 
-// isLeftover reports whether a finished job's chunk still has a record to be deleted. That of
+// hasLeftoverRecord reports whether a finished job's chunk still has a record to be deleted. That of
 // the first chunk is deleted together with the commit of the job's end.
-func (c *chunk) isLeftover() bool { return c.from > 0 && c.hasRecord() }
+func (c *chunk) hasLeftoverRecord() bool { return c.from > 0 && c.hasRecord() }
 
 // deleteChunk deletes a chunk's record.
 func (b *batchBuilder) deleteChunk(chunk *chunk) {
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -35,19 +35,19 @@
 	// splitFrom is the chunk whose record contains this one's state until this one has a
 	// record of its own.
 	splitFrom *chunk
-	// splitOff are the chunks that were split off from this one. Their records must be
+	// splitOffChunks are the chunks that were split off from this one. Their records must be
 	// written before its own, which then no longer contains their tasks.
-	splitOff []*chunk
-	revision uint64 // of the record's key, as last read or written; 0: no record
+	splitOffChunks []*chunk
+	revision       uint64 // of the record's key, as last read or written; 0: no record
 
 	changeVersion    int // counts the changes in memory
 	committedVersion int // all changes up to this version are in the key-value store
 	// dirtyTasks maps each task with uncommitted changes to the version of its last change.
 	dirtyTasks map[int]int
-	dirtySince int // orders the dirty chunks by the time of their first uncommitted change
-	// oldestUncompacted is the sequence of the oldest journal record with changes that the
+	dirtyOrder int // orders the dirty chunks by the time of their first uncommitted change
+	// oldestUncompactedSequence is the sequence of the oldest journal record with changes that the
 	// chunk's own record lacks; 0: none.
-	oldestUncompacted uint64
+	oldestUncompactedSequence uint64
 }
 
 // chunkOf returns the chunk that contains a task.
@@ -134,11 +134,11 @@
 	return entry
 }
 
-// tasksFitting returns how many of the tasks, counted from the first, fit a journal entry with
+// countFittingTasks returns how many of the tasks, counted from the first, fit a journal entry with
 // the given number of bytes left.
-func (c *chunk) tasksFitting(tasks []int, bytesLeft int) int {
+func (c *chunk) countFittingTasks(tasks []int, bytesLeft int) int {
 	for count, task := range tasks {
-		bytesLeft -= c.journaledTaskBytes(task)
+		bytesLeft -= c.journaledTaskSizeBound(task)
 		if bytesLeft < 0 {
 			return count
 		}
@@ -146,27 +146,27 @@
 	return len(tasks)
 }
 
-// journaledTaskBytes bounds the size of a task in a journal entry.
-func (c *chunk) journaledTaskBytes(task int) int {
+// journaledTaskSizeBound bounds the size of a task in a journal entry.
+func (c *chunk) journaledTaskSizeBound(task int) int {
 	if placement := c.job.unfinishedPlacement(task); placement != nil {
 		return placement.record().SizeBound()
 	}
 	return records.RangeBytes
 }
 
-// usualTaskBytes is the usual size of a placement in a chunk's record, in bytes. A waiting task
+// typicalPlacementBytes is the usual size of a placement in a chunk's record, in bytes. A waiting task
 // counts as much, since it will have a placement.
-const usualTaskBytes = 32
+const typicalPlacementBytes = 32
 
-// recordedTaskBytes bounds the size of a task in the chunk's record.
-func (c *chunk) recordedTaskBytes(task int) int {
+// recordedTaskSizeBound bounds the size of a task in the chunk's record.
+func (c *chunk) recordedTaskSizeBound(task int) int {
 	if c.job.taskStates[task] == taskDone {
 		return records.RangeBytes
 	}
 	if placement := c.job.placements[task]; placement != nil {
-		return max(placement.record().SizeBound(), usualTaskBytes)
+		return max(placement.record().SizeBound(), typicalPlacementBytes)
 	}
-	return usualTaskBytes
+	return typicalPlacementBytes
 }
 
 // hasRecord reports whether the chunk has a record in the key-value store.
@@ -185,24 +185,24 @@
 	}
 }
 
-// recountCommittedVersion derives the committed version from the uncommitted changes.
-func (c *chunk) recountCommittedVersion() {
+// recomputeCommittedVersion derives the committed version from the uncommitted changes.
+func (c *chunk) recomputeCommittedVersion() {
 	c.committedVersion = c.changeVersion
 	c.limitCommittedVersion()
 }
 
 // splitAt divides the chunk at the given tasks, in ascending order. The chunk keeps the first
 // piece and its name; the other pieces are returned and added to the job.
-func (c *chunk) splitAt(cuts []int) []*chunk {
+func (c *chunk) splitAt(boundaries []int) []*chunk {
 	position := slices.Index(c.job.chunks, c)
-	ends := append(slices.Clone(cuts[1:]), c.to)
-	c.to = cuts[0]
+	ends := append(slices.Clone(boundaries[1:]), c.to)
+	c.to = boundaries[0]
 	c.format = explicitRangeChunk
 	var pieces []*chunk
-	for i, from := range cuts {
+	for i, from := range boundaries {
 		pieces = append(pieces, c.splitOffRange(from, ends[i]))
 	}
-	c.recountCommittedVersion()
+	c.recomputeCommittedVersion()
 	c.job.chunks = slices.Insert(c.job.chunks, position+1, pieces...)
 	return pieces
 }
@@ -211,14 +211,14 @@
 func (c *chunk) splitOffRange(from, to int) *chunk {
 	piece := newChunk(c.job, c.index, from, to, explicitRangeChunk)
 	piece.changeVersion = c.changeVersion
-	piece.dirtySince = c.dirtySince
-	piece.oldestUncompacted = c.oldestUncompacted
+	piece.dirtyOrder = c.dirtyOrder
+	piece.oldestUncompactedSequence = c.oldestUncompactedSequence
 	piece.dirtyTasks = map[int]int{}
 	switch {
 	case c.hasRecord():
-		piece.linkTo(c)
+		piece.setSplitFrom(c)
 	case c.splitFrom != nil:
-		piece.linkTo(c.splitFrom)
+		piece.setSplitFrom(c.splitFrom)
 	}
 	for task, version := range c.dirtyTasks {
 		if task >= from && task < to {
@@ -226,21 +226,21 @@
 			delete(c.dirtyTasks, task)
 		}
 	}
-	piece.recountCommittedVersion()
+	piece.recomputeCommittedVersion()
 	return piece
 }
 
-// linkTo records that the chunk's state is in another chunk's record until it has its own.
-func (c *chunk) linkTo(origin *chunk) {
+// setSplitFrom records that the chunk's state is in another chunk's record until it has its own.
+func (c *chunk) setSplitFrom(origin *chunk) {
 	c.splitFrom = origin
-	origin.splitOff = append(origin.splitOff, c)
+	origin.splitOffChunks = append(origin.splitOffChunks, c)
 }
 
-// splitOffWritten reports whether all chunks that were split off have records, those in the
+// splitOffChunksWritten reports whether all chunks that were split off have records, those in the
 // batch included. Until then the chunk's own record must stay as it is, since it contains the
 // only state of theirs.
-func (c *chunk) splitOffWritten(batch *Batch) bool {
-	for _, piece := range c.splitOff {
+func (c *chunk) splitOffChunksWritten(batch *Batch) bool {
+	for _, piece := range c.splitOffChunks {
 		if !piece.hasRecord() && !batch.writesChunk(piece) {
 			return false
 		}
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -8,7 +8,7 @@
 
 // A change that is made while a batch with an earlier one of the same task is on its way stays
 // uncommitted: the batch does not contain it.
-func TestChangeDuringACommitStaysDirty(t *testing.T) {
+func TestChangeDuringCommitStaysDirty(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	job := harness.addJob(newArrayJob("req-1", 2, 1))
@@ -33,20 +33,20 @@
 
 // The record of a chunk that was split contains the only state of the pieces until these have
 // records of their own, and must not be overwritten before.
-func TestSplitChunkIsWrittenAfterItsPieces(t *testing.T) {
+func TestSplitChunkIsWrittenAfterSplitOffChunks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetLevel(records.FeatureExplicitChunks)
 	job := harness.addJob(newArrayJob("req-1", 20, 1))
 	origin := job.chunks[0]
 	pieces := origin.splitAt([]int{5, 12})
-	harness.journal.adoptPieces(origin, pieces)
+	harness.journal.trackSplitOffChunks(origin, pieces)
 	for _, piece := range pieces {
-		if written := writtenChunks(harness, origin); len(written) > 0 {
+		if written := writtenChunkKeys(harness, origin); len(written) > 0 {
 			t.Fatalf("%v written while %s has no record", written, piece.name)
 		}
 		piece.revision = harness.revision
 	}
-	if written := writtenChunks(harness, origin); len(written) != 1 || written[0] != records.FirstChunkKey(0, job.ID) {
+	if written := writtenChunkKeys(harness, origin); len(written) != 1 || written[0] != records.FirstChunkKey(0, job.ID) {
 		t.Errorf("%v written after all pieces", written)
 	}
 	if got := job.chunkOf(4); got != origin {
@@ -57,8 +57,8 @@
 	}
 }
 
-// writtenChunks returns the keys that a batch for a chunk's record alone would write.
-func writtenChunks(harness *partitionHarness, chunk *chunk) []string {
+// writtenChunkKeys returns the keys that a batch for a chunk's record alone would write.
+func writtenChunkKeys(harness *partitionHarness, chunk *chunk) []string {
 	builder := &batchBuilder{
 		partition: harness.Partition,
 		batch:     &Batch{},
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -8,25 +8,25 @@
 )
 
 // heartbeatCommands returns the commands for the response to a heartbeat.
-func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, fresh bool) []wire.Command {
+func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
 		if len(commands) >= tuning.MaxCommands {
 			return commands
 		}
-		if command, due := p.endCommand(machine, &heartbeat.Tasks[i], now); due {
+		if command, due := p.stopOrForgetCommand(machine, &heartbeat.Tasks[i], now); due {
 			commands = append(commands, command)
 		}
 	}
-	if !fresh || !machine.acceptsStarts() || machine.command.pending() {
+	if !stateFresh || !machine.acceptsStarts() || machine.command.pending() {
 		return commands
 	}
 	return appendStartCommands(commands, machine, heartbeat.Sequence)
 }
 
-// endCommand returns the command that stops a task of the worker's list, or that has the
+// stopOrForgetCommand returns the command that stops a task of the worker's list, or that has the
 // worker forget it; due is false if it needs neither.
-func (p *Partition) endCommand(machine *Machine, status *wire.TaskStatus, now time.Time) (command wire.Command, due bool) {
+func (p *Partition) stopOrForgetCommand(machine *Machine, status *wire.TaskStatus, now time.Time) (command wire.Command, due bool) {
 	key := taskAttempt{status.Task, status.Attempt}
 	placement := machine.placements[key]
 	switch {
@@ -53,7 +53,7 @@
 	}
 	forget, known := m.pendingForgets[key]
 	// The end of an exited task that is not pending was committed before.
-	return !known || forget.ready()
+	return !known || forget.isEndCommitted()
 }
 
 // appendStartCommands appends the starts of the machine's tasks, up to MaxCommands in all.
@@ -111,8 +111,8 @@
 // stopUnsent reports whether the placement's stop is still to be sent. fresh is as with
 // HandleHeartbeat: without it only tasks of cancelled jobs are stopped, as a cancellation
 // is never withdrawn.
-func (pl *Placement) stopUnsent(fresh bool) bool {
-	return pl.stopRequest != nil && !pl.stopRequest.sent && (fresh || pl.job.Cancelled)
+func (pl *Placement) stopUnsent(stateFresh bool) bool {
+	return pl.stopRequest != nil && !pl.stopRequest.sent && (stateFresh || pl.job.Cancelled)
 }
 
 // FencingRequest returns a command request without commands. It raises the token that the
@@ -133,17 +133,17 @@
 	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
 }
 
-// MachinesNotFenced lists the machines with tasks of an earlier owner that have not shown
+// UnfencedMachines lists the machines with tasks of an earlier owner that have not shown
 // the current token yet.
-func (p *Partition) MachinesNotFenced() []string {
+func (p *Partition) UnfencedMachines() []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0
 	})
 }
 
-// MachinesToRefence lists the machines whose records must be rewritten to raise their
+// MachinesNeedingHigherToken lists the machines whose records must be rewritten to raise their
 // tokens, because commands sent under the current one may still be executed.
-func (p *Partition) MachinesToRefence() []string {
+func (p *Partition) MachinesNeedingHigherToken() []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return machine.command.needsHigherToken(machine.token.current)
 	})
@@ -152,9 +152,9 @@
 // MachinesAwaitingCommands lists the machines to which commands should be sent before their
 // next heartbeat. fresh is as with HandleHeartbeat; without it only stops of cancelled jobs
 // are sent.
-func (p *Partition) MachinesAwaitingCommands(fresh bool) []string {
+func (p *Partition) MachinesAwaitingCommands(stateFresh bool) []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
-		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(fresh)
+		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(stateFresh)
 	})
 }
 
@@ -166,9 +166,9 @@
 
 // hasUnsentCommands reports whether a start or stop on the machine is still to be sent. fresh
 // is as with HandleHeartbeat.
-func (m *Machine) hasUnsentCommands(fresh bool) bool {
+func (m *Machine) hasUnsentCommands(stateFresh bool) bool {
 	for _, placement := range m.placements {
-		if placement.stopUnsent(fresh) || (fresh && placement.startUnsent()) {
+		if placement.stopUnsent(stateFresh) || (stateFresh && placement.startUnsent()) {
 			return true
 		}
 	}
@@ -178,7 +178,7 @@
 // DirectCommands returns the starts and stops to send straight to a machine. Until the
 // request is answered, nothing else is started or forgotten there: a copy that the network
 // delays could start a task once more after the worker forgot it.
-func (p *Partition) DirectCommands(id string, fresh bool) (wire.CommandRequest, bool) {
+func (p *Partition) DirectCommands(id string, stateFresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
 		return wire.CommandRequest{}, false
@@ -188,7 +188,7 @@
 		if len(request.Commands) >= tuning.MaxCommands {
 			break
 		}
-		if command, due := machine.placements[key].directCommand(key, fresh); due {
+		if command, due := machine.placements[key].directCommand(key, stateFresh); due {
 			request.Commands = append(request.Commands, command)
 		}
 	}
@@ -197,14 +197,14 @@
 
 // directCommand returns the placement's command for a direct request and records that it is
 // sent; due is false if there is none.
-func (pl *Placement) directCommand(key taskAttempt, fresh bool) (command wire.Command, due bool) {
+func (pl *Placement) directCommand(key taskAttempt, stateFresh bool) (command wire.Command, due bool) {
 	switch {
-	case pl.stopUnsent(fresh):
+	case pl.stopUnsent(stateFresh):
 		pl.stopRequest.sent = true
 		command = newCommand(wire.StopTask, key)
 		command.GracePeriodS = pl.stopRequest.gracePeriodS
 		return command, true
-	case fresh && pl.startUnsent():
+	case stateFresh && pl.startUnsent():
 		pl.start.sent = true
 		pl.start.heartbeatSequence = pl.machine.latest.heartbeatSequence
 		pl.start.directToken = pl.machine.token.current
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -69,7 +69,7 @@
 	}
 	harness.HandleCommandOutcome(request, "m-1", CommandsUnknown)
 	harness.sendHeartbeat("m-1")
-	if len(harness.machines.get("m-1").placements) != 1 || len(harness.MachinesToRefence()) != 1 {
+	if len(harness.machines.get("m-1").placements) != 1 || len(harness.MachinesNeedingHigherToken()) != 1 {
 		t.Fatal("the placement was detached although its start may still be executed")
 	}
 	harness.revision++
@@ -96,8 +96,8 @@
 		t.Fatalf("direct commands %v, machines awaiting commands %v", first.Commands, harness.MachinesAwaitingCommands(true))
 	}
 	harness.HandleCommandOutcome(first, "m-1", CommandsNotExecuted)
-	if len(harness.MachinesToRefence()) != 0 || len(harness.MachinesAwaitingCommands(true)) != 1 {
-		t.Fatalf("machines to refence %v, machines awaiting commands %v", harness.MachinesToRefence(), harness.MachinesAwaitingCommands(true))
+	if len(harness.MachinesNeedingHigherToken()) != 0 || len(harness.MachinesAwaitingCommands(true)) != 1 {
+		t.Fatalf("machines to refence %v, machines awaiting commands %v", harness.MachinesNeedingHigherToken(), harness.MachinesAwaitingCommands(true))
 	}
 	again, _ := harness.DirectCommands("m-1", true)
 	if diff := cmp.Diff(commandTexts(first.Commands), commandTexts(again.Commands)); diff != "" {
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -11,16 +11,16 @@
 
 // Parameters of compaction.
 const (
-	// compactionRingShare divides the ring's length: a chunk is due once the ring is within this
+	// compactionRingDivisor divides the ring's length: a chunk is due once the ring is within this
 	// fraction of overwriting a change that the chunk's record lacks.
-	compactionRingShare = 4
-	// compactionBatches is the number of full batches before such an overwrite at which a chunk
+	compactionRingDivisor = 4
+	// compactionMarginBatches is the number of full batches before such an overwrite at which a chunk
 	// is due at the latest. With small values a batch writes many journal records, and the ring
 	// could otherwise overwrite a change between two batches.
-	compactionBatches = 2
-	// compactionWriteShare divides a batch: compaction uses this fraction of it while the
+	compactionMarginBatches = 2
+	// compactionWriteDivisor divides a batch: compaction uses this fraction of it while the
 	// journal can be appended to, so that neither blocks the other.
-	compactionWriteShare = 2
+	compactionWriteDivisor = 2
 )
 
 // formatConversion limits the rate at which records are rewritten to convert their format.
@@ -42,10 +42,10 @@
 		return true
 	}
 	journal := &b.partition.journal
-	canAppend := oldestUncompacted(due)+journal.slotCount() > journal.sequence+uint64(b.maxWrites)
+	canAppend := oldestUncompactedSequence(due)+journal.slotCount() > journal.sequence+uint64(b.maxWrites)
 	limit := b.maxWrites
 	if canAppend {
-		limit /= compactionWriteShare
+		limit /= compactionWriteDivisor
 	}
 	for _, chunk := range due {
 		if len(b.batch.Txn.Writes) >= limit {
@@ -56,14 +56,14 @@
 	return canAppend
 }
 
-// oldestUncompacted returns the oldest sequence that the chunks' records lack. It is 0, which
+// oldestUncompactedSequence returns the oldest sequence that the chunks' records lack. It is 0, which
 // blocks the journal, while the first of them is a piece without journaled changes that has
 // to be written before the chunk that it was split off from.
-func oldestUncompacted(due []*chunk) uint64 {
-	oldest := due[0].oldestUncompacted
+func oldestUncompactedSequence(due []*chunk) uint64 {
+	oldest := due[0].oldestUncompactedSequence
 	for _, chunk := range due {
-		if chunk.oldestUncompacted > 0 {
-			oldest = min(oldest, chunk.oldestUncompacted)
+		if chunk.oldestUncompactedSequence > 0 {
+			oldest = min(oldest, chunk.oldestUncompactedSequence)
 		}
 	}
 	return oldest
@@ -79,10 +79,10 @@
 			continue
 		}
 		due = append(due, chunk)
-		if sequence, ok := oldest[chunk.job]; !ok || chunk.oldestUncompacted < sequence {
-			oldest[chunk.job] = chunk.oldestUncompacted
+		if sequence, ok := oldest[chunk.job]; !ok || chunk.oldestUncompactedSequence < sequence {
+			oldest[chunk.job] = chunk.oldestUncompactedSequence
 		}
-		due = append(due, b.unwrittenPieces(chunk)...)
+		due = append(due, b.unwrittenSplitOffChunks(chunk)...)
 	}
 	slices.SortFunc(due, func(x, y *chunk) int {
 		if x.job == y.job {
@@ -93,11 +93,11 @@
 	return due
 }
 
-// unwrittenPieces returns the chunks that were split off from a chunk and have neither a record
+// unwrittenSplitOffChunks returns the chunks that were split off from a chunk and have neither a record
 // nor journaled changes that make them due themselves.
-func (b *batchBuilder) unwrittenPieces(origin *chunk) []*chunk {
+func (b *batchBuilder) unwrittenSplitOffChunks(origin *chunk) []*chunk {
 	var pieces []*chunk
-	for _, piece := range origin.splitOff {
+	for _, piece := range origin.splitOffChunks {
 		if !piece.hasRecord() && !b.partition.journal.uncompactedChunks[piece] {
 			pieces = append(pieces, piece)
 		}
@@ -112,8 +112,8 @@
 		return false
 	}
 	journal := &b.partition.journal
-	margin := max(journal.slotCount()/compactionRingShare, compactionBatches*uint64(b.maxWrites))
-	return chunk.oldestUncompacted+journal.slotCount() <= journal.sequence+margin
+	margin := max(journal.slotCount()/compactionRingDivisor, compactionMarginBatches*uint64(b.maxWrites))
+	return chunk.oldestUncompactedSequence+journal.slotCount() <= journal.sequence+margin
 }
 
 // convertFormat rewrites one record of the initial format if the next conversion is due, so
@@ -124,7 +124,7 @@
 		return
 	}
 	p.conversion.lastRewrite = p.cycleTime
-	if chunk := p.outdatedChunk(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
+	if chunk := p.nextChunkToConvert(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
 		b.writeChunk(chunk, b.maxWrites)
 	}
 }
@@ -138,7 +138,7 @@
 			b.writeChunk(piece, maxWrites)
 		}
 	}
-	if len(b.batch.Txn.Writes) >= maxWrites || !chunk.splitOffWritten(b.batch) {
+	if len(b.batch.Txn.Writes) >= maxWrites || !chunk.splitOffChunksWritten(b.batch) {
 		return
 	}
 	record := chunk.record()
@@ -154,23 +154,23 @@
 	if record.SizeBound() <= layout.maxValueBytes() {
 		return nil
 	}
-	cuts := layout.splitPoints(chunk)
-	if len(cuts) == 0 {
+	boundaries := layout.splitPoints(chunk)
+	if len(boundaries) == 0 {
 		return nil
 	}
-	pieces := chunk.splitAt(cuts)
-	b.partition.journal.adoptPieces(chunk, pieces)
+	pieces := chunk.splitAt(boundaries)
+	b.partition.journal.trackSplitOffChunks(chunk, pieces)
 	return pieces
 }
 
 // putChunk adds a chunk's record to the batch if the transaction's size limit permits. A
 // batch without other changes accepts a record of any size, or it could never be written.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
-	size := record.SizeBound()
-	if b.size > 0 && b.size+size > tuning.TxnBytes {
+	sizeBound := record.SizeBound()
+	if b.sizeBound > 0 && b.sizeBound+sizeBound > tuning.TxnBytes {
 		return
 	}
-	b.size += size
+	b.sizeBound += sizeBound
 	b.put(b.partition.layout.chunkKey(chunk), chunk.revision, record)
 	b.batch.chunkWrites = append(b.batch.chunkWrites, chunkWrite{
 		chunk:         chunk,
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -19,7 +19,7 @@
 		p.finalizeJob(batch.endedJob)
 	}
 	p.finishedJobs = slices.DeleteFunc(p.finishedJobs, func(job *Job) bool {
-		return !slices.ContainsFunc(job.chunks, (*chunk).isLeftover)
+		return !slices.ContainsFunc(job.chunks, (*chunk).hasLeftoverRecord)
 	})
 }
 
@@ -30,7 +30,7 @@
 		p.journal.setRevision(sequence, revision)
 	}
 	for _, write := range batch.entryWrites {
-		p.journal.tasksCommitted(write.chunk, write.changeVersion, write.tasks)
+		p.journal.markTasksCommitted(write.chunk, write.changeVersion, write.tasks)
 		p.journal.markUncompacted(write.chunk, write.sequence)
 	}
 }
@@ -42,9 +42,9 @@
 		chunk := write.chunk
 		chunk.revision = revision
 		chunk.storedFormat = write.format
-		chunk.splitFrom, chunk.splitOff = nil, nil
+		chunk.splitFrom, chunk.splitOffChunks = nil, nil
 		p.journal.markCompacted(chunk)
-		p.journal.chunkCommitted(chunk, write.changeVersion)
+		p.journal.markChunkCommitted(chunk, write.changeVersion)
 	}
 }
 
@@ -56,7 +56,7 @@
 	p.tombstones.add(job.ID)
 	job.chunks[0].revision = 0
 	for _, chunk := range job.chunks {
-		p.journal.forget(chunk)
+		p.journal.untrackChunk(chunk)
 	}
 	p.finishedJobs = append(p.finishedJobs, job)
 }
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -43,8 +43,8 @@
 	"m-1": {MachineType: "cpu", Zone: "a", Partition: 0, CreatedAtMS: 5, FencingToken: 7},
 }}
 
-// jobsOf returns the state of a partition's jobs.
-func jobsOf(harness *partitionHarness) map[string]exchangeJob {
+// exchangeJobs returns the state of a partition's jobs.
+func exchangeJobs(harness *partitionHarness) map[string]exchangeJob {
 	jobs := map[string]exchangeJob{}
 	for id, job := range harness.jobs {
 		state := exchangeJob{
@@ -90,7 +90,7 @@
 		{Put: "c/h/r-1-1", Value: records.RentalRecord{MachineType: "cpu", Zone: "a", Count: 3, RecordedAtMS: 9}},
 		{Put: "c/p/0", Value: records.OwnerRecord{Node: "n"}},
 	}})
-	raw, err := wire.Marshal(exchange{Values: store.values, Revisions: store.revisions, Jobs: jobsOf(harness)})
+	raw, err := wire.Marshal(exchange{Values: store.values, Revisions: store.revisions, Jobs: exchangeJobs(harness)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,28 +156,28 @@
 	t.Helper()
 	stored := readExchange(t, file)
 	for key, value := range stored.Values {
-		checkOtherRecord(t, key, value)
+		checkRecordDecodes(t, key, value)
 	}
 	harness := newExchangeHarness()
 	restore(t, harness, stored.Values, stored.Revisions)
-	if got := jobsOf(harness); !reflect.DeepEqual(got, stored.Jobs) {
+	if got := exchangeJobs(harness); !reflect.DeepEqual(got, stored.Jobs) {
 		t.Errorf("read %+v\nwritten %+v", got, stored.Jobs)
 	}
 }
 
-// checkOtherRecord decodes a record that is not loaded into a partition.
-func checkOtherRecord(t *testing.T, key string, value wire.Raw) {
+// checkRecordDecodes decodes a record that is not loaded into a partition.
+func checkRecordDecodes(t *testing.T, key string, value wire.Raw) {
 	t.Helper()
-	var into any
+	var record any
 	switch {
 	case strings.HasPrefix(key, "j/"):
-		into = &records.JobRecord{}
+		record = &records.JobRecord{}
 	case strings.HasPrefix(key, "s/"):
-		into = &records.PartitionSummary{}
+		record = &records.PartitionSummary{}
 	case strings.HasPrefix(key, "c/h/"):
-		into = &records.RentalRecord{}
+		record = &records.RentalRecord{}
 	case strings.HasPrefix(key, "c/p/"):
-		into = &records.OwnerRecord{}
+		record = &records.OwnerRecord{}
 	case strings.HasPrefix(key, "c/m/"):
 		group, err := records.DecodeMachineGroup(key[len("c/m/"):], value, 1)
 		if want := exchangeGroup.Machines["m-1"]; err != nil || group.Machines["m-1"] != want {
@@ -187,7 +187,7 @@
 	default:
 		return
 	}
-	if err := wire.Unmarshal(value, into); err != nil {
+	if err := wire.Unmarshal(value, record); err != nil {
 		t.Errorf("%s: %v", key, err)
 	}
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -41,14 +41,14 @@
 // HandleHeartbeat reconciles the state with a worker's heartbeat and returns the commands
 // for the worker. fresh reports whether this owner has read the key-value store recently;
 // if not, a task of a cancelled job might be started, so no task is.
-func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, fresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
+func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
 	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
 		return verdict, wire.HeartbeatResponse{}
 	}
 	response := wire.HeartbeatResponse{FencingToken: machine.token.current, Commands: []wire.Command{}}
 	if machine.latest.isStale(heartbeat) {
-		machine.acceptOvertaken(heartbeat, now)
+		machine.acceptOvertakenHeartbeat(heartbeat, now)
 		return HeartbeatAccepted, response
 	}
 	p.detectUnreachableWorker(machine, heartbeat, now)
@@ -56,13 +56,13 @@
 	p.renewLease(machine, now)
 	p.setTerminationNotice(machine, heartbeat.TerminationNoticeS != nil)
 	p.acknowledgeToken(machine, heartbeat, now)
-	awaitingToken := !machine.token.carriedBy(heartbeat) || machine.command.unconfirmed
+	awaitingToken := !machine.token.isCarriedBy(heartbeat) || machine.command.unconfirmed
 	machine.token.trackAcknowledgement(awaitingToken, now)
 	p.reconcileTasks(machine, heartbeat, now)
 	if machine.terminationNotice {
 		p.evacuateOnNotice(machine, now)
 	}
-	response.Commands = p.heartbeatCommands(machine, heartbeat, now, fresh)
+	response.Commands = p.heartbeatCommands(machine, heartbeat, now, stateFresh)
 	return HeartbeatAccepted, response
 }
 
@@ -97,12 +97,12 @@
 	return m.lease.expired && heartbeat.Incarnation <= m.latest.incarnation
 }
 
-// acceptOvertaken accepts a heartbeat that a response to commands has overtaken. Its task
+// acceptOvertakenHeartbeat accepts a heartbeat that a response to commands has overtaken. Its task
 // list is outdated, so it is not reconciled; but if it were refused, the worker would turn
 // to another controller.
-func (m *Machine) acceptOvertaken(heartbeat *wire.Heartbeat, now time.Time) {
+func (m *Machine) acceptOvertakenHeartbeat(heartbeat *wire.Heartbeat, now time.Time) {
 	m.latest.overtakenSequence = heartbeat.Sequence
-	m.lease.lastAnswered = now
+	m.lease.lastAnsweredAt = now
 }
 
 // detectUnreachableWorker finds a worker whose heartbeats arrive but which receives no
@@ -112,7 +112,7 @@
 func (p *Partition) detectUnreachableWorker(machine *Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	leaseDuration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS)
 	lease := &machine.lease
-	if lease.answeredSince.IsZero() || now.Sub(lease.lastAnswered) > leaseDuration {
+	if lease.answeredSince.IsZero() || now.Sub(lease.lastAnsweredAt) > leaseDuration {
 		lease.answeredSince = now
 	}
 	if heartbeat.Incarnation <= machine.latest.incarnation {
@@ -128,7 +128,7 @@
 
 // renewLease records that a heartbeat is answered, which renews the worker's lease.
 func (p *Partition) renewLease(machine *Machine, now time.Time) {
-	machine.lease.lastAnswered = now
+	machine.lease.lastAnsweredAt = now
 	if machine.lease.expired {
 		machine.lease.expired = false
 		p.capacityVersion++
@@ -147,16 +147,16 @@
 // acknowledgeToken records that the worker has seen the current token, if the message
 // carries it.
 func (p *Partition) acknowledgeToken(machine *Machine, message *wire.Heartbeat, now time.Time) {
-	if !machine.token.carriedBy(message) {
+	if !machine.token.isCarriedBy(message) {
 		return
 	}
 	if !machine.token.everAcknowledged {
 		// The worker ignores responses of earlier owners from now on, so the lease
 		// was last renewed no later than this.
 		machine.token.everAcknowledged = true
-		machine.lease.lastAnswered = now
+		machine.lease.lastAnsweredAt = now
 	}
-	if machine.command.isConfirmedBy(machine.token.current) {
+	if machine.command.isResolvedBy(machine.token.current) {
 		machine.command.unconfirmed = false
 		p.capacityVersion++
 	}
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -15,8 +15,8 @@
 	return &wire.Heartbeat{Machine: "m-1", Incarnation: incarnation, Sequence: sequence, FencingToken: token}
 }
 
-// handle returns the verdict on a heartbeat that arrives now.
-func (h *partitionHarness) handle(heartbeat *wire.Heartbeat) HeartbeatVerdict {
+// handleHeartbeat returns the verdict on a heartbeat that arrives now.
+func (h *partitionHarness) handleHeartbeat(heartbeat *wire.Heartbeat) HeartbeatVerdict {
 	verdict, _ := h.HandleHeartbeat(heartbeat, h.now, true)
 	return verdict
 }
@@ -36,13 +36,13 @@
 	return h.machines.get("m-1")
 }
 
-// isUnhealthy reports whether the partition's summary has the leader replace the machine.
-func (h *partitionHarness) isUnhealthy(id string) bool {
+// isReportedUnhealthy reports whether the partition's summary has the leader replace the machine.
+func (h *partitionHarness) isReportedUnhealthy(id string) bool {
 	return h.Summary(h.now).MachineDigests[id]&records.DigestUnhealthy != 0
 }
 
 func (h *partitionHarness) unhealthyMachines() []string {
-	return h.machines.selectIDs(func(machine *Machine) bool { return h.isUnhealthy(machine.ID) })
+	return h.machines.selectIDs(func(machine *Machine) bool { return h.isReportedUnhealthy(machine.ID) })
 }
 
 // A machine whose lease expired is kept for as long as another would take to boot: it may
@@ -68,7 +68,7 @@
 
 // After a failover time alone frees nothing; once the worker has acknowledged the new
 // token, the expiry of its lease does.
-func TestFailoverFreesNothingByTimeAlone(t *testing.T) {
+func TestFailoverFreesNoPlacementBeforeAcknowledgement(t *testing.T) {
 	harness := newPartitionHarness()
 	machine := harness.restoreTask(1)
 	harness.Schedule(harness.now.Add(time.Hour))
@@ -95,11 +95,11 @@
 func TestMissingTaskCountsOnlyUnderCurrentToken(t *testing.T) {
 	harness := newPartitionHarness()
 	machine := harness.restoreTask(1)
-	harness.handle(newHeartbeat(1, 1, machine.token.current-1))
+	harness.handleHeartbeat(newHeartbeat(1, 1, machine.token.current-1))
 	if len(machine.placements) != 1 {
 		t.Fatal("freed by a heartbeat under an older token")
 	}
-	harness.handle(newHeartbeat(1, 2, machine.token.current))
+	harness.handleHeartbeat(newHeartbeat(1, 2, machine.token.current))
 	if len(machine.placements) != 0 {
 		t.Fatal("not freed by a heartbeat under the current token")
 	}
@@ -123,7 +123,7 @@
 		{"next incarnation", newHeartbeat(2, 1, token), HeartbeatAccepted},
 		{"old incarnation", newHeartbeat(1, 999, token), HeartbeatStale},
 	} {
-		if got := harness.handle(test.heartbeat); got != test.want {
+		if got := harness.handleHeartbeat(test.heartbeat); got != test.want {
 			t.Errorf("%s: verdict %v, want %v", test.name, got, test.want)
 		}
 	}
@@ -148,13 +148,13 @@
 func TestDelayedHeartbeatDoesNotReviveExpiredMachine(t *testing.T) {
 	harness, machine := newExpiredHarness()
 	token := machine.token.current
-	if verdict := harness.handle(newHeartbeat(1, 90, token)); verdict != HeartbeatStale {
+	if verdict := harness.handleHeartbeat(newHeartbeat(1, 90, token)); verdict != HeartbeatStale {
 		t.Fatalf("verdict %v on a heartbeat of the old incarnation", verdict)
 	}
 	if !machine.lease.expired || machine.usable() {
 		t.Fatal("a delayed heartbeat makes a dead machine look alive")
 	}
-	if verdict := harness.handle(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted || machine.lease.expired {
+	if verdict := harness.handleHeartbeat(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted || machine.lease.expired {
 		t.Fatalf("verdict %v, lease expired %v after a heartbeat of the next incarnation", verdict, machine.lease.expired)
 	}
 }
@@ -164,18 +164,18 @@
 func TestOvertakenHeartbeatDoesNotClearTerminationNotice(t *testing.T) {
 	harness, machine := newExpiredHarness()
 	token := machine.token.current
-	if verdict := harness.handle(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted {
+	if verdict := harness.handleHeartbeat(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted {
 		t.Fatalf("verdict %v on a heartbeat of the next incarnation", verdict)
 	}
 	noticeS := 9.0
 	noticed := newHeartbeat(2, 92, token)
 	noticed.TerminationNoticeS = &noticeS
-	harness.handle(noticed)
+	harness.handleHeartbeat(noticed)
 	response := newHeartbeat(2, 95, token)
 	response.TerminationNoticeS = &noticeS
 	harness.HandleCommandResponse(response, harness.now)
 	for _, sequence := range []uint64{91, 94} {
-		harness.handle(newHeartbeat(2, sequence, token))
+		harness.handleHeartbeat(newHeartbeat(2, sequence, token))
 		if !machine.terminationNotice {
 			t.Fatalf("heartbeat %d clears the notice", sequence)
 		}
@@ -194,7 +194,7 @@
 		newHeartbeat(1, 50, earlierToken),
 		newHeartbeat(2, 92, earlierToken),
 	} {
-		harness.handle(delayed)
+		harness.handleHeartbeat(delayed)
 		if len(machine.placements) != 1 || machine.usable() {
 			t.Fatalf("a delayed heartbeat frees a placement, or makes its machine usable: %+v", delayed)
 		}
@@ -212,7 +212,7 @@
 	sendHeartbeats := func(incarnation uint64, duration time.Duration) {
 		for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
 			sequence++
-			harness.handle(newHeartbeat(incarnation, sequence, machine.token.current))
+			harness.handleHeartbeat(newHeartbeat(incarnation, sequence, machine.token.current))
 		}
 	}
 	sendHeartbeats(1, 16*time.Second)
@@ -220,7 +220,7 @@
 		t.Fatal("not usable although its lease has not expired")
 	}
 	sendHeartbeats(2, 2*time.Second)
-	if machine.usable() || len(harness.MachinesToRefence()) != 1 {
+	if machine.usable() || len(harness.MachinesNeedingHigherToken()) != 1 {
 		t.Fatal("usable although its lease expired while its heartbeats were answered")
 	}
 	record := machine.Record
@@ -229,13 +229,13 @@
 	for range 12 {
 		sequence++
 		harness.now = harness.now.Add(2 * time.Second)
-		harness.handle(newHeartbeat(3, sequence, record.FencingToken-1))
+		harness.handleHeartbeat(newHeartbeat(3, sequence, record.FencingToken-1))
 	}
-	if machine.usable() || !harness.isUnhealthy("m-1") {
+	if machine.usable() || !harness.isReportedUnhealthy("m-1") {
 		t.Fatal("not unhealthy although it does not show the raised token")
 	}
-	harness.handle(newHeartbeat(3, sequence+1, record.FencingToken))
-	if !machine.usable() || harness.isUnhealthy("m-1") {
+	harness.handleHeartbeat(newHeartbeat(3, sequence+1, record.FencingToken))
+	if !machine.usable() || harness.isReportedUnhealthy("m-1") {
 		t.Fatal("not usable although it has shown the raised token")
 	}
 }
@@ -261,7 +261,7 @@
 	if !machine.lease.expired {
 		t.Error("the lease has not expired")
 	}
-	verdict := harness.handle(newHeartbeat(2, 51, machine.token.current))
+	verdict := harness.handleHeartbeat(newHeartbeat(2, 51, machine.token.current))
 	if verdict != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
 		t.Errorf("verdict %v, lease expired %v, incarnation %d after the first heartbeat of incarnation 2",
 			verdict, machine.lease.expired, machine.latest.incarnation)
@@ -301,7 +301,7 @@
 	heartbeat.Tasks[0].State = wire.TaskExited
 	heartbeat.Tasks[0].ExitCause = wire.ExitDone
 	heartbeat.Sequence++
-	harness.handle(heartbeat)
+	harness.handleHeartbeat(heartbeat)
 	if !harness.NeedsScheduling() {
 		t.Error("the end of a task asks for no scheduling cycle")
 	}
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -20,8 +20,8 @@
 	slotRevisions []uint64
 	// dirtyChunks have changes that are not committed.
 	dirtyChunks map[*chunk]bool
-	// dirtyCount counts the times that a chunk became dirty, which orders the dirty chunks.
-	dirtyCount int
+	// lastDirtyOrder counts the times that a chunk became dirty, which orders the dirty chunks.
+	lastDirtyOrder int
 	// uncompactedChunks have committed changes that only the journal contains.
 	uncompactedChunks map[*chunk]bool
 }
@@ -61,8 +61,8 @@
 	return j.sequence
 }
 
-// observeSequence prevents a sequence that an earlier owner used from being assigned again.
-func (j *journal) observeSequence(sequence uint64) { j.sequence = max(j.sequence, sequence) }
+// raiseSequence prevents a sequence that an earlier owner used from being assigned again.
+func (j *journal) raiseSequence(sequence uint64) { j.sequence = max(j.sequence, sequence) }
 
 // hasDirtyChunks reports whether there are uncommitted changes.
 func (j *journal) hasDirtyChunks() bool { return len(j.dirtyChunks) > 0 }
@@ -75,21 +75,21 @@
 	chunk.changeVersion++
 	if !chunk.isDirty() {
 		chunk.dirtyTasks = map[int]int{}
-		j.dirtyCount++
-		chunk.dirtySince = j.dirtyCount
+		j.lastDirtyOrder++
+		chunk.dirtyOrder = j.lastDirtyOrder
 		j.dirtyChunks[chunk] = true
 	}
 	chunk.dirtyTasks[task] = chunk.changeVersion
 }
 
-// chunkCommitted records that all changes of a chunk up to a version are committed.
-func (j *journal) chunkCommitted(chunk *chunk, version int) {
+// markChunkCommitted records that all changes of a chunk up to a version are committed.
+func (j *journal) markChunkCommitted(chunk *chunk, version int) {
 	maps.DeleteFunc(chunk.dirtyTasks, func(_, changed int) bool { return changed <= version })
 	j.updateCommittedVersion(chunk, version)
 }
 
-// tasksCommitted records that the changes of some tasks up to a version are committed.
-func (j *journal) tasksCommitted(chunk *chunk, version int, tasks []int) {
+// markTasksCommitted records that the changes of some tasks up to a version are committed.
+func (j *journal) markTasksCommitted(chunk *chunk, version int, tasks []int) {
 	for _, task := range tasks {
 		if chunk.dirtyTasks[task] <= version {
 			delete(chunk.dirtyTasks, task)
@@ -102,11 +102,11 @@
 func (j *journal) updateCommittedVersion(chunk *chunk, version int) {
 	chunk.committedVersion = max(chunk.committedVersion, version)
 	chunk.limitCommittedVersion()
-	j.clearIfClean(chunk)
+	j.untrackIfClean(chunk)
 }
 
-// clearIfClean removes a chunk without uncommitted changes from the dirty ones.
-func (j *journal) clearIfClean(chunk *chunk) {
+// untrackIfClean removes a chunk without uncommitted changes from the dirty ones.
+func (j *journal) untrackIfClean(chunk *chunk) {
 	if !chunk.isDirty() {
 		delete(j.dirtyChunks, chunk)
 	}
@@ -114,34 +114,34 @@
 
 // markUncompacted records that the journal record with a sequence has changes that the chunk's own lacks.
 func (j *journal) markUncompacted(chunk *chunk, sequence uint64) {
-	if chunk.oldestUncompacted != 0 || chunk.job.finalized {
+	if chunk.oldestUncompactedSequence != 0 || chunk.job.finalized {
 		return
 	}
-	chunk.oldestUncompacted = sequence
+	chunk.oldestUncompactedSequence = sequence
 	j.uncompactedChunks[chunk] = true
 }
 
 // markCompacted records that the chunk's own record contains all its journaled changes.
 func (j *journal) markCompacted(chunk *chunk) {
-	chunk.oldestUncompacted = 0
+	chunk.oldestUncompactedSequence = 0
 	delete(j.uncompactedChunks, chunk)
 }
 
-// adoptPieces tracks the pieces that were split off from a chunk with their changes.
-func (j *journal) adoptPieces(origin *chunk, pieces []*chunk) {
+// trackSplitOffChunks tracks the pieces that were split off from a chunk with their changes.
+func (j *journal) trackSplitOffChunks(origin *chunk, pieces []*chunk) {
 	for _, piece := range pieces {
 		if piece.isDirty() {
 			j.dirtyChunks[piece] = true
 		}
-		if piece.oldestUncompacted > 0 {
+		if piece.oldestUncompactedSequence > 0 {
 			j.uncompactedChunks[piece] = true
 		}
 	}
-	j.clearIfClean(origin)
+	j.untrackIfClean(origin)
 }
 
-// forget stops tracking a chunk whose job has ended.
-func (j *journal) forget(chunk *chunk) {
+// untrackChunk stops tracking a chunk whose job has ended.
+func (j *journal) untrackChunk(chunk *chunk) {
 	delete(j.dirtyChunks, chunk)
 	delete(j.uncompactedChunks, chunk)
 }
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -26,30 +26,30 @@
 	owner    *partitionHarness
 	store    *fakeStore
 	ended    map[string]bool // tasks whose end a worker has reported
-	// In raisedRound the feature level is raised; in loweredRound, a later one, the limits of
+	// In raiseLevelRound the feature level is raised; in loweredRound, a later one, the limits of
 	// the store are lowered to loweredKB: what is stored by then is larger than what may be
 	// written.
-	raisedRound  int
-	loweredRound int
-	loweredKB    float64
+	raiseLevelRound  int
+	lowerLimitsRound int
+	loweredValueKB   float64
 }
 
 // What a new owner reads, at any moment and whatever the outcome of single commits, must contain
 // every start that may have been sent and every end that was cleared, and no end that was never
 // reported. Records must stay within the store's limits.
-func TestJournalSurvivesATakeover(t *testing.T) {
+func TestJournalSurvivesTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newTakeoverTest(t)
 		for round := range rapid.IntRange(1, 60).Draw(t, "rounds") {
 			if round%3 == 0 {
 				test.submit(round)
 			}
-			test.changeLimits(round)
+			test.changeLevelAndLimits(round)
 			test.schedule()
-			test.commitSomehow()
+			test.commitWithRandomOutcomes()
 			test.reportHeartbeats()
-			test.checkFormat()
-			test.checkSuccessor(round)
+			test.checkInitialFormat()
+			test.checkRestoredJobs(round)
 			test.checkLimits(round)
 		}
 		test.checkAllCommitted()
@@ -62,14 +62,14 @@
 	owner.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 	raised := rapid.IntRange(0, 60).Draw(t, "raised")
 	test := &takeoverTest{
-		t:            t,
-		machines:     []string{"m-1", "m-2", "m-3"},
-		owner:        owner,
-		store:        newFakeStore(owner),
-		ended:        map[string]bool{},
-		raisedRound:  raised,
-		loweredRound: raised + rapid.IntRange(1, 20).Draw(t, "lowered after"),
-		loweredKB:    rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB"),
+		t:                t,
+		machines:         []string{"m-1", "m-2", "m-3"},
+		owner:            owner,
+		store:            newFakeStore(owner),
+		ended:            map[string]bool{},
+		raiseLevelRound:  raised,
+		lowerLimitsRound: raised + rapid.IntRange(1, 20).Draw(t, "lowered after"),
+		loweredValueKB:   rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB"),
 	}
 	for _, id := range test.machines {
 		owner.addMachine(id, "cpu", "a", false)
@@ -84,13 +84,13 @@
 	test.store.submit(test.owner, &job, test.owner.Level())
 }
 
-// changeLimits raises the feature level or lowers the limits in the round for it.
-func (test *takeoverTest) changeLimits(round int) {
-	if round == test.raisedRound {
+// changeLevelAndLimits raises the feature level or lowers the limits in the round for it.
+func (test *takeoverTest) changeLevelAndLimits(round int) {
+	if round == test.raiseLevelRound {
 		test.owner.SetLevel(records.FeatureExplicitChunks)
 	}
-	if round == test.loweredRound {
-		test.owner.layout.limits.ValueKB = test.loweredKB
+	if round == test.lowerLimitsRound {
+		test.owner.layout.limits.ValueKB = test.loweredValueKB
 		test.owner.layout.limits.TxnOps = loweredTxnOps
 		test.store.resetMaxima()
 	}
@@ -101,19 +101,19 @@
 	test.owner.Schedule(test.owner.now)
 }
 
-// commitSomehow commits a few batches, of which some are lost, late or refused.
-func (test *takeoverTest) commitSomehow() {
-	fates := rapid.SampledFrom([]commitFate{
-		commitConfirmed, commitConfirmed, commitConfirmed, commitUnknown, commitLate, commitRefused,
+// commitWithRandomOutcomes commits a few batches, of which some are lost, late or refused.
+func (test *takeoverTest) commitWithRandomOutcomes() {
+	outcomes := rapid.SampledFrom([]commitOutcome{
+		commitConfirmed, commitConfirmed, commitConfirmed, commitUnknown, commitDelayed, commitRefused,
 	})
 	for range 4 {
 		batch := test.owner.PrepareBatch()
 		if batch.Empty() {
 			return
 		}
-		test.store.commit(test.owner, batch, fates.Draw(test.t, "fate"))
-		if len(test.store.late) > 0 && rapid.Bool().Draw(test.t, "arrives") {
-			test.store.applyOldestLate()
+		test.store.commit(test.owner, batch, outcomes.Draw(test.t, "fate"))
+		if len(test.store.delayed) > 0 && rapid.Bool().Draw(test.t, "arrives") {
+			test.store.applyOldestDelayed()
 		}
 	}
 }
@@ -135,9 +135,9 @@
 	}
 }
 
-// checkFormat checks that below their feature level chunks' records are as programs without
+// checkInitialFormat checks that below their feature level chunks' records are as programs without
 // feature levels read them: numbered, and without a range of tasks.
-func (test *takeoverTest) checkFormat() {
+func (test *takeoverTest) checkInitialFormat() {
 	if test.owner.Level() != records.FeatureInitialFormat {
 		return
 	}
@@ -167,8 +167,8 @@
 	return successor
 }
 
-// checkSuccessor checks what a new owner would read of each job.
-func (test *takeoverTest) checkSuccessor(round int) {
+// checkRestoredJobs checks what a new owner would read of each job.
+func (test *takeoverTest) checkRestoredJobs(round int) {
 	successor := test.successor()
 	for id, job := range test.owner.jobs {
 		restored := successor.jobs[id]
@@ -229,15 +229,15 @@
 
 func (test *takeoverTest) checkLimits(round int) {
 	limits := test.owner.layout.limits
-	if test.store.largestValue > int(limits.ValueKB*1024) || test.store.mostWrites > limits.TxnOps {
-		test.t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, test.store.largestValue, test.store.mostWrites)
+	if test.store.largestValueBytes > int(limits.ValueKB*1024) || test.store.maxWrites > limits.TxnOps {
+		test.t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, test.store.largestValueBytes, test.store.maxWrites)
 	}
 }
 
 // checkAllCommitted checks that with every commit confirmed a new owner reads all there is.
 func (test *takeoverTest) checkAllCommitted() {
-	const mostBatches = 2000
-	test.store.commitAll(test.owner, mostBatches)
+	const maxBatches = 2000
+	test.store.commitAll(test.owner, maxBatches)
 	if dirty := len(test.owner.journal.dirtyChunks); dirty > 0 {
 		test.t.Fatalf("%d chunks are not recorded in the end", dirty)
 	}
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -13,14 +13,14 @@
 
 // journalWriter adds journal records to a batch, each as full as a value permits.
 type journalWriter struct {
-	builder *batchBuilder
-	record  *records.JournalRecord // the one being filled; nil: none
-	size    int                    // bytes of its entries
+	builder   *batchBuilder
+	record    *records.JournalRecord // the one being filled; nil: none
+	sizeBound int                    // bytes of its entries
 }
 
-// appendJournal adds the changes of all chunks to the batch as far as they fit, those first
+// appendJournalRecords adds the changes of all chunks to the batch as far as they fit, those first
 // that have waited the longest.
-func (b *batchBuilder) appendJournal() {
+func (b *batchBuilder) appendJournalRecords() {
 	writer := &journalWriter{builder: b}
 	for _, chunk := range b.chunksToJournal() {
 		if !writer.appendChunk(chunk) {
@@ -38,7 +38,7 @@
 			chunks = append(chunks, chunk)
 		}
 	}
-	slices.SortFunc(chunks, func(x, y *chunk) int { return cmp.Compare(x.dirtySince, y.dirtySince) })
+	slices.SortFunc(chunks, func(x, y *chunk) int { return cmp.Compare(x.dirtyOrder, y.dirtyOrder) })
 	return chunks
 }
 
@@ -50,7 +50,7 @@
 			return false
 		}
 		entryOverhead := records.JournalEntryOverheadBytes + len(chunk.job.ID)
-		count := chunk.tasksFitting(tasks, w.bytesLeft()-entryOverhead)
+		count := chunk.countFittingTasks(tasks, w.bytesLeft()-entryOverhead)
 		if count <= 0 && len(w.record.Entries) > 0 {
 			w.flush()
 			continue
@@ -64,25 +64,25 @@
 
 // beginRecord begins a record, and reports whether the batch has capacity for one.
 func (w *journalWriter) beginRecord() bool {
-	if !w.builder.canWrite(1) || w.builder.size+tuning.MinJournalBytes > tuning.TxnBytes {
+	if !w.builder.canWrite(1) || w.builder.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes {
 		return false
 	}
 	w.record = &records.JournalRecord{Sequence: w.builder.partition.journal.nextSequence()}
-	w.size = 0
+	w.sizeBound = 0
 	return true
 }
 
 // bytesLeft returns how many bytes the record may still grow by.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
-	return min(valueBytes, tuning.TxnBytes-w.builder.size) - w.size
+	return min(valueBytes, tuning.TxnBytes-w.builder.sizeBound) - w.sizeBound
 }
 
 // appendEntry adds the present state of some of a chunk's tasks to the record.
 func (w *journalWriter) appendEntry(chunk *chunk, tasks []int) {
 	entry := chunk.journalEntry(tasks)
 	w.record.Entries = append(w.record.Entries, entry)
-	w.size += entry.SizeBound()
+	w.sizeBound += entry.SizeBound()
 	w.builder.batch.entryWrites = append(w.builder.batch.entryWrites, entryWrite{
 		chunk:         chunk,
 		changeVersion: chunk.changeVersion,
@@ -100,6 +100,6 @@
 	journal := &w.builder.partition.journal
 	w.builder.put(journal.key(sequence), journal.revision(sequence), *w.record)
 	w.builder.batch.journalSequences = append(w.builder.batch.journalSequences, sequence)
-	w.builder.size += w.size
+	w.builder.sizeBound += w.sizeBound
 	w.record = nil
 }
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -45,9 +45,9 @@
 	minTxnOps  = 3 // the end of a job needs two changes, and one more must fit with them
 )
 
-// ReduceLimits halves what the next commits may contain, after the key-value store has found
+// ReduceWriteLimits halves what the next commits may contain, after the key-value store has found
 // one invalid: its limits are lower than the settings claim.
-func (p *Partition) ReduceLimits() {
+func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
 	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
 	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
@@ -58,8 +58,8 @@
 	return l.featureLevel >= records.FeatureExplicitChunks
 }
 
-// newFormat returns the format of new chunks.
-func (l *chunkLayout) newFormat() chunkFormat {
+// formatForNewChunks returns the format of new chunks.
+func (l *chunkLayout) formatForNewChunks() chunkFormat {
 	if l.writesExplicitRanges() {
 		return explicitRangeChunk
 	}
@@ -74,8 +74,8 @@
 	return records.ChunkKey(l.partition, chunk.job.ID, chunk.name)
 }
 
-// numberOf returns the number of the chunk that a task belongs to in the initial format.
-func (l *chunkLayout) numberOf(task int) int { return task / l.tasksPerChunk }
+// chunkIndex returns the number of the chunk that a task belongs to in the initial format.
+func (l *chunkLayout) chunkIndex(task int) int { return task / l.tasksPerChunk }
 
 // newChunks returns the chunks of a new job. Only the first one has a record, which was created
 // with the job's own at the given revision.
@@ -83,10 +83,10 @@
 	var chunks []*chunk
 	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
 		to := min(from+l.tasksPerChunk, job.Tasks)
-		chunks = append(chunks, newChunk(job, l.numberOf(from), from, to, l.newFormat()))
+		chunks = append(chunks, newChunk(job, l.chunkIndex(from), from, to, l.formatForNewChunks()))
 	}
 	chunks[0].revision = revision
-	chunks[0].storedFormat = l.newFormat()
+	chunks[0].storedFormat = l.formatForNewChunks()
 	return chunks
 }
 
@@ -102,12 +102,12 @@
 		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
 		return extent{from: from, to: to, loaded: loaded}, from >= 0 && from < to
 	}
-	number, err := strconv.Atoi(loaded.Name)
+	index, err := strconv.Atoi(loaded.Name)
 	chunkCount := (job.Tasks + l.tasksPerChunk - 1) / l.tasksPerChunk
-	if err != nil || number < 0 || number >= chunkCount {
+	if err != nil || index < 0 || index >= chunkCount {
 		return extent{}, false
 	}
-	from := number * l.tasksPerChunk
+	from := index * l.tasksPerChunk
 	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
 }
 
@@ -133,8 +133,8 @@
 
 // overlay replaces what a new extent covers of the others, which are sorted without gaps.
 func overlay(all []extent, added extent) []extent {
-	const mostAdded = 2 // the new extent, and the rest of one that is cut in two
-	out := make([]extent, 0, len(all)+mostAdded)
+	const maxAdded = 2 // the new extent, and the rest of one that is cut in two
+	out := make([]extent, 0, len(all)+maxAdded)
 	placed := false
 	for _, e := range all {
 		if e.to <= added.from {
@@ -155,39 +155,39 @@
 	return out
 }
 
-// loadedChunk is a chunk with the record that contains its state.
-type loadedChunk struct {
+// chunkWithRecord is a chunk with the record that contains its state.
+type chunkWithRecord struct {
 	chunk  *chunk
 	record *records.ChunkRecord // nil: no record
 }
 
-// loadChunks returns the chunks that a job's records describe.
-func (l *chunkLayout) loadChunks(job *Job, loadedChunks []*records.LoadedChunk) []loadedChunk {
-	format := l.newFormat()
+// chunksFromRecords returns the chunks that a job's records describe.
+func (l *chunkLayout) chunksFromRecords(job *Job, loadedChunks []*records.LoadedChunk) []chunkWithRecord {
+	format := l.formatForNewChunks()
 	if slices.ContainsFunc(loadedChunks, func(loaded *records.LoadedChunk) bool { return loaded.Record.HasExplicitRange() }) {
 		format = explicitRangeChunk
 	}
 	origins := map[*records.LoadedChunk]*chunk{}
-	var all []loadedChunk
+	var all []chunkWithRecord
 	for _, e := range l.extents(job, loadedChunks) {
-		chunk := newChunk(job, l.numberOf(e.from), e.from, e.to, format)
+		chunk := newChunk(job, l.chunkIndex(e.from), e.from, e.to, format)
 		if e.loaded == nil {
-			all = append(all, loadedChunk{chunk: chunk})
+			all = append(all, chunkWithRecord{chunk: chunk})
 			continue
 		}
 		if origin := origins[e.loaded]; origin == nil {
-			chunk.adoptRecord(e.loaded)
+			chunk.initFromRecord(e.loaded)
 			origins[e.loaded] = chunk
 		} else {
-			chunk.awaitOwnRecord(origin)
+			chunk.initSplitOff(origin)
 		}
-		all = append(all, loadedChunk{chunk: chunk, record: &e.loaded.Record})
+		all = append(all, chunkWithRecord{chunk: chunk, record: &e.loaded.Record})
 	}
 	return all
 }
 
-// adoptRecord makes a loaded record that of the chunk.
-func (c *chunk) adoptRecord(loaded *records.LoadedChunk) {
+// initFromRecord makes a loaded record that of the chunk.
+func (c *chunk) initFromRecord(loaded *records.LoadedChunk) {
 	c.name = loaded.Name
 	c.revision = loaded.Revision
 	c.storedFormat = numberedChunk
@@ -197,12 +197,12 @@
 	c.format = c.storedFormat
 }
 
-// awaitOwnRecord makes the chunk one that the earlier owner had yet to split off: the record of
+// initSplitOff makes the chunk one that the earlier owner had yet to split off: the record of
 // the origin contains its tasks as well.
-func (c *chunk) awaitOwnRecord(origin *chunk) {
+func (c *chunk) initSplitOff(origin *chunk) {
 	c.name = records.ExplicitChunkName(c.from)
 	c.format = explicitRangeChunk
-	c.linkTo(origin)
+	c.setSplitFrom(origin)
 }
 
 // splitPoints returns the tasks at which to split a chunk so that each piece's record fits a
@@ -213,36 +213,36 @@
 	if c.from == 0 {
 		size += records.JobDescriptionBytes(c.job.Job)
 	}
-	var cuts []int
+	var boundaries []int
 	for task := c.from; task < c.to; task++ {
-		taskBytes := c.recordedTaskBytes(task)
+		taskBytes := c.recordedTaskSizeBound(task)
 		if size+taskBytes > limit && task > c.from {
-			cuts = append(cuts, task)
+			boundaries = append(boundaries, task)
 			size = records.ChunkOverheadBytes
 		}
 		size += taskBytes
 	}
-	return cuts
+	return boundaries
 }
 
-// isOutdated reports whether the chunk's record is to be written to convert its format: the
+// needsFormatConversion reports whether the chunk's record is to be written to convert its format: the
 // stored one has no explicit range, or the chunk was split off and has none yet.
-func (c *chunk) isOutdated(batch *Batch) bool {
+func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
 	}
-	return c.storedFormat == numberedChunk && c.splitOffWritten(batch)
+	return c.storedFormat == numberedChunk && c.splitOffChunksWritten(batch)
 }
 
-// outdatedChunk returns a chunk whose record is to be written to convert its format, or nil.
-func (p *Partition) outdatedChunk(batch *Batch) *chunk {
+// nextChunkToConvert returns a chunk whose record is to be written to convert its format, or nil.
+func (p *Partition) nextChunkToConvert(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
 		if job.finalized || job.recordsDeletable() {
 			continue
 		}
 		for _, chunk := range slices.Backward(job.chunks) {
-			if chunk.isOutdated(batch) {
+			if chunk.needsFormatConversion(batch) {
 				return chunk
 			}
 		}
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -38,7 +38,7 @@
 	}
 	// The worker's clock may be slower by the tolerated drift.
 	duration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
-	return now.Sub(machine.lease.lastAnswered) > duration
+	return now.Sub(machine.lease.lastAnsweredAt) > duration
 }
 
 // requeueWithdrawnStarts requeues the placements of a machine whose starts were lost and
--- a/internal/scheduler/production_test.go
+++ b/internal/scheduler/production_test.go
@@ -24,9 +24,9 @@
 		production.AddFile(t, productionDirectory, name, content)
 	}
 	directory := t.TempDir()
-	ours := filepath.Join(directory, "ours")
-	theirs := filepath.Join(directory, "theirs")
-	writeExchange(t, ours)
-	production.Test(t, productionDirectory, "TestExchange", "EXCHANGE_IN="+ours, "EXCHANGE_OUT="+theirs)
-	checkExchange(t, theirs)
+	currentFile := filepath.Join(directory, "ours")
+	productionFile := filepath.Join(directory, "theirs")
+	writeExchange(t, currentFile)
+	production.Test(t, productionDirectory, "TestExchange", "EXCHANGE_IN="+currentFile, "EXCHANGE_OUT="+productionFile)
+	checkExchange(t, productionFile)
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -14,8 +14,8 @@
 	chunkVersion int // of the task's chunk, with the end
 }
 
-// ready reports whether the task's end is committed.
-func (f pendingForget) ready() bool {
+// isEndCommitted reports whether the task's end is committed.
+func (f pendingForget) isEndCommitted() bool {
 	return f.job.finalized || f.job.chunkOf(f.task).committedVersion >= f.chunkVersion
 }
 
@@ -26,7 +26,7 @@
 		p.reconcileTask(machine, message.Incarnation, &message.Tasks[i], now)
 	}
 	p.requeueMissingTasks(machine, message, now)
-	machine.completeForgets(message)
+	machine.removeCompletedForgets(message)
 }
 
 // reconcileTask applies the status of one task to its placement.
@@ -95,7 +95,7 @@
 		// ignores commands that were meant for that one.
 		return true
 	}
-	if !m.token.carriedBy(message) {
+	if !m.token.isCarriedBy(message) {
 		// A command of an earlier owner, or of a request that was not answered, may
 		// still be on its way.
 		return false
@@ -118,10 +118,10 @@
 	})
 }
 
-// completeForgets drops the pending forgets of tasks that the worker no longer lists. Under
+// removeCompletedForgets drops the pending forgets of tasks that the worker no longer lists. Under
 // an older token the list may be from before the task was started, so it shows nothing.
-func (m *Machine) completeForgets(message *wire.Heartbeat) {
-	if len(m.pendingForgets) == 0 || !m.token.carriedBy(message) {
+func (m *Machine) removeCompletedForgets(message *wire.Heartbeat) {
+	if len(m.pendingForgets) == 0 || !m.token.isCarriedBy(message) {
 		return
 	}
 	listed := make(map[taskAttempt]bool, len(message.Tasks))
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -9,25 +9,25 @@
 	"ambersill/internal/records"
 )
 
-// restoration rebuilds a partition's jobs from its records after a takeover.
-type restoration struct {
-	partition *Partition
-	states    map[*chunk]*chunkState
+// restorer rebuilds a partition's jobs from its records after a takeover.
+type restorer struct {
+	partition   *Partition
+	chunkStates map[*chunk]*chunkState
 }
 
 // Restore adds the jobs that the partition's records contain after a takeover. The machines
 // must have been added before.
 func (p *Partition) Restore(chunks []records.LoadedChunk, journal []records.LoadedJournalRecord) {
-	r := &restoration{partition: p, states: map[*chunk]*chunkState{}}
+	r := &restorer{partition: p, chunkStates: map[*chunk]*chunkState{}}
 	chunksByJob := r.addJobs(chunks)
 	jobIDs := slices.Sorted(maps.Keys(p.jobs))
 	for _, id := range jobIDs {
-		r.layOutChunks(p.jobs[id], chunksByJob[id])
+		r.replaceChunks(p.jobs[id], chunksByJob[id])
 	}
 	r.replayJournal(journal)
 	for _, id := range jobIDs {
 		for _, chunk := range p.jobs[id].chunks {
-			if state := r.states[chunk]; state != nil {
+			if state := r.chunkStates[chunk]; state != nil {
 				p.restoreChunk(chunk, state)
 			}
 		}
@@ -38,11 +38,11 @@
 }
 
 // addJobs adds the jobs that first chunks describe, and returns all chunks by job.
-func (r *restoration) addJobs(chunks []records.LoadedChunk) map[string][]*records.LoadedChunk {
+func (r *restorer) addJobs(chunks []records.LoadedChunk) map[string][]*records.LoadedChunk {
 	chunksByJob := map[string][]*records.LoadedChunk{}
 	for i := range chunks {
 		loaded := &chunks[i]
-		r.partition.journal.observeSequence(loaded.Record.JournalSequence)
+		r.partition.journal.raiseSequence(loaded.Record.JournalSequence)
 		chunksByJob[loaded.JobID] = append(chunksByJob[loaded.JobID], loaded)
 		if !records.IsFirstChunk(loaded.Name) || loaded.Record.Job == nil {
 			continue
@@ -56,27 +56,27 @@
 	return chunksByJob
 }
 
-// layOutChunks replaces a job's chunks by those that its records describe, and reads their
+// replaceChunks replaces a job's chunks by those that its records describe, and reads their
 // states.
-func (r *restoration) layOutChunks(job *Job, loadedChunks []*records.LoadedChunk) {
-	loaded := r.partition.layout.loadChunks(job, loadedChunks)
+func (r *restorer) replaceChunks(job *Job, loadedChunks []*records.LoadedChunk) {
+	loaded := r.partition.layout.chunksFromRecords(job, loadedChunks)
 	job.chunks = nil
 	for _, l := range loaded {
 		job.chunks = append(job.chunks, l.chunk)
 		if l.record != nil {
-			r.states[l.chunk] = newChunkState(l.record, l.chunk.from, l.chunk.to)
+			r.chunkStates[l.chunk] = newChunkState(l.record, l.chunk.from, l.chunk.to)
 		}
 	}
 }
 
 // replayJournal applies the journal's records in the order of their sequences.
-func (r *restoration) replayJournal(journal []records.LoadedJournalRecord) {
+func (r *restorer) replayJournal(journal []records.LoadedJournalRecord) {
 	slices.SortFunc(journal, func(a, b records.LoadedJournalRecord) int {
 		return cmp.Compare(a.Record.Sequence, b.Record.Sequence)
 	})
 	for _, loaded := range journal {
 		sequence := loaded.Record.Sequence
-		r.partition.journal.observeSequence(sequence)
+		r.partition.journal.raiseSequence(sequence)
 		r.partition.journal.setRevision(sequence, loaded.Revision)
 		for i := range loaded.Record.Entries {
 			r.replayEntry(sequence, &loaded.Record.Entries[i])
@@ -86,47 +86,47 @@
 
 // replayEntry applies a journal entry to the chunks whose records lack it. Entries of jobs
 // without a first chunk are skipped: those have ended.
-func (r *restoration) replayEntry(sequence uint64, entry *records.JournalEntry) {
+func (r *restorer) replayEntry(sequence uint64, entry *records.JournalEntry) {
 	job := r.partition.jobs[entry.Job]
 	if job == nil {
 		return
 	}
 	job.highestAttempt = max(job.highestAttempt, entry.HighestAttempt)
 	records.ForEachInRanges(entry.DoneRanges, func(task int) {
-		if state := r.stateLacking(job, task, sequence); state != nil {
+		if state := r.stateToUpdate(job, task, sequence); state != nil {
 			state.done[task] = true
 			delete(state.placements, task)
 		}
 	})
 	records.ForEachInRanges(entry.WaitingRanges, func(task int) {
-		if state := r.stateLacking(job, task, sequence); state != nil {
+		if state := r.stateToUpdate(job, task, sequence); state != nil {
 			delete(state.placements, task)
 		}
 	})
 	for _, placed := range entry.Placements {
-		if state := r.stateLacking(job, placed.Task, sequence); state != nil {
+		if state := r.stateToUpdate(job, placed.Task, sequence); state != nil {
 			state.placements[placed.Task] = placed
 		}
 	}
 }
 
-// stateLacking returns the state of a task's chunk if the chunk's own record lacks the journal
+// stateToUpdate returns the state of a task's chunk if the chunk's own record lacks the journal
 // record with the given sequence, or nil.
-func (r *restoration) stateLacking(job *Job, task int, sequence uint64) *chunkState {
+func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
 	if task < 0 || task >= job.Tasks {
 		return nil
 	}
 	chunk := job.chunkOf(task)
-	state := r.states[chunk]
+	state := r.chunkStates[chunk]
 	if state == nil {
 		state = newChunkState(&records.ChunkRecord{}, chunk.from, chunk.to)
-		r.states[chunk] = state
+		r.chunkStates[chunk] = state
 	}
 	if sequence <= state.sequence {
 		return nil
 	}
-	if chunk.oldestUncompacted == 0 {
-		chunk.oldestUncompacted = sequence
+	if chunk.oldestUncompactedSequence == 0 {
+		chunk.oldestUncompactedSequence = sequence
 	}
 	return state
 }
@@ -163,7 +163,7 @@
 // restoreChunk sets the states of a chunk's tasks.
 func (p *Partition) restoreChunk(chunk *chunk, state *chunkState) {
 	job := chunk.job
-	if chunk.oldestUncompacted > 0 {
+	if chunk.oldestUncompactedSequence > 0 {
 		p.journal.uncompactedChunks[chunk] = true
 	}
 	job.highestAttempt = max(job.highestAttempt, state.highestAttempt)
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -182,8 +182,8 @@
 	harness.addJob(newArrayJob("req-1", 300, 1))
 	harness.Schedule(harness.now)
 	before := harness.PrepareBatch()
-	harness.ReduceLimits()
-	harness.ReduceLimits()
+	harness.ReduceWriteLimits()
+	harness.ReduceWriteLimits()
 	after := harness.PrepareBatch()
 	for _, write := range after.Txn.Writes {
 		if size := encodedBytesOrZero(write.Value); size > 2<<10 {
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -13,11 +13,11 @@
 	revision  uint64
 	values    map[string]wire.Raw
 	revisions map[string]uint64
-	late      []wire.Txn // not applied yet
-	// largestValue is the size in bytes, as JSON, of the largest value since resetMaxima, and
+	delayed   []wire.Txn // not applied yet
+	// largestValueBytes is the size in bytes, as JSON, of the largest value since resetMaxima, and
 	// mostWrites the number of changes of the largest transaction.
-	largestValue int
-	mostWrites   int
+	largestValueBytes int
+	maxWrites         int
 }
 
 // newFakeStore returns a store that contains the ownership of the harness's partition.
@@ -37,7 +37,7 @@
 		}
 	}
 	s.revision++
-	s.mostWrites = max(s.mostWrites, len(txn.Writes))
+	s.maxWrites = max(s.maxWrites, len(txn.Writes))
 	for _, write := range txn.Writes {
 		s.applyWrite(write)
 	}
@@ -56,38 +56,38 @@
 	}
 	s.values[write.Put] = value
 	s.revisions[write.Put] = s.revision
-	s.largestValue = max(s.largestValue, encodedBytesOrZero(write.Value))
+	s.largestValueBytes = max(s.largestValueBytes, encodedBytesOrZero(write.Value))
 }
 
-// applyOldestLate applies the oldest late transaction.
-func (s *fakeStore) applyOldestLate() {
-	s.apply(s.late[0])
-	s.late = s.late[1:]
+// applyOldestDelayed applies the oldest late transaction.
+func (s *fakeStore) applyOldestDelayed() {
+	s.apply(s.delayed[0])
+	s.delayed = s.delayed[1:]
 }
 
 // resetMaxima forgets the sizes that were written before.
-func (s *fakeStore) resetMaxima() { s.largestValue, s.mostWrites = 0, 0 }
+func (s *fakeStore) resetMaxima() { s.largestValueBytes, s.maxWrites = 0, 0 }
 
-// commitFate is the outcome of a transaction.
-type commitFate string
+// commitOutcome is the outcome of a transaction.
+type commitOutcome string
 
 const (
-	commitConfirmed commitFate = "done"    // applied and answered
-	commitUnknown   commitFate = "lost"    // applied, the answer is lost
-	commitLate      commitFate = "late"    // not answered, and applied later
-	commitRefused   commitFate = "refused" // answered, and never applied
+	commitConfirmed commitOutcome = "done"    // applied and answered
+	commitUnknown   commitOutcome = "lost"    // applied, the answer is lost
+	commitDelayed   commitOutcome = "late"    // not answered, and applied later
+	commitRefused   commitOutcome = "refused" // answered, and never applied
 )
 
 // commit carries out a batch with the given outcome, and has the owner learn of it as it would
 // from the key-value store.
-func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, fate commitFate) {
-	switch fate {
+func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, outcome commitOutcome) {
+	switch outcome {
 	case commitRefused:
 		return
-	case commitLate:
-		s.late = append(s.late, batch.Txn)
+	case commitDelayed:
+		s.delayed = append(s.delayed, batch.Txn)
 	default:
-		if s.apply(batch.Txn) && fate == commitConfirmed {
+		if s.apply(batch.Txn) && outcome == commitConfirmed {
 			harness.ConfirmBatch(batch, s.revision)
 			return
 		}
@@ -98,8 +98,8 @@
 }
 
 // commitAll commits batches until there is nothing left to commit, at most so many.
-func (s *fakeStore) commitAll(harness *partitionHarness, mostBatches int) {
-	for range mostBatches {
+func (s *fakeStore) commitAll(harness *partitionHarness, maxBatches int) {
+	for range maxBatches {
 		batch := harness.PrepareBatch()
 		if batch.Empty() {
 			return
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// bookedPrecision is the number of steps in a booked machine to which a summary rounds,
+	// bookedStepsPerMachine is the number of steps in a booked machine to which a summary rounds,
 	// which keeps the record small and equal sums equal.
-	bookedPrecision = 1000
-	// maxWaitingBytes bounds the waiting tasks in a summary, since the leader reads it every
+	bookedStepsPerMachine = 1000
+	// maxDemandBytes bounds the waiting tasks in a summary, since the leader reads it every
 	// second. Those that are placed first are included.
-	maxWaitingBytes = 12 << 10
+	maxDemandBytes = 12 << 10
 )
 
 // Summary returns the state of the partition from which the leader sizes the fleet.
@@ -28,7 +28,7 @@
 		MachineDigests: map[string]records.MachineDigest{},
 	}
 	for _, machine := range p.machines.all() {
-		p.addToSummary(&summary, machine, now)
+		p.addMachineToSummary(&summary, machine, now)
 	}
 	roundBooked(summary.BookedMachines)
 	roundBooked(summary.BookedOnDemand)
@@ -39,12 +39,12 @@
 // roundBooked rounds booked machines to the precision of summaries.
 func roundBooked(booked map[string]float64) {
 	for name, machines := range booked {
-		booked[name] = math.Round(machines*bookedPrecision) / bookedPrecision
+		booked[name] = math.Round(machines*bookedStepsPerMachine) / bookedStepsPerMachine
 	}
 }
 
-// addToSummary adds a machine's allocated capacity and its digest.
-func (p *Partition) addToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
+// addMachineToSummary adds a machine's allocated capacity and its digest.
+func (p *Partition) addMachineToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
 	machineType := machine.Record.MachineType
 	summary.BookedOnDemand[machineType] += machine.capacity.DominantShare(machine.allocatedOnDemand())
 	if len(machine.placements) > 0 {
@@ -68,39 +68,39 @@
 
 // digest returns the state of a machine that the leader needs to size the fleet.
 func (p *Partition) digest(machine *Machine, now time.Time) records.MachineDigest {
-	digest := p.contactDigest(machine, now)
+	digest := p.contactFaultDigest(machine, now)
 	if machine.token.acknowledged {
 		digest |= records.DigestReporting
 	}
 	if len(machine.placements) == 0 && machine.usable() && !machine.isReserved(now) {
 		digest |= records.DigestEmpty
 	}
-	if machine.quarantined || machine.silentBeyondBoot(now) {
+	if machine.quarantined || machine.silentLongerThanBoot(now) {
 		digest |= records.DigestUnhealthy
 	}
 	return digest
 }
 
-// silentBeyondBoot reports whether the machine has been silent for so long that another could
+// silentLongerThanBoot reports whether the machine has been silent for so long that another could
 // have booted in its place. Until then it may only hang or be partitioned, and recover sooner,
 // with its images cached; if it is gone, the cloud's list shows it.
-func (m *Machine) silentBeyondBoot(now time.Time) bool {
+func (m *Machine) silentLongerThanBoot(now time.Time) bool {
 	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
 }
 
-// contactDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
-func (p *Partition) contactDigest(machine *Machine, now time.Time) records.MachineDigest {
-	patience := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
-	assignedLongAgo := now.Sub(machine.assignedAt) > patience
+// contactFaultDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
+func (p *Partition) contactFaultDigest(machine *Machine, now time.Time) records.MachineDigest {
+	contactTimeout := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
+	assignedBeforeTimeout := now.Sub(machine.assignedAt) > contactTimeout
 	token := &machine.token
 	switch {
-	case !token.acknowledged && len(machine.placements) > 0 && assignedLongAgo:
+	case !token.acknowledged && len(machine.placements) > 0 && assignedBeforeTimeout:
 		// No heartbeat since the takeover: only its return to the cloud frees its tasks.
 		return records.DigestUnhealthy
-	case !token.everAcknowledged && assignedLongAgo:
+	case !token.everAcknowledged && assignedBeforeTimeout:
 		// Still booting, or partitioned: the cloud's list shows which.
 		return records.DigestNeverReported
-	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > patience:
+	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > contactTimeout:
 		// It sends heartbeats, but neither responses nor commands arrive there.
 		return records.DigestUnhealthy
 	}
@@ -163,10 +163,10 @@
 // unplacedDemand returns the demand of the tasks that are not placed, by precedence, as far as it
 // fits a summary.
 func (p *Partition) unplacedDemand(now time.Time) []records.Demand {
-	list := demandList{remainingBytes: maxWaitingBytes, indexByKey: map[demandKey]int{}}
+	list := demandList{remainingBytes: maxDemandBytes, indexByKey: map[demandKey]int{}}
 	for _, queue := range p.buildQueues(now) {
 		for _, job := range queue.jobs {
-			if count := p.unplacedTasks(job, queue.team, now); count > 0 {
+			if count := p.unplacedTaskCount(job, queue.team, now); count > 0 {
 				list.add(job, newDemand(job, count))
 			}
 		}
@@ -174,8 +174,8 @@
 	return list.demands
 }
 
-// unplacedTasks returns how many of a job's waiting tasks are a demand for machines.
-func (p *Partition) unplacedTasks(job *Job, team *quota.Team, now time.Time) int {
+// unplacedTaskCount returns how many of a job's waiting tasks are a demand for machines.
+func (p *Partition) unplacedTaskCount(job *Job, team *quota.Team, now time.Time) int {
 	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted work is about to free the capacity
 	}
--- a/internal/scheduler/summary_test.go
+++ b/internal/scheduler/summary_test.go
@@ -9,7 +9,7 @@
 
 // A machine that the cloud lists as up, but that has sent no heartbeat since the partition's
 // owner changed, is distinguished from one that boots.
-func TestDigestShowsMachineThatNeverReported(t *testing.T) {
+func TestDigestMarksMachineThatNeverReported(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, 100, harness.now)
 	harness.addMachine("m-2", "cpu", "a", false)
--- a/internal/scheduler/tombstone_test.go
+++ b/internal/scheduler/tombstone_test.go
@@ -11,7 +11,7 @@
 // have ended before it; and the number of ended jobs that are remembered is bounded.
 func TestEndedJobsAreNotRevived(t *testing.T) {
 	harness := newPartitionHarness()
-	for n := range 3*maxTombstones + 10 {
+	for n := range 3*tombstonesPerGeneration + 10 {
 		job := newArrayJob(fmt.Sprintf("req-%d", n), 1, 1)
 		harness.addAndFinalize(&job)
 		if harness.AddJob(&job, harness.now, harness.revision) != nil {
@@ -25,7 +25,7 @@
 			t.Fatalf("job %d was added again after the next had ended", n-1)
 		}
 	}
-	if kept := len(harness.tombstones.recent) + len(harness.tombstones.older); kept > 2*maxTombstones {
+	if kept := len(harness.tombstones.recent) + len(harness.tombstones.older); kept > 2*tombstonesPerGeneration {
 		t.Errorf("%d ended jobs are kept", kept)
 	}
 }
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// carriedBy reports whether the message carries the current token.
-func (t *tokenState) carriedBy(message *wire.Heartbeat) bool {
+// isCarriedBy reports whether the message carries the current token.
+func (t *tokenState) isCarriedBy(message *wire.Heartbeat) bool {
 	return message.FencingToken == t.current
 }
 
@@ -90,10 +90,10 @@
 // tasks.
 // Each answered heartbeat renews it; the worker kills its tasks when it expires.
 type leaseState struct {
-	lastAnswered  time.Time // when a heartbeat was last answered
-	answeredSince time.Time // since when heartbeats have been answered without a gap
-	expired       bool      // it has expired by any clock within the tolerated drift
-	expiredAt     time.Time // when that was found
+	lastAnsweredAt time.Time // when a heartbeat was last answered
+	answeredSince  time.Time // since when heartbeats have been answered without a gap
+	expired        bool      // it has expired by any clock within the tolerated drift
+	expiredAt      time.Time // when that was found
 }
 
 // commandState is the state of the commands that were sent straight to a machine rather
@@ -116,9 +116,9 @@
 // pending reports whether commands may still be executed by the worker.
 func (c *commandState) pending() bool { return c.inFlight || c.unconfirmed }
 
-// isConfirmedBy reports whether a worker that has seen the token can no longer execute the
+// isResolvedBy reports whether a worker that has seen the token can no longer execute the
 // unconfirmed commands.
-func (c *commandState) isConfirmedBy(token uint64) bool {
+func (c *commandState) isResolvedBy(token uint64) bool {
 	return c.unconfirmed && token > c.unconfirmedToken
 }
 
