--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -9,31 +9,33 @@
 	"ambersill/internal/wire"
 )
 
-// Batch is a set of a partition's changes that one transaction commits to the key-value store.
+// Batch is a set of changes of a partition that are committed to the key-value store in one
+// transaction.
 type Batch struct {
 	// Txn is the transaction that commits the batch.
 	Txn wire.Txn
-	// Full is set if changes were left for the next batch.
+	// Full reports that changes may be left for the next batch.
 	Full bool
-	// journalSequences are those of the batch's journal records, entryWrites what these
-	// contain, and chunkWrites the chunks whose own records the batch writes.
+	// journalSequences are the sequences of the batch's journal records, entryWrites are the
+	// entries in them, and chunkWrites are the chunk records that the batch writes.
 	journalSequences []uint64
 	entryWrites      []entryWrite
 	chunkWrites      []chunkWrite
-	// endedJob is the job whose end the batch commits, or whose last records it deletes.
+	// endedJob is the finished job whose end the batch commits, or the cancelled job whose last
+	// records it deletes; nil if there is none.
 	endedJob *Job
-	// deletedChunks are chunks whose records the batch deletes after their job's end.
+	// deletedChunks are the chunks of ended jobs whose records the batch deletes.
 	deletedChunks []*chunk
 }
 
-// chunkWrite is a chunk's record in a batch.
+// chunkWrite describes a chunk's record in a batch.
 type chunkWrite struct {
 	chunk         *chunk
 	changeVersion int // of the chunk when the record was made
 	format        chunkFormat
 }
 
-// entryWrite is a journal entry in a batch.
+// entryWrite describes a journal entry in a batch.
 type entryWrite struct {
 	chunk         *chunk
 	changeVersion int    // of the chunk when the entry was made
@@ -41,7 +43,7 @@
 	tasks         []int
 }
 
-// Empty reports whether there is nothing to commit.
+// Empty reports whether the batch contains no writes.
 func (b *Batch) Empty() bool { return len(b.Txn.Writes) == 0 }
 
 // writesChunk reports whether the batch contains a chunk's record.
@@ -49,41 +51,41 @@
 	return slices.ContainsFunc(b.chunkWrites, func(write chunkWrite) bool { return write.chunk == chunk })
 }
 
-// endedJobBytes bounds the size of the changes that commit a job's end, except names.
+// endedJobBytes is an upper bound of the size of the writes that commit a job's end, without names.
 const endedJobBytes = 1000
 
-// finalWrites is the number of changes that end a job or delete the last records of one, which
-// must be in one transaction.
+// finalWrites is the number of writes that commit a job's end, and of those that delete the last
+// records of a cancelled job. They must be in the same transaction.
 const finalWrites = 2
 
-// batchBuilder fills a batch within the limits of a transaction.
+// batchBuilder adds changes to a batch within the limits of a transaction.
 type batchBuilder struct {
 	partition *Partition
 	batch     *Batch
-	maxWrites int // limit of changes in a transaction
-	sizeBound int // bound of the bytes that the batch takes
+	maxWrites int // maximum number of writes in a transaction
+	sizeBound int // upper bound of the batch's size in bytes
 }
 
-// canWrite reports whether the batch has capacity for some more changes.
+// canWrite reports whether the given number of writes can be added to the batch.
 func (b *batchBuilder) canWrite(changes int) bool {
 	return len(b.batch.Txn.Writes)+changes <= b.maxWrites
 }
 
-// put adds a value for a key that must be at the given revision.
+// put adds the write of a value to a key, which must be at the given revision.
 func (b *batchBuilder) put(key string, revision uint64, value any) {
 	b.batch.Txn.Compares = append(b.batch.Txn.Compares, wire.Compare{Key: key, Revision: revision})
 	b.batch.Txn.Writes = append(b.batch.Txn.Writes, wire.Write{Put: key, Value: value})
 }
 
-// delete adds the deletion of a key that must be at the given revision.
+// delete adds the deletion of a key, which must be at the given revision.
 func (b *batchBuilder) delete(key string, revision uint64) {
 	b.batch.Txn.Compares = append(b.batch.Txn.Compares, wire.Compare{Key: key, Revision: revision})
 	b.batch.Txn.Writes = append(b.batch.Txn.Writes, wire.Write{Delete: key})
 }
 
-// PrepareBatch collects changes for one transaction: the end of a job first, then chunks whose
-// compaction is due, the journal, and the deletion of records that are no longer needed.
-// Every batch is fenced by the revision of the partition's ownership.
+// PrepareBatch collects changes for one transaction. In this order, it adds the end of a job,
+// chunks whose compaction is due, journal records, and deletions of records that are no longer
+// needed. Each batch is fenced by the revision of the partition's ownership.
 func (p *Partition) PrepareBatch() *Batch {
 	ownership := wire.Compare{Key: records.PartitionKey(p.Index), Revision: p.Revision}
 	builder := &batchBuilder{
@@ -102,13 +104,13 @@
 	return builder.batch
 }
 
-// isFull reports whether the batch may have left out changes for lack of capacity.
+// isFull reports whether changes may have been left out because the batch has no capacity left.
 func (b *batchBuilder) isFull() bool {
 	return !b.canWrite(finalWrites) || b.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes
 }
 
-// addJobEnd commits the end of the first job that is complete. A batch ends one job only, which
-// keeps a conflict with a cancellation apart from other jobs' ends.
+// addJobEnd adds the end of the first job whose tasks are all done. A batch ends at most one job,
+// so that a conflict with a job's cancellation does not affect the ends of other jobs.
 func (b *batchBuilder) addJobEnd(jobIDs []string) {
 	for _, id := range jobIDs {
 		job := b.partition.jobs[id]
@@ -123,13 +125,13 @@
 	}
 }
 
-// hasUncommittedEnd reports whether all tasks are done and the job's record does not say so yet.
+// hasUncommittedEnd reports whether all tasks are done, but this is not committed yet.
 func (j *Job) hasUncommittedEnd() bool {
 	return !j.finalized && !j.Cancelled && j.doneTasks >= j.Tasks
 }
 
-// putJobEnd adds a job's end: the final state for users, and the deletion of the first chunk,
-// from which a new owner would load the job.
+// putJobEnd adds the writes for a job's end. They set the final state that users read, and delete
+// the first chunk's record, from which a new owner would load the job.
 func (b *batchBuilder) putJobEnd(job *Job) {
 	record := records.JobRecord{
 		Job:           job.Job,
@@ -144,7 +146,8 @@
 	b.sizeBound += endedJobBytes
 }
 
-// deleteFinishedJobRecords deletes the records that are left of finished jobs.
+// deleteFinishedJobRecords adds deletions of the remaining chunk records of ended jobs, as far as
+// they fit.
 func (b *batchBuilder) deleteFinishedJobRecords() {
 	for _, job := range b.partition.finishedJobs {
 		for _, chunk := range job.chunks {
@@ -155,21 +158,22 @@
 	}
 }
 
-// hasLeftoverRecord reports whether a finished job's chunk still has a record to be deleted. That of
-// the first chunk is deleted together with the commit of the job's end.
+// hasLeftoverRecord reports whether a chunk of an ended job still has a record to be deleted. The
+// first chunk's record is deleted by the transaction that commits the end of the job.
 func (c *chunk) hasLeftoverRecord() bool { return c.from > 0 && c.hasRecord() }
 
-// deleteChunk deletes a chunk's record.
+// deleteChunk adds the deletion of a chunk's record.
 func (b *batchBuilder) deleteChunk(chunk *chunk) {
 	b.delete(b.partition.layout.chunkKey(chunk), chunk.revision)
 	b.batch.deletedChunks = append(b.batch.deletedChunks, chunk)
 }
 
-// recordsDeletable reports whether the records of a cancelled job can be deleted, since none of
-// its tasks can be in effect any more.
+// recordsDeletable reports whether the job was cancelled and none of its tasks can be running any
+// more, so that its records can be deleted.
 func (j *Job) recordsDeletable() bool { return j.Cancelled && len(j.placements) == 0 }
 
-// deleteCancelledJobs deletes the records of cancelled jobs without placements.
+// deleteCancelledJobs adds deletions of the records of cancelled jobs without placements, as far as
+// they fit.
 func (b *batchBuilder) deleteCancelledJobs(jobIDs []string) {
 	for _, id := range jobIDs {
 		job := b.partition.jobs[id]
@@ -179,15 +183,15 @@
 	}
 }
 
-// deleteCancelledJob deletes the records of a cancelled job from the last chunk to the first,
-// from which a new owner loads the job, and then its cancellation.
+// deleteCancelledJob adds deletions of a cancelled job's records. The first chunk, from which a
+// new owner loads the job, is deleted after the other chunks and together with the cancellation.
 func (b *batchBuilder) deleteCancelledJob(job *Job) {
 	for i, chunk := range slices.Backward(job.chunks) {
 		if !chunk.hasRecord() {
 			continue
 		}
-		// The first chunk and the cancellation are deleted together, so that no
-		// cancellation remains of a job that no owner can load any more.
+		// The first chunk and the cancellation are deleted in one transaction. Otherwise the
+		// cancellation of a job that no owner can load any more could remain.
 		if !b.canWrite(finalWrites) || (i == 0 && b.batch.endedJob != nil) {
 			return
 		}
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -9,44 +9,44 @@
 	"ambersill/internal/records"
 )
 
-// chunkFormat is the format of a chunk's record.
+// chunkFormat is the storage format of a chunk's record.
 type chunkFormat uint8
 
 const (
-	// numberedChunk records leave their range of tasks out: it follows from the number in
-	// their key and the configured size of values.
+	// numberedChunk records do not contain their range of tasks. The range follows from the
+	// chunk index in the key and the configured maximum value size.
 	numberedChunk chunkFormat = iota
-	// explicitRangeChunk records contain their range of tasks, so that a chunk can be split.
+	// explicitRangeChunk records contain their range of tasks, which allows a chunk to be split.
 	explicitRangeChunk
 )
 
-// chunk is a range of a job's tasks, [from, to), that shares one record.
+// chunk is a range of a job's tasks, [from, to), whose state is stored in one record.
 type chunk struct {
 	job *Job
 	// name is the last component of the record's key.
 	name string
-	// index is the number of the chunk in the layout of numbered chunks, which journal
-	// entries refer to.
+	// index is the chunk's index in the layout of numbered chunks. A chunk that is split off has
+	// the index of its origin. Journal entries refer to chunks by index.
 	index    int
 	from, to int
-	// format is that of the next record to be written, storedFormat that of the stored one.
+	// format is used for the next write of the record, storedFormat is that of the stored record.
 	format       chunkFormat
 	storedFormat chunkFormat
-	// splitFrom is the chunk whose record contains this one's state until this one has a
-	// record of its own.
+	// splitFrom is the chunk that this one was split off from. Its record contains the state of
+	// this chunk's tasks until this chunk has a record of its own.
 	splitFrom *chunk
 	// splitOffChunks are the chunks that were split off from this one. Their records must be
-	// written before its own, which then no longer contains their tasks.
+	// written before this chunk's record is rewritten without their tasks.
 	splitOffChunks []*chunk
-	revision       uint64 // of the record's key, as last read or written; 0: no record
+	revision       uint64 // of the record's key, as last read or written; 0 if there is no record
 
-	changeVersion    int // counts the changes in memory
+	changeVersion    int // incremented by each change in memory
 	committedVersion int // all changes up to this version are in the key-value store
 	// dirtyTasks maps each task with uncommitted changes to the version of its last change.
 	dirtyTasks map[int]int
-	dirtyOrder int // orders the dirty chunks by the time of their first uncommitted change
-	// oldestUncompactedSequence is the sequence of the oldest journal record with changes that the
-	// chunk's own record lacks; 0: none.
+	dirtyOrder int // position among the dirty chunks, by first uncommitted change
+	// oldestUncompactedSequence is the sequence of the oldest journal record with changes that
+	// are missing from the chunk's own record; 0 if there are none.
 	oldestUncompactedSequence uint64
 }
 
@@ -55,7 +55,7 @@
 	return j.chunks[sort.Search(len(j.chunks), func(i int) bool { return j.chunks[i].to > task })]
 }
 
-// newChunk returns a chunk without a record.
+// newChunk returns a chunk that has no record in the key-value store yet.
 func newChunk(job *Job, index, from, to int, format chunkFormat) *chunk {
 	return &chunk{
 		job:    job,
@@ -68,7 +68,7 @@
 }
 
 // chunkName returns the last component of the key of a new chunk's record. The first chunk has
-// the same name in either format, since its key makes the job known to a new owner.
+// the same name in both formats, because a new owner finds jobs by the keys of first chunks.
 func chunkName(index, from int, format chunkFormat) string {
 	if format == explicitRangeChunk && from > 0 {
 		return records.ExplicitChunkName(from)
@@ -76,7 +76,7 @@
 	return strconv.Itoa(index)
 }
 
-// record returns the chunk's present state as a record, without a journal sequence.
+// record returns the chunk's current state as a record without a journal sequence.
 func (c *chunk) record() records.ChunkRecord {
 	job := c.job
 	record := records.ChunkRecord{HighestAttempt: job.highestAttempt}
@@ -97,8 +97,8 @@
 	return record
 }
 
-// unfinishedPlacement returns the placement of a task that is not done, or nil. Tasks that are
-// done keep their placement until the worker's heartbeat confirms the end.
+// unfinishedPlacement returns the placement of a task, or nil if the task is done or has none. A
+// done task keeps its placement until a heartbeat of the worker confirms that the task ended.
 func (j *Job) unfinishedPlacement(task int) *Placement {
 	if j.taskStates[task] == taskDone {
 		return nil
@@ -106,7 +106,7 @@
 	return j.placements[task]
 }
 
-// record returns the placement as records contain it.
+// record returns the placement in its stored form.
 func (pl *Placement) record() records.PlacementRecord {
 	return records.PlacementRecord{
 		Task:        pl.task,
@@ -116,7 +116,7 @@
 	}
 }
 
-// journalEntry returns the present state of some of the chunk's tasks, which must be sorted.
+// journalEntry returns the current state of the given tasks of the chunk, which must be sorted.
 func (c *chunk) journalEntry(tasks []int) records.JournalEntry {
 	job := c.job
 	entry := records.JournalEntry{Job: job.ID, Chunk: c.index, HighestAttempt: job.highestAttempt}
@@ -134,8 +134,8 @@
 	return entry
 }
 
-// countFittingTasks returns how many of the tasks, counted from the first, fit a journal entry with
-// the given number of bytes left.
+// countFittingTasks returns how many of the tasks, starting with the first, fit into a journal
+// entry for which bytesLeft bytes are available.
 func (c *chunk) countFittingTasks(tasks []int, bytesLeft int) int {
 	for count, task := range tasks {
 		bytesLeft -= c.journaledTaskSizeBound(task)
@@ -146,7 +146,7 @@
 	return len(tasks)
 }
 
-// journaledTaskSizeBound bounds the size of a task in a journal entry.
+// journaledTaskSizeBound returns an upper bound of a task's size in a journal entry, in bytes.
 func (c *chunk) journaledTaskSizeBound(task int) int {
 	if placement := c.job.unfinishedPlacement(task); placement != nil {
 		return placement.record().SizeBound()
@@ -154,11 +154,11 @@
 	return records.RangeBytes
 }
 
-// typicalPlacementBytes is the usual size of a placement in a chunk's record, in bytes. A waiting task
-// counts as much, since it will have a placement.
+// typicalPlacementBytes is the typical size of a placement in a chunk's record, in bytes. The same
+// size is reserved for a waiting task, which will have a placement later.
 const typicalPlacementBytes = 32
 
-// recordedTaskSizeBound bounds the size of a task in the chunk's record.
+// recordedTaskSizeBound returns an upper bound of a task's size in the chunk's record, in bytes.
 func (c *chunk) recordedTaskSizeBound(task int) int {
 	if c.job.taskStates[task] == taskDone {
 		return records.RangeBytes
@@ -175,24 +175,26 @@
 // isDirty reports whether the chunk has uncommitted changes.
 func (c *chunk) isDirty() bool { return len(c.dirtyTasks) > 0 }
 
-// sortedDirtyTasks lists the tasks with uncommitted changes in ascending order.
+// sortedDirtyTasks returns the tasks with uncommitted changes in ascending order.
 func (c *chunk) sortedDirtyTasks() []int { return slices.Sorted(maps.Keys(c.dirtyTasks)) }
 
-// limitCommittedVersion lowers the committed version below that of every uncommitted change.
+// limitCommittedVersion lowers the committed version below the version of each uncommitted change.
 func (c *chunk) limitCommittedVersion() {
 	for _, version := range c.dirtyTasks {
 		c.committedVersion = min(c.committedVersion, version-1)
 	}
 }
 
-// recomputeCommittedVersion derives the committed version from the uncommitted changes.
+// recomputeCommittedVersion sets the committed version to the highest that the uncommitted changes
+// allow.
 func (c *chunk) recomputeCommittedVersion() {
 	c.committedVersion = c.changeVersion
 	c.limitCommittedVersion()
 }
 
-// splitAt divides the chunk at the given tasks, in ascending order. The chunk keeps the first
-// piece and its name; the other pieces are returned and added to the job.
+// splitAt splits the chunk before each of the given tasks, which must be in ascending order. The
+// chunk keeps its name and the first range. Chunks for the other ranges are added to the job and
+// returned.
 func (c *chunk) splitAt(boundaries []int) []*chunk {
 	position := slices.Index(c.job.chunks, c)
 	ends := append(slices.Clone(boundaries[1:]), c.to)
@@ -207,7 +209,8 @@
 	return pieces
 }
 
-// splitOffRange returns a chunk of some of the tasks, to which their uncommitted changes move.
+// splitOffRange returns a new chunk of the tasks [from, to), and moves their uncommitted changes to
+// it.
 func (c *chunk) splitOffRange(from, to int) *chunk {
 	piece := newChunk(c.job, c.index, from, to, explicitRangeChunk)
 	piece.changeVersion = c.changeVersion
@@ -230,15 +233,16 @@
 	return piece
 }
 
-// setSplitFrom records that the chunk's state is in another chunk's record until it has its own.
+// setSplitFrom records that the chunk was split off from origin, whose record contains the state of
+// its tasks until it has a record of its own.
 func (c *chunk) setSplitFrom(origin *chunk) {
 	c.splitFrom = origin
 	origin.splitOffChunks = append(origin.splitOffChunks, c)
 }
 
-// splitOffChunksWritten reports whether all chunks that were split off have records, those in the
-// batch included. Until then the chunk's own record must stay as it is, since it contains the
-// only state of theirs.
+// splitOffChunksWritten reports whether each chunk that was split off has a record, or gets one
+// by the batch. Until then the chunk's own record must not be rewritten, because it contains the
+// only stored state of the tasks that were split off.
 func (c *chunk) splitOffChunksWritten(batch *Batch) bool {
 	for _, piece := range c.splitOffChunks {
 		if !piece.hasRecord() && !batch.writesChunk(piece) {
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -6,8 +6,8 @@
 	"ambersill/internal/records"
 )
 
-// A change that is made while a batch with an earlier one of the same task is on its way stays
-// uncommitted: the batch does not contain it.
+// A change to a task that is made while a batch with an earlier change to the same task is being
+// committed must stay uncommitted, because the batch does not contain it.
 func TestChangeDuringCommitStaysDirty(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -18,21 +18,21 @@
 	harness.journal.markDirty(chunk, 0)
 	harness.ConfirmBatch(batch, harness.revision+1)
 	if _, dirty := chunk.dirtyTasks[0]; !dirty {
-		t.Error("the later change counts as committed")
+		t.Error("task 0, changed after the batch was prepared, is not dirty after the commit, want dirty")
 	}
 	if _, dirty := chunk.dirtyTasks[1]; dirty {
-		t.Error("the committed change counts as uncommitted")
+		t.Error("task 1, whose only change was committed, is dirty, want not dirty")
 	}
 	if chunk.committedVersion >= chunk.changeVersion {
-		t.Errorf("version %d counts as committed, the last change has %d", chunk.committedVersion, chunk.changeVersion)
+		t.Errorf("committed version %d, want below version %d of the uncommitted change", chunk.committedVersion, chunk.changeVersion)
 	}
 	if next := harness.PrepareBatch(); next.Empty() {
-		t.Error("the next batch lacks the later change")
+		t.Error("next batch is empty, want the change made during the commit")
 	}
 }
 
-// The record of a chunk that was split contains the only state of the pieces until these have
-// records of their own, and must not be overwritten before.
+// After a split, the record of the original chunk contains the only stored state of the tasks that
+// were split off until the new chunks have records. It must not be overwritten before.
 func TestSplitChunkIsWrittenAfterSplitOffChunks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetLevel(records.FeatureExplicitChunks)
@@ -42,22 +42,22 @@
 	harness.journal.trackSplitOffChunks(origin, pieces)
 	for _, piece := range pieces {
 		if written := writtenChunkKeys(harness, origin); len(written) > 0 {
-			t.Fatalf("%v written while %s has no record", written, piece.name)
+			t.Fatalf("batch writes %v although chunk %s, which was split off, has no record; want no writes", written, piece.name)
 		}
 		piece.revision = harness.revision
 	}
 	if written := writtenChunkKeys(harness, origin); len(written) != 1 || written[0] != records.FirstChunkKey(0, job.ID) {
-		t.Errorf("%v written after all pieces", written)
+		t.Errorf("batch writes %v once all chunks that were split off have records, want only the original chunk", written)
 	}
 	if got := job.chunkOf(4); got != origin {
-		t.Errorf("task 4 is in %s", got.name)
+		t.Errorf("task 4 is in chunk %s, want the original chunk", got.name)
 	}
 	if got := job.chunkOf(12); got != pieces[1] {
-		t.Errorf("task 12 is in %s", got.name)
+		t.Errorf("task 12 is in chunk %s, want the second chunk that was split off", got.name)
 	}
 }
 
-// writtenChunkKeys returns the keys that a batch for a chunk's record alone would write.
+// writtenChunkKeys returns the keys that a batch writes to which only the given chunk is added.
 func writtenChunkKeys(harness *partitionHarness, chunk *chunk) []string {
 	builder := &batchBuilder{
 		partition: harness.Partition,
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -7,7 +7,8 @@
 	"ambersill/internal/wire"
 )
 
-// heartbeatCommands returns the commands for the response to a heartbeat.
+// heartbeatCommands returns the commands for the response to a heartbeat. Tasks are started only if
+// stateFresh is set, which is as with HandleHeartbeat.
 func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
@@ -24,8 +25,8 @@
 	return appendStartCommands(commands, machine, heartbeat.Sequence)
 }
 
-// stopOrForgetCommand returns the command that stops a task of the worker's list, or that has the
-// worker forget it; due is false if it needs neither.
+// stopOrForgetCommand returns the command that stops a task on the worker's list or makes the
+// worker forget it. due is false if the task needs neither.
 func (p *Partition) stopOrForgetCommand(machine *Machine, status *wire.TaskStatus, now time.Time) (command wire.Command, due bool) {
 	key := taskAttempt{status.Task, status.Attempt}
 	placement := machine.placements[key]
@@ -33,8 +34,8 @@
 	case status.State == wire.TaskExited:
 		return newCommand(wire.ForgetTask, key), machine.mayForget(key)
 	case placement == nil:
-		// No placement is recorded for the task: its job was cancelled or has ended, or
-		// the attempt was abandoned.
+		// There is no placement for the task, because its job was cancelled or has ended,
+		// or because the attempt was abandoned.
 		return newCommand(wire.StopTask, key), true
 	case placement.stopRequest != nil:
 		command = newCommand(wire.StopTask, key)
@@ -45,23 +46,23 @@
 	return wire.Command{}, false
 }
 
-// mayForget reports whether the worker may forget an exited task. While a direct request
-// may still be executed it must not: a delayed copy could start the task once more.
+// mayForget reports whether the worker may forget an exited task. It must not while a direct
+// request may still be executed, because a delayed copy of the request could start the task again.
 func (m *Machine) mayForget(key taskAttempt) bool {
 	if m.command.pending() {
 		return false
 	}
 	forget, known := m.pendingForgets[key]
-	// The end of an exited task that is not pending was committed before.
+	// If no forget is pending, the end of the task was committed before.
 	return !known || forget.isEndCommitted()
 }
 
-// appendStartCommands appends the starts of the machine's tasks, up to MaxCommands in all.
-// sequence is that of the heartbeat which is answered.
+// appendStartCommands appends start commands for the machine's tasks, up to MaxCommands commands
+// in total. sequence is the sequence number of the heartbeat to which they respond.
 //
-// A start that no heartbeat has shown is repeated, as its response may have been lost. The
-// worker cannot execute it twice: it sends its next heartbeat only after it has executed
-// the commands of the last response.
+// If no heartbeat has listed a task that was started, its start command is repeated, because the
+// response with the command may have been lost. The worker cannot execute the command twice,
+// because it sends its next heartbeat only after it has executed the commands of the last response.
 func appendStartCommands(commands []wire.Command, machine *Machine, sequence uint64) []wire.Command {
 	for _, key := range machine.startableTasks() {
 		if len(commands) >= tuning.MaxCommands {
@@ -75,19 +76,19 @@
 	return commands
 }
 
-// newCommand returns a command for a task, with the grace period of a stop left at 0.
+// newCommand returns a command for a task, with a grace period of 0.
 func newCommand(op wire.Op, key taskAttempt) wire.Command {
 	return wire.Command{Op: op, Task: key.task, Attempt: key.attempt}
 }
 
-// acceptsStarts reports whether tasks may be started on the machine. Before the worker has
-// shown the current token, a command of an earlier owner may still take effect.
+// acceptsStarts reports whether tasks may be started on the machine. Until the worker has
+// acknowledged the current token, a command of an earlier owner may still take effect.
 func (m *Machine) acceptsStarts() bool {
 	return m.token.acknowledged && !m.terminationNotice
 }
 
-// startPermitted reports whether the placement's start may be sent. It must be committed
-// first: the next owner would otherwise not know of the task.
+// startPermitted reports whether the start command for the placement may be sent. The placement
+// must be committed first, because the next owner would otherwise not know of the task.
 func (pl *Placement) startPermitted() bool {
 	if pl.start.observed || pl.stopRequest != nil || pl.gangDone || pl.job.Cancelled {
 		return false
@@ -96,27 +97,28 @@
 	return committed && pl.incarnation == pl.machine.latest.incarnation
 }
 
-// startableTasks returns the machine's placements whose starts may be sent, in order.
+// startableTasks returns the machine's placements whose start commands may be sent, sorted by task.
 func (m *Machine) startableTasks() []taskAttempt {
 	return m.selectPlacements((*Placement).startPermitted)
 }
 
-// startUnsent reports whether the placement's start is permitted and was not sent yet. A
-// start that was sent is repeated only in the response to a heartbeat, which shows that the
-// earlier one has not been executed.
+// startUnsent reports whether the start command for the placement may be sent and has not been
+// sent yet. A start command is repeated only in the response to a heartbeat, and only if the
+// heartbeat shows that the earlier command was not executed.
 func (pl *Placement) startUnsent() bool {
 	return !pl.start.sent && pl.machine.acceptsStarts() && pl.startPermitted()
 }
 
-// stopUnsent reports whether the placement's stop is still to be sent. fresh is as with
-// HandleHeartbeat: without it only tasks of cancelled jobs are stopped, as a cancellation
+// stopUnsent reports whether a stop command for the placement is still to be sent. stateFresh is as
+// with HandleHeartbeat. Without it, only tasks of cancelled jobs are stopped, because a cancellation
 // is never withdrawn.
 func (pl *Placement) stopUnsent(stateFresh bool) bool {
 	return pl.stopRequest != nil && !pl.stopRequest.sent && (stateFresh || pl.job.Cancelled)
 }
 
-// FencingRequest returns a command request without commands. It raises the token that the
-// worker has seen, so that an earlier owner's commands can no longer take effect.
+// FencingRequest returns a command request without commands. The request informs the worker of the
+// current token, after which commands of earlier owners can no longer take effect. The result is
+// false if the partition no longer has the machine.
 func (p *Partition) FencingRequest(id string) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || machine.Record.Released {
@@ -127,45 +129,45 @@
 	return request, true
 }
 
-// newCommandRequest returns a request that the worker refuses if it has seen a higher token or
-// is in another incarnation.
+// newCommandRequest returns a request without commands, which the worker refuses if it has seen a
+// higher token or is in another incarnation.
 func (m *Machine) newCommandRequest() wire.CommandRequest {
 	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
 }
 
-// UnfencedMachines lists the machines with tasks of an earlier owner that have not shown
-// the current token yet.
+// UnfencedMachines returns the IDs of the machines that have tasks of an earlier owner and whose
+// workers have not acknowledged any token of this owner.
 func (p *Partition) UnfencedMachines() []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.token.acknowledged && !machine.token.everAcknowledged && len(machine.placements) > 0
 	})
 }
 
-// MachinesNeedingHigherToken lists the machines whose records must be rewritten to raise their
-// tokens, because commands sent under the current one may still be executed.
+// MachinesNeedingHigherToken returns the IDs of the machines whose records must be rewritten to
+// raise their tokens, because commands sent under the current token may still be executed.
 func (p *Partition) MachinesNeedingHigherToken() []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return machine.command.needsHigherToken(machine.token.current)
 	})
 }
 
-// MachinesAwaitingCommands lists the machines to which commands should be sent before their
-// next heartbeat. fresh is as with HandleHeartbeat; without it only stops of cancelled jobs
-// are sent.
+// MachinesAwaitingCommands returns the IDs of the machines to which commands should be sent without
+// waiting for their next heartbeat. stateFresh is as with HandleHeartbeat. Without it, only stop
+// commands for cancelled jobs are sent.
 func (p *Partition) MachinesAwaitingCommands(stateFresh bool) []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(stateFresh)
 	})
 }
 
-// acceptsDirectCommands reports whether a command request may be sent straight to the
-// machine: to a worker that has shown the current token, one request at a time.
+// acceptsDirectCommands reports whether a command request may be sent directly to the machine. The
+// worker must have acknowledged the current token, and no earlier request may be pending.
 func (m *Machine) acceptsDirectCommands() bool {
 	return m.token.acknowledged && !m.command.pending()
 }
 
-// hasUnsentCommands reports whether a start or stop on the machine is still to be sent. fresh
-// is as with HandleHeartbeat.
+// hasUnsentCommands reports whether a start or stop command for the machine is still to be sent.
+// stateFresh is as with HandleHeartbeat.
 func (m *Machine) hasUnsentCommands(stateFresh bool) bool {
 	for _, placement := range m.placements {
 		if placement.stopUnsent(stateFresh) || (stateFresh && placement.startUnsent()) {
@@ -175,9 +177,10 @@
 	return false
 }
 
-// DirectCommands returns the starts and stops to send straight to a machine. Until the
-// request is answered, nothing else is started or forgotten there: a copy that the network
-// delays could start a task once more after the worker forgot it.
+// DirectCommands returns a request with the start and stop commands to send directly to a machine.
+// The result is false if there are none. Until a request with start commands is answered, no other
+// task is started or forgotten on the machine, because a delayed copy of the request could start
+// a task again after the worker forgot it. stateFresh is as with HandleHeartbeat.
 func (p *Partition) DirectCommands(id string, stateFresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
@@ -195,8 +198,8 @@
 	return request, len(request.Commands) > 0
 }
 
-// directCommand returns the placement's command for a direct request and records that it is
-// sent; due is false if there is none.
+// directCommand returns the placement's command for a direct request, and records that it is sent.
+// due is false if there is none.
 func (pl *Placement) directCommand(key taskAttempt, stateFresh bool) (command wire.Command, due bool) {
 	switch {
 	case pl.stopUnsent(stateFresh):
@@ -214,21 +217,21 @@
 	return wire.Command{}, false
 }
 
-// CommandOutcome is the outcome of a command request.
+// CommandOutcome is the outcome of a command request, as far as the sender knows it.
 type CommandOutcome int
 
 // The outcomes of a command request.
 const (
 	// CommandsExecuted means that the worker confirmed the request.
 	CommandsExecuted CommandOutcome = iota
-	// CommandsNotExecuted means that the worker refused the request, or it was never sent.
+	// CommandsNotExecuted means that the worker refused the request, or that it was never sent.
 	CommandsNotExecuted
-	// CommandsUnknown means that no response arrived, so the request may be executed at any
-	// time.
+	// CommandsUnknown means that no response arrived, so that the request may have been executed
+	// or may be executed later.
 	CommandsUnknown
 )
 
-// HandleCommandOutcome records the outcome of a command request.
+// HandleCommandOutcome updates the placements on a machine with the outcome of a command request.
 func (p *Partition) HandleCommandOutcome(request wire.CommandRequest, id string, outcome CommandOutcome) {
 	machine := p.machines.get(id)
 	if machine == nil {
@@ -252,27 +255,28 @@
 	}
 }
 
-// resendStop has the placement's stop sent again.
+// resendStop marks the placement's stop command, if any, to be sent again.
 func (pl *Placement) resendStop() {
 	if pl.stopRequest != nil {
 		pl.stopRequest.sent = false
 	}
 }
 
-// recordStartOutcome records the outcome of a direct request with the placement's start.
+// recordStartOutcome records the outcome of a direct request that contained the placement's start
+// command.
 func (pl *Placement) recordStartOutcome(outcome CommandOutcome) {
 	switch outcome {
 	case CommandsExecuted:
 		pl.start.observed = true
 	case CommandsNotExecuted:
-		// A start that is to be stopped by now is not sent again, and the next heartbeat
-		// shows that the task is not there. It has to count as sent until then: nothing
-		// would ever free the placement otherwise.
+		// If a stop was requested meanwhile, the start is not sent again, and the next
+		// heartbeat shows that the task is not on the machine. Until then the start must
+		// count as sent, because the placement would otherwise never be freed.
 		pl.start.sent = pl.stopRequest != nil
 		pl.start.directToken = 0
 	case CommandsUnknown:
-		// The start may be executed as long as token and incarnation match, so the
-		// token has to be raised before the task's absence shows anything.
+		// The start may be executed as long as token and incarnation match. Only after the
+		// token is raised does the task's absence show that it is not started.
 		machine := pl.machine
 		machine.command.markUnconfirmed(machine.token.current)
 	}
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -9,15 +9,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A start must not be sent before the placement is committed, nor a forget before the end
-// is: the next owner would not know of the task.
+// A start command must not be sent before the placement is committed, and a forget command not before
+// the end of the task is committed, because the next owner would not know of the task.
 func TestStartAndForgetAreSentAfterTheirCommits(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addJob(newArrayJob("req-1", 1, 1))
 	harness.Schedule(harness.now)
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("commands before the commit: %v", got)
+		t.Fatalf("commands before the placement is committed: got %v, want none", got)
 	}
 	harness.commitBatches()
 	if diff := cmp.Diff([]string{"start req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
@@ -25,7 +25,7 @@
 	}
 	harness.endTask("m-1", "req-1/0", 1, wire.ExitDone)
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("commands before the end is committed: %v", got)
+		t.Fatalf("commands before the end is committed: got %v, want none", got)
 	}
 	harness.commitBatches()
 	if diff := cmp.Diff([]string{"clear req-1/0 1"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
@@ -33,8 +33,8 @@
 	}
 }
 
-// A start whose response was lost is repeated. A task that one heartbeat lists and the next
-// does not is lost, and is placed again as a new attempt.
+// A start command is repeated if the response that contained it was lost. A task that one heartbeat
+// lists and the next does not is lost, and is placed again as a new attempt.
 func TestLostStartIsRepeatedAndLostTaskIsRequeued(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
@@ -45,7 +45,7 @@
 	harness.sendHeartbeat("m-1")
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("a task that was observed is started again under its attempt: %v", got)
+		t.Fatalf("commands after an observed task is no longer listed: got %v, want none", got)
 	}
 	harness.scheduleAndCommit()
 	if diff := cmp.Diff([]string{"start req-1/0 2"}, commandTexts(harness.sendHeartbeat("m-1"))); diff != "" {
@@ -53,37 +53,38 @@
 	}
 }
 
-// A command request that was not answered may be executed later: until the worker has seen
-// a higher token, the task's absence shows nothing.
+// A command request that was not answered may still be executed later. Until the worker has seen a
+// higher token, the absence of the task from its list does not show that the task is lost.
 func TestUnansweredRequestKeepsItsPlacement(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	if got := harness.MachinesAwaitingCommands(true); len(got) != 1 {
-		t.Fatalf("machines awaiting commands: %v", got)
+		t.Fatalf("machines awaiting commands: got %v, want 1", got)
 	}
 	request, ok := harness.DirectCommands("m-1", true)
 	if !ok || len(request.Commands) != 1 {
-		t.Fatalf("direct commands: %v", request)
+		t.Fatalf("direct command request: got %v, want 1 command", request)
 	}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 0 {
-		t.Fatalf("commands while a request is in flight: %v", got)
+		t.Fatalf("commands while a request is in flight: got %v, want none", got)
 	}
 	harness.HandleCommandOutcome(request, "m-1", CommandsUnknown)
 	harness.sendHeartbeat("m-1")
 	if len(harness.machines.get("m-1").placements) != 1 || len(harness.MachinesNeedingHigherToken()) != 1 {
-		t.Fatal("the placement was detached although its start may still be executed")
+		t.Fatal("want the placement kept and the token to be raised while the start command may still be executed")
 	}
 	harness.revision++
 	record := harness.machines.get("m-1").Record
 	record.FencingToken = harness.revision
 	harness.SetMachine("m-1", record, harness.revision, harness.now) // the record is rewritten
-	harness.sendHeartbeat("m-1")                                     // carries the higher token
+	harness.sendHeartbeat("m-1")                                     // the heartbeat carries the higher token
 	if len(harness.machines.get("m-1").placements) != 0 || harness.machines.get("m-1").command.unconfirmed {
-		t.Fatal("the placement is kept although its start can no longer be executed")
+		t.Fatal("want the placement detached once the worker has seen the higher token, as its start can no longer be executed")
 	}
 }
 
-// A command request that was never sent is sent again, stops included, and raises no token:
-// that takes a write to the key-value store for every machine of a zone that is cut off.
+// A command request that was never sent is sent again, including its stop commands. The token is not
+// raised, because that would take a write to the key-value store for each machine of a zone that is
+// cut off.
 func TestUnsentRequestIsSentAgain(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
@@ -93,11 +94,11 @@
 	harness.Cancel("req-1", harness.now)
 	first, _ := harness.DirectCommands("m-1", true)
 	if len(first.Commands) != 2 || len(harness.MachinesAwaitingCommands(true)) != 0 {
-		t.Fatalf("direct commands %v, machines awaiting commands %v", first.Commands, harness.MachinesAwaitingCommands(true))
+		t.Fatalf("first request: got commands %v, machines awaiting commands %v; want 2 commands, no machines", first.Commands, harness.MachinesAwaitingCommands(true))
 	}
 	harness.HandleCommandOutcome(first, "m-1", CommandsNotExecuted)
 	if len(harness.MachinesNeedingHigherToken()) != 0 || len(harness.MachinesAwaitingCommands(true)) != 1 {
-		t.Fatalf("machines to refence %v, machines awaiting commands %v", harness.MachinesNeedingHigherToken(), harness.MachinesAwaitingCommands(true))
+		t.Fatalf("after the unsent request: got machines needing a higher token %v, machines awaiting commands %v; want none, 1", harness.MachinesNeedingHigherToken(), harness.MachinesAwaitingCommands(true))
 	}
 	again, _ := harness.DirectCommands("m-1", true)
 	if diff := cmp.Diff(commandTexts(first.Commands), commandTexts(again.Commands)); diff != "" {
@@ -105,7 +106,7 @@
 	}
 }
 
-// A cancelled job's tasks are stopped, and its records are deleted last.
+// A cancelled job's tasks are stopped before its records are deleted.
 func TestCancelledJobIsStoppedThenDeleted(t *testing.T) {
 	harness := newHarnessWithPlacedJob(2)
 	harness.sendHeartbeat("m-1")
@@ -113,10 +114,10 @@
 	harness.Cancel("req-1", harness.now)
 	harness.commitBatches()
 	if len(harness.jobs) != 1 {
-		t.Fatal("the job is dropped while its tasks are on a machine")
+		t.Fatal("cancelled job is removed while its tasks are on a machine, want it kept")
 	}
 	if got := commandTexts(harness.sendHeartbeat("m-1")); len(got) != 2 {
-		t.Fatalf("commands: %v", got)
+		t.Fatalf("commands after the cancellation: got %v, want 2", got)
 	}
 	harness.sendHeartbeat("m-1")
 	batch := harness.PrepareBatch()
@@ -129,8 +130,9 @@
 	}
 }
 
-// A task is cancelled while the request with its start is in flight, which turns out never
-// to have been sent. The placement must not use its capacity and its team's quota forever.
+// A job is cancelled while a request with a start command for its task is in flight, and the request
+// turns out never to have been sent. The placement must not use capacity and its team's
+// quota forever.
 func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	request, _ := harness.DirectCommands("m-1", true)
@@ -142,12 +144,12 @@
 		harness.scheduleAndCommit()
 	}
 	if len(harness.machines.get("m-1").placements) != 0 || harness.jobs["req-1"] != nil {
-		t.Errorf("%d placements left, job known: %v", len(harness.machines.get("m-1").placements), harness.jobs["req-1"] != nil)
+		t.Errorf("placements left %d, cancelled job known %v; want 0, false", len(harness.machines.get("m-1").placements), harness.jobs["req-1"] != nil)
 	}
 }
 
-// A job's cancellation may become known before its submission, when the watch lags: none of
-// its tasks may start, and its records are deleted.
+// If the watch lags, a job's cancellation may become known before its submission. None of its tasks
+// may then start, and its records must be deleted.
 func TestJobCancelledBeforeItIsKnownNeverStarts(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -156,10 +158,10 @@
 	harness.addJob(newArrayJob("req-2", 1, 1))
 	harness.Schedule(harness.now)
 	if placements := len(harness.machines.get("m-1").placements); placements != 1 {
-		t.Errorf("%d placements beside a cancelled job", placements)
+		t.Errorf("placements with a cancelled job and another job: got %d, want 1", placements)
 	}
 	harness.commitBatches()
 	if harness.jobs["req-1"] != nil {
-		t.Error("the cancelled job's records are not deleted")
+		t.Error("cancelled job is still known after its records were to be deleted")
 	}
 }
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -9,21 +9,21 @@
 	"ambersill/internal/tuning"
 )
 
-// Parameters of compaction.
 const (
-	// compactionRingDivisor divides the ring's length: a chunk is due once the ring is within this
-	// fraction of overwriting a change that the chunk's record lacks.
+	// compactionRingDivisor sets the margin of compaction: a chunk is due once at most
+	// 1/compactionRingDivisor of the ring's slots can be written before the ring overwrites a
+	// change that is missing from the chunk's record.
 	compactionRingDivisor = 4
-	// compactionMarginBatches is the number of full batches before such an overwrite at which a chunk
-	// is due at the latest. With small values a batch writes many journal records, and the ring
-	// could otherwise overwrite a change between two batches.
+	// compactionMarginBatches is the least margin, in full batches before such an overwrite. If
+	// the maximum value size is small, a batch writes many journal records, and the ring could
+	// otherwise overwrite a change between two batches.
 	compactionMarginBatches = 2
-	// compactionWriteDivisor divides a batch: compaction uses this fraction of it while the
-	// journal can be appended to, so that neither blocks the other.
+	// compactionWriteDivisor limits compaction to 1/compactionWriteDivisor of a batch's writes
+	// while the journal can be appended to, so that neither blocks the other.
 	compactionWriteDivisor = 2
 )
 
-// formatConversion limits the rate at which records are rewritten to convert their format.
+// formatConversion limits the rate at which records are rewritten only to convert their format.
 type formatConversion struct {
 	lastRewrite time.Time
 }
@@ -33,8 +33,9 @@
 	return now.Sub(f.lastRewrite) >= tuning.ConversionGap
 }
 
-// compact adds the records of chunks whose journaled changes the ring will soon overwrite. It
-// reports whether the journal can be appended to before those records are committed.
+// compact adds the records of chunks whose journaled changes the ring will soon overwrite. If there
+// are none, it may add a record to convert its format. It reports whether the journal can be
+// appended to before the records are committed.
 func (b *batchBuilder) compact() bool {
 	due := b.chunksToCompact()
 	if len(due) == 0 {
@@ -56,9 +57,9 @@
 	return canAppend
 }
 
-// oldestUncompactedSequence returns the oldest sequence that the chunks' records lack. It is 0, which
-// blocks the journal, while the first of them is a piece without journaled changes that has
-// to be written before the chunk that it was split off from.
+// oldestUncompactedSequence returns the lowest sequence of a journal record that is missing from one
+// of the chunks' records. It returns 0, which blocks the journal, if the first chunk has no
+// journaled changes. Such a chunk must be written before the chunk that it was split off from.
 func oldestUncompactedSequence(due []*chunk) uint64 {
 	oldest := due[0].oldestUncompactedSequence
 	for _, chunk := range due {
@@ -69,8 +70,8 @@
 	return oldest
 }
 
-// chunksToCompact lists the chunks that are due, the job first whose journaled changes are the
-// oldest; within a job what was split off precedes what it was split off from.
+// chunksToCompact returns the chunks that are due, ordered by the age of their jobs' oldest journaled
+// changes. Within a job, a chunk that was split off precedes the chunk that it was split off from.
 func (b *batchBuilder) chunksToCompact() []*chunk {
 	var due []*chunk
 	oldest := map[*Job]uint64{}
@@ -93,8 +94,8 @@
 	return due
 }
 
-// unwrittenSplitOffChunks returns the chunks that were split off from a chunk and have neither a record
-// nor journaled changes that make them due themselves.
+// unwrittenSplitOffChunks returns the chunks that were split off from origin and have neither a record
+// nor journaled changes. They do not become due by themselves.
 func (b *batchBuilder) unwrittenSplitOffChunks(origin *chunk) []*chunk {
 	var pieces []*chunk
 	for _, piece := range origin.splitOffChunks {
@@ -105,8 +106,8 @@
 	return pieces
 }
 
-// compactionDue reports whether the ring will soon overwrite a change that an uncompacted
-// chunk's record lacks.
+// compactionDue reports whether the ring will soon overwrite a change that is missing from an
+// uncompacted chunk's record.
 func (b *batchBuilder) compactionDue(chunk *chunk) bool {
 	if chunk.job.recordsDeletable() || chunk.job == b.batch.endedJob {
 		return false
@@ -116,8 +117,8 @@
 	return chunk.oldestUncompactedSequence+journal.slotCount() <= journal.sequence+margin
 }
 
-// convertFormat rewrites one record of the initial format if the next conversion is due, so
-// that eventually none remains.
+// convertFormat adds one record to convert it from the initial format if the next conversion is
+// due, so that eventually no record of that format remains.
 func (b *batchBuilder) convertFormat() {
 	p := b.partition
 	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleTime) || !b.canWrite(1) {
@@ -129,8 +130,9 @@
 	}
 }
 
-// writeChunk adds a chunk's record to the batch unless that then exceeds maxWrites changes. A
-// record that would outgrow a value is split first, and the pieces are written before it.
+// writeChunk adds a chunk's record to the batch unless the batch already has maxWrites writes. A
+// chunk whose record would exceed the maximum value size is split first, and the records of the
+// chunks that are split off are written before its own.
 func (b *batchBuilder) writeChunk(chunk *chunk, maxWrites int) {
 	if b.partition.layout.writesExplicitRanges() {
 		chunk.format = explicitRangeChunk
@@ -146,8 +148,8 @@
 	b.putChunk(chunk, record)
 }
 
-// splitIfTooLarge splits a chunk whose record would outgrow a value, and returns the pieces
-// that were split off.
+// splitIfTooLarge splits a chunk if its record would exceed the maximum value size. It returns the
+// chunks that were split off.
 func (b *batchBuilder) splitIfTooLarge(chunk *chunk) []*chunk {
 	layout := &b.partition.layout
 	record := chunk.record()
@@ -163,8 +165,8 @@
 	return pieces
 }
 
-// putChunk adds a chunk's record to the batch if the transaction's size limit permits. A
-// batch without other changes accepts a record of any size, or it could never be written.
+// putChunk adds a chunk's record to the batch if the size limit of a transaction permits it. An
+// empty batch accepts a record of any size, because the record could never be written otherwise.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
 	sizeBound := record.SizeBound()
 	if b.sizeBound > 0 && b.sizeBound+sizeBound > tuning.TxnBytes {
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/wire"
 )
 
-// ConfirmBatch applies the outcome of a batch that was committed at the given revision.
+// ConfirmBatch updates the partition after a batch was committed at the given revision.
 func (p *Partition) ConfirmBatch(batch *Batch, revision uint64) {
 	p.confirmJournal(batch, revision)
 	p.confirmChunks(batch, revision)
@@ -48,8 +48,8 @@
 	}
 }
 
-// finalizeJob removes a job whose end is committed. Placements of a finished gang whose ends
-// the workers have not reported yet keep their capacity until they do.
+// finalizeJob removes a job whose end is committed. If a worker has not reported the end of a
+// finished gang's task yet, the task's placement keeps its capacity until it does.
 func (p *Partition) finalizeJob(job *Job) {
 	job.finalized = true
 	delete(p.jobs, job.ID)
@@ -61,10 +61,10 @@
 	p.finishedJobs = append(p.finishedJobs, job)
 }
 
-// RefreshKey applies what a read of one of a batch's keys found after an unknown outcome or a
-// conflict; record is that of a job's key, or nil. All of the batch's changes stay dirty, so
-// that the next commit rewrites the keys under their present revisions, which fences the
-// transaction if it is still under way.
+// RefreshKey updates the revision of one of a batch's keys, as read after a conflict or after a
+// commit with unknown outcome. record is the value read if the key is that of a job's record, or
+// nil. All changes of the batch remain dirty. The next commit therefore rewrites the keys under
+// their current revisions, so that the earlier transaction fails if it is still in transit.
 func (p *Partition) RefreshKey(batch *Batch, key string, revision uint64, record *records.JobRecord, now time.Time) {
 	switch {
 	case batch.endedJob != nil && key == records.JobKey(batch.endedJob.ID):
@@ -75,7 +75,8 @@
 	}
 }
 
-// refreshJob applies what a read of the record of a job that was to end has found.
+// refreshJob updates a job, whose end the batch was to commit, from the job's record as read. record
+// is nil if there is none.
 func (p *Partition) refreshJob(job *Job, revision uint64, record *records.JobRecord, now time.Time) {
 	job.Revision = revision
 	if record == nil {
@@ -91,7 +92,8 @@
 	}
 }
 
-// refreshJournal updates the revision of a key of the journal, and reports whether it is one.
+// refreshJournal updates the revision of the key if it is that of one of the batch's journal
+// records, and reports whether it is.
 func (p *Partition) refreshJournal(batch *Batch, key string, revision uint64) bool {
 	for _, sequence := range batch.journalSequences {
 		if key == p.journal.key(sequence) {
@@ -102,7 +104,8 @@
 	return false
 }
 
-// refreshChunks updates the revision of a key of a chunk that the batch writes or deletes.
+// refreshChunks updates the revision of the key if it is that of a chunk that the batch writes or
+// deletes.
 func (p *Partition) refreshChunks(batch *Batch, key string, revision uint64) {
 	for _, write := range batch.chunkWrites {
 		if key == p.layout.chunkKey(write.chunk) {
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -12,38 +12,38 @@
 	"ambersill/internal/wire"
 )
 
-// The production version plays the same jobs, by testdata/production_exchange_test.go.txt; see
-// TestProductionExchange. The two agree on the encoding of exchange, on the jobs and on the
-// machines.
+// These helpers write and check the files of TestProductionExchange. The production version runs the
+// same jobs on the same machines by testdata/production_exchange_test.go.txt, which must use the same
+// encoding of exchange.
 
-// exchange is what one version has stored, and the state that it has in memory.
+// exchange contains the records that one version has stored, and its state in memory.
 type exchange struct {
 	Values    map[string]wire.Raw    `cbor:"Keys"`
 	Revisions map[string]uint64      `cbor:"Stamps"`
 	Jobs      map[string]exchangeJob `cbor:"Jobs"`
 }
 
-// exchangeJob is a job's state.
+// exchangeJob is a job's state in memory.
 type exchangeJob struct {
 	DoneTasks      int            `cbor:"Done"`
 	WaitingTasks   int            `cbor:"Waiting"`
 	HighestAttempt uint64         `cbor:"Try"`
-	Placements     map[int]string `cbor:"Live"` // machine, attempt and incarnation, by task
+	Placements     map[int]string `cbor:"Live"` // by task, formatted as machine, attempt and incarnation
 }
 
 const (
 	exchangeRounds       = 25
-	exchangeJournalSlots = 16 // few, so that chunks are compacted
+	exchangeJournalSlots = 16 // small, so that chunks are compacted
 )
 
 var exchangeMachines = []string{"m-1", "m-2", "m-3", "m-4"}
 
-// exchangeGroup is the group of machines that each version stores.
+// exchangeGroup is the record of a machine group that each version stores.
 var exchangeGroup = records.MachineGroupRecord{Machines: map[string]records.MachineRecord{
 	"m-1": {MachineType: "cpu", Zone: "a", Partition: 0, CreatedAtMS: 5, FencingToken: 7},
 }}
 
-// exchangeJobs returns the state of a partition's jobs.
+// exchangeJobs returns the states of a partition's jobs by job ID.
 func exchangeJobs(harness *partitionHarness) map[string]exchangeJob {
 	jobs := map[string]exchangeJob{}
 	for id, job := range harness.jobs {
@@ -61,7 +61,7 @@
 	return jobs
 }
 
-// newExchangeHarness returns a partition with the machines of the exchange.
+// newExchangeHarness returns a partition with the machines in exchangeMachines.
 func newExchangeHarness() *partitionHarness {
 	harness := newPartitionHarness()
 	for _, id := range exchangeMachines {
@@ -70,8 +70,8 @@
 	return harness
 }
 
-// writeExchange plays jobs for long enough that chunks are compacted, and writes what is stored
-// then to a file.
+// writeExchange runs jobs until chunks have been compacted, and writes the stored records and the
+// jobs' states to a file.
 func writeExchange(t *testing.T, file string) {
 	t.Helper()
 	harness := newExchangeHarness()
@@ -99,7 +99,7 @@
 	}
 }
 
-// submitExchangeJobs submits job arrays in the format below the feature level.
+// submitExchangeJobs submits job arrays whose records have the initial format.
 func submitExchangeJobs(harness *partitionHarness, store *fakeStore) {
 	for n := range 5 {
 		job := newArrayJob(fmt.Sprintf("req-%d", n), 150+50*n, 0.5)
@@ -110,7 +110,7 @@
 	}
 }
 
-// reportExchangeRound has the workers end a third of their tasks, except in the last round.
+// reportExchangeRound reports the end of a third of the workers' tasks, except in the last round.
 func reportExchangeRound(harness *partitionHarness, round int) {
 	causes := []wire.ExitCause{wire.ExitDone, wire.ExitStopped}
 	for i, id := range exchangeMachines {
@@ -125,7 +125,8 @@
 	}
 }
 
-// readExchange reads what another version has written, with enough in it for a comparison.
+// readExchange reads the file that another version has written. It fails the test if the file has
+// fewer than two jobs or no compacted chunk, since a comparison would then show little.
 func readExchange(t *testing.T, file string) *exchange {
 	t.Helper()
 	raw, err := os.ReadFile(file)
@@ -137,7 +138,7 @@
 		t.Fatal(err)
 	}
 	if len(stored.Jobs) < 2 {
-		t.Fatalf("%d jobs", len(stored.Jobs))
+		t.Fatalf("file of the other version has %d jobs, want at least 2", len(stored.Jobs))
 	}
 	compacted := 0
 	for key := range stored.Values {
@@ -146,12 +147,13 @@
 		}
 	}
 	if compacted == 0 {
-		t.Fatal("no chunk but the first ones has a record")
+		t.Fatal("only first chunks have records in the file of the other version, want at least one other chunk")
 	}
 	return &stored
 }
 
-// checkExchange loads what another version has stored, and compares the jobs' states.
+// checkExchange restores a partition from the records that another version has stored, and compares
+// the jobs' states.
 func checkExchange(t *testing.T, file string) {
 	t.Helper()
 	stored := readExchange(t, file)
@@ -161,11 +163,11 @@
 	harness := newExchangeHarness()
 	restore(t, harness, stored.Values, stored.Revisions)
 	if got := exchangeJobs(harness); !reflect.DeepEqual(got, stored.Jobs) {
-		t.Errorf("read %+v\nwritten %+v", got, stored.Jobs)
+		t.Errorf("jobs restored from the records of the other version: got %+v\nwant %+v", got, stored.Jobs)
 	}
 }
 
-// checkRecordDecodes decodes a record that is not loaded into a partition.
+// checkRecordDecodes checks that a record that is not part of a partition's state can be decoded.
 func checkRecordDecodes(t *testing.T, key string, value wire.Raw) {
 	t.Helper()
 	var record any
@@ -181,13 +183,13 @@
 	case strings.HasPrefix(key, "c/m/"):
 		group, err := records.DecodeMachineGroup(key[len("c/m/"):], value, 1)
 		if want := exchangeGroup.Machines["m-1"]; err != nil || group.Machines["m-1"] != want {
-			t.Errorf("group %+v, %v", group, err)
+			t.Errorf("decoded machine group %+v, error %v; want the record of m-1 in exchangeGroup", group, err)
 		}
 		return
 	default:
 		return
 	}
 	if err := wire.Unmarshal(value, record); err != nil {
-		t.Errorf("%s: %v", key, err)
+		t.Errorf("decoding the value of key %s: %v", key, err)
 	}
 }
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -7,23 +7,25 @@
 	"ambersill/internal/wire"
 )
 
-// HeartbeatVerdict is how a heartbeat is to be answered.
+// HeartbeatVerdict determines how a heartbeat is answered.
 type HeartbeatVerdict int
 
-// The verdicts on a heartbeat.
+// Verdicts on a heartbeat.
 const (
-	// HeartbeatAccepted: answer it with the commands, which renews the worker's lease.
+	// HeartbeatAccepted means that the heartbeat is answered with the commands for the worker,
+	// which renews the worker's lease.
 	HeartbeatAccepted HeartbeatVerdict = iota
-	// HeartbeatStale: it is older than what is known, and must not renew the lease.
+	// HeartbeatStale means that the heartbeat is older than the known state, and must not renew the
+	// worker's lease.
 	HeartbeatStale
-	// HeartbeatSuperseded: the worker has seen a higher fencing token, so this owner may
-	// have been deposed.
+	// HeartbeatSuperseded means that the worker has seen a higher fencing token, so this owner
+	// may have lost the partition.
 	HeartbeatSuperseded
-	// HeartbeatNotOwned: the machine does not belong to this partition.
+	// HeartbeatNotOwned means that the machine does not belong to this partition.
 	HeartbeatNotOwned
 )
 
-// String returns the verdict as it is logged.
+// String returns the verdict's name in log messages.
 func (v HeartbeatVerdict) String() string {
 	switch v {
 	case HeartbeatAccepted:
@@ -38,9 +40,9 @@
 	return "unknown"
 }
 
-// HandleHeartbeat reconciles the state with a worker's heartbeat and returns the commands
-// for the worker. fresh reports whether this owner has read the key-value store recently;
-// if not, a task of a cancelled job might be started, so no task is.
+// HandleHeartbeat reconciles the partition's state with a worker's heartbeat and returns the
+// response with the commands for the worker. stateFresh reports whether this owner has read the
+// key-value store recently. If not, no task is started, because its job may have been cancelled.
 func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
 	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
@@ -66,8 +68,8 @@
 	return HeartbeatAccepted, response
 }
 
-// checkHeartbeat decides whether a heartbeat may be answered. machine is nil if the
-// partition does not have it.
+// checkHeartbeat returns the verdict on a heartbeat. machine is nil if the partition does not have
+// the machine.
 func checkHeartbeat(machine *Machine, heartbeat *wire.Heartbeat) HeartbeatVerdict {
 	switch {
 	case machine == nil || machine.Record.Released:
@@ -77,38 +79,37 @@
 	case machine.isFromExpiredLease(heartbeat):
 		return HeartbeatStale
 	case machine.latest.isStale(heartbeat) && !machine.latest.isOvertaken(heartbeat):
-		// Heartbeats that a network partition held back arrive late, and their task
-		// lists are as old as they are.
+		// A heartbeat that a network partition delayed contains an outdated task list.
 		return HeartbeatStale
 	}
 	return HeartbeatAccepted
 }
 
-// isSuperseded reports whether the worker has seen a higher fencing token than this
-// owner's. A later owner may have issued it, whose decisions this one must not contradict.
+// isSuperseded reports whether the worker has seen a fencing token higher than this owner's. A
+// later owner may have issued that token, and this owner must not contradict its decisions.
 func (m *Machine) isSuperseded(message *wire.Heartbeat) bool {
 	return message.FencingToken > m.token.current
 }
 
-// isFromExpiredLease reports whether the heartbeat was sent under a lease that has expired
-// since. A worker raises its incarnation when its lease expires, so what still arrives from
-// the old one is a delayed copy, and the machine may be dead.
+// isFromExpiredLease reports whether the heartbeat was sent under a lease that has expired since.
+// A worker increments its incarnation when its lease expires, so a heartbeat of the old incarnation
+// is a delayed copy and does not show that the machine is alive.
 func (m *Machine) isFromExpiredLease(heartbeat *wire.Heartbeat) bool {
 	return m.lease.expired && heartbeat.Incarnation <= m.latest.incarnation
 }
 
-// acceptOvertakenHeartbeat accepts a heartbeat that a response to commands has overtaken. Its task
-// list is outdated, so it is not reconciled; but if it were refused, the worker would turn
-// to another controller.
+// acceptOvertakenHeartbeat accepts a heartbeat that was overtaken by a response to a command
+// request. Its task list is outdated and is not reconciled. The heartbeat is answered nevertheless,
+// because the worker would otherwise switch to another controller.
 func (m *Machine) acceptOvertakenHeartbeat(heartbeat *wire.Heartbeat, now time.Time) {
 	m.latest.overtakenSequence = heartbeat.Sequence
 	m.lease.lastAnsweredAt = now
 }
 
-// detectUnreachableWorker finds a worker whose heartbeats arrive but which receives no
-// responses: its lease expired, which its new incarnation shows, although all its
-// heartbeats were answered for as long as the lease lasts. No task is placed there until
-// the worker has shown a token that it can have from a response only.
+// detectUnreachableWorker detects a worker that sends heartbeats but receives no responses. Its new
+// incarnation shows that its lease expired, although all of its heartbeats were answered during a
+// whole lease duration. No task is placed on its machine until the worker has acknowledged a higher
+// token, which it can learn only from a response.
 func (p *Partition) detectUnreachableWorker(machine *Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	leaseDuration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS)
 	lease := &machine.lease
@@ -126,7 +127,7 @@
 	lease.answeredSince = now
 }
 
-// renewLease records that a heartbeat is answered, which renews the worker's lease.
+// renewLease records that a heartbeat is answered now, which renews the worker's lease.
 func (p *Partition) renewLease(machine *Machine, now time.Time) {
 	machine.lease.lastAnsweredAt = now
 	if machine.lease.expired {
@@ -135,8 +136,7 @@
 	}
 }
 
-// setTerminationNotice records whether the cloud has announced that it will reclaim the
-// machine.
+// setTerminationNotice records whether the cloud has announced that it will reclaim the machine.
 func (p *Partition) setTerminationNotice(machine *Machine, noticed bool) {
 	if machine.terminationNotice != noticed {
 		machine.terminationNotice = noticed
@@ -144,15 +144,14 @@
 	}
 }
 
-// acknowledgeToken records that the worker has seen the current token, if the message
-// carries it.
+// acknowledgeToken records that the worker has seen the current token if the message carries it.
 func (p *Partition) acknowledgeToken(machine *Machine, message *wire.Heartbeat, now time.Time) {
 	if !machine.token.isCarriedBy(message) {
 		return
 	}
 	if !machine.token.everAcknowledged {
-		// The worker ignores responses of earlier owners from now on, so the lease
-		// was last renewed no later than this.
+		// From now on the worker ignores responses of earlier owners, so none of them can
+		// renew the lease after this time.
 		machine.token.everAcknowledged = true
 		machine.lease.lastAnsweredAt = now
 	}
@@ -166,18 +165,18 @@
 	}
 }
 
-// HandleCommandResponse reconciles the state with a worker's response to a command request.
-// It does not renew the lease, which only responses to heartbeats do.
+// HandleCommandResponse reconciles the partition's state with a worker's response to a command
+// request. It does not renew the worker's lease, which only the response to a heartbeat does.
 func (p *Partition) HandleCommandResponse(response *wire.Heartbeat, now time.Time) {
 	machine := p.machines.get(response.Machine)
 	if machine == nil || machine.isSuperseded(response) || machine.latest.isStale(response) {
 		return
 	}
 	if machine.token.everAcknowledged && response.Incarnation > machine.latest.incarnation {
-		// The worker's lease expired, and no heartbeat of the new incarnation has
-		// arrived. If tasks were placed in the new incarnation now, ExpireLeases would
-		// free them along with those of the old one, a lease too early: it counts the
-		// lease from the last answered heartbeat.
+		// The worker's lease has expired, and no heartbeat of the new incarnation has
+		// arrived yet. ExpireLeases counts the lease from the last answered heartbeat. It
+		// would free tasks placed in the new incarnation together with those of the old
+		// one, a lease duration too early.
 		return
 	}
 	machine.latest.recordResponse(response)
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -15,14 +15,14 @@
 	return &wire.Heartbeat{Machine: "m-1", Incarnation: incarnation, Sequence: sequence, FencingToken: token}
 }
 
-// handleHeartbeat returns the verdict on a heartbeat that arrives now.
+// handleHeartbeat passes a heartbeat to the partition at the current time and returns the verdict.
 func (h *partitionHarness) handleHeartbeat(heartbeat *wire.Heartbeat) HeartbeatVerdict {
 	verdict, _ := h.HandleHeartbeat(heartbeat, h.now, true)
 	return verdict
 }
 
-// restoreTask has the partition take over machine m-1 from an earlier owner, with a task
-// that was placed there in the given incarnation of its worker.
+// restoreTask restores a job with one task that an earlier owner placed on machine m-1 in the given
+// incarnation of its worker, and returns the machine.
 func (h *partitionHarness) restoreTask(incarnation uint64) *Machine {
 	h.revision++
 	h.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, h.revision, h.now)
@@ -36,7 +36,7 @@
 	return h.machines.get("m-1")
 }
 
-// isReportedUnhealthy reports whether the partition's summary has the leader replace the machine.
+// isReportedUnhealthy reports whether the partition's summary marks the machine as unhealthy.
 func (h *partitionHarness) isReportedUnhealthy(id string) bool {
 	return h.Summary(h.now).MachineDigests[id]&records.DigestUnhealthy != 0
 }
@@ -45,35 +45,35 @@
 	return h.machines.selectIDs(func(machine *Machine) bool { return h.isReportedUnhealthy(machine.ID) })
 }
 
-// A machine whose lease expired is kept for as long as another would take to boot: it may
-// only hang or be partitioned, and recover before. A quarantined one is replaced at once.
+// A machine whose lease expired is reported as unhealthy only after the time that another machine
+// takes to boot, because it may recover sooner. A quarantined machine is reported at once.
 func TestExpiredMachineIsUnhealthyOnlyAfterBootTime(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	harness.addMachine("m-2", "cpu", "a", false)
 	harness.machines.get("m-2").quarantined = true
-	harness.now = harness.now.Add(16 * time.Second) // beyond the lease
+	harness.now = harness.now.Add(16 * time.Second) // longer than the lease
 	harness.Schedule(harness.now)
 	if !harness.machines.get("m-1").lease.expired {
-		t.Fatal("the lease has not expired")
+		t.Fatal("lease of m-1 has not expired, want expired")
 	}
 	if diff := cmp.Diff([]string{"m-2"}, harness.unhealthyMachines()); diff != "" {
-		t.Fatal("unhealthy machines after the lease (-want +got):\n", diff)
+		t.Fatal("unhealthy machines after the lease expired (-want +got):\n", diff)
 	}
-	harness.now = harness.now.Add(31 * time.Second) // and a boot of 30 s
+	harness.now = harness.now.Add(31 * time.Second) // longer than the boot time of 30 s
 	if diff := cmp.Diff([]string{"m-1", "m-2"}, harness.unhealthyMachines()); diff != "" {
-		t.Fatal("unhealthy machines after a boot (-want +got):\n", diff)
+		t.Fatal("unhealthy machines after the boot time (-want +got):\n", diff)
 	}
 }
 
-// After a failover time alone frees nothing; once the worker has acknowledged the new
-// token, the expiry of its lease does.
+// After a failover, a placement of the earlier owner is not freed however much time passes. Only once
+// the worker has acknowledged the new owner's token is it freed when the lease expires.
 func TestFailoverFreesNoPlacementBeforeAcknowledgement(t *testing.T) {
 	harness := newPartitionHarness()
 	machine := harness.restoreTask(1)
 	harness.Schedule(harness.now.Add(time.Hour))
 	if len(machine.placements) != 1 {
-		t.Fatal("a placement of an earlier owner was freed by time alone")
+		t.Fatal("placement of an earlier owner was freed after 1 h without a heartbeat, want it kept")
 	}
 	harness.sequences["m-1"] = 5
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{
@@ -82,36 +82,36 @@
 	harness.sendHeartbeat("m-1")
 	harness.Schedule(harness.now.Add(14 * time.Second))
 	if len(machine.placements) != 1 {
-		t.Fatal("freed before the lease must have expired")
+		t.Fatal("placement was freed 14 s after the last heartbeat, before the lease must have expired")
 	}
 	harness.Schedule(harness.now.Add(20 * time.Second))
 	if len(machine.placements) != 0 {
-		t.Fatal("not freed after the lease")
+		t.Fatal("placement is kept 20 s after the last heartbeat, want it freed after the lease expired")
 	}
 }
 
-// A heartbeat under an older token shows nothing of what an earlier owner's last response
-// may still start; only one under the current token does.
+// A task that a heartbeat does not list is lost only if the heartbeat carries the current token.
+// Otherwise an earlier owner's last response may still start it.
 func TestMissingTaskCountsOnlyUnderCurrentToken(t *testing.T) {
 	harness := newPartitionHarness()
 	machine := harness.restoreTask(1)
 	harness.handleHeartbeat(newHeartbeat(1, 1, machine.token.current-1))
 	if len(machine.placements) != 1 {
-		t.Fatal("freed by a heartbeat under an older token")
+		t.Fatal("placement was freed by a heartbeat with an older token, want it kept")
 	}
 	harness.handleHeartbeat(newHeartbeat(1, 2, machine.token.current))
 	if len(machine.placements) != 0 {
-		t.Fatal("not freed by a heartbeat under the current token")
+		t.Fatal("placement is kept after a heartbeat with the current token that does not list the task, want it freed")
 	}
 }
 
-// Heartbeats that a network partition held back are older than what is known, and must
-// neither count nor be answered; a higher token means another owner.
+// Heartbeats that a network partition delayed are older than the known state, and must be neither
+// processed nor answered. A higher token shows that there is a later owner.
 func TestHeartbeatVerdicts(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	token := harness.machines.get("m-1").token.current
-	// The cases build on each other.
+	// Each case depends on the state after the previous one.
 	for _, test := range []struct {
 		name      string
 		heartbeat *wire.Heartbeat
@@ -129,7 +129,8 @@
 	}
 }
 
-// newExpiredHarness returns a partition with a task on a spot instance whose lease expired.
+// newExpiredHarness returns a partition with a spot instance on which a task ran until its lease
+// expired, and the machine.
 func newExpiredHarness() (*partitionHarness, *Machine) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", true)
@@ -143,29 +144,29 @@
 	return harness, harness.machines.get("m-1")
 }
 
-// Once the lease has expired, a delayed heartbeat of the old incarnation does not make a
-// dead machine look alive; one of the next incarnation shows that it is back.
+// After a lease has expired, a delayed heartbeat of the old incarnation must not make the machine
+// usable again. A heartbeat of the next incarnation shows that it is alive.
 func TestDelayedHeartbeatDoesNotReviveExpiredMachine(t *testing.T) {
 	harness, machine := newExpiredHarness()
 	token := machine.token.current
 	if verdict := harness.handleHeartbeat(newHeartbeat(1, 90, token)); verdict != HeartbeatStale {
-		t.Fatalf("verdict %v on a heartbeat of the old incarnation", verdict)
+		t.Fatalf("verdict on a heartbeat of the old incarnation: got %v, want stale", verdict)
 	}
 	if !machine.lease.expired || machine.usable() {
-		t.Fatal("a delayed heartbeat makes a dead machine look alive")
+		t.Fatal("machine is usable or its lease valid after a delayed heartbeat, want neither")
 	}
 	if verdict := harness.handleHeartbeat(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted || machine.lease.expired {
-		t.Fatalf("verdict %v, lease expired %v after a heartbeat of the next incarnation", verdict, machine.lease.expired)
+		t.Fatalf("after a heartbeat of the next incarnation: got verdict %v, lease expired %v; want accepted, false", verdict, machine.lease.expired)
 	}
 }
 
-// A heartbeat that was overtaken by a response to commands is older than that response, so
-// it does not clear a termination notice.
+// A heartbeat that was overtaken by a response to a command request is older than the response, so it
+// must not clear a termination notice.
 func TestOvertakenHeartbeatDoesNotClearTerminationNotice(t *testing.T) {
 	harness, machine := newExpiredHarness()
 	token := machine.token.current
 	if verdict := harness.handleHeartbeat(newHeartbeat(2, 91, token)); verdict != HeartbeatAccepted {
-		t.Fatalf("verdict %v on a heartbeat of the next incarnation", verdict)
+		t.Fatalf("verdict on a heartbeat of the next incarnation: got %v, want accepted", verdict)
 	}
 	noticeS := 9.0
 	noticed := newHeartbeat(2, 92, token)
@@ -177,12 +178,12 @@
 	for _, sequence := range []uint64{91, 94} {
 		harness.handleHeartbeat(newHeartbeat(2, sequence, token))
 		if !machine.terminationNotice {
-			t.Fatalf("heartbeat %d clears the notice", sequence)
+			t.Fatalf("termination notice was cleared by heartbeat %d, which was overtaken or stale", sequence)
 		}
 	}
 }
 
-// For a new owner a delayed heartbeat under an earlier owner's token frees nothing.
+// A delayed heartbeat with an earlier owner's token must not free a placement for a new owner.
 func TestDelayedHeartbeatFreesNothingForNewOwner(t *testing.T) {
 	earlierOwner := newPartitionHarness()
 	earlierOwner.addMachine("m-1", "cpu", "a", true)
@@ -196,14 +197,14 @@
 	} {
 		harness.handleHeartbeat(delayed)
 		if len(machine.placements) != 1 || machine.usable() {
-			t.Fatalf("a delayed heartbeat frees a placement, or makes its machine usable: %+v", delayed)
+			t.Fatalf("placement freed or machine usable after a delayed heartbeat with an earlier token: %+v", delayed)
 		}
 	}
 }
 
-// A worker that receives no responses is in a new incarnation, since its lease expired,
-// although all its heartbeats were answered. It gets no tasks until it shows a raised token,
-// and counts as unhealthy if it does not.
+// If a worker receives no responses, its lease expires and it enters a new incarnation although all
+// of its heartbeats were answered. It must get no tasks until it acknowledges a raised token, and is
+// reported as unhealthy if it does not.
 func TestUnreachableWorkerGetsNoTasks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -217,11 +218,11 @@
 	}
 	sendHeartbeats(1, 16*time.Second)
 	if !machine.usable() {
-		t.Fatal("not usable although its lease has not expired")
+		t.Fatal("machine is not usable although its lease has not expired")
 	}
 	sendHeartbeats(2, 2*time.Second)
 	if machine.usable() || len(harness.MachinesNeedingHigherToken()) != 1 {
-		t.Fatal("usable although its lease expired while its heartbeats were answered")
+		t.Fatal("machine is usable or needs no higher token although its lease expired while its heartbeats were answered")
 	}
 	record := machine.Record
 	record.FencingToken = harness.revision + 1
@@ -232,18 +233,18 @@
 		harness.handleHeartbeat(newHeartbeat(3, sequence, record.FencingToken-1))
 	}
 	if machine.usable() || !harness.isReportedUnhealthy("m-1") {
-		t.Fatal("not unhealthy although it does not show the raised token")
+		t.Fatal("machine is usable or healthy although its worker has not acknowledged the raised token")
 	}
 	harness.handleHeartbeat(newHeartbeat(3, sequence+1, record.FencingToken))
 	if !machine.usable() || harness.isReportedUnhealthy("m-1") {
-		t.Fatal("not usable although it has shown the raised token")
+		t.Fatal("machine is not usable or unhealthy although its worker has acknowledged the raised token")
 	}
 }
 
-// A worker whose heartbeats reach no controller, while commands reach it, is in a new
-// incarnation when it refuses them. Nothing may be placed in that one before a heartbeat
-// shows it: it would be freed together with the old one's tasks, and run elsewhere while it
-// still runs here.
+// A worker whose heartbeats reach no controller enters a new incarnation, and may be known to be in it
+// only because it refuses commands. No task may be placed in the new incarnation before a heartbeat
+// of it arrives. The task would be freed together with those of the old incarnation, and would run on
+// another machine while it still runs on this one.
 func TestNewIncarnationNeedsHeartbeat(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -254,56 +255,56 @@
 	harness.HandleCommandResponse(refusal, harness.now)
 	harness.scheduleAndCommit()
 	if request, ok := harness.DirectCommands("m-1", true); ok && request.Incarnation != 1 {
-		t.Errorf("commands in incarnation %d, of which no heartbeat has arrived", request.Incarnation)
+		t.Errorf("direct commands for incarnation %d, of which no heartbeat has arrived; want 1 or no commands", request.Incarnation)
 	}
 	harness.now = harness.now.Add(2 * time.Second)
 	harness.Schedule(harness.now)
 	if !machine.lease.expired {
-		t.Error("the lease has not expired")
+		t.Error("lease of m-1 has not expired, want expired")
 	}
 	verdict := harness.handleHeartbeat(newHeartbeat(2, 51, machine.token.current))
 	if verdict != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
-		t.Errorf("verdict %v, lease expired %v, incarnation %d after the first heartbeat of incarnation 2",
+		t.Errorf("after the first heartbeat of incarnation 2: got verdict %v, lease expired %v, incarnation %d; want accepted, false, 2",
 			verdict, machine.lease.expired, machine.latest.incarnation)
 	}
 }
 
-// A heartbeat in which nothing has changed, the most frequent request, asks for no
-// scheduling cycle and costs few allocations however many tasks the machine has.
+// A heartbeat that reports no change is the most frequent request. It must not trigger a scheduling
+// cycle, and must make few allocations however many tasks the machine has.
 func TestUnchangedHeartbeatIsCheap(t *testing.T) {
 	harness := newHarnessWithPlacedJob(8)
 	harness.sendHeartbeat("m-1")
 	harness.sendHeartbeat("m-1")
 	harness.scheduleAndCommit()
 	if harness.NeedsScheduling() {
-		t.Error("scheduling is needed after a cycle that left nothing to do")
+		t.Error("scheduling is needed after a cycle that left nothing to do, want not needed")
 	}
 	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines.get("m-1").token.current)
 	for _, status := range harness.workerTasks["m-1"] {
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
 	if len(heartbeat.Tasks) != 8 {
-		t.Fatalf("%d tasks run", len(heartbeat.Tasks))
+		t.Fatalf("worker runs %d tasks, want 8", len(heartbeat.Tasks))
 	}
 	allocations := testing.AllocsPerRun(100, func() {
 		heartbeat.Sequence++
 		verdict, response := harness.HandleHeartbeat(heartbeat, harness.now, true)
 		if verdict != HeartbeatAccepted || len(response.Commands) != 0 {
-			t.Fatalf("verdict %v, commands %v", verdict, response.Commands)
+			t.Fatalf("unchanged heartbeat: got verdict %v, commands %v; want accepted, none", verdict, response.Commands)
 		}
 	})
 	if allocations > 1 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("unchanged heartbeat makes %v allocations, want at most 1", allocations)
 	}
 	if harness.NeedsScheduling() {
-		t.Error("unchanged heartbeats ask for a scheduling cycle")
+		t.Error("scheduling is needed after unchanged heartbeats, want not needed")
 	}
 	heartbeat.Tasks[0].State = wire.TaskExited
 	heartbeat.Tasks[0].ExitCause = wire.ExitDone
 	heartbeat.Sequence++
 	harness.handleHeartbeat(heartbeat)
 	if !harness.NeedsScheduling() {
-		t.Error("the end of a task asks for no scheduling cycle")
+		t.Error("scheduling is not needed after the end of a task, want needed")
 	}
 }
 
@@ -318,7 +319,7 @@
 	}
 	for verdict, want := range names {
 		if got := verdict.String(); got != want {
-			t.Errorf("verdict %d is logged as %q, want %q", int(verdict), got, want)
+			t.Errorf("name of verdict %d: got %q, want %q", int(verdict), got, want)
 		}
 	}
 }
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -7,26 +7,27 @@
 	"ambersill/internal/records"
 )
 
-// journal is a partition's ring of change records in the key-value store. Each record contains
-// the changes of many chunks since the record before, so that hundreds of starts and ends of
-// many jobs cost one put, not one per job. A chunk's own record is rewritten by compaction
-// only before the ring overwrites a change that it lacks.
+// journal is a partition's ring buffer of change records in the key-value store. Each record
+// contains the changes of many chunks since the previous record, so that hundreds of starts and
+// ends of many jobs take one put instead of one per job. Compaction rewrites a chunk's own record
+// only when the ring is about to overwrite a change that is missing from it.
 type journal struct {
-	prefix string // of the keys of the slots
-	// sequence is the last one assigned. Each is used once, whatever the outcome of its batch:
-	// a lost batch may still be applied late, and must then be older than what was written since.
+	prefix string // of the slots' keys
+	// sequence is the last sequence assigned. A sequence is never reused, whatever the outcome of
+	// its batch: a batch that was not answered may still be applied later, and its journal
+	// records must then have lower sequences than those written in the meantime.
 	sequence uint64
-	// slotRevisions are the revisions of the slots' keys, as last read or written.
+	// slotRevisions are the revisions of the slots' keys, as last read or written, by slot.
 	slotRevisions []uint64
-	// dirtyChunks have changes that are not committed.
+	// dirtyChunks are the chunks with uncommitted changes.
 	dirtyChunks map[*chunk]bool
-	// lastDirtyOrder counts the times that a chunk became dirty, which orders the dirty chunks.
+	// lastDirtyOrder is the dirtyOrder of the chunk that became dirty last.
 	lastDirtyOrder int
-	// uncompactedChunks have committed changes that only the journal contains.
+	// uncompactedChunks are the chunks with committed changes that only the journal contains.
 	uncompactedChunks map[*chunk]bool
 }
 
-// newJournal returns the empty journal of a partition.
+// newJournal returns an empty journal with the given number of slots.
 func newJournal(partition, slots int) journal {
 	return journal{
 		prefix:            records.JournalPrefix(partition),
@@ -36,35 +37,36 @@
 	}
 }
 
-// slotCount returns the number of records in the ring.
+// slotCount returns the number of records that the ring can contain.
 func (j *journal) slotCount() uint64 { return uint64(len(j.slotRevisions)) }
 
-// slot returns the place of a sequence in the ring.
+// slot returns the slot of the ring in which the record with the sequence is stored.
 func (j *journal) slot(sequence uint64) uint64 { return sequence % j.slotCount() }
 
-// key returns the key of the record with a sequence.
+// key returns the key of the record with the sequence.
 func (j *journal) key(sequence uint64) string {
 	return j.prefix + strconv.FormatUint(j.slot(sequence), 10)
 }
 
-// revision returns the revision of the key that a sequence's record is written to.
+// revision returns the revision of the key of the record with the sequence.
 func (j *journal) revision(sequence uint64) uint64 { return j.slotRevisions[j.slot(sequence)] }
 
-// setRevision sets the revision of the key that a sequence's record is written to.
+// setRevision sets the revision of the key of the record with the sequence.
 func (j *journal) setRevision(sequence, revision uint64) {
 	j.slotRevisions[j.slot(sequence)] = revision
 }
 
-// nextSequence assigns a sequence.
+// nextSequence increments the sequence and returns it.
 func (j *journal) nextSequence() uint64 {
 	j.sequence++
 	return j.sequence
 }
 
-// raiseSequence prevents a sequence that an earlier owner used from being assigned again.
+// raiseSequence ensures that sequences up to the given one, which an earlier owner used, are not
+// assigned again.
 func (j *journal) raiseSequence(sequence uint64) { j.sequence = max(j.sequence, sequence) }
 
-// hasDirtyChunks reports whether there are uncommitted changes.
+// hasDirtyChunks reports whether any chunk has uncommitted changes.
 func (j *journal) hasDirtyChunks() bool { return len(j.dirtyChunks) > 0 }
 
 // markDirty records that a task's state has changed and must be committed.
@@ -82,13 +84,14 @@
 	chunk.dirtyTasks[task] = chunk.changeVersion
 }
 
-// markChunkCommitted records that all changes of a chunk up to a version are committed.
+// markChunkCommitted records that all changes of a chunk up to the version are committed.
 func (j *journal) markChunkCommitted(chunk *chunk, version int) {
 	maps.DeleteFunc(chunk.dirtyTasks, func(_, changed int) bool { return changed <= version })
 	j.updateCommittedVersion(chunk, version)
 }
 
-// markTasksCommitted records that the changes of some tasks up to a version are committed.
+// markTasksCommitted records that the changes of the given tasks of a chunk, up to the version, are
+// committed.
 func (j *journal) markTasksCommitted(chunk *chunk, version int, tasks []int) {
 	for _, task := range tasks {
 		if chunk.dirtyTasks[task] <= version {
@@ -98,21 +101,23 @@
 	j.updateCommittedVersion(chunk, version)
 }
 
-// updateCommittedVersion raises the committed version after a commit.
+// updateCommittedVersion raises a chunk's committed version to the given one, as far as its
+// uncommitted changes allow.
 func (j *journal) updateCommittedVersion(chunk *chunk, version int) {
 	chunk.committedVersion = max(chunk.committedVersion, version)
 	chunk.limitCommittedVersion()
 	j.untrackIfClean(chunk)
 }
 
-// untrackIfClean removes a chunk without uncommitted changes from the dirty ones.
+// untrackIfClean removes a chunk from the dirty chunks if it has no uncommitted changes.
 func (j *journal) untrackIfClean(chunk *chunk) {
 	if !chunk.isDirty() {
 		delete(j.dirtyChunks, chunk)
 	}
 }
 
-// markUncompacted records that the journal record with a sequence has changes that the chunk's own lacks.
+// markUncompacted records that the journal record with the sequence contains changes that are
+// missing from the chunk's own record.
 func (j *journal) markUncompacted(chunk *chunk, sequence uint64) {
 	if chunk.oldestUncompactedSequence != 0 || chunk.job.finalized {
 		return
@@ -121,13 +126,13 @@
 	j.uncompactedChunks[chunk] = true
 }
 
-// markCompacted records that the chunk's own record contains all its journaled changes.
+// markCompacted records that the chunk's own record contains all of its journaled changes.
 func (j *journal) markCompacted(chunk *chunk) {
 	chunk.oldestUncompactedSequence = 0
 	delete(j.uncompactedChunks, chunk)
 }
 
-// trackSplitOffChunks tracks the pieces that were split off from a chunk with their changes.
+// trackSplitOffChunks starts tracking the changes of chunks that were split off from origin.
 func (j *journal) trackSplitOffChunks(origin *chunk, pieces []*chunk) {
 	for _, piece := range pieces {
 		if piece.isDirty() {
@@ -140,7 +145,7 @@
 	j.untrackIfClean(origin)
 }
 
-// untrackChunk stops tracking a chunk whose job has ended.
+// untrackChunk stops tracking the changes of a chunk whose job has ended.
 func (j *journal) untrackChunk(chunk *chunk) {
 	delete(j.dirtyChunks, chunk)
 	delete(j.uncompactedChunks, chunk)
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -13,30 +13,33 @@
 	"pgregory.net/rapid"
 )
 
-// testJournalSlots is small, so that the ring wraps around many times.
+// testJournalSlots is the number of slots in the journal. It is small, so that the ring wraps around
+// many times.
 const testJournalSlots = 8
 
-// loweredTxnOps is the limit of changes in a transaction after the limits are lowered.
+// loweredTxnOps is the maximum number of writes in a transaction after the limits are lowered.
 const loweredTxnOps = 3
 
-// takeoverTest plays an owner of a partition, whose records a successor reads at any moment.
+// takeoverTest simulates an owner of a partition. After each round, a new owner is restored from its
+// stored records.
 type takeoverTest struct {
 	t        *rapid.T
 	machines []string
 	owner    *partitionHarness
 	store    *fakeStore
-	ended    map[string]bool // tasks whose end a worker has reported
-	// In raiseLevelRound the feature level is raised; in loweredRound, a later one, the limits of
-	// the store are lowered to loweredKB: what is stored by then is larger than what may be
-	// written.
+	ended    map[string]bool // tasks that a worker has reported as done
+	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, a later one, the
+	// store's limits are lowered, that of values to loweredValueKB. Records that are stored by
+	// then may be larger than what may be written.
 	raiseLevelRound  int
 	lowerLimitsRound int
 	loweredValueKB   float64
 }
 
-// What a new owner reads, at any moment and whatever the outcome of single commits, must contain
-// every start that may have been sent and every end that was cleared, and no end that was never
-// reported. Records must stay within the store's limits.
+// Whenever a new owner takes over, and whatever the outcome of single commits, the stored records
+// must contain each placement whose start command may have been sent and each end of a task that the
+// worker may have forgotten, but no end that was never reported. Records must stay within the
+// store's limits.
 func TestJournalSurvivesTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		test := newTakeoverTest(t)
@@ -77,14 +80,15 @@
 	return test
 }
 
-// submit adds a job array of any length.
+// submit adds a job array of random length with the ID req-N.
 func (test *takeoverTest) submit(n int) {
 	tasks := rapid.IntRange(1, 300).Draw(test.t, "tasks")
 	job := newArrayJob(fmt.Sprintf("req-%d", n), tasks, 0.25)
 	test.store.submit(test.owner, &job, test.owner.Level())
 }
 
-// changeLevelAndLimits raises the feature level or lowers the limits in the round for it.
+// changeLevelAndLimits raises the feature level or lowers the store's limits in the round drawn for
+// it.
 func (test *takeoverTest) changeLevelAndLimits(round int) {
 	if round == test.raiseLevelRound {
 		test.owner.SetLevel(records.FeatureExplicitChunks)
@@ -101,7 +105,8 @@
 	test.owner.Schedule(test.owner.now)
 }
 
-// commitWithRandomOutcomes commits a few batches, of which some are lost, late or refused.
+// commitWithRandomOutcomes commits up to four batches, of which some are unanswered, delayed or
+// refused.
 func (test *takeoverTest) commitWithRandomOutcomes() {
 	outcomes := rapid.SampledFrom([]commitOutcome{
 		commitConfirmed, commitConfirmed, commitConfirmed, commitUnknown, commitDelayed, commitRefused,
@@ -118,7 +123,8 @@
 	}
 }
 
-// reportHeartbeats has the workers start what they are sent, and end some of their tasks.
+// reportHeartbeats sends heartbeats in which the workers start tasks as commanded and report the end
+// of some.
 func (test *takeoverTest) reportHeartbeats() {
 	causes := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped})
 	for _, id := range test.machines {
@@ -135,8 +141,9 @@
 	}
 }
 
-// checkInitialFormat checks that below their feature level chunks' records are as programs without
-// feature levels read them: numbered, and without a range of tasks.
+// checkInitialFormat checks that chunk records have the initial format, with a number as name and
+// without a range of tasks, as long as the feature level requires it. Versions that do not know
+// feature levels can read only this format.
 func (test *takeoverTest) checkInitialFormat() {
 	if test.owner.Level() != records.FeatureInitialFormat {
 		return
@@ -149,12 +156,12 @@
 		var record records.ChunkRecord
 		decodeStored(test.t, key, value, &record)
 		if _, err := strconv.Atoi(name); err != nil || record.From > 0 || record.To > 0 {
-			test.t.Fatalf("%s is in the new format below its level", key)
+			test.t.Fatalf("chunk record %s has an explicit range or name at the initial feature level, want the initial format", key)
 		}
 	}
 }
 
-// successor returns a new owner that knows only what the store contains.
+// successor returns a new owner that is restored from the store's records.
 func (test *takeoverTest) successor() *partitionHarness {
 	successor := newPartitionHarness()
 	successor.layout.limits = test.owner.layout.limits
@@ -167,14 +174,14 @@
 	return successor
 }
 
-// checkRestoredJobs checks what a new owner would read of each job.
+// checkRestoredJobs checks the state of each job that a new owner restores.
 func (test *takeoverTest) checkRestoredJobs(round int) {
 	successor := test.successor()
 	for id, job := range test.owner.jobs {
 		restored := successor.jobs[id]
 		if restored == nil {
 			if job.doneTasks < job.Tasks {
-				test.t.Fatalf("round %d: %s is not known to a new owner", round, id)
+				test.t.Fatalf("round %d: unfinished job %s is unknown to a new owner", round, id)
 			}
 			continue
 		}
@@ -183,39 +190,39 @@
 	}
 }
 
-// checkStarts checks that the new owner knows of every start that was sent.
+// checkStarts checks that the new owner knows of each placement whose start command was sent.
 func (test *takeoverTest) checkStarts(round int, job, restored *Job) {
 	for task, placement := range job.placements {
 		if !placement.start.sent {
 			continue
 		}
 		if placement.attempt > restored.highestAttempt {
-			test.t.Fatalf("round %d: attempt %d of %s was started, a new owner knows of %d", round, placement.attempt, job.ID, restored.highestAttempt)
+			test.t.Fatalf("round %d: start of attempt %d of job %s was sent, but the highest attempt known to a new owner is %d", round, placement.attempt, job.ID, restored.highestAttempt)
 		}
 		got := restored.placements[task]
 		if got == nil || got.attempt != placement.attempt || got.machine.ID != placement.machine.ID {
-			test.t.Fatalf("round %d: %s/%d attempt %d on %s was started, a new owner has %+v", round, job.ID, task, placement.attempt, placement.machine.ID, got)
+			test.t.Fatalf("round %d: start of task %s/%d attempt %d on machine %s was sent, but a new owner has placement %+v", round, job.ID, task, placement.attempt, placement.machine.ID, got)
 		}
 	}
 }
 
-// checkEnds checks that the new owner knows of every end that no worker reports any more, and of
-// none that was never reported.
+// checkEnds checks that the new owner knows of each end of a task that no worker reports any more,
+// and of no end that was never reported.
 func (test *takeoverTest) checkEnds(round int, job, restored *Job) {
 	for i, state := range job.taskStates {
 		task := wire.TaskName(job.ID, i)
 		if state == taskDone && restored.taskStates[i] != taskDone && !test.owner.workerReports(task) {
-			test.t.Fatalf("round %d: %s was cleared, but its end is not on record", round, task)
+			test.t.Fatalf("round %d: no worker reports task %s any more, but its end is missing from the stored records", round, task)
 		}
 	}
 	for i, state := range restored.taskStates {
 		if state == taskDone && !test.ended[wire.TaskName(job.ID, i)] {
-			test.t.Fatalf("round %d: %s/%d is done on record, but never ended", round, job.ID, i)
+			test.t.Fatalf("round %d: task %s/%d is done in the stored records, but no worker has reported that", round, job.ID, i)
 		}
 	}
 }
 
-// workerReports reports whether some worker still has a task in its heartbeats.
+// workerReports reports whether any worker still lists a task in its heartbeats.
 func (h *partitionHarness) workerReports(task string) bool {
 	for _, tasks := range h.workerTasks {
 		for key := range tasks {
@@ -230,22 +237,22 @@
 func (test *takeoverTest) checkLimits(round int) {
 	limits := test.owner.layout.limits
 	if test.store.largestValueBytes > int(limits.ValueKB*1024) || test.store.maxWrites > limits.TxnOps {
-		test.t.Fatalf("round %d: a value of %d bytes, a transaction of %d changes", round, test.store.largestValueBytes, test.store.maxWrites)
+		test.t.Fatalf("round %d: largest value has %d bytes and largest transaction %d writes, want both within the limits", round, test.store.largestValueBytes, test.store.maxWrites)
 	}
 }
 
-// checkAllCommitted checks that with every commit confirmed a new owner reads all there is.
+// checkAllCommitted checks that a new owner restores the full state after all commits are confirmed.
 func (test *takeoverTest) checkAllCommitted() {
 	const maxBatches = 2000
 	test.store.commitAll(test.owner, maxBatches)
 	if dirty := len(test.owner.journal.dirtyChunks); dirty > 0 {
-		test.t.Fatalf("%d chunks are not recorded in the end", dirty)
+		test.t.Fatalf("%d chunks are dirty after all batches were committed, want 0", dirty)
 	}
 	successor := test.successor()
 	for id, job := range test.owner.jobs {
 		restored := successor.jobs[id]
 		if restored.doneTasks != job.doneTasks || restored.waitingTasks != job.waitingTasks || restored.highestAttempt < job.highestAttempt {
-			test.t.Fatalf("%s: %d done, %d waiting, attempt %d; a new owner reads %d, %d, %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, restored.doneTasks, restored.waitingTasks, restored.highestAttempt)
+			test.t.Fatalf("job %s has %d done tasks, %d waiting tasks and highest attempt %d, but a new owner restores %d, %d and %d", id, job.doneTasks, job.waitingTasks, job.highestAttempt, restored.doneTasks, restored.waitingTasks, restored.highestAttempt)
 		}
 	}
 }
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -8,18 +8,18 @@
 	"ambersill/internal/tuning"
 )
 
-// journalRecordOverheadBytes bounds the size of a journal record without its entries.
+// journalRecordOverheadBytes is an upper bound of the size of a journal record without entries.
 const journalRecordOverheadBytes = 64
 
-// journalWriter adds journal records to a batch, each as full as a value permits.
+// journalWriter adds journal records to a batch and fills each up to the maximum value size.
 type journalWriter struct {
 	builder   *batchBuilder
-	record    *records.JournalRecord // the one being filled; nil: none
-	sizeBound int                    // bytes of its entries
+	record    *records.JournalRecord // the record being filled, or nil
+	sizeBound int                    // of the record's entries, in bytes
 }
 
-// appendJournalRecords adds the changes of all chunks to the batch as far as they fit, those first
-// that have waited the longest.
+// appendJournalRecords adds the changes of dirty chunks to the batch until it is full, beginning
+// with the chunks that have been dirty the longest.
 func (b *batchBuilder) appendJournalRecords() {
 	writer := &journalWriter{builder: b}
 	for _, chunk := range b.chunksToJournal() {
@@ -30,7 +30,8 @@
 	writer.flush()
 }
 
-// chunksToJournal lists the chunks with changes that the batch does not contain otherwise.
+// chunksToJournal returns the dirty chunks whose changes the batch does not contain already, those
+// that have been dirty the longest first.
 func (b *batchBuilder) chunksToJournal() []*chunk {
 	var chunks []*chunk
 	for chunk := range b.partition.journal.dirtyChunks {
@@ -42,7 +43,8 @@
 	return chunks
 }
 
-// appendChunk adds the changes of a chunk, and reports whether all of them fit the batch.
+// appendChunk adds the uncommitted changes of a chunk, and reports whether all of them fit into the
+// batch.
 func (w *journalWriter) appendChunk(chunk *chunk) bool {
 	tasks := chunk.sortedDirtyTasks()
 	for len(tasks) > 0 {
@@ -55,14 +57,14 @@
 			w.flush()
 			continue
 		}
-		count = max(count, 1) // a task that exceeds the limits alone must still be written
+		count = max(count, 1) // a single task is written even if it exceeds the limit
 		w.appendEntry(chunk, tasks[:count])
 		tasks = tasks[count:]
 	}
 	return true
 }
 
-// beginRecord begins a record, and reports whether the batch has capacity for one.
+// beginRecord begins a journal record, and reports whether the batch has capacity for one.
 func (w *journalWriter) beginRecord() bool {
 	if !w.builder.canWrite(1) || w.builder.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes {
 		return false
@@ -72,13 +74,13 @@
 	return true
 }
 
-// bytesLeft returns how many bytes the record may still grow by.
+// bytesLeft returns the number of bytes by which the record may still grow.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
 	return min(valueBytes, tuning.TxnBytes-w.builder.sizeBound) - w.sizeBound
 }
 
-// appendEntry adds the present state of some of a chunk's tasks to the record.
+// appendEntry adds the current state of the given tasks of a chunk to the record.
 func (w *journalWriter) appendEntry(chunk *chunk, tasks []int) {
 	entry := chunk.journalEntry(tasks)
 	w.record.Entries = append(w.record.Entries, entry)
@@ -91,7 +93,7 @@
 	})
 }
 
-// flush adds the record to the batch.
+// flush adds the record to the batch unless it has no entries.
 func (w *journalWriter) flush() {
 	if w.record == nil || len(w.record.Entries) == 0 {
 		return
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -10,19 +10,20 @@
 	"ambersill/internal/records"
 )
 
-// chunkLayout divides jobs' tasks into chunks, each with a record of its own. In the initial
-// format a chunk's name is its number, and its range follows from a setting. From
-// records.FeatureExplicitChunks on each record contains its range, so that a chunk whose record
-// would outgrow a value can be split, and a change of the setting moves no task.
+// chunkLayout divides jobs' tasks into chunks, each of which has its own record. In the initial
+// format a chunk is named by its index, and its range follows from the configured value size.
+// From feature level records.FeatureExplicitChunks on, each record contains its range. A chunk
+// whose record would exceed the maximum value size can then be split, and a change of the
+// configured size does not move tasks between chunks.
 type chunkLayout struct {
 	partition     int
-	tasksPerChunk int // of numbered chunks
-	// limits are those of the key-value store that everything written must keep to.
+	tasksPerChunk int // in numbered chunks
+	// limits are those of the key-value store for writes. ReduceWriteLimits may lower them.
 	limits       config.StateLimits
 	featureLevel records.FeatureLevel
 }
 
-// newChunkLayout returns the layout that the settings give a partition.
+// newChunkLayout returns a partition's layout for the given settings.
 func newChunkLayout(partition int, settings *config.Settings) chunkLayout {
 	return chunkLayout{
 		partition:     partition,
@@ -31,34 +32,35 @@
 	}
 }
 
-// Level returns the cluster's feature level as last set.
+// Level returns the cluster's feature level, as set by SetLevel.
 func (p *Partition) Level() records.FeatureLevel { return p.layout.featureLevel }
 
-// SetLevel sets the cluster's feature level, which never goes down.
+// SetLevel raises the cluster's feature level. A lower level is ignored.
 func (p *Partition) SetLevel(level records.FeatureLevel) {
 	p.layout.featureLevel = max(p.layout.featureLevel, level)
 }
 
-// Lower bounds of ReduceLimits.
+// Lower bounds of the limits that ReduceWriteLimits sets.
 const (
-	minValueKB = 1 // a job's description must still fit
-	minTxnOps  = 3 // the end of a job needs two changes, and one more must fit with them
+	minValueKB = 1 // a job's description must still fit into a value
+	minTxnOps  = 3 // committing a job's end takes two writes, and one more must fit with them
 )
 
-// ReduceWriteLimits halves what the next commits may contain, after the key-value store has found
-// one invalid: its limits are lower than the settings claim.
+// ReduceWriteLimits halves the limits of values and transactions. It is called when the key-value
+// store has rejected a commit as invalid, because then its limits are lower than configured.
 func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
 	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
 	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
 }
 
-// writesExplicitRanges reports whether the cluster's feature level permits explicit ranges.
+// writesExplicitRanges reports whether the cluster's feature level permits records with explicit
+// ranges.
 func (l *chunkLayout) writesExplicitRanges() bool {
 	return l.featureLevel >= records.FeatureExplicitChunks
 }
 
-// formatForNewChunks returns the format of new chunks.
+// formatForNewChunks returns the format in which the records of new chunks are written.
 func (l *chunkLayout) formatForNewChunks() chunkFormat {
 	if l.writesExplicitRanges() {
 		return explicitRangeChunk
@@ -66,7 +68,7 @@
 	return numberedChunk
 }
 
-// maxValueBytes returns the size of the largest value that may be written.
+// maxValueBytes returns the maximum size of a value that may be written, in bytes.
 func (l *chunkLayout) maxValueBytes() int { return records.ValueBytes(l.limits.ValueKB) }
 
 // chunkKey returns the key of a chunk's record.
@@ -74,11 +76,11 @@
 	return records.ChunkKey(l.partition, chunk.job.ID, chunk.name)
 }
 
-// chunkIndex returns the number of the chunk that a task belongs to in the initial format.
+// chunkIndex returns the index of the chunk that contains the task in the initial format.
 func (l *chunkLayout) chunkIndex(task int) int { return task / l.tasksPerChunk }
 
-// newChunks returns the chunks of a new job. Only the first one has a record, which was created
-// with the job's own at the given revision.
+// newChunks returns the chunks of a new job. Only the first chunk has a record, which was created
+// together with the job's record at the given revision.
 func (l *chunkLayout) newChunks(job *Job, revision uint64) []*chunk {
 	var chunks []*chunk
 	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
@@ -90,13 +92,14 @@
 	return chunks
 }
 
-// extent is a range of a job's tasks, [from, to), with the record that contains their state.
+// extent is a range of a job's tasks, [from, to), and the loaded record that contains their state.
 type extent struct {
 	from, to int
-	loaded   *records.LoadedChunk // nil: no record
+	loaded   *records.LoadedChunk // nil if no record contains it
 }
 
-// extentOf returns the range of tasks that a record contains, and whether it has any.
+// extentOf returns the range of the job's tasks that a record contains. The result is false if the
+// record contains none.
 func (l *chunkLayout) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.HasExplicitRange() {
 		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
@@ -111,8 +114,9 @@
 	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
 }
 
-// extents divides a job's tasks by the records that contain them. Where two records contain the
-// same task, the one that begins later was split off from the other, and applies.
+// extents divides a job's tasks into ranges by the records that contain them. If two records
+// contain the same task, the record with the later start takes precedence, since its chunk was
+// split off from the other.
 func (l *chunkLayout) extents(job *Job, loadedChunks []*records.LoadedChunk) []extent {
 	var recorded []extent
 	for _, loaded := range loadedChunks {
@@ -131,9 +135,10 @@
 	return all
 }
 
-// overlay replaces what a new extent covers of the others, which are sorted without gaps.
+// overlay inserts an extent into a sorted list of extents without gaps, and cuts away the parts of
+// the others that it covers.
 func overlay(all []extent, added extent) []extent {
-	const maxAdded = 2 // the new extent, and the rest of one that is cut in two
+	const maxAdded = 2 // the new extent, and the second part of an extent that it cuts in two
 	out := make([]extent, 0, len(all)+maxAdded)
 	placed := false
 	for _, e := range all {
@@ -155,13 +160,14 @@
 	return out
 }
 
-// chunkWithRecord is a chunk with the record that contains its state.
+// chunkWithRecord is a chunk and the loaded record that contains its tasks' state.
 type chunkWithRecord struct {
 	chunk  *chunk
-	record *records.ChunkRecord // nil: no record
+	record *records.ChunkRecord // nil if there is none
 }
 
-// chunksFromRecords returns the chunks that a job's records describe.
+// chunksFromRecords returns the chunks of a job as described by its loaded records. Ranges that no
+// record contains become chunks without a record.
 func (l *chunkLayout) chunksFromRecords(job *Job, loadedChunks []*records.LoadedChunk) []chunkWithRecord {
 	format := l.formatForNewChunks()
 	if slices.ContainsFunc(loadedChunks, func(loaded *records.LoadedChunk) bool { return loaded.Record.HasExplicitRange() }) {
@@ -186,7 +192,7 @@
 	return all
 }
 
-// initFromRecord makes a loaded record that of the chunk.
+// initFromRecord sets the name, revision and format of a new chunk to those of its loaded record.
 func (c *chunk) initFromRecord(loaded *records.LoadedChunk) {
 	c.name = loaded.Name
 	c.revision = loaded.Revision
@@ -197,16 +203,16 @@
 	c.format = c.storedFormat
 }
 
-// initSplitOff makes the chunk one that the earlier owner had yet to split off: the record of
-// the origin contains its tasks as well.
+// initSplitOff initializes a chunk that an earlier owner split off from origin without writing its
+// record. The record of origin still contains the chunk's tasks.
 func (c *chunk) initSplitOff(origin *chunk) {
 	c.name = records.ExplicitChunkName(c.from)
 	c.format = explicitRangeChunk
 	c.setSplitFrom(origin)
 }
 
-// splitPoints returns the tasks at which to split a chunk so that each piece's record fits a
-// value; none if its record fits as it is.
+// splitPoints returns the tasks before which to split a chunk so that each resulting record fits
+// into a value. It returns none if the record fits without a split.
 func (l *chunkLayout) splitPoints(c *chunk) []int {
 	limit := l.maxValueBytes()
 	size := records.ChunkOverheadBytes
@@ -225,8 +231,9 @@
 	return boundaries
 }
 
-// needsFormatConversion reports whether the chunk's record is to be written to convert its format: the
-// stored one has no explicit range, or the chunk was split off and has none yet.
+// needsFormatConversion reports whether the chunk's record can be written now to convert its format:
+// either the stored record has no explicit range and all chunks that were split off have records, or
+// the chunk was split off and has no record yet.
 func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
@@ -234,7 +241,7 @@
 	return c.storedFormat == numberedChunk && c.splitOffChunksWritten(batch)
 }
 
-// nextChunkToConvert returns a chunk whose record is to be written to convert its format, or nil.
+// nextChunkToConvert returns a chunk for which needsFormatConversion holds, or nil if there is none.
 func (p *Partition) nextChunkToConvert(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -6,8 +6,8 @@
 	"ambersill/internal/tuning"
 )
 
-// ExpireLeases frees what time alone frees: the placements on machines whose leases have
-// expired, and starts that were withdrawn.
+// ExpireLeases requeues the tasks on machines whose leases have expired, and those whose start
+// commands were lost and then withdrawn by a stop.
 func (p *Partition) ExpireLeases(now time.Time) {
 	for _, machine := range p.machines.all() {
 		p.expireLease(machine, now)
@@ -17,8 +17,8 @@
 	}
 }
 
-// expireLease requeues the tasks of a machine whose lease must have expired by the worker's
-// own clock, upon which the worker has killed them.
+// expireLease requeues the tasks of a machine if its lease must have expired by the worker's own
+// clock as well, in which case the worker has killed them.
 func (p *Partition) expireLease(machine *Machine, now time.Time) {
 	if !p.leaseHasExpired(machine, now) {
 		return
@@ -29,26 +29,26 @@
 	p.requeueAll(machine, now)
 }
 
-// leaseHasExpired reports whether a machine's lease has expired since the last call. Only
-// an owner whose token the worker has acknowledged knows when the lease was last renewed:
-// after a failover the return of the machine must be confirmed instead.
+// leaseHasExpired reports whether a machine's lease has expired and this was not recorded yet. Only
+// an owner whose token the worker has acknowledged knows when the lease was last renewed. After a
+// failover and without acknowledgement, placements are freed only when the cloud has confirmed the
+// return of the machine.
 func (p *Partition) leaseHasExpired(machine *Machine, now time.Time) bool {
 	if !machine.token.everAcknowledged || machine.lease.expired {
 		return false
 	}
-	// The worker's clock may be slower by the tolerated drift.
+	// The worker's clock may be slow by the tolerated drift.
 	duration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
 	return now.Sub(machine.lease.lastAnsweredAt) > duration
 }
 
-// requeueWithdrawnStarts requeues the placements of a machine whose starts were lost and
-// to be stopped by now.
+// requeueWithdrawnStarts requeues the tasks of a machine for which isWithdrawnStart holds.
 func (p *Partition) requeueWithdrawnStarts(machine *Machine, now time.Time) {
 	if !machine.acceptsDirectCommands() || !machine.hasWithdrawnStart() {
 		return
 	}
 	for _, key := range sortedTaskAttempts(machine.placements) {
-		// Requeueing one task of a gang changes the others, so each is looked at anew.
+		// Requeueing one task of a gang changes the others' placements, so each is looked up again.
 		placement := machine.placements[key]
 		if placement != nil && placement.isWithdrawnStart() {
 			p.requeue(placement, now)
@@ -56,7 +56,7 @@
 	}
 }
 
-// hasWithdrawnStart reports whether the start of any placement on the machine is withdrawn.
+// hasWithdrawnStart reports whether isWithdrawnStart holds for any placement on the machine.
 func (m *Machine) hasWithdrawnStart() bool {
 	for _, placement := range m.placements {
 		if placement.isWithdrawnStart() {
@@ -66,9 +66,10 @@
 	return false
 }
 
-// isWithdrawnStart reports whether the placement's start was sent and lost, and is to be
-// stopped: a heartbeat sent later does not list the task. A response to commands does not
-// suffice, as the start may be in transit in the response to a heartbeat.
+// isWithdrawnStart reports whether the placement's start command was lost and a stop is
+// requested. The command was lost if a heartbeat that was sent later does not list the task. A response
+// to a command request does not show this, because the start command may still be in transit in the
+// response to a heartbeat.
 func (pl *Placement) isWithdrawnStart() bool {
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
--- a/internal/scheduler/production_test.go
+++ b/internal/scheduler/production_test.go
@@ -8,12 +8,13 @@
 	"ambersill/internal/productiontest"
 )
 
-// productionDirectory is where the production version has this package.
+// productionDirectory is the directory of this package in the production version.
 const productionDirectory = "internal/core"
 
-// The production version, which deploy/service.toml names, is taken from this repository's
-// history: it reads what this one writes below the feature level, and this one reads what it
-// writes, each to the same jobs with the same tasks done, placed and waiting.
+// The production version, which deploy/service.toml names, is extracted from this repository's
+// history. It must read the records that this version writes in the initial format, and this version
+// must read the records that it writes. Each must restore the same jobs with the same done, placed
+// and waiting tasks as the other.
 func TestProductionExchange(t *testing.T) {
 	production := productiontest.Extract(t, filepath.Join("..", ".."))
 	for _, name := range []string{"production_exchange_test.go", "production_load_test.go"} {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -6,20 +6,20 @@
 	"ambersill/internal/wire"
 )
 
-// pendingForget is an exited task which its worker may forget once its end is committed. If
-// it did so before, the next owner would consider the task lost.
+// pendingForget is an exited task that its worker may forget once the end of the task is committed.
+// If the worker forgot it earlier, the next owner would consider the task lost.
 type pendingForget struct {
 	job          *Job
 	task         int
-	chunkVersion int // of the task's chunk, with the end
+	chunkVersion int // change version of the task's chunk that contains the end
 }
 
-// isEndCommitted reports whether the task's end is committed.
+// isEndCommitted reports whether the end of the task is committed.
 func (f pendingForget) isEndCommitted() bool {
 	return f.job.finalized || f.job.chunkOf(f.task).committedVersion >= f.chunkVersion
 }
 
-// reconcileTasks compares the task list of a worker's message with the machine's placements.
+// reconcileTasks updates the machine's placements from the task list of a worker's message.
 func (p *Partition) reconcileTasks(machine *Machine, message *wire.Heartbeat, now time.Time) {
 	machine.statusLists++
 	for i := range message.Tasks {
@@ -29,7 +29,7 @@
 	machine.removeCompletedForgets(message)
 }
 
-// reconcileTask applies the status of one task to its placement.
+// reconcileTask updates a task's placement, if any, from the task's reported status.
 func (p *Partition) reconcileTask(machine *Machine, incarnation uint64, status *wire.TaskStatus, now time.Time) {
 	key := taskAttempt{status.Task, status.Attempt}
 	placement := machine.placements[key]
@@ -38,7 +38,7 @@
 	}
 	placement.lastStatusList = machine.statusLists
 	if placement.incarnation > incarnation {
-		return // the status is from before the placement
+		return // the status was sent before the task was placed
 	}
 	placement.start.observed = true
 	if status.State != wire.TaskExited {
@@ -53,7 +53,7 @@
 	}
 }
 
-// updateLiveTask records the state of a task that has not exited.
+// updateLiveTask records the reported state of a task that has not exited.
 func (p *Partition) updateLiveTask(placement *Placement, state wire.TaskState, now time.Time) {
 	job := placement.job
 	firstSeenRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
@@ -68,18 +68,18 @@
 	}
 	waitsForBrokenGang := state == wire.TaskWaitingForGang && job.gangBroken
 	if waitsForBrokenGang && placement.stopRequest == nil {
-		// The task was not stopped before only so that it could finish fetching its image.
+		// The task was not stopped when its gang broke, so that it could finish fetching its image.
 		p.reserveMachineForGang(placement, now)
 		p.requestStop(placement, 0, now)
 	}
 }
 
-// requeueMissingTasks requeues the placements which the worker's message shows to be gone.
+// requeueMissingTasks requeues the tasks that, according to the worker's message, are lost.
 func (p *Partition) requeueMissingTasks(machine *Machine, message *wire.Heartbeat, now time.Time) {
 	for _, key := range machine.unlistedTasks() {
 		placement := machine.placements[key]
 		if placement == nil {
-			continue // detached with another task of its gang
+			continue // detached together with another task of its gang
 		}
 		if machine.hasLost(placement, message) {
 			p.requeue(placement, now)
@@ -87,39 +87,40 @@
 	}
 }
 
-// hasLost reports whether a placement that the message does not list is gone for good, so
-// that its start can no longer take effect either.
+// hasLost reports whether the task of a placement that the message does not list is lost: it is not
+// running, and no start command that was sent for it can take effect any more.
 func (m *Machine) hasLost(placement *Placement, message *wire.Heartbeat) bool {
 	if placement.incarnation < message.Incarnation {
-		// The worker killed and forgot all tasks of its last incarnation, and it
-		// ignores commands that were meant for that one.
+		// The worker killed and forgot all tasks of its previous incarnation, and it ignores
+		// commands for that incarnation.
 		return true
 	}
 	if !m.token.isCarriedBy(message) {
-		// A command of an earlier owner, or of a request that was not answered, may
-		// still be on its way.
+		// A command from an earlier owner, or from a request that was not answered, may
+		// still be in transit.
 		return false
 	}
 	if placement.start.directToken > 0 && placement.start.directToken < m.token.current {
-		// The request with its start was never answered, and the worker ignores
-		// requests under a lower token.
+		// The request with the start command was never answered, and the worker ignores
+		// requests with a lower token.
 		return true
 	}
-	// No earlier command can take effect under the current token, so a task that was
-	// observed and is no longer listed has ended. One that was not observed may still start.
+	// Commands with a lower token can no longer take effect, so a task that was observed and is
+	// no longer listed is gone. A task that was not observed may still start.
 	return placement.start.observed
 }
 
-// unlistedTasks returns the placements that the newest task list does not contain, in
-// order. Usually there are none, since most heartbeats report no change.
+// unlistedTasks returns the placements that are missing from the newest task list, sorted by task.
+// Usually there are none, since most heartbeats report no change.
 func (m *Machine) unlistedTasks() []taskAttempt {
 	return m.selectPlacements(func(placement *Placement) bool {
 		return placement.lastStatusList != m.statusLists
 	})
 }
 
-// removeCompletedForgets drops the pending forgets of tasks that the worker no longer lists. Under
-// an older token the list may be from before the task was started, so it shows nothing.
+// removeCompletedForgets removes the pending forgets of tasks that the worker no longer lists. A
+// message with an older token is ignored, because its list may have been sent before the task was
+// started.
 func (m *Machine) removeCompletedForgets(message *wire.Heartbeat) {
 	if len(m.pendingForgets) == 0 || !m.token.isCarriedBy(message) {
 		return
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -9,14 +9,14 @@
 	"ambersill/internal/records"
 )
 
-// restorer rebuilds a partition's jobs from its records after a takeover.
+// restorer rebuilds a partition's jobs from its stored records after a takeover.
 type restorer struct {
 	partition   *Partition
 	chunkStates map[*chunk]*chunkState
 }
 
-// Restore adds the jobs that the partition's records contain after a takeover. The machines
-// must have been added before.
+// Restore adds the jobs described by the partition's stored records after a takeover. The
+// partition's machines must have been added before.
 func (p *Partition) Restore(chunks []records.LoadedChunk, journal []records.LoadedJournalRecord) {
 	r := &restorer{partition: p, chunkStates: map[*chunk]*chunkState{}}
 	chunksByJob := r.addJobs(chunks)
@@ -37,7 +37,8 @@
 	}
 }
 
-// addJobs adds the jobs that first chunks describe, and returns all chunks by job.
+// addJobs adds the jobs whose descriptions the first chunks contain, and returns all chunks by job
+// ID.
 func (r *restorer) addJobs(chunks []records.LoadedChunk) map[string][]*records.LoadedChunk {
 	chunksByJob := map[string][]*records.LoadedChunk{}
 	for i := range chunks {
@@ -56,7 +57,7 @@
 	return chunksByJob
 }
 
-// replaceChunks replaces a job's chunks by those that its records describe, and reads their
+// replaceChunks replaces a job's chunks by those that its records describe, and initializes their
 // states.
 func (r *restorer) replaceChunks(job *Job, loadedChunks []*records.LoadedChunk) {
 	loaded := r.partition.layout.chunksFromRecords(job, loadedChunks)
@@ -69,7 +70,7 @@
 	}
 }
 
-// replayJournal applies the journal's records in the order of their sequences.
+// replayJournal applies the journal's records in ascending order of their sequences.
 func (r *restorer) replayJournal(journal []records.LoadedJournalRecord) {
 	slices.SortFunc(journal, func(a, b records.LoadedJournalRecord) int {
 		return cmp.Compare(a.Record.Sequence, b.Record.Sequence)
@@ -84,8 +85,8 @@
 	}
 }
 
-// replayEntry applies a journal entry to the chunks whose records lack it. Entries of jobs
-// without a first chunk are skipped: those have ended.
+// replayEntry applies a journal entry to the chunks whose records do not include it. It skips
+// entries of jobs without a first chunk, which have ended.
 func (r *restorer) replayEntry(sequence uint64, entry *records.JournalEntry) {
 	job := r.partition.jobs[entry.Job]
 	if job == nil {
@@ -110,8 +111,8 @@
 	}
 }
 
-// stateToUpdate returns the state of a task's chunk if the chunk's own record lacks the journal
-// record with the given sequence, or nil.
+// stateToUpdate returns the state of a task's chunk, or nil if the chunk's own record already
+// includes the journal record with the given sequence.
 func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
 	if task < 0 || task >= job.Tasks {
 		return nil
@@ -133,13 +134,13 @@
 
 // chunkState is a chunk's state while journal entries are applied to it.
 type chunkState struct {
-	sequence       uint64 // newest journal record whose changes the chunk's record contains
+	sequence       uint64 // of the newest journal record that the chunk's record includes
 	highestAttempt uint64
 	done           map[int]bool
 	placements     map[int]records.PlacementRecord
 }
 
-// newChunkState returns the state of the tasks [from, to) as a record contains it.
+// newChunkState returns the state that a record contains for the tasks [from, to).
 func newChunkState(record *records.ChunkRecord, from, to int) *chunkState {
 	state := &chunkState{
 		sequence:       record.JournalSequence,
@@ -160,7 +161,7 @@
 	return state
 }
 
-// restoreChunk sets the states of a chunk's tasks.
+// restoreChunk sets the states of a chunk's tasks from the state that was read.
 func (p *Partition) restoreChunk(chunk *chunk, state *chunkState) {
 	job := chunk.job
 	if chunk.oldestUncompactedSequence > 0 {
@@ -180,12 +181,12 @@
 	}
 }
 
-// restorePlacement attaches a placement of an earlier owner, unless its machine is gone.
+// restorePlacement attaches a placement that an earlier owner recorded, unless its machine is gone.
 func (p *Partition) restorePlacement(chunk *chunk, placed records.PlacementRecord) {
 	machine := p.machines.get(placed.Machine)
 	if machine == nil {
-		// A machine's record is deleted only after the cloud has confirmed its return, so
-		// nothing on it can be in effect.
+		// A machine's record is deleted only after the cloud has confirmed the machine's
+		// return, so the task can no longer be running on it.
 		p.journal.markDirty(chunk, placed.Task)
 		return
 	}
@@ -195,19 +196,19 @@
 		attempt:     placed.Attempt,
 		machine:     machine,
 		incarnation: placed.Incarnation,
-		// An earlier owner's start counts as sent and observed: it is never repeated,
-		// since the worker may have cleared the task already.
+		// The start is assumed to have been sent and observed under the earlier owner. It
+		// must not be repeated, because the worker may have run and forgotten the task.
 		start: startState{sent: true, observed: true},
 	})
 }
 
-// restoreGang finishes a gang of which only some ends are recorded, and marks one as broken of
-// which only some placements are.
+// restoreGang finishes a gang if the records contain the ends of only some of its tasks. It marks
+// a gang as broken if the records contain the placements of only some of its tasks.
 func (p *Partition) restoreGang(job *Job) {
 	if job.IsGang() && job.doneTasks > 0 {
-		// The tasks of a gang complete together. The other ends may not have been
-		// committed when the earlier owner stopped, and the tasks that seem to be left
-		// could never be placed again.
+		// The tasks of a gang complete together. The earlier owner may have stopped before
+		// it committed the ends of the other tasks, which could never be placed again,
+		// because a gang is placed as a whole.
 		p.finishGang(job)
 	}
 	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -7,20 +7,20 @@
 	"ambersill/internal/wire"
 )
 
-// fakeStore is an in-memory key-value store: keys with revisions, and transactions that are
-// lost or applied late.
+// fakeStore is an in-memory key-value store with revisions of keys. Its transactions can be refused,
+// go unanswered or be applied with a delay.
 type fakeStore struct {
 	revision  uint64
 	values    map[string]wire.Raw
 	revisions map[string]uint64
-	delayed   []wire.Txn // not applied yet
-	// largestValueBytes is the size in bytes, as JSON, of the largest value since resetMaxima, and
-	// mostWrites the number of changes of the largest transaction.
+	delayed   []wire.Txn // transactions that are not applied yet, oldest first
+	// largestValueBytes is the size in bytes, as JSON, of the largest value written since
+	// resetMaxima, and maxWrites is the number of writes in the largest transaction since then.
 	largestValueBytes int
 	maxWrites         int
 }
 
-// newFakeStore returns a store that contains the ownership of the harness's partition.
+// newFakeStore returns a store that contains only the ownership record of the harness's partition.
 func newFakeStore(harness *partitionHarness) *fakeStore {
 	return &fakeStore{
 		revision:  1000,
@@ -29,7 +29,7 @@
 	}
 }
 
-// apply carries out a transaction, and reports whether its conditions were met.
+// apply executes a transaction if its conditions are met, and reports whether they are.
 func (s *fakeStore) apply(txn wire.Txn) bool {
 	for _, compare := range txn.Compares {
 		if s.revisions[compare.Key] != compare.Revision {
@@ -59,27 +59,27 @@
 	s.largestValueBytes = max(s.largestValueBytes, encodedBytesOrZero(write.Value))
 }
 
-// applyOldestDelayed applies the oldest late transaction.
+// applyOldestDelayed applies the oldest delayed transaction.
 func (s *fakeStore) applyOldestDelayed() {
 	s.apply(s.delayed[0])
 	s.delayed = s.delayed[1:]
 }
 
-// resetMaxima forgets the sizes that were written before.
+// resetMaxima resets largestValueBytes and maxWrites.
 func (s *fakeStore) resetMaxima() { s.largestValueBytes, s.maxWrites = 0, 0 }
 
-// commitOutcome is the outcome of a transaction.
+// commitOutcome is the outcome of a commit.
 type commitOutcome string
 
 const (
 	commitConfirmed commitOutcome = "done"    // applied and answered
-	commitUnknown   commitOutcome = "lost"    // applied, the answer is lost
-	commitDelayed   commitOutcome = "late"    // not answered, and applied later
-	commitRefused   commitOutcome = "refused" // answered, and never applied
+	commitUnknown   commitOutcome = "lost"    // applied, but the answer is lost
+	commitDelayed   commitOutcome = "late"    // not answered, and applied after a delay
+	commitRefused   commitOutcome = "refused" // answered with an error, and never applied
 )
 
-// commit carries out a batch with the given outcome, and has the owner learn of it as it would
-// from the key-value store.
+// commit commits a batch with the given outcome. Unless the commit is confirmed or refused, the owner
+// then reads the batch's keys, as it does after a conflict or an unanswered commit.
 func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, outcome commitOutcome) {
 	switch outcome {
 	case commitRefused:
@@ -97,7 +97,7 @@
 	}
 }
 
-// commitAll commits batches until there is nothing left to commit, at most so many.
+// commitAll commits batches until there is nothing left to commit, but at most maxBatches.
 func (s *fakeStore) commitAll(harness *partitionHarness, maxBatches int) {
 	for range maxBatches {
 		batch := harness.PrepareBatch()
@@ -108,7 +108,7 @@
 	}
 }
 
-// jobRecord returns the job's record of a key, or nil.
+// jobRecord returns the job record stored under a key, or nil if there is none.
 func (s *fakeStore) jobRecord(key string) *records.JobRecord {
 	value, ok := s.values[key]
 	if !ok || !strings.HasPrefix(key, "j/") {
@@ -121,7 +121,8 @@
 	return record
 }
 
-// submit adds a job as a controller does, with the given record of its first chunk.
+// submit adds a job as a controller does. Its first chunk's record has the format for the feature
+// level.
 func (s *fakeStore) submit(harness *partitionHarness, job *wire.Job, level records.FeatureLevel) {
 	record := &records.JobRecord{Job: job, Phase: wire.JobQueued, SubmittedAtMS: harness.now.UnixMilli()}
 	firstChunk := records.NewFirstChunk(record, level, harness.settings)
@@ -132,14 +133,14 @@
 	harness.AddJob(job, harness.now, s.revision)
 }
 
-// testingT is what both testing.T and rapid.T offer.
+// testingT contains the methods of testing.T and rapid.T that the tests use.
 type testingT interface {
 	Helper()
 	Fatal(...any)
 	Fatalf(string, ...any)
 }
 
-// restore has a partition without jobs read the stored records, as after a takeover.
+// restore restores a partition without jobs from stored records, as after a takeover.
 func restore(t testingT, harness *partitionHarness, values map[string]wire.Raw, revisions map[string]uint64) {
 	t.Helper()
 	var chunks []records.LoadedChunk
@@ -159,10 +160,10 @@
 	harness.Restore(chunks, journal)
 }
 
-// decodeStored decodes a value that the test has stored.
+// decodeStored decodes a stored value. It fails the test if it cannot be decoded.
 func decodeStored(t testingT, key string, value wire.Raw, into any) {
 	t.Helper()
 	if err := wire.Unmarshal(value, into); err != nil {
-		t.Fatalf("%s: %v", key, err)
+		t.Fatalf("decoding the stored value of key %s: %v", key, err)
 	}
 }
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// bookedStepsPerMachine is the number of steps in a booked machine to which a summary rounds,
-	// which keeps the record small and equal sums equal.
+	// bookedStepsPerMachine is the number of steps per machine to which a summary rounds booked
+	// capacity. Rounding keeps the record small and makes sums that differ only by rounding
+	// errors equal.
 	bookedStepsPerMachine = 1000
-	// maxDemandBytes bounds the waiting tasks in a summary, since the leader reads it every
-	// second. Those that are placed first are included.
+	// maxDemandBytes limits the size of the waiting tasks' demand in a summary, which the leader
+	// reads every second. The tasks that are scheduled first are included.
 	maxDemandBytes = 12 << 10
 )
 
-// Summary returns the state of the partition from which the leader sizes the fleet.
+// Summary returns the partition's state from which the leader computes the fleet size.
 func (p *Partition) Summary(now time.Time) records.PartitionSummary {
 	summary := records.PartitionSummary{
 		BookedMachines: map[string]float64{},
@@ -36,14 +37,14 @@
 	return summary
 }
 
-// roundBooked rounds booked machines to the precision of summaries.
+// roundBooked rounds numbers of booked machines to a multiple of 1/bookedStepsPerMachine.
 func roundBooked(booked map[string]float64) {
 	for name, machines := range booked {
 		booked[name] = math.Round(machines*bookedStepsPerMachine) / bookedStepsPerMachine
 	}
 }
 
-// addMachineToSummary adds a machine's allocated capacity and its digest.
+// addMachineToSummary adds a machine's allocated capacity and its digest to the summary.
 func (p *Partition) addMachineToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
 	machineType := machine.Record.MachineType
 	summary.BookedOnDemand[machineType] += machine.capacity.DominantShare(machine.allocatedOnDemand())
@@ -55,7 +56,7 @@
 	}
 }
 
-// allocatedOnDemand returns what is allocated to jobs that may not use spot instances.
+// allocatedOnDemand returns the capacity allocated to jobs that may not use spot instances.
 func (m *Machine) allocatedOnDemand() resource.Vector {
 	var allocated resource.Vector
 	for _, placement := range m.placements {
@@ -66,7 +67,7 @@
 	return allocated
 }
 
-// digest returns the state of a machine that the leader needs to size the fleet.
+// digest returns the flags of a machine that the leader needs to compute the fleet size.
 func (p *Partition) digest(machine *Machine, now time.Time) records.MachineDigest {
 	digest := p.contactFaultDigest(machine, now)
 	if machine.token.acknowledged {
@@ -81,33 +82,37 @@
 	return digest
 }
 
-// silentLongerThanBoot reports whether the machine has been silent for so long that another could
-// have booted in its place. Until then it may only hang or be partitioned, and recover sooner,
-// with its images cached; if it is gone, the cloud's list shows it.
+// silentLongerThanBoot reports whether the machine's lease expired longer ago than another machine
+// takes to boot. Until then the machine may merely hang or be cut off by a network partition, and
+// can recover sooner than a replacement boots, with its images cached. If it is gone, the cloud's
+// list of machines shows it.
 func (m *Machine) silentLongerThanBoot(now time.Time) bool {
 	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
 }
 
-// contactFaultDigest returns the flag for a fault in the contact to a machine, 0 if there is none.
+// contactFaultDigest returns the flag that describes a fault in the communication with a machine, or
+// 0 if there is none.
 func (p *Partition) contactFaultDigest(machine *Machine, now time.Time) records.MachineDigest {
 	contactTimeout := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
 	assignedBeforeTimeout := now.Sub(machine.assignedAt) > contactTimeout
 	token := &machine.token
 	switch {
 	case !token.acknowledged && len(machine.placements) > 0 && assignedBeforeTimeout:
-		// No heartbeat since the takeover: only its return to the cloud frees its tasks.
+		// No heartbeat has arrived since the takeover, so the machine's tasks are freed only
+		// when it is returned to the cloud.
 		return records.DigestUnhealthy
 	case !token.everAcknowledged && assignedBeforeTimeout:
-		// Still booting, or partitioned: the cloud's list shows which.
+		// The machine is booting or cut off. The cloud's list of machines shows which.
 		return records.DigestNeverReported
 	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > contactTimeout:
-		// It sends heartbeats, but neither responses nor commands arrive there.
+		// The worker sends heartbeats, but receives neither responses nor commands.
 		return records.DigestUnhealthy
 	}
 	return 0
 }
 
-// demandKey identifies demands that are merged: arrays that request the same, and services.
+// demandKey identifies demands that are merged: those of job arrays, or of services, that request
+// the same resources and placement at the same priority.
 type demandKey struct {
 	service       bool
 	machineTypes  string
@@ -117,8 +122,8 @@
 	priority      int
 }
 
-// newDemandKey returns the key of a job's demand; false if it is never merged, since all its
-// tasks have to be placed together.
+// newDemandKey returns the key of a job's demand. The result is false if the demand must not be
+// merged, because the job's tasks depend on each other's placement.
 func newDemandKey(job *Job, demand *records.Demand) (demandKey, bool) {
 	if demand.Gang || demand.MaxPerZone != 0 || demand.SingleZone {
 		return demandKey{}, false
@@ -134,15 +139,15 @@
 	return key, true
 }
 
-// demandList collects demands up to maxWaitingBytes, and merges those with the same key.
+// demandList collects demands up to a total size in bytes, and merges those with the same key.
 type demandList struct {
 	demands        []records.Demand
 	remainingBytes int
 	indexByKey     map[demandKey]int
 }
 
-// add merges a job's demand into an earlier one with the same key, or appends it if there
-// is space left.
+// add merges a job's demand into an earlier one with the same key. If there is none, it appends
+// the demand, provided that enough bytes remain.
 func (l *demandList) add(job *Job, demand records.Demand) {
 	key, mergeable := newDemandKey(job, &demand)
 	if i, found := l.indexByKey[key]; mergeable && found {
@@ -160,8 +165,8 @@
 	l.demands = append(l.demands, demand)
 }
 
-// unplacedDemand returns the demand of the tasks that are not placed, by precedence, as far as it
-// fits a summary.
+// unplacedDemand returns the demand of the tasks that are not placed, in scheduling order, as far
+// as it fits into a summary.
 func (p *Partition) unplacedDemand(now time.Time) []records.Demand {
 	list := demandList{remainingBytes: maxDemandBytes, indexByKey: map[demandKey]int{}}
 	for _, queue := range p.buildQueues(now) {
@@ -174,10 +179,10 @@
 	return list.demands
 }
 
-// unplacedTaskCount returns how many of a job's waiting tasks are a demand for machines.
+// unplacedTaskCount returns the number of a job's waiting tasks for which machines are needed.
 func (p *Partition) unplacedTaskCount(job *Job, team *quota.Team, now time.Time) int {
 	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
-		return 0 // the preempted work is about to free the capacity
+		return 0 // the preempted tasks are about to free capacity for this job
 	}
 	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
@@ -186,7 +191,7 @@
 	return count
 }
 
-// newDemand returns the demand of count tasks of a job.
+// newDemand returns the demand for machines of the given number of a job's tasks.
 func newDemand(job *Job, count int) records.Demand {
 	demand := records.Demand{
 		MachineTypes:  job.MachineTypes,
@@ -205,7 +210,7 @@
 		demand.MaxPerZone = job.maxTasksPerZone()
 	}
 	if job.SingleZone {
-		// The remaining tasks have to run in the zone of the others.
+		// The remaining tasks must run in the zone of those that are placed.
 		for zone := range job.tasksByZone() {
 			demand.Zone = zone
 		}
--- a/internal/scheduler/tombstone_test.go
+++ b/internal/scheduler/tombstone_test.go
@@ -7,26 +7,26 @@
 	"ambersill/internal/wire"
 )
 
-// The late delivery of a submission does not add a job again that has just ended, however many
-// have ended before it; and the number of ended jobs that are remembered is bounded.
+// A submission that is delivered late must not add a job again that has just ended, however many
+// jobs have ended before. The number of ended jobs that are kept must be bounded.
 func TestEndedJobsAreNotRevived(t *testing.T) {
 	harness := newPartitionHarness()
 	for n := range 3*tombstonesPerGeneration + 10 {
 		job := newArrayJob(fmt.Sprintf("req-%d", n), 1, 1)
 		harness.addAndFinalize(&job)
 		if harness.AddJob(&job, harness.now, harness.revision) != nil {
-			t.Fatalf("job %d was added again", n)
+			t.Fatalf("job %d was added again right after its end", n)
 		}
 		if n == 0 {
 			continue
 		}
 		previous := newArrayJob(fmt.Sprintf("req-%d", n-1), 1, 1)
 		if harness.AddJob(&previous, harness.now, harness.revision) != nil {
-			t.Fatalf("job %d was added again after the next had ended", n-1)
+			t.Fatalf("job %d was added again after the end of the next job", n-1)
 		}
 	}
 	if kept := len(harness.tombstones.recent) + len(harness.tombstones.older); kept > 2*tombstonesPerGeneration {
-		t.Errorf("%d ended jobs are kept", kept)
+		t.Errorf("%d ended jobs are kept, want at most two generations", kept)
 	}
 }
 
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -6,19 +6,19 @@
 	"ambersill/internal/wire"
 )
 
-// messageOrder is the position of the newest message of a worker. The network may delay
-// messages, so that an older one arrives after a newer one.
+// messageOrder identifies the newest messages received from a worker. It is used to detect messages
+// that the network delayed and that arrive after newer ones.
 type messageOrder struct {
 	incarnation uint64
-	sequence    uint64 // of the newest message, heartbeat or response to commands
-	// heartbeatSequence is the sequence number of the newest message that was a heartbeat.
+	sequence    uint64 // of the newest message, a heartbeat or a response to a command request
+	// heartbeatSequence is the sequence number of the newest heartbeat that was not overtaken.
 	heartbeatSequence uint64
-	// overtakenSequence is that of the newest heartbeat that arrived after a response to
-	// commands which the worker sent later.
+	// overtakenSequence is the sequence number of the newest heartbeat that arrived after a
+	// response to a command request that the worker sent later.
 	overtakenSequence uint64
 }
 
-// isStale reports whether the message is older than the newest one, or a copy of it.
+// isStale reports whether the message is older than the newest message, or a copy of it.
 func (o *messageOrder) isStale(message *wire.Heartbeat) bool {
 	if message.Incarnation != o.incarnation {
 		return message.Incarnation < o.incarnation
@@ -26,14 +26,14 @@
 	return message.Sequence <= o.sequence
 }
 
-// isOvertaken reports whether a stale heartbeat is stale only because the response to a
-// command request overtook it: it is the first copy of a heartbeat newer than all others.
+// isOvertaken reports whether a stale heartbeat is stale only because a response to a command
+// request overtook it. This is the case if it is newer than all heartbeats received before.
 func (o *messageOrder) isOvertaken(heartbeat *wire.Heartbeat) bool {
 	newest := max(o.heartbeatSequence, o.overtakenSequence)
 	return heartbeat.Incarnation == o.incarnation && heartbeat.Sequence > newest
 }
 
-// recordHeartbeat makes a heartbeat the newest message.
+// recordHeartbeat records a heartbeat as the newest message.
 func (o *messageOrder) recordHeartbeat(heartbeat *wire.Heartbeat) {
 	if heartbeat.Incarnation > o.incarnation {
 		o.overtakenSequence = 0
@@ -43,27 +43,27 @@
 	o.heartbeatSequence = heartbeat.Sequence
 }
 
-// recordResponse makes a response to commands the newest message.
+// recordResponse records a response to a command request as the newest message.
 func (o *messageOrder) recordResponse(response *wire.Heartbeat) {
 	o.incarnation = response.Incarnation
 	o.sequence = response.Sequence
 }
 
-// tokenState is a machine's fencing token and whether its worker has acknowledged it. A worker
-// refuses commands whose token is lower than the highest it has seen.
+// tokenState is a machine's fencing token and its acknowledgement by the worker. A worker refuses
+// commands whose token is lower than the highest token it has seen.
 type tokenState struct {
 	current uint64
-	// acknowledged: a message that carries the current token has arrived, so that whatever
-	// an earlier owner commanded has taken effect or never will.
+	// acknowledged is set once a message that carries the current token has arrived. Commands
+	// of earlier owners have then either taken effect or never will.
 	acknowledged bool
-	// everAcknowledged: a token of this owner was acknowledged at least once.
+	// everAcknowledged is set once any token of this owner has been acknowledged.
 	everAcknowledged bool
-	// unacknowledgedSince is when the worker's heartbeats began to lack the token that this
-	// owner waits for; zero if they do not lack it.
+	// unacknowledgedSince is the time of the first of the worker's latest heartbeats that do not
+	// carry the token that this owner waits for, or zero if it does not wait for one.
 	unacknowledgedSince time.Time
 }
 
-// raise sets a higher token, which the worker has to acknowledge anew.
+// raise sets the token if it is higher than the current one. The worker must then acknowledge it.
 func (t *tokenState) raise(token uint64) {
 	if token > t.current {
 		t.current = token
@@ -76,7 +76,8 @@
 	return message.FencingToken == t.current
 }
 
-// trackAcknowledgement records since when the worker's heartbeats lack the awaited token.
+// trackAcknowledgement updates unacknowledgedSince after a heartbeat. awaiting reports whether the
+// owner still waits for the worker to acknowledge a token.
 func (t *tokenState) trackAcknowledgement(awaiting bool, now time.Time) {
 	switch {
 	case !awaiting:
@@ -86,44 +87,44 @@
 	}
 }
 
-// leaseState is the state, as known to this owner, of the lease under which a worker runs its
-// tasks.
-// Each answered heartbeat renews it; the worker kills its tasks when it expires.
+// leaseState is what this owner knows of the lease under which a worker runs its tasks. Each
+// answered heartbeat renews the lease. When it expires, the worker kills its tasks.
 type leaseState struct {
 	lastAnsweredAt time.Time // when a heartbeat was last answered
-	answeredSince  time.Time // since when heartbeats have been answered without a gap
-	expired        bool      // it has expired by any clock within the tolerated drift
-	expiredAt      time.Time // when that was found
+	answeredSince  time.Time // start of the period without a gap between answers longer than the lease
+	expired        bool      // it has expired even if the worker's clock is slow by the tolerated drift
+	expiredAt      time.Time // when the expiry was detected
 }
 
-// commandState is the state of the commands that were sent straight to a machine rather
-// than in the response to a heartbeat.
+// commandState is the state of the commands that were sent to a machine in a direct request instead
+// of the response to a heartbeat.
 type commandState struct {
-	// inFlight: a request with starts is under way.
+	// inFlight is set while a request with start commands is in transit or being executed.
 	inFlight bool
-	// unconfirmed: a request was not answered, or its answer did not arrive. It may be
-	// executed until the worker has seen a token above unconfirmedToken.
+	// unconfirmed is set if the answer to a request did not arrive, or if the worker receives no
+	// responses. Commands sent under unconfirmedToken may be executed until the worker has seen a
+	// higher token.
 	unconfirmed      bool
 	unconfirmedToken uint64
 }
 
-// markUnconfirmed records that commands sent under the token may be executed at any time.
+// markUnconfirmed records that commands sent under the token may still be executed at any time.
 func (c *commandState) markUnconfirmed(token uint64) {
 	c.unconfirmed = true
 	c.unconfirmedToken = token
 }
 
-// pending reports whether commands may still be executed by the worker.
+// pending reports whether the worker may still execute commands of a direct request.
 func (c *commandState) pending() bool { return c.inFlight || c.unconfirmed }
 
-// isResolvedBy reports whether a worker that has seen the token can no longer execute the
-// unconfirmed commands.
+// isResolvedBy reports whether there are unconfirmed commands that a worker can no longer execute
+// once it has seen the token.
 func (c *commandState) isResolvedBy(token uint64) bool {
 	return c.unconfirmed && token > c.unconfirmedToken
 }
 
-// needsHigherToken reports whether the machine's record must be rewritten to raise its
-// token, which is the only way to learn the outcome of the commands.
+// needsHigherToken reports whether the machine's record must be rewritten to raise its token. The
+// outcome of unconfirmed commands cannot be determined otherwise.
 func (c *commandState) needsHigherToken(token uint64) bool {
 	return c.unconfirmed && token == c.unconfirmedToken
 }
