--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -200,37 +200,37 @@
 	ends := append(slices.Clone(boundaries[1:]), c.to)
 	c.to = boundaries[0]
 	c.format = explicitRangeChunk
-	var pieces []*chunk
+	var splitOffChunks []*chunk
 	for i, from := range boundaries {
-		pieces = append(pieces, c.splitOffRange(from, ends[i]))
+		splitOffChunks = append(splitOffChunks, c.splitOffRange(from, ends[i]))
 	}
 	c.recomputeCommittedVersion()
-	c.job.chunks = slices.Insert(c.job.chunks, position+1, pieces...)
-	return pieces
+	c.job.chunks = slices.Insert(c.job.chunks, position+1, splitOffChunks...)
+	return splitOffChunks
 }
 
 // splitOffRange returns a new chunk of the tasks [from, to), and moves their uncommitted changes to
 // it.
 func (c *chunk) splitOffRange(from, to int) *chunk {
-	piece := newChunk(c.job, c.index, from, to, explicitRangeChunk)
-	piece.changeVersion = c.changeVersion
-	piece.dirtyOrder = c.dirtyOrder
-	piece.oldestUncompactedSequence = c.oldestUncompactedSequence
-	piece.dirtyTasks = map[int]int{}
+	splitOffChunk := newChunk(c.job, c.index, from, to, explicitRangeChunk)
+	splitOffChunk.changeVersion = c.changeVersion
+	splitOffChunk.dirtyOrder = c.dirtyOrder
+	splitOffChunk.oldestUncompactedSequence = c.oldestUncompactedSequence
+	splitOffChunk.dirtyTasks = map[int]int{}
 	switch {
 	case c.hasRecord():
-		piece.setSplitFrom(c)
+		splitOffChunk.setSplitFrom(c)
 	case c.splitFrom != nil:
-		piece.setSplitFrom(c.splitFrom)
+		splitOffChunk.setSplitFrom(c.splitFrom)
 	}
 	for task, version := range c.dirtyTasks {
 		if task >= from && task < to {
-			piece.dirtyTasks[task] = version
+			splitOffChunk.dirtyTasks[task] = version
 			delete(c.dirtyTasks, task)
 		}
 	}
-	piece.recomputeCommittedVersion()
-	return piece
+	splitOffChunk.recomputeCommittedVersion()
+	return splitOffChunk
 }
 
 // setSplitFrom records that the chunk was split off from origin, whose record contains the state of
@@ -244,8 +244,8 @@
 // by the batch. Until then the chunk's own record must not be rewritten, because it contains the
 // only stored state of the tasks that were split off.
 func (c *chunk) splitOffChunksWritten(batch *Batch) bool {
-	for _, piece := range c.splitOffChunks {
-		if !piece.hasRecord() && !batch.writesChunk(piece) {
+	for _, splitOffChunk := range c.splitOffChunks {
+		if !splitOffChunk.hasRecord() && !batch.writesChunk(splitOffChunk) {
 			return false
 		}
 	}
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -38,13 +38,13 @@
 	harness.SetLevel(records.FeatureExplicitChunks)
 	job := harness.addJob(newArrayJob("req-1", 20, 1))
 	origin := job.chunks[0]
-	pieces := origin.splitAt([]int{5, 12})
-	harness.journal.trackSplitOffChunks(origin, pieces)
-	for _, piece := range pieces {
+	splitOffChunks := origin.splitAt([]int{5, 12})
+	harness.journal.trackSplitOffChunks(origin, splitOffChunks)
+	for _, splitOffChunk := range splitOffChunks {
 		if written := writtenChunkKeys(harness, origin); len(written) > 0 {
-			t.Fatalf("batch writes %v although chunk %s, which was split off, has no record; want no writes", written, piece.name)
+			t.Fatalf("batch writes %v although chunk %s, which was split off, has no record; want no writes", written, splitOffChunk.name)
 		}
-		piece.revision = harness.revision
+		splitOffChunk.revision = harness.revision
 	}
 	if written := writtenChunkKeys(harness, origin); len(written) != 1 || written[0] != records.FirstChunkKey(0, job.ID) {
 		t.Errorf("batch writes %v once all chunks that were split off have records, want only the original chunk", written)
@@ -52,7 +52,7 @@
 	if got := job.chunkOf(4); got != origin {
 		t.Errorf("task 4 is in chunk %s, want the original chunk", got.name)
 	}
-	if got := job.chunkOf(12); got != pieces[1] {
+	if got := job.chunkOf(12); got != splitOffChunks[1] {
 		t.Errorf("task 12 is in chunk %s, want the second chunk that was split off", got.name)
 	}
 }
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -97,13 +97,13 @@
 // unwrittenSplitOffChunks returns the chunks that were split off from origin and have neither a record
 // nor journaled changes. They do not become due by themselves.
 func (b *batchBuilder) unwrittenSplitOffChunks(origin *chunk) []*chunk {
-	var pieces []*chunk
-	for _, piece := range origin.splitOffChunks {
-		if !piece.hasRecord() && !b.partition.journal.uncompactedChunks[piece] {
-			pieces = append(pieces, piece)
+	var unwritten []*chunk
+	for _, splitOffChunk := range origin.splitOffChunks {
+		if !splitOffChunk.hasRecord() && !b.partition.journal.uncompactedChunks[splitOffChunk] {
+			unwritten = append(unwritten, splitOffChunk)
 		}
 	}
-	return pieces
+	return unwritten
 }
 
 // compactionDue reports whether the ring will soon overwrite a change that is missing from an
@@ -136,8 +136,8 @@
 func (b *batchBuilder) writeChunk(chunk *chunk, maxWrites int) {
 	if b.partition.layout.writesExplicitRanges() {
 		chunk.format = explicitRangeChunk
-		for _, piece := range slices.Backward(b.splitIfTooLarge(chunk)) {
-			b.writeChunk(piece, maxWrites)
+		for _, splitOffChunk := range slices.Backward(b.splitIfTooLarge(chunk)) {
+			b.writeChunk(splitOffChunk, maxWrites)
 		}
 	}
 	if len(b.batch.Txn.Writes) >= maxWrites || !chunk.splitOffChunksWritten(b.batch) {
@@ -160,9 +160,9 @@
 	if len(boundaries) == 0 {
 		return nil
 	}
-	pieces := chunk.splitAt(boundaries)
-	b.partition.journal.trackSplitOffChunks(chunk, pieces)
-	return pieces
+	splitOffChunks := chunk.splitAt(boundaries)
+	b.partition.journal.trackSplitOffChunks(chunk, splitOffChunks)
+	return splitOffChunks
 }
 
 // putChunk adds a chunk's record to the batch if the size limit of a transaction permits it. An
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -133,13 +133,13 @@
 }
 
 // trackSplitOffChunks starts tracking the changes of chunks that were split off from origin.
-func (j *journal) trackSplitOffChunks(origin *chunk, pieces []*chunk) {
-	for _, piece := range pieces {
-		if piece.isDirty() {
-			j.dirtyChunks[piece] = true
+func (j *journal) trackSplitOffChunks(origin *chunk, splitOffChunks []*chunk) {
+	for _, splitOffChunk := range splitOffChunks {
+		if splitOffChunk.isDirty() {
+			j.dirtyChunks[splitOffChunk] = true
 		}
-		if piece.oldestUncompactedSequence > 0 {
-			j.uncompactedChunks[piece] = true
+		if splitOffChunk.oldestUncompactedSequence > 0 {
+			j.uncompactedChunks[splitOffChunk] = true
 		}
 	}
 	j.untrackIfClean(origin)
