--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -168,8 +168,8 @@
 	b.batch.deletedChunks = append(b.batch.deletedChunks, chunk)
 }
 
-// recordsDeletable reports whether the job was cancelled and none of its tasks can be running any
-// more, so that its records can be deleted.
+// recordsDeletable reports whether the job was cancelled and none of its tasks can be running, or be
+// started, any more. Its records can then be deleted.
 func (j *Job) recordsDeletable() bool { return j.Cancelled && len(j.placements) == 0 }
 
 // deleteCancelledJobs adds deletions of the records of cancelled jobs without placements, as far as
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -32,8 +32,8 @@
 	// format is used for the next write of the record, storedFormat is that of the stored record.
 	format       chunkFormat
 	storedFormat chunkFormat
-	// splitFrom is the chunk that this one was split off from. Its record contains the state of
-	// this chunk's tasks until this chunk has a record of its own.
+	// splitFrom is the chunk that this one was split off from, directly or indirectly, and whose
+	// record contains the state of this chunk's tasks until this chunk has a record of its own.
 	splitFrom *chunk
 	// splitOffChunks are the chunks that were split off from this one. Their records must be
 	// written before this chunk's record is rewritten without their tasks.
@@ -185,8 +185,8 @@
 	}
 }
 
-// recomputeCommittedVersion sets the committed version to the highest that the uncommitted changes
-// allow.
+// recomputeCommittedVersion sets the committed version to the highest version that precedes each
+// uncommitted change.
 func (c *chunk) recomputeCommittedVersion() {
 	c.committedVersion = c.changeVersion
 	c.limitCommittedVersion()
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -42,7 +42,7 @@
 	return now.Sub(machine.lease.lastAnsweredAt) > duration
 }
 
-// requeueWithdrawnStarts requeues the tasks of a machine for which isWithdrawnStart holds.
+// requeueWithdrawnStarts requeues the tasks on a machine for whose placements isWithdrawnStart holds.
 func (p *Partition) requeueWithdrawnStarts(machine *Machine, now time.Time) {
 	if !machine.acceptsDirectCommands() || !machine.hasWithdrawnStart() {
 		return
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -186,7 +186,7 @@
 	machine := p.machines.get(placed.Machine)
 	if machine == nil {
 		// A machine's record is deleted only after the cloud has confirmed the machine's
-		// return, so the task can no longer be running on it.
+		// return, so the task cannot be running there or be started there any more.
 		p.journal.markDirty(chunk, placed.Task)
 		return
 	}
@@ -202,8 +202,8 @@
 	})
 }
 
-// restoreGang finishes a gang if the records contain the ends of only some of its tasks. It marks
-// a gang as broken if the records contain the placements of only some of its tasks.
+// restoreGang finishes a gang if the records contain the end of any of its tasks. It marks a gang as
+// broken if the records contain no end and the placements of only some of its tasks.
 func (p *Partition) restoreGang(job *Job) {
 	if job.IsGang() && job.doneTasks > 0 {
 		// The tasks of a gang complete together. The earlier owner may have stopped before
