--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -122,7 +122,7 @@
 // partition is being loaded, because the listing of cancellations contains the job.
 func (o *ownedPartition) cancelJob(id string) {
 	loaded := o.withLoadedPartition(func(partition *scheduler.Partition) {
-		partition.Cancel(id, time.Now())
+		partition.CancelJob(id, time.Now())
 	})
 	if loaded {
 		o.requestCycle()
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -82,7 +82,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.partition == nil {
-		o.pendingMachineChanges[change.machine] = change
+		o.pendingMachineChanges[change.machineID] = change
 		return
 	}
 	o.applyMachine(change)
@@ -91,11 +91,11 @@
 // applyMachine applies a change of a machine's record to the partition. The caller must hold
 // o.mu.
 func (o *ownedPartition) applyMachine(change machineChange) {
-	if change.gone {
-		o.partition.RemoveMachine(change.machine, time.Now())
+	if change.deleted {
+		o.partition.RemoveMachine(change.machineID, time.Now())
 		return
 	}
-	o.partition.SetMachine(change.machine, change.entry.record, change.entry.revision, time.Now())
+	o.partition.SetMachine(change.machineID, change.entry.record, change.entry.revision, time.Now())
 }
 
 // withLoadedPartition calls a function with the partition while holding o.mu. It returns false
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -149,7 +149,7 @@
 // deleteFinishedJobRecords adds deletions of the remaining chunk records of ended jobs, as far as
 // they fit.
 func (b *batchBuilder) deleteFinishedJobRecords() {
-	for _, job := range b.partition.finishedJobs {
+	for _, job := range b.partition.finalizedJobs {
 		for _, chunk := range job.chunks {
 			if chunk.hasLeftoverRecord() && b.canWrite(1) {
 				b.deleteChunk(chunk)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -39,7 +39,7 @@
 		return newCommand(wire.StopTask, key), true
 	case placement.stopRequest != nil:
 		command = newCommand(wire.StopTask, key)
-		command.GracePeriodS = p.remainingGraceS(placement.stopRequest, now)
+		command.GracePeriodS = p.remainingGraceSeconds(placement.stopRequest, now)
 		placement.stopRequest.sent = true
 		return command, true
 	}
@@ -94,7 +94,7 @@
 		return false
 	}
 	committed := pl.chunk().committedVersion >= pl.chunkVersion
-	return committed && pl.incarnation == pl.machine.latest.incarnation
+	return committed && pl.incarnation == pl.machine.newestMessage.incarnation
 }
 
 // startableTasks returns the machine's placements whose start commands may be sent, sorted by task.
@@ -132,7 +132,7 @@
 // newCommandRequest returns a request without commands, which the worker refuses if it has seen a
 // higher token or is in another incarnation.
 func (m *Machine) newCommandRequest() wire.CommandRequest {
-	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.latest.incarnation}
+	return wire.CommandRequest{FencingToken: m.token.current, Incarnation: m.newestMessage.incarnation}
 }
 
 // UnfencedMachines returns the IDs of the machines that have tasks of an earlier owner and whose
@@ -209,7 +209,7 @@
 		return command, true
 	case stateFresh && pl.startUnsent():
 		pl.start.sent = true
-		pl.start.heartbeatSequence = pl.machine.latest.heartbeatSequence
+		pl.start.heartbeatSequence = pl.machine.newestMessage.heartbeatSequence
 		pl.start.directToken = pl.machine.token.current
 		pl.machine.command.inFlight = true
 		return newCommand(wire.StartTask, key), true
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -121,10 +121,10 @@
 // due, so that eventually no record of that format remains.
 func (b *batchBuilder) convertFormat() {
 	p := b.partition
-	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleTime) || !b.canWrite(1) {
+	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleStartedAt) || !b.canWrite(1) {
 		return
 	}
-	p.conversion.lastRewrite = p.cycleTime
+	p.conversion.lastRewrite = p.cycleStartedAt
 	if chunk := p.nextChunkToConvert(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
 		b.writeChunk(chunk, b.maxWrites)
 	}
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -49,12 +49,12 @@
 		return verdict, wire.HeartbeatResponse{}
 	}
 	response := wire.HeartbeatResponse{FencingToken: machine.token.current, Commands: []wire.Command{}}
-	if machine.latest.isStale(heartbeat) {
+	if machine.newestMessage.isStale(heartbeat) {
 		machine.acceptOvertakenHeartbeat(heartbeat, now)
 		return HeartbeatAccepted, response
 	}
 	p.detectUnreachableWorker(machine, heartbeat, now)
-	machine.latest.recordHeartbeat(heartbeat)
+	machine.newestMessage.recordHeartbeat(heartbeat)
 	p.renewLease(machine, now)
 	p.setTerminationNotice(machine, heartbeat.TerminationNoticeS != nil)
 	p.acknowledgeToken(machine, heartbeat, now)
@@ -78,7 +78,7 @@
 		return HeartbeatSuperseded
 	case machine.isFromExpiredLease(heartbeat):
 		return HeartbeatStale
-	case machine.latest.isStale(heartbeat) && !machine.latest.isOvertaken(heartbeat):
+	case machine.newestMessage.isStale(heartbeat) && !machine.newestMessage.isOvertaken(heartbeat):
 		// A heartbeat that a network partition delayed contains an outdated task list.
 		return HeartbeatStale
 	}
@@ -95,14 +95,14 @@
 // A worker increments its incarnation when its lease expires, so a heartbeat of the old incarnation
 // is a delayed copy and does not show that the machine is alive.
 func (m *Machine) isFromExpiredLease(heartbeat *wire.Heartbeat) bool {
-	return m.lease.expired && heartbeat.Incarnation <= m.latest.incarnation
+	return m.lease.expired && heartbeat.Incarnation <= m.newestMessage.incarnation
 }
 
 // acceptOvertakenHeartbeat accepts a heartbeat that was overtaken by a response to a command
 // request. Its task list is outdated and is not reconciled. The heartbeat is answered nevertheless,
 // because the worker would otherwise switch to another controller.
 func (m *Machine) acceptOvertakenHeartbeat(heartbeat *wire.Heartbeat, now time.Time) {
-	m.latest.overtakenSequence = heartbeat.Sequence
+	m.newestMessage.overtakenSequence = heartbeat.Sequence
 	m.lease.lastAnsweredAt = now
 }
 
@@ -116,7 +116,7 @@
 	if lease.answeredSince.IsZero() || now.Sub(lease.lastAnsweredAt) > leaseDuration {
 		lease.answeredSince = now
 	}
-	if heartbeat.Incarnation <= machine.latest.incarnation {
+	if heartbeat.Incarnation <= machine.newestMessage.incarnation {
 		return
 	}
 	answeredThroughout := now.Sub(lease.answeredSince) >= leaseDuration
@@ -169,17 +169,17 @@
 // request. It does not renew the worker's lease, which only the response to a heartbeat does.
 func (p *Partition) HandleCommandResponse(response *wire.Heartbeat, now time.Time) {
 	machine := p.machines.get(response.Machine)
-	if machine == nil || machine.isSuperseded(response) || machine.latest.isStale(response) {
+	if machine == nil || machine.isSuperseded(response) || machine.newestMessage.isStale(response) {
 		return
 	}
-	if machine.token.everAcknowledged && response.Incarnation > machine.latest.incarnation {
+	if machine.token.everAcknowledged && response.Incarnation > machine.newestMessage.incarnation {
 		// The worker's lease has expired, and no heartbeat of the new incarnation has
 		// arrived yet. ExpireLeases counts the lease from the last answered heartbeat. It
 		// would free tasks placed in the new incarnation together with those of the old
 		// one, a lease duration too early.
 		return
 	}
-	machine.latest.recordResponse(response)
+	machine.newestMessage.recordResponse(response)
 	p.acknowledgeToken(machine, response, now)
 	p.reconcileTasks(machine, response, now)
 }
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -75,7 +75,7 @@
 	if len(machine.placements) != 1 {
 		t.Fatal("placement of an earlier owner was freed after 1 h without a heartbeat, want it kept")
 	}
-	harness.sequences["m-1"] = 5
+	harness.heartbeatSequences["m-1"] = 5
 	harness.workerTasks["m-1"] = map[taskAttempt]wire.TaskStatus{
 		{"req-1/0", 3}: {Task: "req-1/0", Attempt: 3, State: wire.TaskRunning},
 	}
@@ -209,7 +209,7 @@
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
 	machine := harness.machines.get("m-1")
-	sequence := harness.sequences["m-1"]
+	sequence := harness.heartbeatSequences["m-1"]
 	sendHeartbeats := func(incarnation uint64, duration time.Duration) {
 		for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(2 * time.Second) {
 			sequence++
@@ -263,9 +263,9 @@
 		t.Error("lease of m-1 has not expired, want expired")
 	}
 	verdict := harness.handleHeartbeat(newHeartbeat(2, 51, machine.token.current))
-	if verdict != HeartbeatAccepted || machine.lease.expired || machine.latest.incarnation != 2 {
+	if verdict != HeartbeatAccepted || machine.lease.expired || machine.newestMessage.incarnation != 2 {
 		t.Errorf("after the first heartbeat of incarnation 2: got verdict %v, lease expired %v, incarnation %d; want accepted, false, 2",
-			verdict, machine.lease.expired, machine.latest.incarnation)
+			verdict, machine.lease.expired, machine.newestMessage.incarnation)
 	}
 }
 
@@ -279,7 +279,7 @@
 	if harness.NeedsScheduling() {
 		t.Error("scheduling is needed after a cycle that left nothing to do, want not needed")
 	}
-	heartbeat := newHeartbeat(1, harness.sequences["m-1"], harness.machines.get("m-1").token.current)
+	heartbeat := newHeartbeat(1, harness.heartbeatSequences["m-1"], harness.machines.get("m-1").token.current)
 	for _, status := range harness.workerTasks["m-1"] {
 		heartbeat.Tasks = append(heartbeat.Tasks, status)
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -13,44 +13,46 @@
 	"ambersill/internal/tuning"
 )
 
-// The size of a usual machine replaces a guarantee that a team does not have: a team that uses
-// one such machine counts as having used its fair share once.
+// The capacity of a typical machine, which stands in for the guarantee of a team that has none: a
+// team that uses one such machine has a fair share ratio of 1.
 const (
-	usualMachineGPUs = 8
-	usualMachineCPUs = 64
+	referenceMachineGPUs = 8
+	referenceMachineCPUs = 64
 )
 
-// gpuShareStarveFactor is the multiple of StarveS after which a job without GPUs may take
-// CPUs and memory that belong to the free GPUs of a machine.
-const gpuShareStarveFactor = 2
+// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may use
+// the CPUs and memory that are set aside for the free GPUs of a machine.
+const ignoreGPUShareStarveFactor = 2
 
-// teamQueue is the queue of a team's jobs with tasks to place, by precedence.
+// teamQueue contains the jobs of a team that have tasks to place, ordered by precedence.
 type teamQueue struct {
 	team *quota.Team
 	jobs []*Job
 }
 
-// fairShareRatio returns how much the team uses relative to its guarantee, or to a usual
-// machine in a dimension without one. The CPUs of a team that is guaranteed only GPUs do
-// not count, since the machines of its GPUs bring them along.
+// fairShareRatio returns the team's allocated resources divided by its guarantee, as the maximum
+// over GPUs and CPUs. A resource without a guarantee is compared with the reference machine
+// instead. The CPUs of a team that has a guarantee only for GPUs are ignored, since the machines
+// that provide the GPUs have CPUs as well.
 func (q *teamQueue) fairShareRatio() float64 {
 	team := q.team
 	guaranteedGPUs := team.GPUs
 	if guaranteedGPUs <= 0 {
-		guaranteedGPUs = usualMachineGPUs
+		guaranteedGPUs = referenceMachineGPUs
 	}
 	ratio := max(0, team.Allocated.GPUs/guaranteedGPUs)
 	switch {
 	case team.CPUs > 0:
 		ratio = max(ratio, team.Allocated.CPUs/team.CPUs)
 	case team.GPUs == 0:
-		ratio = max(ratio, team.Allocated.CPUs/usualMachineCPUs)
+		ratio = max(ratio, team.Allocated.CPUs/referenceMachineCPUs)
 	}
 	return ratio
 }
 
-// servedBefore reports whether the first job of queue is placed before that of other: by
-// urgency, then by fair share, then by turn.
+// servedBefore reports whether the first job of queue is placed before the first job of other.
+// They are compared by urgency, then by fair share unless the first job of queue is starved, then
+// by compareWithinUrgency.
 func (p *Partition) servedBefore(queue, other *teamQueue) bool {
 	job, otherJob := queue.jobs[0], other.jobs[0]
 	if order := compareUrgency(job, otherJob); order != 0 {
@@ -61,26 +63,28 @@
 			return order < 0
 		}
 	}
-	return p.compareTurn(job, otherJob) < 0
+	return p.compareWithinUrgency(job, otherJob) < 0
 }
 
-// fairShareStep returns the queue's fair share ratio in steps of LoadStep. If ratios were
-// equal to the last bit, all teams' jobs would end late together.
+// fairShareStep returns the queue's fair share ratio in steps of LoadStep, rounded down. If
+// ratios were compared exactly, the teams would progress in lockstep and all of their jobs would
+// end late.
 func (p *Partition) fairShareStep(queue *teamQueue) float64 {
 	return math.Floor(queue.fairShareRatio() / p.tuning.LoadStep)
 }
 
-// compareInQueue orders the jobs of one team; negative: a goes first.
+// compareInQueue orders the jobs of one team. It returns a negative number if a precedes b.
 func (p *Partition) compareInQueue(a, b *Job) int {
 	if order := compareUrgency(a, b); order != 0 {
 		return order
 	}
-	return p.compareTurn(a, b)
+	return p.compareWithinUrgency(a, b)
 }
 
-// compareUrgency orders jobs by what takes precedence over size and fair share; negative: a
-// goes first. Jobs whose first start is overdue go first, whatever their guarantee and
-// priority; then guaranteed work, then by priority, and among equals starved jobs.
+// compareUrgency orders jobs by the criteria that take precedence over size and fair share. Jobs
+// whose first start is overdue precede all others, regardless of guarantee and priority. The
+// others are ordered by whether the team's guarantee covers them, then by priority. Among equals,
+// starved jobs come first. It returns a negative number if a precedes b.
 func compareUrgency(a, b *Job) int {
 	if order := compareTrueFirst(a.cycle.startOverdue, b.cycle.startOverdue); order != 0 {
 		return order
@@ -96,7 +100,7 @@
 	return compareTrueFirst(a.cycle.starved, b.cycle.starved)
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst orders true before false. It returns a negative number if a precedes b.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -107,24 +111,26 @@
 	return 1
 }
 
-// compareTurn orders jobs of the same urgency; negative: a goes first. Starved jobs go by
-// age, others by when their turn is.
-func (p *Partition) compareTurn(a, b *Job) int {
+// compareWithinUrgency orders jobs of equal urgency: starved jobs from the oldest, others by
+// precedence time. It returns a negative number if a precedes b.
+func (p *Partition) compareWithinUrgency(a, b *Job) int {
 	if a.cycle.starved && b.cycle.starved {
 		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
 			return order
 		}
 	}
-	if order := p.turnAt(a).Compare(p.turnAt(b)); order != 0 {
+	if order := p.precedenceTime(a).Compare(p.precedenceTime(b)); order != 0 {
 		return order
 	}
 	return strings.Compare(a.ID, b.ID)
 }
 
-// turnAt returns when a job's turn is. Without a deadline, jobs with little work left come
-// before those with much: that completes the most jobs in good time, and age still
-// prevails in the end.
-func (p *Partition) turnAt(job *Job) time.Time {
+// precedenceTime returns the time by which jobs of equal urgency are ordered, earliest first. It
+// is the submission time for a service, the latest start that meets the deadline for a job with
+// a deadline, and otherwise the submission time plus a delay in proportion to the remaining work.
+// Jobs with little remaining work thus precede larger ones, so that more jobs complete early, but
+// a large job is not delayed indefinitely.
+func (p *Partition) precedenceTime(job *Job) time.Time {
 	switch {
 	case job.IsService():
 		return job.SubmittedAt
@@ -136,7 +142,8 @@
 	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
 
-// buildQueues returns the queues of the teams that have tasks to place, by team name.
+// buildQueues returns the queues of the teams that have tasks to place, sorted by team name. It
+// also updates the cycle state of all unfinished jobs.
 func (p *Partition) buildQueues(now time.Time) []*teamQueue {
 	unfinished := p.unfinishedJobsByTeam()
 	var queues []*teamQueue
@@ -145,7 +152,7 @@
 		slices.SortFunc(jobs, compareSubmission)
 		p.updateGuarantees(team, jobs)
 		for _, job := range jobs {
-			p.updateWaiting(job, now)
+			p.updateAgeClaims(job, now)
 		}
 		queue := &teamQueue{team: team, jobs: p.placeableJobs(jobs, now)}
 		if len(queue.jobs) > 0 {
@@ -155,7 +162,8 @@
 	return queues
 }
 
-// unfinishedJobsByTeam returns the jobs with tasks that are not done.
+// unfinishedJobsByTeam returns, by team name, the jobs that have tasks that are not done and are
+// not cancelled.
 func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
 	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
@@ -166,7 +174,8 @@
 	return byTeam
 }
 
-// compareSubmission orders jobs by age; negative: a is older.
+// compareSubmission orders jobs by submission time, then by ID. It returns a negative number if a
+// precedes b.
 func compareSubmission(a, b *Job) int {
 	if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
 		return order
@@ -174,47 +183,48 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// updateGuarantees sets which of a team's jobs, sorted from the oldest, its guarantee covers
-// together with all older ones.
+// updateGuarantees sets withinGuarantee of a team's jobs, which must be sorted from the oldest. A
+// job is within the guarantee if the guarantee covers it together with all older jobs.
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
-	var total resource.Vector
+	var unfinishedTotal resource.Vector
 	for _, job := range jobs {
 		unfinished := resource.TaskRequest(job.Job).Scale(job.Tasks - job.doneTasks)
-		total = total.Add(unfinished)
-		job.cycle.withinGuarantee = team.WithinGuarantee(total)
+		unfinishedTotal = unfinishedTotal.Add(unfinished)
+		job.cycle.withinGuarantee = team.WithinGuarantee(unfinishedTotal)
 	}
 }
 
-// updateWaiting sets what a job may claim by how long it has waited, and whether machines
-// without GPUs could run it.
-func (p *Partition) updateWaiting(job *Job, now time.Time) {
+// updateAgeClaims sets the parts of a job's cycle state that depend on its age, and whether
+// machines without GPUs could run it.
+func (p *Partition) updateAgeClaims(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
-	waitsForFirstStart := !job.begun()
+	waitsForFirstStart := !job.hasStarted()
 	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
 	job.cycle.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
 	job.cycle.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
-	job.cycle.ignoresGPUShare = age > tuning.Seconds(gpuShareStarveFactor*p.tuning.StarveS)
+	job.cycle.ignoresGPUShare = age > tuning.Seconds(ignoreGPUShareStarveFactor*p.tuning.StarveS)
 	job.cycle.cpuOnlyTypeFits = job.GPUs == 0 &&
 		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
 
-// begun reports whether the job has had its first start. Placements of a gang do not count
-// before one has been seen running, since all of them may still be abandoned.
-func (j *Job) begun() bool {
-	if j.seenRunning || j.doneTasks > 0 {
+// hasStarted reports whether the job has had its first start. The placements of a gang count only
+// once a task was reported as running, since until then the whole attempt may be abandoned.
+func (j *Job) hasStarted() bool {
+	if j.observedRunning || j.doneTasks > 0 {
 		return true
 	}
 	return !j.IsGang() && len(j.placements) > 0
 }
 
-// placeableJobs returns the jobs with tasks that may be placed by now, by precedence.
+// placeableJobs returns the jobs that have tasks to place and are not delayed at the given time,
+// ordered by precedence.
 func (p *Partition) placeableJobs(jobs []*Job, now time.Time) []*Job {
 	var placeable []*Job
 	for _, job := range jobs {
-		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.failures.retryAt) {
+		if job.waitingTasks == 0 || job.gangBroken || now.Before(job.failures.notBefore) {
 			continue
 		}
-		job.cycle.imageFetchS = p.shortestImageFetch(job)
+		job.cycle.imageFetchS = p.shortestImageFetchSeconds(job)
 		placeable = append(placeable, job)
 	}
 	slices.SortStableFunc(placeable, p.compareInQueue)
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -209,7 +209,7 @@
 		// The tasks of a gang complete together. The earlier owner may have stopped before
 		// it committed the ends of the other tasks, which could never be placed again,
 		// because a gang is placed as a whole.
-		p.finishGang(job)
+		p.markGangDone(job)
 	}
 	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
 	job.gangBroken = job.IsGang() && job.doneTasks == 0 && partlyPlaced
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -56,7 +56,7 @@
 	}
 	s.values[write.Put] = value
 	s.revisions[write.Put] = s.revision
-	s.largestValueBytes = max(s.largestValueBytes, encodedBytesOrZero(write.Value))
+	s.largestValueBytes = max(s.largestValueBytes, encodedSizeOrZero(write.Value))
 }
 
 // applyOldestDelayed applies the oldest delayed transaction.
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -93,7 +93,7 @@
 // contactFaultDigest returns the flag that describes a fault in the communication with a machine, or
 // 0 if there is none.
 func (p *Partition) contactFaultDigest(machine *Machine, now time.Time) records.MachineDigest {
-	contactTimeout := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceS())
+	contactTimeout := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceSeconds())
 	assignedBeforeTimeout := now.Sub(machine.assignedAt) > contactTimeout
 	token := &machine.token
 	switch {
@@ -181,10 +181,10 @@
 
 // unplacedTaskCount returns the number of a job's waiting tasks for which machines are needed.
 func (p *Partition) unplacedTaskCount(job *Job, team *quota.Team, now time.Time) int {
-	if job.preemption.awaiting && now.Sub(job.preemption.lastPreempted).Seconds() < p.tuning.PreemptGapS {
+	if job.preemption.inProgress && now.Sub(job.preemption.lastPreemptedAt).Seconds() < p.tuning.PreemptGapS {
 		return 0 // the preempted tasks are about to free capacity for this job
 	}
-	count := min(job.startableCount(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
+	count := min(job.placeableTasks(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
 	if job.IsGang() && count < job.Tasks {
 		return 0
 	}
@@ -203,7 +203,7 @@
 		GPUs:          job.GPUs,
 		MemoryGB:      job.MemoryGB,
 		Tasks:         count,
-		EstimatedRunS: runSeconds(job.Job),
+		EstimatedRunS: expectedRunSeconds(job.Job),
 		Priority:      job.Priority.Value(),
 	}
 	if job.SpreadZones {
