--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,9 +22,9 @@
 	return settings
 }
 
-// Jobs that compete for the same machines are meant for the same type, and work without
-// GPUs is not meant for machines with GPUs.
-func TestPrimaryMachineTypeGroupsCompetingJobs(t *testing.T) {
+// Jobs that compete for the same machines must have the same primary type. It must have no GPUs
+// for jobs without GPUs, unless they fit or allow only a type with GPUs.
+func TestPrimaryMachineTypeIsSharedByCompetingJobs(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		job  wire.Job
@@ -33,11 +33,11 @@
 		{"small", wire.Job{CPUs: 1}, 0},
 		{"with a GPU", wire.Job{CPUs: 1, GPUs: 1}, 1},
 		{"whole GPU machine", wire.Job{CPUs: 16, GPUs: 4}, 1},
-		{"named type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
+		{"restricted to the GPU type", wire.Job{CPUs: 1, MachineTypes: []string{"gpu"}}, 1},
 		{"too large for the type without GPUs", wire.Job{CPUs: 12}, 1},
 	} {
 		if got := PrimaryMachineType(&c.job, testTypes); got != c.want {
-			t.Errorf("%s: type %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: primary machine type: got index %d, want %d", c.name, got, c.want)
 		}
 	}
 }
@@ -54,17 +54,17 @@
 		{"too large", wire.Job{Team: "free", Tasks: 1, CPUs: 17}, ErrNoMachineTypeFits},
 		{"unknown type", wire.Job{Team: "free", Tasks: 1, CPUs: 1, MachineTypes: []string{"x"}}, ErrNoMachineTypeFits},
 		{"unknown zone", wire.Job{Team: "free", Tasks: 1, CPUs: 1, Zone: "x"}, ErrNoMachineTypeFits},
-		{"array beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
-		{"gang beyond the limit by its sum", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
-		{"gang spread over one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
+		{"array that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
+		{"gang that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
+		{"spread gang restricted to one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
 	} {
 		if err := Check(&c.job, settings, testTypes); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, err, c.want)
+			t.Errorf("%s: Check: got error %v, want %v", c.name, err, c.want)
 		}
 	}
 }
 
-// All replicas together must be within the team's limit, for all run at the same time.
+// All replicas together must be within the team's limit, since they run at the same time.
 func TestCheckRejectsServiceAboveItsTeamsLimit(t *testing.T) {
 	settings := testSettings()
 	for replicas, want := range map[int]error{2: nil, 3: ErrTeamLimitExceeded} {
@@ -79,13 +79,13 @@
 			Image:    "i",
 		}
 		if err := Check(&job, settings, testTypes); !errors.Is(err, want) {
-			t.Errorf("%d replicas of 4 CPUs with a limit of 10: %v, want %v", replicas, err, want)
+			t.Errorf("Check of %d replicas of 4 CPUs with a limit of 10: got error %v, want %v", replicas, err, want)
 		}
 	}
 }
 
-// The reasons are part of the answers that users get.
-func TestReasonsKeepTheirTexts(t *testing.T) {
+// The texts of the reasons are part of the responses sent to users and must not change.
+func TestErrorTextsSentToUsers(t *testing.T) {
 	for err, want := range map[error]string{
 		ErrUnknownTeam:        "unknown team",
 		ErrNoMachineTypeFits:  "a task fits no allowed machine type",
@@ -93,7 +93,7 @@
 		ErrGangCannotBeSpread: "the gang can't be spread",
 	} {
 		if err.Error() != want {
-			t.Errorf("%q, want %q", err, want)
+			t.Errorf("error text sent to users: got %q, want %q", err, want)
 		}
 	}
 }
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -36,16 +36,16 @@
 		return summary, false
 	}
 	summary.MachineDigests = map[string]records.MachineDigest{}
-	for i := range summary.DigestRecords {
+	for i := range summary.DigestRecordCount {
 		// All records are decoded into the same map, since no machine is in two of them.
 		key := records.MachineDigestsKey(partition, i)
 		if err := wire.Unmarshal(values[key], &summary.MachineDigests); err != nil {
 			slog.Debug("machine digests not decoded", "partition", partition, "err", err)
 		}
 	}
-	for i := range summary.OverflowRecords {
+	for i := range summary.OverflowRecordCount {
 		var overflow []records.Demand
-		key := records.WaitingKey(partition, i)
+		key := records.OverflowDemandKey(partition, i)
 		if err := wire.Unmarshal(values[key], &overflow); err != nil {
 			slog.Debug("waiting demands not decoded", "partition", partition, "err", err)
 		}
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -106,7 +106,7 @@
 
 // isFull reports whether changes may have been left out because the batch has no capacity left.
 func (b *batchBuilder) isFull() bool {
-	return !b.canWrite(finalWrites) || b.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes
+	return !b.canWrite(finalWrites) || b.sizeBound+tuning.MinJournalBytes > tuning.MaxTxnBytes
 }
 
 // addJobEnd adds the end of the first job whose tasks are all done. A batch ends at most one job,
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -151,7 +151,7 @@
 	if placement := c.job.unfinishedPlacement(task); placement != nil {
 		return placement.record().SizeBound()
 	}
-	return records.RangeBytes
+	return records.MaxRangeBytes
 }
 
 // typicalPlacementBytes is the typical size of a placement in a chunk's record, in bytes. The same
@@ -161,7 +161,7 @@
 // recordedTaskSizeBound returns an upper bound of a task's size in the chunk's record, in bytes.
 func (c *chunk) recordedTaskSizeBound(task int) int {
 	if c.job.taskStates[task] == taskDone {
-		return records.RangeBytes
+		return records.MaxRangeBytes
 	}
 	if placement := c.job.placements[task]; placement != nil {
 		return max(placement.record().SizeBound(), typicalPlacementBytes)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -12,7 +12,7 @@
 func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
-		if len(commands) >= tuning.MaxCommands {
+		if len(commands) >= tuning.MaxCommandsPerResponse {
 			return commands
 		}
 		if command, due := p.stopOrForgetCommand(machine, &heartbeat.Tasks[i], now); due {
@@ -57,15 +57,15 @@
 	return !known || forget.isEndCommitted()
 }
 
-// appendStartCommands appends start commands for the machine's tasks, up to MaxCommands commands
-// in total. sequence is the sequence number of the heartbeat to which they respond.
+// appendStartCommands appends start commands for the machine's tasks, up to MaxCommandsPerResponse
+// commands in total. sequence is the sequence number of the heartbeat to which they respond.
 //
 // If no heartbeat has listed a task that was started, its start command is repeated, because the
 // response with the command may have been lost. The worker cannot execute the command twice,
 // because it sends its next heartbeat only after it has executed the commands of the last response.
 func appendStartCommands(commands []wire.Command, machine *Machine, sequence uint64) []wire.Command {
 	for _, key := range machine.startableTasks() {
-		if len(commands) >= tuning.MaxCommands {
+		if len(commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		placement := machine.placements[key]
@@ -188,7 +188,7 @@
 	}
 	request := machine.newCommandRequest()
 	for _, key := range sortedTaskAttempts(machine.placements) {
-		if len(request.Commands) >= tuning.MaxCommands {
+		if len(request.Commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		if command, due := machine.placements[key].directCommand(key, stateFresh); due {
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -30,7 +30,7 @@
 
 // due reports whether the next record may be rewritten.
 func (f *formatConversion) due(now time.Time) bool {
-	return now.Sub(f.lastRewrite) >= tuning.ConversionGap
+	return now.Sub(f.lastRewrite) >= tuning.MinConversionInterval
 }
 
 // compact adds the records of chunks whose journaled changes the ring will soon overwrite. If there
@@ -169,7 +169,7 @@
 // empty batch accepts a record of any size, because the record could never be written otherwise.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
 	sizeBound := record.SizeBound()
-	if b.sizeBound > 0 && b.sizeBound+sizeBound > tuning.TxnBytes {
+	if b.sizeBound > 0 && b.sizeBound+sizeBound > tuning.MaxTxnBytes {
 		return
 	}
 	b.sizeBound += sizeBound
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -66,7 +66,7 @@
 
 // beginRecord begins a journal record, and reports whether the batch has capacity for one.
 func (w *journalWriter) beginRecord() bool {
-	if !w.builder.canWrite(1) || w.builder.sizeBound+tuning.MinJournalBytes > tuning.TxnBytes {
+	if !w.builder.canWrite(1) || w.builder.sizeBound+tuning.MinJournalBytes > tuning.MaxTxnBytes {
 		return false
 	}
 	w.record = &records.JournalRecord{Sequence: w.builder.partition.journal.nextSequence()}
@@ -77,7 +77,7 @@
 // bytesLeft returns the number of bytes by which the record may still grow.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
-	return min(valueBytes, tuning.TxnBytes-w.builder.sizeBound) - w.sizeBound
+	return min(valueBytes, tuning.MaxTxnBytes-w.builder.sizeBound) - w.sizeBound
 }
 
 // appendEntry adds the current state of the given tasks of a chunk to the record.
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -69,7 +69,7 @@
 }
 
 // maxValueBytes returns the maximum size of a value that may be written, in bytes.
-func (l *chunkLayout) maxValueBytes() int { return records.ValueBytes(l.limits.ValueKB) }
+func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
@@ -217,7 +217,7 @@
 	limit := l.maxValueBytes()
 	size := records.ChunkOverheadBytes
 	if c.from == 0 {
-		size += records.JobDescriptionBytes(c.job.Job)
+		size += records.JobDescriptionSizeBound(c.job.Job)
 	}
 	var boundaries []int
 	for task := c.from; task < c.to; task++ {
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -45,7 +45,7 @@
 		loaded := &chunks[i]
 		r.partition.journal.raiseSequence(loaded.Record.JournalSequence)
 		chunksByJob[loaded.JobID] = append(chunksByJob[loaded.JobID], loaded)
-		if !records.IsFirstChunk(loaded.Name) || loaded.Record.Job == nil {
+		if !records.IsFirstChunkName(loaded.Name) || loaded.Record.Job == nil {
 			continue
 		}
 		submittedAt := time.UnixMilli(loaded.Record.SubmittedAtMS)
