--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -114,7 +114,7 @@
 func (a *Autoscaler) sizeType(builder *planBuilder, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
 	fleet := builder.fleetCountsOf(machineType.Name)
 	typeBooked := booked.byType[machineType.Name]
-	target := a.machinesFor(typeBooked.machines)
+	target := a.inFlightTerm(typeBooked.machines)
 	if fleet.planned > 0 {
 		target = max(target, fleet.machines+fleet.planned)
 	}
@@ -127,13 +127,13 @@
 	}
 	surplus := machineSurplus{
 		total:    fleet.machines - target,
-		onDemand: fleet.onDemand - a.machinesFor(typeBooked.onDemand),
+		onDemand: fleet.onDemand - a.inFlightTerm(typeBooked.onDemand),
 	}
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// machinesFor returns the smallest number of machines of which the booked capacity, in machines,
+// inFlightTerm returns the smallest number of machines of which the booked capacity, in machines,
 // takes up at most the fraction InFlightTarget.
-func (a *Autoscaler) machinesFor(booked float64) int {
+func (a *Autoscaler) inFlightTerm(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/resource/vector_test.go
+++ b/internal/resource/vector_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestDominantShareIsOfMostUsedResource(t *testing.T) {
+func TestDominantShareReturnsLargestUsedFraction(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		capacity, used Vector
