--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -69,8 +69,8 @@
 		resource.MachineCapacity(machineType).Contains(resource.TaskRequest(job))
 }
 
-// feasibleZones returns the zones allowed by a job in which a machine type that fits its tasks
-// is offered.
+// feasibleZones returns those of the zones allowed by a job in which the cloud offers a machine
+// type that fits the job's tasks.
 func feasibleZones(job *wire.Job, types []wire.MachineType) map[string]bool {
 	zones := map[string]bool{}
 	for _, machineType := range types {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -94,9 +94,10 @@
 // The target of a machine type is its in-flight term, ceil(booked capacity / InFlightTarget).
 // While tasks wait that need additional machines, the target is the larger of the in-flight
 // term and machines + queue term. The queue term is the number of additional machines that
-// the waiting tasks need once all empty and booting machines are full. Pending rentals that
-// these tasks would use are counted in it again; see rentForWaitingTasks. Machines above the
-// target are returned when the surplus has lasted for GiveBackS. The target may be zero.
+// the waiting tasks need once all empty and booting machines are full. Machines of pending
+// rentals that these tasks would use are counted again in the queue term; see
+// rentForWaitingTasks. Machines above the target are returned when the surplus has lasted for
+// GiveBackS. The target may be zero.
 func (a *Autoscaler) Plan(input Input, now time.Time) Plan {
 	builder := newPlanBuilder(a.tuning, input)
 	for _, demand := range waitingDemands(input.Summaries) {
@@ -120,8 +121,8 @@
 	}
 	builder.plan.TargetMachines[machineType.Name] = target
 	if missing := target - fleet.machines - fleet.planned; missing > 0 {
-		// On-demand machines are rented if those that exist do not cover the booked
-		// work that must not run on spot machines.
+		// On-demand machines are rented if the existing ones do not cover the capacity
+		// in use by jobs that do not allow spot instances.
 		spot := typeBooked.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
 		builder.rentInZoneWithFewest(machineType, spot, booked.busiestPartition, missing)
 	}
@@ -132,8 +133,8 @@
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// inFlightTerm returns the smallest number of machines of which the booked capacity, in machines,
-// takes up at most the fraction InFlightTarget.
+// inFlightTerm returns ceil(booked / InFlightTarget), where booked is the capacity in use, in
+// machines. Epsilon is subtracted so that a rounding error does not add a machine.
 func (a *Autoscaler) inFlightTerm(booked float64) int {
 	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -161,13 +161,13 @@
 	}
 	now := time.Unix(0, 0)
 	if p := scaler.Plan(input, now); len(p.Returns) != 0 {
-		t.Fatal("machine returned by the first plan with a surplus, want none returned yet")
+		t.Fatal("first plan with a surplus: got machines returned, want none")
 	}
 	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS-1))); len(p.Returns) != 0 {
-		t.Fatal("machine returned 1 s before the surplus had lasted for GiveBackS")
+		t.Fatal("plan 1 s before the surplus has lasted for GiveBackS: got machines returned, want none")
 	}
 	if p := scaler.Plan(input, now.Add(tuning.Seconds(tunables.GiveBackS))); len(p.Returns) != 1 {
-		t.Fatal("want one machine returned after the surplus had lasted for GiveBackS")
+		t.Fatal("plan after the surplus has lasted for GiveBackS: number of returned machines is not 1")
 	}
 }
 
@@ -181,8 +181,8 @@
 	return scaler.Plan(input, start.Add(tuning.Seconds(tunables.GiveBackS)))
 }
 
-// On-demand machines cost more than spot machines, so they must be returned first, except those
-// needed by jobs that must not use spot machines.
+// On-demand machines cost more than spot instances, so they must be returned first, except those
+// needed by jobs that do not allow spot instances.
 func TestScaleInReturnsOnDemandMachinesFirst(t *testing.T) {
 	onDemand := Offering{MachineType: "cpu", Zone: "a"}
 	spot := Offering{MachineType: "cpu", Zone: "a", Spot: true}
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -49,7 +49,7 @@
 // bookedTypeCapacity is the capacity of one machine type that is in use, in machines.
 type bookedTypeCapacity struct {
 	machines float64
-	onDemand float64 // the part used by jobs that must not use spot machines
+	onDemand float64 // the part in use by jobs that do not allow spot instances
 }
 
 // bookedCapacity is the sum of the capacity in use in all partitions.
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -8,8 +8,9 @@
 	"ambersill/internal/wire"
 )
 
-// costDoublingBootS is the boot time, in seconds, that doubles the cost at which a machine is
-// compared with others, so that one that boots faster may have a higher price.
+// costDoublingBootS is the boot time, in seconds, that doubles the cost at which an offering is
+// compared with others. A machine that boots faster may therefore be chosen despite a higher
+// price.
 const costDoublingBootS = 300
 
 // offeringCost is an offering with the values by which offerings are compared.
--- a/internal/autoscaler/planbuilder.go
+++ b/internal/autoscaler/planbuilder.go
@@ -21,7 +21,7 @@
 	tuning       *tuning.Tuning
 	input        Input
 	typesByName  map[string]wire.MachineType
-	fleetsByType map[string]*fleetCounts // by machine type
+	fleetsByType map[string]*fleetCounts
 	// existingMachines is the number of machines by offering, including those that are being
 	// returned and excluding pending rentals.
 	existingMachines map[Offering]int
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -10,7 +10,7 @@
 // if machines are missing.
 type machineSurplus struct {
 	total    int
-	onDemand int // on-demand machines not needed by jobs that must not use spot machines
+	onDemand int // on-demand machines in excess of those needed by jobs that do not allow spot instances
 }
 
 // scaleIn plans the return of empty machines once a surplus has lasted for GiveBackS.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -13,7 +13,7 @@
 }
 
 // WithinLimit reports whether the team stays within its limit if request is allocated in
-// addition to what its tasks have.
+// addition to the resources in Allocated.
 func (t *Team) WithinLimit(request resource.Vector) bool {
 	total := t.Allocated.Add(request)
 	return withinMax(total.CPUs, t.CPUsMax) && withinMax(total.GPUs, t.GPUsMax)
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -18,8 +18,8 @@
 	HighestAttempt uint64            `cbor:"try"`            // highest attempt of any task of the job
 	DoneRanges     []int             `cbor:"done,omitempty"` // finished tasks, as flattened ranges
 	Placements     []PlacementRecord `cbor:"live,omitempty"`
-	// JournalSequence is the sequence of the newest journal record up to which all changes
-	// of the chunk are included.
+	// JournalSequence is the sequence of the newest journal record whose changes to the chunk
+	// are included. The changes of all earlier records are included, too.
 	JournalSequence uint64 `cbor:"q,omitempty"`
 	// From and To are the range of tasks [From, To) that the record covers. They are omitted
 	// in the initial format, where chunk number i covers TasksPerChunk tasks from task
@@ -28,14 +28,14 @@
 	To   int `cbor:"to,omitempty"`
 }
 
-// PlacementRecord is a placement of a task on a machine that may still be in effect. It is
-// encoded as an array.
+// PlacementRecord is a task's placement on a machine. The placement may still be in effect. The
+// record is encoded as an array.
 type PlacementRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Task        int
 	Attempt     uint64
 	Machine     string
-	Incarnation uint64 // of the worker
+	Incarnation uint64 // incarnation of the worker on the machine
 }
 
 // LoadedChunk is a ChunkRecord read from the key-value store, with the job and the chunk's name
@@ -47,8 +47,8 @@
 	Record   ChunkRecord
 }
 
-// NewFirstChunk returns the record of a job's first chunk, which is created on submission. The
-// record contains an explicit range of tasks from FeatureExplicitChunks on.
+// NewFirstChunk returns the record of a job's first chunk, which is created on submission. At
+// FeatureExplicitChunks and higher levels, the record contains an explicit range of tasks.
 func NewFirstChunk(record *JobRecord, level FeatureLevel, settings *config.Settings) ChunkRecord {
 	chunk := ChunkRecord{Job: record.Job, SubmittedAtMS: record.SubmittedAtMS}
 	if level >= FeatureExplicitChunks {
--- a/internal/records/ranges.go
+++ b/internal/records/ranges.go
@@ -3,8 +3,8 @@
 // Sets of tasks are stored as flattened ranges: [from, to, from, to, ...] in ascending order, where
 // each pair stands for the tasks from <= task < to.
 
-// maxRangeLength is the number of tasks up to which a range read from a record is visited, so that
-// a corrupt range cannot cause an almost endless loop.
+// maxRangeLength is the maximum number of tasks that are visited in a range read from a record, so
+// that a corrupt range cannot cause an almost endless loop.
 const maxRangeLength = 1 << 17
 
 // ForEachInRanges calls visit for each task in flattened ranges, and for at most maxRangeLength
@@ -30,8 +30,8 @@
 	return ranges
 }
 
-// AppendToRanges returns flattened ranges with a task added, which must be greater than all tasks
-// in them.
+// AppendToRanges adds a task to flattened ranges and returns the result. The task must be greater
+// than all tasks in ranges.
 func AppendToRanges(ranges []int, task int) []int {
 	if n := len(ranges); n > 0 && ranges[n-1] == task {
 		ranges[n-1] = task + 1
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -13,8 +13,8 @@
 type PartitionSummary struct {
 	// BookedMachines is the capacity in use by machine type, in machines.
 	BookedMachines map[string]float64 `cbor:"booked"`
-	// BookedOnDemand is the part of BookedMachines that is used by jobs that must not use
-	// spot machines.
+	// BookedOnDemand is the part of BookedMachines that is in use by jobs that do not allow
+	// spot instances.
 	BookedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
@@ -43,9 +43,10 @@
 	// DigestNeverReported is set if the machine has never sent a heartbeat although it was
 	// assigned longer ago than a worker's lease lasts.
 	DigestNeverReported
-	// DigestUnhealthy is set if the machine must be returned because it is faulty, does not
-	// respond to its owner, or has been silent since its worker's lease expired for longer
-	// than its type takes to boot.
+	// DigestUnhealthy is set if the machine must be returned for one of these reasons: it is
+	// faulty; it has tasks but has not sent the current owner a heartbeat in time; it does not
+	// receive the owner's messages; or its worker's lease expired longer ago than its type
+	// takes to boot.
 	DigestUnhealthy
 )
 
--- a/internal/resource/vector.go
+++ b/internal/resource/vector.go
@@ -12,8 +12,8 @@
 // they are repeatedly added and subtracted.
 const Epsilon = 1e-6
 
-// Unlimited stands for a number of tasks that nothing limits. It is larger than any job's
-// number of tasks, and small enough that sums of such counts do not overflow.
+// Unlimited represents an unlimited number of tasks. It is larger than any job's number of
+// tasks, and small enough that sums of such counts do not overflow.
 const Unlimited = 1 << 20
 
 // Vector is an amount of each resource.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -53,26 +53,28 @@
 	GiveBackS float64
 	// ListS is the interval at which the leader lists the machines in the cloud.
 	ListS float64
-	// SummaryS is the minimum interval between two writes of a partition's summary.
+	// SummaryS is the minimum interval between two writes of a partition's summary. It is also
+	// the interval at which the leader reads all summaries.
 	SummaryS float64
 	// BootPatience is the multiple of a machine type's boot time after which a machine that
 	// has not come up is returned. Most machines come up within 1.5 times the boot time.
 	BootPatience float64
-	// RefusalS is the back-off, after the cloud first refused to rent an offering, before it
-	// is requested again. It doubles with each further refusal, up to RefusalMaxS.
+	// RefusalS is how long an offering is not requested after the cloud first refused to rent
+	// it. This time doubles with each further refusal, up to RefusalMaxS.
 	RefusalS    float64
 	RefusalMaxS float64
 
-	// ErrorBackoffS is the back-off of a job after one of its tasks first failed with an
-	// error. It doubles with each further failure, up to ErrorBackoffMaxS.
+	// ErrorBackoffS is the first back-off of a job, other than a service, whose tasks have
+	// failed with errors on several machines. It doubles with each further failure, up to
+	// ErrorBackoffMaxS.
 	ErrorBackoffS    float64
 	ErrorBackoffMaxS float64
-	// RestartBackoffS is the back-off before a service's replica is restarted that exited
+	// RestartBackoffS is the back-off before restarting a service's replica that exited
 	// within SettledS of its start. It doubles with each further such exit, up to
 	// ErrorBackoffMaxS. It starts short because a single exit is rarely followed by others.
 	RestartBackoffS float64
-	// SickErrors is the number of consecutive task failures of different jobs after which a
-	// machine is considered faulty and quarantined.
+	// SickErrors is the number of different jobs whose tasks must fail on a machine,
+	// without a success in between, before the machine is quarantined as faulty.
 	SickErrors int
 
 	// PreemptGapS is the minimum interval between two preemptions in favor of the same job.
@@ -106,8 +108,8 @@
 	// fit on other machines in use.
 	ConsolidateS float64
 	// OrdinaryCostS is the placement cost, in seconds of image fetch time, of running a task
-	// on an on-demand machine if it may use spot machines. It keeps such tasks off on-demand
-	// machines, which can then be returned.
+	// on an on-demand machine if its job allows spot instances. It keeps such tasks off
+	// on-demand machines, which can then be returned.
 	OrdinaryCostS float64
 	// SettledS is how long a task must run for its start to count as successful, even if the
 	// task is stopped later.
@@ -185,8 +187,8 @@
 // Limits of requests to the cloud and of responses to workers.
 const (
 	// MaxMachinesPerRental is the largest number of machines that the cloud rents out in one
-	// request. Fewer are requested if the records of their groups would not fit into the key-value
-	// store's limits for a value and a transaction.
+	// request. Fewer are requested if the records of their groups would exceed the key-value
+	// store's limits for a value or a transaction.
 	MaxMachinesPerRental = 50
 	// MaxMachinesPerReturn is the largest number of machines that the cloud takes back in one
 	// request.
