--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -9,21 +9,21 @@
 	"ambersill/internal/tuning"
 )
 
-// Parameters of compaction.
 const (
-	// compactionRingShare divides the ring's length: a chunk is due once the ring is within this
-	// fraction of overwriting a change that the chunk's record lacks.
-	compactionRingShare = 4
-	// compactionBatches is the number of full batches before such an overwrite at which a chunk
-	// is due at the latest. With small values a batch writes many journal records, and the ring
-	// could otherwise overwrite a change between two batches.
-	compactionBatches = 2
-	// compactionWriteShare divides a batch: compaction uses this fraction of it while the
-	// journal can be appended to, so that neither blocks the other.
-	compactionWriteShare = 2
+	// compactionRingDivisor sets the margin of compaction: a chunk is due once at most
+	// 1/compactionRingDivisor of the ring's slots can be written before the ring overwrites a
+	// change that is missing from the chunk's record.
+	compactionRingDivisor = 4
+	// compactionMarginBatches is the least margin, in full batches before such an overwrite. If
+	// the maximum value size is small, a batch writes many journal records, and the ring could
+	// otherwise overwrite a change between two batches.
+	compactionMarginBatches = 2
+	// compactionWriteDivisor limits compaction to 1/compactionWriteDivisor of a batch's writes
+	// while the journal can be appended to, so that neither blocks the other.
+	compactionWriteDivisor = 2
 )
 
-// formatConversion limits the rate at which records are rewritten to convert their format.
+// formatConversion limits the rate at which records are rewritten only to convert their format.
 type formatConversion struct {
 	lastRewrite time.Time
 }
@@ -33,8 +33,9 @@
 	return now.Sub(f.lastRewrite) >= tuning.MinConversionInterval
 }
 
-// compact adds the records of chunks whose journaled changes the ring will soon overwrite. It
-// reports whether the journal can be appended to before those records are committed.
+// compact adds the records of chunks whose journaled changes the ring will soon overwrite. If there
+// are none, it may add a record to convert its format. It reports whether the journal can be
+// appended to before the records are committed.
 func (b *batchBuilder) compact() bool {
 	due := b.chunksToCompact()
 	if len(due) == 0 {
@@ -42,10 +43,10 @@
 		return true
 	}
 	journal := &b.partition.journal
-	canAppend := oldestUncompacted(due)+journal.slotCount() > journal.sequence+uint64(b.maxWrites)
+	canAppend := oldestUncompactedSequence(due)+journal.slotCount() > journal.sequence+uint64(b.maxWrites)
 	limit := b.maxWrites
 	if canAppend {
-		limit /= compactionWriteShare
+		limit /= compactionWriteDivisor
 	}
 	for _, chunk := range due {
 		if len(b.batch.Txn.Writes) >= limit {
@@ -56,21 +57,21 @@
 	return canAppend
 }
 
-// oldestUncompacted returns the oldest sequence that the chunks' records lack. It is 0, which
-// blocks the journal, while the first of them is a piece without journaled changes that has
-// to be written before the chunk that it was split off from.
-func oldestUncompacted(due []*chunk) uint64 {
-	oldest := due[0].oldestUncompacted
+// oldestUncompactedSequence returns the lowest sequence of a journal record that is missing from one
+// of the chunks' records. It returns 0, which blocks the journal, if the first chunk has no
+// journaled changes. Such a chunk must be written before the chunk that it was split off from.
+func oldestUncompactedSequence(due []*chunk) uint64 {
+	oldest := due[0].oldestUncompactedSequence
 	for _, chunk := range due {
-		if chunk.oldestUncompacted > 0 {
-			oldest = min(oldest, chunk.oldestUncompacted)
+		if chunk.oldestUncompactedSequence > 0 {
+			oldest = min(oldest, chunk.oldestUncompactedSequence)
 		}
 	}
 	return oldest
 }
 
-// chunksToCompact lists the chunks that are due, the job first whose journaled changes are the
-// oldest; within a job what was split off precedes what it was split off from.
+// chunksToCompact returns the chunks that are due, ordered by the age of their jobs' oldest journaled
+// changes. Within a job, a chunk that was split off precedes the chunk that it was split off from.
 func (b *batchBuilder) chunksToCompact() []*chunk {
 	var due []*chunk
 	oldest := map[*Job]uint64{}
@@ -79,10 +80,10 @@
 			continue
 		}
 		due = append(due, chunk)
-		if sequence, ok := oldest[chunk.job]; !ok || chunk.oldestUncompacted < sequence {
-			oldest[chunk.job] = chunk.oldestUncompacted
+		if sequence, ok := oldest[chunk.job]; !ok || chunk.oldestUncompactedSequence < sequence {
+			oldest[chunk.job] = chunk.oldestUncompactedSequence
 		}
-		due = append(due, b.unwrittenPieces(chunk)...)
+		due = append(due, b.unwrittenSplitOffChunks(chunk)...)
 	}
 	slices.SortFunc(due, func(x, y *chunk) int {
 		if x.job == y.job {
@@ -93,52 +94,53 @@
 	return due
 }
 
-// unwrittenPieces returns the chunks that were split off from a chunk and have neither a record
-// nor journaled changes that make them due themselves.
-func (b *batchBuilder) unwrittenPieces(origin *chunk) []*chunk {
-	var pieces []*chunk
-	for _, piece := range origin.splitOff {
-		if !piece.hasRecord() && !b.partition.journal.uncompactedChunks[piece] {
-			pieces = append(pieces, piece)
+// unwrittenSplitOffChunks returns the chunks that were split off from origin and have neither a record
+// nor journaled changes. They do not become due by themselves.
+func (b *batchBuilder) unwrittenSplitOffChunks(origin *chunk) []*chunk {
+	var unwritten []*chunk
+	for _, splitOffChunk := range origin.splitOffChunks {
+		if !splitOffChunk.hasRecord() && !b.partition.journal.uncompactedChunks[splitOffChunk] {
+			unwritten = append(unwritten, splitOffChunk)
 		}
 	}
-	return pieces
+	return unwritten
 }
 
-// compactionDue reports whether the ring will soon overwrite a change that an uncompacted
-// chunk's record lacks.
+// compactionDue reports whether the ring will soon overwrite a change that is missing from an
+// uncompacted chunk's record.
 func (b *batchBuilder) compactionDue(chunk *chunk) bool {
 	if chunk.job.recordsDeletable() || chunk.job == b.batch.endedJob {
 		return false
 	}
 	journal := &b.partition.journal
-	margin := max(journal.slotCount()/compactionRingShare, compactionBatches*uint64(b.maxWrites))
-	return chunk.oldestUncompacted+journal.slotCount() <= journal.sequence+margin
+	margin := max(journal.slotCount()/compactionRingDivisor, compactionMarginBatches*uint64(b.maxWrites))
+	return chunk.oldestUncompactedSequence+journal.slotCount() <= journal.sequence+margin
 }
 
-// convertFormat rewrites one record of the initial format if the next conversion is due, so
-// that eventually none remains.
+// convertFormat adds one record to convert it from the initial format if the next conversion is
+// due, so that eventually no record of that format remains.
 func (b *batchBuilder) convertFormat() {
 	p := b.partition
 	if !p.layout.writesExplicitRanges() || !p.conversion.due(p.cycleStartedAt) || !b.canWrite(1) {
 		return
 	}
 	p.conversion.lastRewrite = p.cycleStartedAt
-	if chunk := p.outdatedChunk(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
+	if chunk := p.nextChunkToConvert(b.batch); chunk != nil && chunk.job != b.batch.endedJob {
 		b.writeChunk(chunk, b.maxWrites)
 	}
 }
 
-// writeChunk adds a chunk's record to the batch unless that then exceeds maxWrites changes. A
-// record that would outgrow a value is split first, and the pieces are written before it.
+// writeChunk adds a chunk's record to the batch unless the batch already has maxWrites writes. A
+// chunk whose record would exceed the maximum value size is split first, and the records of the
+// chunks that are split off are written before its own.
 func (b *batchBuilder) writeChunk(chunk *chunk, maxWrites int) {
 	if b.partition.layout.writesExplicitRanges() {
 		chunk.format = explicitRangeChunk
-		for _, piece := range slices.Backward(b.splitIfTooLarge(chunk)) {
-			b.writeChunk(piece, maxWrites)
+		for _, splitOffChunk := range slices.Backward(b.splitIfTooLarge(chunk)) {
+			b.writeChunk(splitOffChunk, maxWrites)
 		}
 	}
-	if len(b.batch.Txn.Writes) >= maxWrites || !chunk.splitOffWritten(b.batch) {
+	if len(b.batch.Txn.Writes) >= maxWrites || !chunk.splitOffChunksWritten(b.batch) {
 		return
 	}
 	record := chunk.record()
@@ -146,31 +148,31 @@
 	b.putChunk(chunk, record)
 }
 
-// splitIfTooLarge splits a chunk whose record would outgrow a value, and returns the pieces
-// that were split off.
+// splitIfTooLarge splits a chunk if its record would exceed the maximum value size. It returns the
+// chunks that were split off.
 func (b *batchBuilder) splitIfTooLarge(chunk *chunk) []*chunk {
 	layout := &b.partition.layout
 	record := chunk.record()
 	if record.SizeBound() <= layout.maxValueBytes() {
 		return nil
 	}
-	cuts := layout.splitPoints(chunk)
-	if len(cuts) == 0 {
+	boundaries := layout.splitPoints(chunk)
+	if len(boundaries) == 0 {
 		return nil
 	}
-	pieces := chunk.splitAt(cuts)
-	b.partition.journal.adoptPieces(chunk, pieces)
-	return pieces
+	splitOffChunks := chunk.splitAt(boundaries)
+	b.partition.journal.trackSplitOffChunks(chunk, splitOffChunks)
+	return splitOffChunks
 }
 
-// putChunk adds a chunk's record to the batch if the transaction's size limit permits. A
-// batch without other changes accepts a record of any size, or it could never be written.
+// putChunk adds a chunk's record to the batch if the size limit of a transaction permits it. An
+// empty batch accepts a record of any size, because the record could never be written otherwise.
 func (b *batchBuilder) putChunk(chunk *chunk, record records.ChunkRecord) {
-	size := record.SizeBound()
-	if b.size > 0 && b.size+size > tuning.MaxTxnBytes {
+	sizeBound := record.SizeBound()
+	if b.sizeBound > 0 && b.sizeBound+sizeBound > tuning.MaxTxnBytes {
 		return
 	}
-	b.size += size
+	b.sizeBound += sizeBound
 	b.put(b.partition.layout.chunkKey(chunk), chunk.revision, record)
 	b.batch.chunkWrites = append(b.batch.chunkWrites, chunkWrite{
 		chunk:         chunk,
