--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -10,9 +10,9 @@
 
 // groupEvents returns the events of one commit that writes the given machine groups, in the
 // order of the groups.
-func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
+func groupEvents(groups []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
-	for _, group := range pieces {
+	for _, group := range groups {
 		_, write := newGroupWrite(group)
 		events = append(events, wire.Event{Put: write.Put, Value: must(wire.Marshal(write.Value)), Revision: revision})
 	}
@@ -28,13 +28,13 @@
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
-	const limit = 2 << 10 // bytes
-	pieces := whole.Split(limit)
+	const maxBytes = 2 << 10 // bytes
+	pieces := whole.Split(maxBytes)
 	if len(pieces) < 3 {
 		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
 	for i, piece := range pieces {
-		if piece.SizeBound() > limit {
+		if piece.SizeBound() > maxBytes {
 			t.Errorf("piece %d has up to %d bytes, want at most the limit of 2 KiB", i, piece.SizeBound())
 		}
 	}
