--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// forgetMachine discards the state that the controller keeps of a machine outside its
-// partitions.
+// forgetMachine discards what the controller itself stores about a machine. What its partitions
+// store is discarded by ownedPartition.machineChanged.
 func (c *Controller) forgetMachine(machineID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controller/addresses_test.go
+++ b/internal/controller/addresses_test.go
@@ -7,7 +7,7 @@
 	"ambersill/internal/records"
 )
 
-// The addresses of all existing machines are known, even of far more than 4,000 at a time. No
+// The addresses of all existing machines are known, even if there are far more than 4,000. No
 // address is kept of a machine whose record was deleted, even if the cloud's listing still
 // shows the machine for a while.
 func TestAddressesKeptOnlyForExistingMachines(t *testing.T) {
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -25,7 +25,7 @@
 	for ctx.Err() == nil {
 		types, err := c.cloud.Catalog(ctx)
 		if err != nil || len(types) == 0 {
-			slog.Debug("reading the cloud's catalog failed", "err", err)
+			slog.Debug("reading the cloud's catalog failed or returned no machine types", "err", err)
 			transport.Pause(ctx, catalogRetryDelay)
 			continue
 		}
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -129,8 +129,8 @@
 	c.update(func() (notify func()) { return c.applyPartitionOwner(partition, owner) })
 }
 
-// update runs a function that changes the cache while mu is held, and signals the change. It
-// then releases mu and calls the function that step returned, if any.
+// update calls mutate, which changes the cache, while mu is held, and signals the change. It
+// then releases mu and calls the function that mutate has returned, unless it is nil.
 func (c *clusterCache) update(mutate func() (notify func())) {
 	c.mu.Lock()
 	notify := mutate()
@@ -171,16 +171,16 @@
 	return nil
 }
 
-// applyLeader ignores a change that is older than the cached one, since the response to a
-// claim and events of the watch arrive in either order.
+// applyLeader stores the leader. It ignores a change that is older than the cached one, since
+// the response to a claim and the events of the watch arrive in either order.
 func (c *clusterCache) applyLeader(owner ownership) {
 	if owner.revision >= c.leader.revision {
 		c.leader = owner
 	}
 }
 
-// applyPartitionOwner ignores a change that is older than the cached one, for the same reason
-// as applyLeader.
+// applyPartitionOwner stores the owner of a partition. It ignores a change that is older than
+// the cached one, for the same reason as applyLeader.
 func (c *clusterCache) applyPartitionOwner(partition int, owner ownership) (notify func()) {
 	if owner.revision < c.partitions[partition].revision {
 		return nil
@@ -245,7 +245,7 @@
 	return owner
 }
 
-// replaceAll replaces the content of the cache by a listing of all keys as of a revision.
+// replaceAll replaces the content of the cache with a listing of all keys as of a revision.
 func (c *clusterCache) replaceAll(items []wire.KeyValue, revision uint64) {
 	listed := make(map[string]bool, len(items))
 	// In descending order of the keys, for the reason given at sortEvents.
@@ -285,7 +285,7 @@
 		addUnlessListed(records.NodePrefix + name)
 	}
 	for name, group := range c.groups {
-		// This node has written a group with a higher revision after the listing.
+		// If a group has a higher revision, this node wrote it after the listing.
 		if group.revision <= revision {
 			addUnlessListed(records.MachinePrefix + name)
 		}
--- a/internal/controller/fenced_commit.go
+++ b/internal/controller/fenced_commit.go
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// encodeWrites returns the changes of keys that writes make, in the order of the writes. Their
-// revision is not set.
+// encodeWrites returns the key changes that the writes make, in the same order. The revision of
+// the changes is not set.
 func encodeWrites(writes []wire.Write) ([]keyChange, error) {
 	changes := make([]keyChange, 0, len(writes))
 	for _, write := range writes {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// leadershipPollInterval is the time between two checks of whether another node leads. It
-	// adds up to one interval to the duration of a failover.
+	// leadershipPollInterval is the time between two checks of whether another node leads. A
+	// failover may take longer by up to this time.
 	leadershipPollInterval = 300 * time.Millisecond
-	// leaderStepInterval is the pause between two steps of the leader. It delays a rental by
-	// up to one interval.
+	// leaderStepInterval is the pause between two steps of the leader. A rental may be delayed
+	// by up to this time.
 	leaderStepInterval = 250 * time.Millisecond
 	// cachePollInterval is the time between two checks of whether the cluster cache has
 	// caught up with a new term.
 	cachePollInterval = 50 * time.Millisecond
 )
 
-// runLeadership repeatedly tries to become the leader, and leads while this node is. It
-// returns when the context ends.
+// runLeadership claims leadership whenever no other node holds it, and leads until it is lost.
+// It returns when the context ends.
 func (c *Controller) runLeadership(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.claimAndLead(ctx)
@@ -153,8 +153,8 @@
 	slog.Info("stopped leading", "revision", l.revision)
 }
 
-// waitForCache waits until the cluster cache contains the writes of earlier leaders. With an
-// older cache, this leader would adopt machines that earlier leaders have already recorded.
+// waitForCache waits until the cluster cache contains the writes of earlier leaders. Without
+// them, this leader would adopt machines that earlier leaders have already recorded.
 func (l *leader) waitForCache(ctx context.Context) {
 	for ctx.Err() == nil && l.isLeader() && !l.cacheCaughtUp() {
 		transport.Pause(ctx, cachePollInterval)
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -32,7 +32,8 @@
 }
 
 // applyGroup applies a change of a machine group; c.mu must be held. It returns a function
-// that notifies the listener, or nil if there is nothing to notify it of.
+// that calls onMachineChange for each changed machine, or nil if the change is ignored or the
+// callback is not set.
 func (c *clusterCache) applyGroup(name string, change keyChange) (notify func()) {
 	old := c.groups[name]
 	if change.revision < old.revision {
@@ -148,10 +149,11 @@
 	return change
 }
 
-// maxGroupBytes returns the maximum size of a group's record, in bytes. Programs of the first
-// feature level may conclude that a machine was removed while its group is being split. Until
-// the cluster's feature level is higher, the limit is therefore the key-value store's present
-// one, and groups are not split to keep to a lower limit that is announced for the future.
+// maxGroupBytes returns the maximum size of a group's record, in bytes. Programs that
+// support only records.FeatureInitialFormat may conclude that a machine was removed while its
+// group is being split. Until the cluster's feature level is higher, the limit is therefore the
+// key-value store's present one, and groups are not split to keep to a lower limit that is
+// announced for the future.
 func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
 		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -8,8 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// groupEvents returns the events of one commit that writes the given machine groups, in the
-// order of the groups.
+// groupEvents returns the events of one commit that writes the given machine groups, in their
+// order.
 func groupEvents(groups []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
 	for _, group := range groups {
@@ -21,14 +21,14 @@
 
 // While the split of a group is applied to the cache, none of its machines may be missing,
 // not even for a moment: a machine without a record counts as returned, and its tasks would be
-// started elsewhere while they still run. Neither a watch nor a listing need deliver the new
-// groups first.
+// started elsewhere while they still run. A watch or a listing may deliver the rest of the
+// split group before the new groups.
 func TestSplittingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
-	const maxBytes = 2 << 10 // bytes
+	const maxBytes = 2 << 10
 	pieces := whole.Split(maxBytes)
 	if len(pieces) < 3 {
 		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -62,7 +62,7 @@
 	bootS             map[string]float64 // boot time in seconds, by machine type
 	bootPatience      float64            // multiple of the boot time after which a machine must be up
 	listLagS          float64            // maximum age of the cloud's listing, in seconds
-	goneAfterListings int                // consecutive listings without a machine that is gone
+	goneAfterListings int                // consecutive missed listings after which a machine counts as gone
 }
 
 func (l *leader) newReturnCheck(now time.Time) returnCheck {
@@ -112,8 +112,8 @@
 	return age > tuning.Seconds(c.bootPatience*c.bootS[record.MachineType]+c.listLagS)
 }
 
-// returnToCloud returns machines. It deletes their records only after the cloud has answered,
-// because only then is it certain that no task still runs on them.
+// returnToCloud returns machines. It deletes their records only after the cloud has confirmed
+// the return, because only then is it certain that no task still runs on them.
 func (l *leader) returnToCloud(ctx context.Context, returns []machineReturn) {
 	if !l.mayCallCloud() {
 		return
--- a/internal/controller/machine_return_test.go
+++ b/internal/controller/machine_return_test.go
@@ -8,7 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// Each reason for returning a machine applies, and does not apply just below its threshold.
+// Each reason for returning a machine is given if its condition holds, and not if the condition
+// is just missed.
 func TestReturnReasons(t *testing.T) {
 	const id = "m-1"
 	now := time.Unix(1000, 0)
@@ -26,8 +27,8 @@
 		{name: "to be returned, but not released", record: records.MachineRecord{Desired: records.DesiredReturned, CreatedAtMS: now.UnixMilli()}},
 		{name: "moved", record: records.MachineRecord{Desired: records.DesiredMoved, Released: true, CreatedAtMS: now.UnixMilli()}},
 		{name: "failed", record: fresh, listing: machineListing{listed: true, state: wire.MachineFailed}, want: returnFailed},
-		{name: "missing from all lists", record: fresh, listing: machineListing{missedListings: 5}, want: returnNotListed},
-		{name: "missing from some lists", record: fresh, listing: machineListing{missedListings: 4}},
+		{name: "missing from enough listings", record: fresh, listing: machineListing{missedListings: 5}, want: returnNotListed},
+		{name: "missing from too few listings", record: fresh, listing: machineListing{missedListings: 4}},
 		{name: "unhealthy", record: fresh, digest: records.DigestUnhealthy | records.DigestReporting, want: returnUnhealthy},
 		{name: "never up", record: old, want: returnNotBooted},
 		{name: "up late, and reporting", record: old, digest: records.DigestReporting},
@@ -44,7 +45,7 @@
 				goneAfterListings: 5,
 			}
 			if got := check.reason(id, test.record); got != test.want {
-				t.Errorf("reason = %q, want %q", got, test.want)
+				t.Errorf("reason for returning the machine is %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/controller/offering_backoff.go
+++ b/internal/controller/offering_backoff.go
@@ -16,8 +16,7 @@
 
 func (b offeringBackoff) active(now time.Time) bool { return now.Before(b.until) }
 
-// backOffOffering starts or prolongs the back-off of an offering after the cloud has run out
-// of its machines.
+// backOffOffering starts or prolongs the back-off of an offering of which the cloud has run out.
 func (l *leader) backOffOffering(offering autoscaler.Offering) {
 	tunables := l.controller.tuning
 	backoff := l.backoffs[offering]
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -27,7 +27,7 @@
 }
 
 // recordedRental is a rental that is recorded in the key-value store. The record exists until
-// the cloud has answered the rental and its machines are recorded.
+// the cloud has answered the request and the rented machines are recorded.
 type recordedRental struct {
 	id string
 	rentalEntry
@@ -48,8 +48,9 @@
 	)
 }
 
-// maxMachinesPerRental returns the maximum number of machines of an offering in one rental.
-// Their groups must fit into one transaction that also deletes the rental's record.
+// maxMachinesPerRental returns the maximum number of machines of an offering in one rental. It
+// is limited by the cloud to tuning.MaxRent, and by the key-value store: the machines' groups
+// must fit into one transaction that also deletes the rental's record.
 func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
@@ -110,9 +111,9 @@
 	}
 }
 
-// isObsolete reports whether the cloud has refused a rental's offering since the rental was
-// recorded, and cannot have received the rental: it was recorded in this term, and this
-// leader has not called the cloud for it.
+// isObsolete reports whether a rental's offering is in back-off, since the cloud has run out of
+// it after the rental was recorded, and the cloud cannot have received the rental: it was
+// recorded in this term, and this leader has not called the cloud for it.
 func (l *leader) isObsolete(rental recordedRental) bool {
 	progress := l.rentals[rental.id]
 	called := !progress.lastCall.IsZero()
@@ -131,7 +132,7 @@
 }
 
 // executeRental calls the cloud once for a rental. If the cloud answers, it replaces the
-// rental's record by those of the machines.
+// rental's record with those of the machines.
 func (l *leader) executeRental(ctx context.Context, rental recordedRental) {
 	progress := l.rentals[rental.id]
 	progress.lastCall = time.Now()
