--- a/internal/controller/command_slots.go
+++ b/internal/controller/command_slots.go
@@ -53,11 +53,11 @@
 	shortest, longest time.Duration
 }
 
-// newCommandSlots returns a commandSlots whose limit is the fraction tuning.OrderShare of the
+// newCommandSlots returns a commandSlots whose limit is the fraction tuning.CommandSocketFraction of the
 // given number of sockets, but at least minCommandSlots.
 func newCommandSlots(sockets int) *commandSlots {
 	return &commandSlots{
-		limit:    max(minCommandSlots, int(float64(sockets)*tuning.OrderShare)),
+		limit:    max(minCommandSlots, int(float64(sockets)*tuning.CommandSocketFraction)),
 		inFlight: map[string]*inFlightCommand{},
 		backoff:  map[string]commandBackoff{},
 	}
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -139,7 +139,7 @@
 		change.writes = []wire.Write{{Delete: key}}
 		return change
 	}
-	pieces := group.Split(maxBytes)
+	pieces := group.SplitBySize(maxBytes)
 	for _, piece := range pieces[1:] {
 		compare, write := newGroupWrite(piece)
 		change.compares = append(change.compares, compare)
@@ -156,14 +156,14 @@
 // announced for the future.
 func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
-		return records.ValueBytes(c.settings.Cluster.State.ValueKB)
+		return records.MaxValueBytes(c.settings.Cluster.State.ValueKB)
 	}
-	return records.ValueBytes(c.limits.ValueKB)
+	return records.MaxValueBytes(c.limits.ValueKB)
 }
 
 // groupsPerTxn returns the number of groups, each of up to the given number of bytes, that may
-// be written in one transaction without exceeding tuning.TxnBytes. It is at least 1.
-func groupsPerTxn(groupBytes int) int { return max(1, tuning.TxnBytes/groupBytes) }
+// be written in one transaction without exceeding tuning.MaxTxnBytes. It is at least 1.
+func groupsPerTxn(groupBytes int) int { return max(1, tuning.MaxTxnBytes/groupBytes) }
 
 // sortEvents returns the events in the order in which they can be applied one by one: by
 // ascending revision, then by descending key. When a group is split, the new groups have
--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -29,7 +29,7 @@
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
 	const maxBytes = 2 << 10
-	pieces := whole.Split(maxBytes)
+	pieces := whole.SplitBySize(maxBytes)
 	if len(pieces) < 3 {
 		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -104,7 +104,7 @@
 	machine.Record = record
 	machine.revision = revision
 	machine.machineType = p.machineTypes[record.MachineType]
-	machine.capacity = resource.OfMachineType(machine.machineType)
+	machine.capacity = resource.MachineCapacity(machine.machineType)
 	// Each owner has a higher revision than its predecessors, so workers that know this
 	// token reject commands of earlier owners.
 	machine.token.raise(max(p.Revision, record.FencingToken))
