--- a/internal/controller/addresses.go
+++ b/internal/controller/addresses.go
@@ -3,20 +3,20 @@
 // recordAddress stores the address of a machine's worker. It ignores machines without a
 // record: the cloud's listing may still show machines that were returned, and nothing would
 // remove their addresses.
-func (c *Controller) recordAddress(machineID, address string) {
-	if _, known := c.cluster.machine(machineID); !known || address == "" {
+func (c *Controller) recordAddress(machine, address string) {
+	if _, known := c.cluster.machine(machine); !known || address == "" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addresses[machineID] = address
+	c.addresses[machine] = address
 }
 
 // address returns the address of a machine's worker, or "" if it is not known yet.
-func (c *Controller) address(machineID string) string {
+func (c *Controller) address(machine string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.addresses[machineID]
+	return c.addresses[machine]
 }
 
 // machineChanged handles a change of a machine's record in the cluster cache. It discards the
@@ -33,10 +33,10 @@
 
 // forgetMachine discards what the controller itself stores about a machine. What its partitions
 // store is discarded by ownedPartition.machineChanged.
-func (c *Controller) forgetMachine(machineID string) {
+func (c *Controller) forgetMachine(machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.addresses, machineID)
-	delete(c.redirectStates, machineID)
-	c.commandSlots.forget(machineID)
+	delete(c.addresses, machine)
+	delete(c.redirectStates, machine)
+	c.commandSlots.forget(machine)
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -47,8 +47,8 @@
 // nextFencingToken returns a fencing token for a machine. It is higher than all revisions that
 // this node knows of, and no higher than the revision of the commit that writes it. A later
 // claim of the partition therefore has a higher revision than the token.
-func (o *ownedPartition) nextFencingToken(machineID string) uint64 {
-	entry, _ := o.controller.cluster.machine(machineID)
+func (o *ownedPartition) nextFencingToken(machine string) uint64 {
+	entry, _ := o.controller.cluster.machine(machine)
 	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
 }
 
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -49,8 +49,8 @@
 }
 
 // maxMachinesPerRental returns the maximum number of machines of an offering in one rental. It
-// is limited by the cloud to tuning.MaxRent, and by the key-value store: the machines' groups
-// must fit into one transaction that also deletes the rental's record.
+// is limited by the cloud to tuning.MaxMachinesPerRental, and by the key-value store: the
+// machines' groups must fit into one transaction that also deletes the rental's record.
 func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
 	groups := min(limits.TxnOps-1, groupsPerTxn(records.MaxValueBytes(limits.ValueKB)))
