--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -134,14 +134,14 @@
 // sendHeartbeat delivers the next heartbeat of a machine's worker, executes the commands of the
 // reply and returns them. It returns nil if the heartbeat is not accepted.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
-	outcome, reply := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
-	if outcome != HeartbeatAccepted {
+	verdict, response := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
+	if verdict != HeartbeatAccepted {
 		return nil
 	}
-	for _, command := range reply.Commands {
+	for _, command := range response.Commands {
 		h.execute(id, command)
 	}
-	return reply.Commands
+	return response.Commands
 }
 
 // execute applies a command to the tasks of the machine's worker.
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -20,7 +20,7 @@
 // preempt stops tasks of lower priority, or tasks of other teams beyond their guarantee, to make
 // room for up to count tasks of a job for which no capacity was found.
 func (p *Partition) preempt(job *Job, count int, now time.Time) {
-	if !p.maySearchPreemption(job, now) {
+	if !p.maySearchForVictims(job, now) {
 		return
 	}
 	job.preemption.lastSearchAt = now
@@ -40,9 +40,9 @@
 	}
 }
 
-// maySearchPreemption reports whether a search for tasks to preempt is permitted for the job now.
+// maySearchForVictims reports whether a search for tasks to preempt is permitted for the job now.
 // Searches are at least SearchGapS apart, and preemptions at least PreemptGapS.
-func (p *Partition) maySearchPreemption(job *Job, now time.Time) bool {
+func (p *Partition) maySearchForVictims(job *Job, now time.Time) bool {
 	if !job.mayPreempt() {
 		return false
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -152,7 +152,7 @@
 		slices.SortFunc(jobs, compareSubmission)
 		p.updateGuarantees(team, jobs)
 		for _, job := range jobs {
-			p.updateAgeClaims(job, now)
+			p.updateAgeDependentState(job, now)
 		}
 		queue := &teamQueue{team: team, jobs: p.placeableJobs(jobs, now)}
 		if len(queue.jobs) > 0 {
@@ -194,9 +194,9 @@
 	}
 }
 
-// updateAgeClaims sets the parts of a job's cycle state that depend on its age, and whether
+// updateAgeDependentState sets the parts of a job's cycle state that depend on its age, and whether
 // machines without GPUs could run it.
-func (p *Partition) updateAgeClaims(job *Job, now time.Time) {
+func (p *Partition) updateAgeDependentState(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
 	waitsForFirstStart := !job.hasStarted()
 	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -28,8 +28,8 @@
 	noticeS := 10.0
 	heartbeat := h.nextHeartbeat(id)
 	heartbeat.TerminationNoticeS = &noticeS
-	_, reply := h.HandleHeartbeat(heartbeat, h.now, true)
-	return reply.Commands
+	_, response := h.HandleHeartbeat(heartbeat, h.now, true)
+	return response.Commands
 }
 
 // A replica on a machine with a termination notice is stopped early if another machine has capacity
