--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -10,8 +10,8 @@
 	"ambersill/internal/wire"
 )
 
-// Costs of placing a task on a machine, expressed as the image fetch time in seconds that is
-// accepted in order to avoid it.
+// Costs, in seconds, that are added to the image fetch time of machines on which tasks should not
+// be placed. Another machine is preferred unless its image fetch takes longer by more than the cost.
 const (
 	// gpuMachineCostS keeps tasks without GPUs off machines with GPUs, which are scarce. It
 	// exceeds the fetch time of all but the largest images.
@@ -88,8 +88,8 @@
 	return !needsUsedMachine || len(machine.placements) > 0
 }
 
-// fitsTask reports whether one task of a job fits into the machine's available capacity and
-// leaves the share of the machine's free GPUs.
+// fitsTask reports whether one task of a job fits into the machine's available capacity without
+// using the CPUs and memory that are set aside for the machine's free GPUs.
 func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
 	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUShare(job, machine, available)
 }
@@ -188,8 +188,8 @@
 	return sorted
 }
 
-// imageFetchSeconds returns the expected time in which a machine fetches the job's image. It is 0
-// if the image is cached or the fetch rate of the machine type is unknown.
+// imageFetchSeconds returns the expected time, in seconds, that a machine takes to fetch the job's
+// image. It is 0 if the image is cached or the fetch rate of the machine type is unknown.
 func (p *Partition) imageFetchSeconds(job *Job, machine *Machine) float64 {
 	if _, cached := machine.cachedImages[job.Image]; cached {
 		return 0
@@ -200,10 +200,10 @@
 	return job.ImageGB / machine.machineType.ImageFetchGBPerS
 }
 
-// shortestImageFetchSeconds returns the shortest expected fetch time of a job's image among the
-// candidates that have capacity for one of its tasks, or 0 if there are none. It counts as
-// remaining work, so that a job whose image is cached precedes one that would occupy the machine
-// while it fetches its image.
+// shortestImageFetchSeconds returns the shortest expected fetch time of a job's image, in seconds,
+// among the candidates that have capacity for one of the job's tasks, or 0 if there are none. The
+// fetch time counts as remaining work, so that a job whose image is cached precedes one that would
+// occupy the machine while its image is fetched.
 func (p *Partition) shortestImageFetchSeconds(job *Job) float64 {
 	shortest, found := 0.0, false
 	request := resource.TaskRequest(job.Job)
--- a/internal/scheduler/cancel.go
+++ b/internal/scheduler/cancel.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// SetCancelledJobs replaces the list of cancelled jobs and stops the tasks of those that were not
-// cancelled before. It reports whether there were any. A job that is added after its cancellation
-// became known, for example because a watch lags, is cancelled as soon as it is added.
+// SetCancelledJobs replaces the list of cancelled jobs and stops the tasks of the listed jobs that
+// were not cancelled before. It reports whether the partition has any such job. A job that is added
+// after its cancellation became known, for example because a watch lags, is cancelled as soon as it
+// is added.
 func (p *Partition) SetCancelledJobs(ids []string, now time.Time) bool {
 	changed := false
 	p.cancelledJobIDs = make(map[string]bool, len(ids))
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -23,8 +23,9 @@
 // futureZone contains the slots that a zone has for a gang, now or later.
 type futureZone struct {
 	slots []futureSlot
-	// reservedForOther is set if a machine in the zone is reserved for another job. Only one
-	// gang at a time may reserve machines in a zone, since two gangs could block each other.
+	// reservedForOther is set if a machine in the zone is reserved for another job. A gang that
+	// must run in a single zone does not reserve machines in this zone then, since two gangs
+	// could block each other.
 	reservedForOther bool
 }
 
@@ -166,7 +167,7 @@
 	return ends
 }
 
-// remainingRunSeconds returns the expected time until a placement's task ends.
+// remainingRunSeconds returns the expected time, in seconds, until a placement's task ends.
 func (p *Partition) remainingRunSeconds(placement *Placement, now time.Time) float64 {
 	expected := expectedRunSeconds(placement.job.Job)
 	if placement.runningSince.IsZero() {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -27,7 +27,7 @@
 	if placed := len(harness.jobs["req-1"].placements); placed != 1 {
 		t.Fatalf("%d tasks placed while a task of attempt 1 is still on a machine, want only that one", placed)
 	}
-	harness.sendHeartbeat("m-2") // the reply stops the task
+	harness.sendHeartbeat("m-2") // the response stops the task
 	harness.sendHeartbeat("m-2") // reports the exit
 	harness.scheduleAndCommit()
 	for _, placement := range harness.jobs["req-1"].placements {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -73,8 +73,8 @@
 	return harness
 }
 
-// newHarnessWithPlacedJob returns a partition with machine m-1, on which the tasks of job req-1
-// are placed, with one CPU each. The placements are committed, but no start has been sent.
+// newHarnessWithPlacedJob returns a harness whose partition has machine m-1, on which the tasks of
+// job req-1 are placed, with one CPU each. The placements are committed, but no start has been sent.
 func newHarnessWithPlacedJob(tasks int) *partitionHarness {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -132,7 +132,7 @@
 }
 
 // sendHeartbeat delivers the next heartbeat of a machine's worker, executes the commands of the
-// reply and returns them. It returns nil if the heartbeat is not accepted.
+// response and returns them. It returns nil if the heartbeat is not accepted.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
 	verdict, response := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
 	if verdict != HeartbeatAccepted {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -43,10 +43,10 @@
 	failures        jobFailures
 	replicaRestarts map[int]replicaRestart // by task; only replicas that exited soon after their start
 
-	// failedSearchVersion is the value of Partition.capacityVersion when the last search
-	// found no machines for the job. The search is not repeated until that value changes.
+	// failedSearchVersion is the value of Partition.capacityVersion when a search for machines
+	// for the job last failed. The search is not repeated until that value changes.
 	failedSearchVersion int
-	reservedUntil       time.Time // end of the job's gang reservation of machines
+	reservedUntil       time.Time // when the reservation of machines for the gang expires
 
 	preemption preemptionState
 	cycle      cycleState
@@ -60,7 +60,7 @@
 	withinGuarantee bool    // the team's guarantee covers the job and the team's older jobs
 	ignoresGPUShare bool    // is so old that it may use the CPUs and memory set aside for free GPUs
 	cpuOnlyTypeFits bool    // an allowed machine type without GPUs can run a task
-	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal urgency
+	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal priority and guarantee coverage
 	startOverdue    bool    // has waited longer than OverdueS for its first start: precedes all other jobs
 	startForced     bool    // has waited longer than ForceS for its first start: may use empty machines, and its placements are protected from preemption
 }
--- a/internal/scheduler/preempt.go
+++ b/internal/scheduler/preempt.go
@@ -112,7 +112,8 @@
 // victims returns the placements on a machine that may be preempted for a job, in the order in
 // which to stop them. Settled tasks come first: they write checkpoints, and have run long enough
 // to count as started, which a task that is stopped early does not. Within each group, the tasks
-// that have run the shortest come first, since they lose the least work.
+// that have run the shortest come first, since they lose the least work, and the tasks that have
+// not been reported as running come last.
 func (p *Partition) victims(job *Job, machine *Machine, now time.Time) []*Placement {
 	var victims []*Placement
 	for _, key := range sortedTaskAttempts(machine.placements) {
@@ -139,8 +140,8 @@
 	return now.Sub(placement.runningSince) > tuning.Seconds(p.tuning.SettledS)
 }
 
-// mayPreempt reports whether tasks may be preempted for the job. Jobs of priority idle that exceed
-// their team's guarantee may not preempt any.
+// mayPreempt reports whether tasks may be preempted for the job. They may not if the job has
+// priority idle and exceeds its team's guarantee.
 func (j *Job) mayPreempt() bool { return j.cycle.withinGuarantee || j.Priority.Value() > 0 }
 
 // preemptible reports whether a placement may be stopped for a job. A placement of lower priority
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -162,8 +162,8 @@
 	return queues
 }
 
-// unfinishedJobsByTeam returns, by team name, the jobs that have tasks that are not done and are
-// not cancelled.
+// unfinishedJobsByTeam returns, by team name, the jobs that are not cancelled and have tasks that
+// are not done.
 func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
 	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -18,8 +18,8 @@
 	return toleratedHeartbeats * p.settings.Cluster.Workers.ReportS
 }
 
-// reserve reserves the machine's free capacity for a holder, which is a job ID or
-// reservedForDrain.
+// reserve reserves the machine's free capacity until the given time for a holder, which is a job
+// ID or reservedForDrain.
 func (m *Machine) reserve(holder string, until time.Time) {
 	m.reservedFor = holder
 	m.reservedUntil = until
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -12,8 +12,9 @@
 )
 
 // BenchmarkSchedulingCycle runs scheduling cycles of a partition with full machines and waiting
-// jobs of 220 tasks each. In each cycle, the tasks on one machine in 20 end. The smaller case is a
-// grown fleet; the larger one is half as large again as the largest fleet served.
+// jobs of 220 tasks each. In each cycle, the tasks on one machine in 20 end. The smaller case has
+// the size of a fleet after scale-out. The larger case is half as large again as the largest fleet
+// of the supported deployments.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, c := range []struct{ machines, jobs int }{{350, 60}, {1100, 300}} {
 		b.Run(fmt.Sprint(c.machines, " machines"), func(b *testing.B) { benchmarkSchedulingCycle(b, c.machines, c.jobs) })
@@ -58,8 +59,8 @@
 	h.sendHeartbeat(id)
 }
 
-// encodedSize returns the size of a value in bytes as JSON, which is how the protocol measures
-// values.
+// encodedSize returns the size of a value in bytes when encoded as JSON, which is how the key-value
+// store measures values.
 func encodedSize(t *testing.T, value any) int {
 	t.Helper()
 	size := encodedSizeOrZero(value)
@@ -85,7 +86,7 @@
 // longName has the maximum length of names in records.
 var longName = strings.Repeat("x", 60)
 
-// With several times the machines and jobs of any deployment served, each record must fit into a
+// With several times the machines and jobs of any supported deployment, each record must fit into a
 // value of the key-value store, and each transaction into 64 KiB. A larger transaction would be
 // rejected on every attempt, so none of its changes would ever be committed.
 func TestRecordsStayWithinStoreLimits(t *testing.T) {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -14,9 +14,9 @@
 	// placed before the next queue is selected. It is low enough that teams share scarce
 	// capacity, and high enough that a large job does not need a search for each task.
 	maxTasksPerTurn = 8
-	// maxOverdueTasksPerTurn is the maximum number of tasks placed in one turn for a job, gangs
-	// excepted, whose first start is overdue. One is enough: once it is placed, the job has
-	// started.
+	// maxOverdueTasksPerTurn is the maximum number of tasks placed in one turn for a job whose
+	// first start is overdue. One is enough, since hasStarted is true once a task is placed.
+	// Gangs are exempt: all of their tasks are placed together.
 	maxOverdueTasksPerTurn = 1
 	// maxTasksPerPreemption is the maximum number of tasks for which a single preemption frees
 	// capacity. Preempted tasks stop only after their grace period, so capacity is freed for
@@ -119,8 +119,8 @@
 	return min(count, remaining)
 }
 
-// canBePlacedOn reports whether the machines found for count tasks are sufficient to place tasks
-// of the job. A gang needs all count machines, any other job at least one.
+// canBePlacedOn reports whether tasks of the job can be placed on machines, which findMachines
+// returned for count tasks. A gang needs count entries, any other job at least one.
 func (j *Job) canBePlacedOn(machines []*Machine, count int) bool {
 	if j.IsGang() && len(machines) < count {
 		return false
@@ -128,8 +128,8 @@
 	return len(machines) > 0
 }
 
-// preemptOrReserve preempts other tasks for a job for which no machines were found. If no
-// preemption is in progress, it reserves machines for the job if it is a starved gang.
+// preemptOrReserve preempts other tasks for a job that could not be placed. If no preemption is in
+// progress afterwards and the job is a starved gang, it reserves machines for the job.
 func (p *Partition) preemptOrReserve(job *Job, count int, now time.Time) {
 	job.failedSearchVersion = p.capacityVersion
 	p.preempt(job, min(count, maxTasksPerPreemption), now)
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -15,7 +15,7 @@
 // floating-point numbers stay exact.
 const replicaRunS = 365 * 24 * 3600.0
 
-// expectedRunSeconds returns the expected run time of a task of the job.
+// expectedRunSeconds returns the expected run time, in seconds, of a task of the job.
 func expectedRunSeconds(job *wire.Job) float64 {
 	if job.IsService() {
 		return replicaRunS
@@ -31,7 +31,7 @@
 
 // handleReplicaExit updates the restart delay after the exit of a replica that was not stopped. A
 // replica that exits before it counts as started is restarted after a delay that doubles each
-// time.
+// time, up to ErrorBackoffMaxS.
 func (p *Partition) handleReplicaExit(placement *Placement, now time.Time) {
 	job := placement.job
 	if p.countsAsStarted(placement, now) {
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -23,7 +23,7 @@
 }
 
 // sendTerminationNotice delivers a heartbeat that contains a termination notice for the machine,
-// and returns the commands of the reply without executing them.
+// and returns the commands of the response without executing them.
 func (h *partitionHarness) sendTerminationNotice(id string) []wire.Command {
 	noticeS := 10.0
 	heartbeat := h.nextHeartbeat(id)
