--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -91,15 +91,15 @@
 // fitsTask reports whether one task of a job fits into the machine's available capacity without
 // using the CPUs and memory that are set aside for the machine's free GPUs.
 func fitsTask(job *Job, machine *Machine, available resource.Vector) bool {
-	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUShare(job, machine, available)
+	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUSetAside(job, machine, available)
 }
 
-// leavesGPUShare reports whether the machine's free GPUs keep their proportional share of its CPUs
+// leavesGPUSetAside reports whether the machine's free GPUs keep their proportional share of its CPUs
 // and memory when a task of the job is added. GPUs are scarce, and cannot be used without CPUs.
 // The rule applies only to jobs without GPUs that a machine type without GPUs could run and that
 // have not waited too long.
-func leavesGPUShare(job *Job, machine *Machine, available resource.Vector) bool {
-	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUShare {
+func leavesGPUSetAside(job *Job, machine *Machine, available resource.Vector) bool {
+	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUSetAside {
 		return true
 	}
 	remaining := available.Sub(resource.TaskRequest(job.Job))
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxConsolidationShare is the maximum allocated share of a machine that is worth
+	// maxAllocatedShareToDrain is the maximum allocated share of a machine that is worth
 	// draining. Moving the tasks of a fuller machine costs more than its return saves.
-	maxConsolidationShare = 0.5
+	maxAllocatedShareToDrain = 0.5
 	// drainReservationCycles is the number of ConsolidateS intervals for which a drained
 	// machine accepts no tasks. Within them its tasks exit and the leader can return it.
 	drainReservationCycles = 3
@@ -71,7 +71,7 @@
 	if !m.usable() || m.reservedFor != "" {
 		return false
 	}
-	return len(m.placements) > 0 && m.allocatedShare() <= maxConsolidationShare
+	return len(m.placements) > 0 && m.allocatedShare() <= maxAllocatedShareToDrain
 }
 
 // typesInDemand returns the names of the machine types that jobs with waiting tasks may use.
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -56,13 +56,13 @@
 // determine its precedence and the capacity that it may use. buildQueues computes them at the
 // start of each scheduling cycle.
 type cycleState struct {
-	imageFetchS     float64 // shortest image fetch, in seconds, on a machine with capacity for a task
-	withinGuarantee bool    // the team's guarantee covers the job and the team's older jobs
-	ignoresGPUShare bool    // is so old that it may use the CPUs and memory set aside for free GPUs
-	cpuOnlyTypeFits bool    // an allowed machine type without GPUs can run a task
-	starved         bool    // has waited longer than StarveS for its first start: precedes jobs of equal priority and guarantee coverage
-	startOverdue    bool    // has waited longer than OverdueS for its first start: precedes all other jobs
-	startForced     bool    // has waited longer than ForceS for its first start: may use empty machines, and its placements are protected from preemption
+	imageFetchS        float64 // shortest image fetch, in seconds, on a machine with capacity for a task
+	withinGuarantee    bool    // the team's guarantee covers the job and the team's older jobs
+	ignoresGPUSetAside bool    // is so old that it may use the CPUs and memory set aside for free GPUs
+	cpuOnlyTypeFits    bool    // an allowed machine type without GPUs can run a task
+	starved            bool    // has waited longer than StarveS for its first start: precedes jobs of equal priority and guarantee coverage
+	startOverdue       bool    // has waited longer than OverdueS for its first start: precedes all other jobs
+	startForced        bool    // has waited longer than ForceS for its first start: may use empty machines, and its placements are protected from preemption
 }
 
 // newJob returns a job whose tasks are all waiting. The caller must set its chunks.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -20,9 +20,9 @@
 	referenceMachineCPUs = 64
 )
 
-// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may use
+// ignoreGPUSetAsideStarveFactor is the multiple of StarveS after which a job without GPUs may use
 // the CPUs and memory that are set aside for the free GPUs of a machine.
-const ignoreGPUShareStarveFactor = 2
+const ignoreGPUSetAsideStarveFactor = 2
 
 // teamQueue contains the jobs of a team that have tasks to place, ordered by precedence.
 type teamQueue struct {
@@ -202,7 +202,7 @@
 	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
 	job.cycle.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
 	job.cycle.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
-	job.cycle.ignoresGPUShare = age > tuning.Seconds(ignoreGPUShareStarveFactor*p.tuning.StarveS)
+	job.cycle.ignoresGPUSetAside = age > tuning.Seconds(ignoreGPUSetAsideStarveFactor*p.tuning.StarveS)
 	job.cycle.cpuOnlyTypeFits = job.GPUs == 0 &&
 		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -166,7 +166,7 @@
 			continue
 		}
 		free := machine.capacity.Sub(used[machine.ID])
-		if free.Contains(request) && leavesGPUShare(job, machine, free) && machineAllowed(job.Job, machine) {
+		if free.Contains(request) && leavesGPUSetAside(job, machine, free) && machineAllowed(job.Job, machine) {
 			t.Fatalf("a task of job %s is waiting although it fits on machine %s", job.ID, machine.ID)
 		}
 	}
