--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -52,8 +52,8 @@
 // Their groups must fit into one transaction that also deletes the rental's record.
 func (l *leader) maxMachinesPerRental(offering autoscaler.Offering) int {
 	limits := l.controller.limits
-	groups := min(limits.TxnOps-1, groupsPerTxn(records.ValueBytes(limits.ValueKB)))
-	return min(tuning.MaxRent, groups*l.machinesPerGroup(offering))
+	groups := min(limits.TxnOps-1, groupsPerTxn(records.MaxValueBytes(limits.ValueKB)))
+	return min(tuning.MaxMachinesPerRental, groups*l.machinesPerGroup(offering))
 }
 
 // recordRentals records rentals. It splits those that have more machines than
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -95,20 +95,20 @@
 	for i, digest := range digests {
 		values[records.MachineDigestsKey(o.index, i)] = digest
 	}
-	summary.DigestRecords = len(digests)
-	overflow := summary.SplitWaiting(valueKB)
+	summary.DigestRecordCount = len(digests)
+	overflow := summary.SplitOverflowDemand(valueKB)
 	for i, waiting := range overflow {
-		values[records.WaitingKey(o.index, i)] = waiting
+		values[records.OverflowDemandKey(o.index, i)] = waiting
 	}
-	summary.OverflowRecords = len(overflow)
+	summary.OverflowRecordCount = len(overflow)
 	values[records.SummaryKey(o.index)] = summary
 	return values
 }
 
 // summaryInterval returns the minimum time between a write of the given number of changed summary
-// records and the next write. Summaries may use only the fraction SummaryShare of the store's
+// records and the next write. Summaries may use only the fraction SummaryWriteFraction of the store's
 // write rate, because all other writes are more urgent.
 func (c *Controller) summaryInterval(changes int) time.Duration {
 	shortest := tuning.Seconds(c.tuning.SummaryS)
-	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryShare*c.limits.WriteRPS)))
+	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryWriteFraction*c.limits.WriteRPS)))
 }
