--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -11,7 +11,8 @@
 )
 
 // Costs, in seconds, that are added to the image fetch time of machines on which tasks should not
-// be placed. Another machine is preferred unless its image fetch takes longer by more than the cost.
+// be placed. Another machine is preferred unless its image fetch takes longer by more than the
+// cost.
 const (
 	// gpuMachineCostS keeps tasks without GPUs off machines with GPUs, which are scarce. It
 	// exceeds the fetch time of all but the largest images.
@@ -94,10 +95,10 @@
 	return available.Contains(resource.TaskRequest(job.Job)) && leavesGPUSetAside(job, machine, available)
 }
 
-// leavesGPUSetAside reports whether the machine's free GPUs keep their proportional share of its CPUs
-// and memory when a task of the job is added. GPUs are scarce, and cannot be used without CPUs.
-// The rule applies only to jobs without GPUs that a machine type without GPUs could run and that
-// have not waited too long.
+// leavesGPUSetAside reports whether the machine's free GPUs keep their proportional share of its
+// CPUs and memory when a task of the job is added. GPUs are scarce, and cannot be used without
+// CPUs. The rule applies only to jobs without GPUs that a machine type without GPUs could run and
+// that have not waited too long.
 func leavesGPUSetAside(job *Job, machine *Machine, available resource.Vector) bool {
 	if job.GPUs > 0 || machine.capacity.GPUs == 0 || !job.cycle.cpuOnlyTypeFits || job.cycle.ignoresGPUSetAside {
 		return true
