--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -186,7 +186,7 @@
 	user := &emulator.User{
 		Simulation:  simulation,
 		Net:         transport.TCP{},
-		PickNode:        func() emulator.Node { return simulation.Nodes[rand.IntN(len(simulation.Nodes))] },
+		PickNode:    func() emulator.Node { return simulation.Nodes[rand.IntN(len(simulation.Nodes))] },
 		CancelAfter: cancelAfter,
 	}
 	outcome := string(user.Run(ctx, job))
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -130,7 +130,7 @@
 	user := &emulator.User{
 		Simulation: cluster.simulation,
 		Net:        cluster.network.Host("odd"),
-		PickNode:       func() emulator.Node { return cluster.nodes[cluster.random.IntN(controllerCount)] },
+		PickNode:   func() emulator.Node { return cluster.nodes[cluster.random.IntN(controllerCount)] },
 	}
 	for n := range 10 {
 		time.Sleep(2 * second)
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -138,7 +138,7 @@
 	user := &emulator.User{
 		Simulation: cluster.simulation,
 		Net:        cluster.network.Host("user"),
-		PickNode:       func() emulator.Node { return cluster.nodes[0] },
+		PickNode:   func() emulator.Node { return cluster.nodes[0] },
 	}
 	ctx, cancel := context.WithTimeout(cluster.ctx, 20*time.Second)
 	defer cancel()
--- a/internal/controller/simulated_jobs_test.go
+++ b/internal/controller/simulated_jobs_test.go
@@ -164,13 +164,13 @@
 	cluster.cancelFuncs[job.ID] = sync.OnceFunc(func() { close(cancel) })
 	cluster.mu.Unlock()
 	user := &emulator.User{
-		Simulation:    cluster.simulation,
-		Net:           cluster.network.Host("user-" + job.ID),
-		CancelAfter:   cancelAfter,
-		CancelSignal:        cancel,
-		PollAllNodes: cluster.pollAllNodes,
-		CancelWhenDone:    cluster.pollAllNodes,
-		PickNode:          func() emulator.Node { return cluster.nodes[random.IntN(len(cluster.nodes))] },
+		Simulation:     cluster.simulation,
+		Net:            cluster.network.Host("user-" + job.ID),
+		CancelAfter:    cancelAfter,
+		CancelSignal:   cancel,
+		PollAllNodes:   cluster.pollAllNodes,
+		CancelWhenDone: cluster.pollAllNodes,
+		PickNode:       func() emulator.Node { return cluster.nodes[random.IntN(len(cluster.nodes))] },
 	}
 	cluster.background.Go(func() {
 		phase := user.Run(cluster.ctx, job)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -68,7 +68,7 @@
 
 // lowerStoreLimits has the key-value store lower its limits.
 func (cluster *simulatedCluster) lowerStoreLimits() {
-	cluster.store.SetLimits(config.StateLimits{
+	cluster.store.Limit(config.StateLimits{
 		WriteRPS: loweredLimits.WriteRPS,
 		ValueKB:  loweredLimits.ValueKB,
 		TxnOps:   loweredLimits.TxnOps,
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -14,16 +14,16 @@
 type rule string
 
 const (
-	ruleRanTwice     rule = "ran_twice"
-	ruleQuota        rule = "quota"
-	ruleWrongPlace   rule = "wrong_place"
-	ruleRanCancelled rule = "ran_cancelled"
-	ruleForgotten    rule = "forgotten"
-	ruleInvented     rule = "invented"
-	ruleNotDone      rule = "not_done"
-	ruleWentBack     rule = "went_back"
-	ruleLeftWaiting  rule = "left_waiting" // a job waits beside capacity
-	ruleAcceptedInvalid     rule = "accepted"     // a job is accepted that can't run or lacks a field
+	ruleRanTwice        rule = "ran_twice"
+	ruleQuota           rule = "quota"
+	ruleWrongPlace      rule = "wrong_place"
+	ruleRanCancelled    rule = "ran_cancelled"
+	ruleForgotten       rule = "forgotten"
+	ruleInvented        rule = "invented"
+	ruleNotDone         rule = "not_done"
+	ruleWentBack        rule = "went_back"
+	ruleLeftWaiting     rule = "left_waiting" // a job waits beside capacity
+	ruleAcceptedInvalid rule = "accepted"     // a job is accepted that can't run or lacks a field
 )
 
 const (
@@ -47,8 +47,8 @@
 	cancelRequested bool
 	cancelledAt     time.Time // when a user was first answered cancelled
 	lastAnswerAt    time.Time // when a question about the job was last answered
-	firstStartAt      time.Time // when its first task started
-	waitingSince       time.Time // since when the job has waited beside capacity
+	firstStartAt    time.Time // when its first task started
+	waitingSince    time.Time // since when the job has waited beside capacity
 }
 
 // recordViolation records that a rule is broken.
@@ -174,12 +174,12 @@
 	if s.faultsOverAt.IsZero() {
 		return
 	}
-	last := s.faultsOverAt
-	if state := s.jobs[id]; state != nil && state.lastAnswerAt.After(last) {
-		last = state.lastAnswerAt
+	unansweredSince := s.faultsOverAt
+	if state := s.jobs[id]; state != nil && state.lastAnswerAt.After(unansweredSince) {
+		unansweredSince = state.lastAnswerAt
 	}
-	if time.Since(last) > maxTimeWithoutAnswer {
-		s.recordViolation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(last))
+	if time.Since(unansweredSince) > maxTimeWithoutAnswer {
+		s.recordViolation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(unansweredSince))
 	}
 }
 
@@ -202,16 +202,16 @@
 }
 
 // checkStart checks a start before the task is on its machine.
-func (s *Simulation) checkStart(k *Worker, t *task) {
-	s.checkRanTwice(k, t)
+func (s *Simulation) checkStart(worker *Worker, t *task) {
+	s.checkRanTwice(worker, t)
 	s.checkStartAfterCancellation(t)
-	s.checkWrongPlace(k, t.job)
+	s.checkWrongPlace(worker, t.job)
 }
 
 // checkRanTwice: a task starts on one machine while it is on another.
-func (s *Simulation) checkRanTwice(k *Worker, t *task) {
+func (s *Simulation) checkRanTwice(worker *Worker, t *task) {
 	if len(s.tasksOnMachines[t.name]) > 0 {
-		s.recordViolation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, k.Machine.ID)
+		s.recordViolation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, worker.Machine.ID)
 	}
 }
 
@@ -246,11 +246,11 @@
 
 // checkRemovalAfterCancellation: a task leaves its machine too long after its job was cancelled.
 func (s *Simulation) checkRemovalAfterCancellation(t *task) {
-	removedAt := time.Now()
+	removalTime := time.Now()
 	if !s.removalTime.IsZero() {
-		removedAt = s.removalTime
+		removalTime = s.removalTime
 	}
-	if since, cancelled := s.timeSinceCancellation(t.job.ID, removedAt); cancelled && since > s.CancelDeadline {
+	if since, cancelled := s.timeSinceCancellation(t.job.ID, removalTime); cancelled && since > s.CancelDeadline {
 		s.recordViolation(ruleRanCancelled, "%s leaves its machine %v after its cancellation", t.name, since)
 	}
 }
@@ -262,8 +262,8 @@
 
 // checkWrongPlace: given the job's tasks on machines, a task starts on a type, in a zone or
 // on a spot machine that its job doesn't allow.
-func (s *Simulation) checkWrongPlace(k *Worker, job *wire.Job) {
-	machine := k.Machine
+func (s *Simulation) checkWrongPlace(worker *Worker, job *wire.Job) {
+	machine := worker.Machine
 	if !machineTypeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
 		s.recordViolation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
 	}
@@ -309,37 +309,37 @@
 
 // CheckWaitingJobs looks for jobs that have waited for too long beside capacity on the machines
 // given. It is to be called every few seconds.
-func (s *Simulation) CheckWaitingJobs(up []*Worker) {
+func (s *Simulation) CheckWaitingJobs(workers []*Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faultsOverAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	placed := countPlacedTasks(up)
+	placed := countPlacedTasks(workers)
 	for id, state := range s.jobs {
 		if state.acceptedAt.IsZero() {
 			continue
 		}
-		if !s.waitsDespiteCapacity(state, placed[id], up) {
+		if !s.waitsDespiteCapacity(state, placed[id], workers) {
 			state.waitingSince = time.Time{}
 			continue
 		}
 		if state.waitingSince.IsZero() {
 			state.waitingSince = now
 		}
-		if d := now.Sub(state.waitingSince); d > maxWaitDespiteCapacity {
-			s.recordViolation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, d)
+		if waited := now.Sub(state.waitingSince); waited > maxWaitDespiteCapacity {
+			s.recordViolation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, waited)
 			state.waitingSince = now
 		}
 	}
 }
 
 // countPlacedTasks counts the tasks on machines, fetching ones included, by job.
-func countPlacedTasks(up []*Worker) map[string]int {
+func countPlacedTasks(workers []*Worker) map[string]int {
 	placed := map[string]int{}
-	for _, k := range up {
-		for _, t := range k.tasks {
+	for _, worker := range workers {
+		for _, t := range worker.tasks {
 			if t.state != wire.TaskExited {
 				placed[t.job.ID]++
 			}
@@ -350,17 +350,17 @@
 
 // waitsDespiteCapacity reports whether none of a job's tasks is placed - of a service, not
 // all - although its first start would find capacity.
-func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, up []*Worker) bool {
-	enough := 1
+func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, workers []*Worker) bool {
+	needed := 1
 	if state.job.IsService() {
-		enough = state.job.Tasks // each replica has to be there
+		needed = state.job.Tasks // each replica has to be there
 	}
-	return placed < enough && !state.reportedPhase.Final() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, up)
+	return placed < needed && !state.reportedPhase.Final() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, workers)
 }
 
 // hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
 // all of a gang (one that must be spread is left out).
-func (s *Simulation) hasCapacityFor(job *wire.Job, up []*Worker) bool {
+func (s *Simulation) hasCapacityFor(job *wire.Job, workers []*Worker) bool {
 	if job.IsGang() && job.SpreadZones {
 		return false
 	}
@@ -368,16 +368,16 @@
 	if job.IsGang() {
 		tasks = job.Tasks
 	}
-	cpus, gpus := teamUsageWith(job, tasks, up)
-	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, up)
+	cpus, gpus := teamUsageWith(job, tasks, workers)
+	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, workers)
 }
 
 // teamUsageWith returns what a job's team would use with that many more of the job's tasks.
-func teamUsageWith(job *wire.Job, tasks int, up []*Worker) (cpus, gpus float64) {
+func teamUsageWith(job *wire.Job, tasks int, workers []*Worker) (cpus, gpus float64) {
 	cpus = job.CPUs * float64(tasks)
 	gpus = job.GPUs * float64(tasks)
-	for _, k := range up {
-		for _, t := range k.tasks {
+	for _, worker := range workers {
+		for _, t := range worker.tasks {
 			if t.job.Team == job.Team && t.state != wire.TaskExited {
 				cpus += t.job.CPUs
 				gpus += t.job.GPUs
@@ -389,17 +389,17 @@
 
 // tasksFitOnMachines reports whether that many of a job's tasks fit on machines, of a single zone if
 // the job asks for that.
-func tasksFitOnMachines(job *wire.Job, tasks int, up []*Worker) bool {
+func tasksFitOnMachines(job *wire.Job, tasks int, workers []*Worker) bool {
 	fitting := map[string]int{} // tasks that fit, by zone where all must be in one
-	for _, k := range up {
-		if !k.canRun(job) {
+	for _, worker := range workers {
+		if !worker.canRun(job) {
 			continue
 		}
 		zone := ""
 		if job.SingleZone {
-			zone = k.Machine.Zone
+			zone = worker.Machine.Zone
 		}
-		fitting[zone] += k.countFittingTasks(job, tasks-fitting[zone])
+		fitting[zone] += worker.countFittingTasks(job, tasks-fitting[zone])
 		if fitting[zone] >= tasks {
 			return true
 		}
@@ -427,10 +427,10 @@
 			cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 		}
 	}
-	n := 0
-	for cpus >= job.CPUs && gpus >= job.GPUs && memory >= job.MemoryGB && n < limit {
+	count := 0
+	for cpus >= job.CPUs && gpus >= job.GPUs && memory >= job.MemoryGB && count < limit {
 		cpus, gpus, memory = cpus-job.CPUs, gpus-job.GPUs, memory-job.MemoryGB
-		n++
+		count++
 	}
-	return n
+	return count
 }
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -43,8 +43,8 @@
 	return s
 }
 
-// submit uploads a job that runs on small machines, after a change, and has it accepted.
-func (s *checkerSetup) submit(change func(job *wire.Job)) *wire.Job {
+// submitAccepted uploads a job that runs on small machines, after a change, and has it accepted.
+func (s *checkerSetup) submitAccepted(change func(job *wire.Job)) *wire.Job {
 	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, Tasks: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
 	if change != nil {
 		change(job)
@@ -54,8 +54,8 @@
 	return job
 }
 
-// start has a task begin on a machine.
-func (s *checkerSetup) start(worker *Worker, job *wire.Job, index int) {
+// startTaskOn has a task begin on a machine.
+func (s *checkerSetup) startTaskOn(worker *Worker, job *wire.Job, index int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := &task{name: wire.TaskName(job.ID, index), job: job, index: index, attempt: 1, state: wire.TaskFetching}
@@ -63,8 +63,8 @@
 	s.startTask(worker, t)
 }
 
-// cancel has the user cancel a job and be answered that it is.
-func (s *checkerSetup) cancel(job *wire.Job) {
+// cancelConfirmed has the user cancelConfirmed a job and be answered that it is.
+func (s *checkerSetup) cancelConfirmed(job *wire.Job) {
 	s.RecordCancelRequest(job.ID)
 	s.RecordPhaseAnswer(job.ID, wire.JobCancelled, time.Now())
 }
@@ -74,76 +74,76 @@
 func TestBrokenRulesAreReported(t *testing.T) {
 	onlyZone := func(zone string) func(*wire.Job) { return func(job *wire.Job) { job.Zone = zone } }
 	for _, c := range []struct {
-		name   string
-		broken rule
-		play   func(s *checkerSetup)
-		says   string // in one of the reports
+		name     string
+		wantRule rule
+		scenario func(s *checkerSetup)
+		wantText string // in one of the reports
 	}{
 		{"nothing is broken", "", func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.Tasks = 1 })
-			s.start(s.west, job, 0)
+			job := s.submitAccepted(func(job *wire.Job) { job.Tasks = 1 })
+			s.startTaskOn(s.west, job, 0)
 			time.Sleep(101 * time.Second)
 			s.RecordPhaseAnswer(job.ID, wire.JobDone, time.Now())
 		}, ""},
 		{"a task on two machines", ruleRanTwice, func(s *checkerSetup) {
-			job := s.submit(nil)
-			s.start(s.west, job, 0)
-			s.start(s.west2, job, 0)
+			job := s.submitAccepted(nil)
+			s.startTaskOn(s.west, job, 0)
+			s.startTaskOn(s.west2, job, 0)
 		}, ""},
 		{"a team over its limit", ruleQuota, func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.Team = "limited" })
+			job := s.submitAccepted(func(job *wire.Job) { job.Team = "limited" })
 			for i := range 3 {
-				s.start(s.west, job, i)
+				s.startTaskOn(s.west, job, i)
 			}
 		}, ""},
 		{"a machine type that is not allowed", ruleWrongPlace, func(s *checkerSetup) {
-			s.start(s.large, s.submit(nil), 0)
+			s.startTaskOn(s.large, s.submitAccepted(nil), 0)
 		}, ""},
 		{"another zone", ruleWrongPlace, func(s *checkerSetup) {
-			s.start(s.east, s.submit(onlyZone("west")), 0)
+			s.startTaskOn(s.east, s.submitAccepted(onlyZone("west")), 0)
 		}, ""},
 		{"a spot machine for a job that allows none", ruleWrongPlace, func(s *checkerSetup) {
-			s.start(s.spot, s.submit(nil), 0)
+			s.startTaskOn(s.spot, s.submitAccepted(nil), 0)
 		}, ""},
 		{"two zones for a job that must be in one", ruleWrongPlace, func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.SingleZone = true })
-			s.start(s.west, job, 0)
-			s.start(s.east, job, 1)
+			job := s.submitAccepted(func(job *wire.Job) { job.SingleZone = true })
+			s.startTaskOn(s.west, job, 0)
+			s.startTaskOn(s.east, job, 1)
 		}, ""},
 		{"more than half in a zone of a job that must be spread", ruleWrongPlace, func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.SpreadZones = true })
+			job := s.submitAccepted(func(job *wire.Job) { job.SpreadZones = true })
 			for i := range 3 {
-				s.start(s.west, job, i)
+				s.startTaskOn(s.west, job, i)
 			}
 		}, ""},
 		{"a cancelled task that goes on", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submit(nil)
-			s.start(s.west, job, 0)
-			s.cancel(job)
+			job := s.submitAccepted(nil)
+			s.startTaskOn(s.west, job, 0)
+			s.cancelConfirmed(job)
 			time.Sleep(45 * time.Second)
 		}, "is on a machine"},
 		{"a cancelled task that starts late", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submit(nil)
-			s.cancel(job)
+			job := s.submitAccepted(nil)
+			s.cancelConfirmed(job)
 			time.Sleep(45 * time.Second)
-			s.start(s.west, job, 0)
+			s.startTaskOn(s.west, job, 0)
 		}, "starts"},
 		{"a cancelled task that leaves its machine late", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submit(nil)
-			s.start(s.west, job, 0)
-			s.cancel(job)
+			job := s.submitAccepted(nil)
+			s.startTaskOn(s.west, job, 0)
+			s.cancelConfirmed(job)
 			time.Sleep(45 * time.Second)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.west.dropTasks()
 		}, "leaves its machine"},
 		{"an accepted job that is not known", ruleForgotten, func(s *checkerSetup) {
-			job := s.submit(nil)
+			job := s.submitAccepted(nil)
 			time.Sleep(time.Second)
 			s.RecordUnknownJobAnswer(job.ID, 404, time.Now())
 		}, ""},
 		{"an accepted job about which nothing is answered", ruleForgotten, func(s *checkerSetup) {
-			job := s.submit(nil)
+			job := s.submitAccepted(nil)
 			s.RecordFaultsOver()
 			time.Sleep(76 * time.Second)
 			s.RecordUnansweredPoll(job.ID)
@@ -152,19 +152,19 @@
 			s.RecordPhaseAnswer("req-9", wire.JobQueued, time.Now())
 		}, ""},
 		{"a job called done before its tasks are", ruleNotDone, func(s *checkerSetup) {
-			s.RecordPhaseAnswer(s.submit(nil).ID, wire.JobDone, time.Now())
+			s.RecordPhaseAnswer(s.submitAccepted(nil).ID, wire.JobDone, time.Now())
 		}, ""},
 		{"a cancelled job called queued", ruleWentBack, func(s *checkerSetup) {
-			job := s.submit(nil)
-			s.cancel(job)
+			job := s.submitAccepted(nil)
+			s.cancelConfirmed(job)
 			time.Sleep(time.Second)
 			s.RecordPhaseAnswer(job.ID, wire.JobQueued, time.Now())
 		}, ""},
 		{"a job called cancelled that nobody cancelled", ruleWentBack, func(s *checkerSetup) {
-			s.RecordPhaseAnswer(s.submit(nil).ID, wire.JobCancelled, time.Now())
+			s.RecordPhaseAnswer(s.submitAccepted(nil).ID, wire.JobCancelled, time.Now())
 		}, ""},
 		{"a job that waits beside free capacity", ruleLeftWaiting, func(s *checkerSetup) {
-			s.submit(nil)
+			s.submitAccepted(nil)
 			s.RecordFaultsOver()
 			for range 20 {
 				s.CheckWaitingJobs([]*Worker{s.west})
@@ -178,16 +178,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newCheckerSetup()
-				c.play(s)
+				c.scenario(s)
 				got := s.Violations()
-				if c.broken == "" && len(got) > 0 || c.broken != "" && len(got) == 0 {
+				if c.wantRule == "" && len(got) > 0 || c.wantRule != "" && len(got) == 0 {
 					t.Fatalf("reported %q", got)
 				}
-				if !strings.Contains(strings.Join(got, "\n"), c.says) {
-					t.Errorf("reported %q, want one that says %q", got, c.says)
+				if !strings.Contains(strings.Join(got, "\n"), c.wantText) {
+					t.Errorf("reported %q, want one that says %q", got, c.wantText)
 				}
-				if slices.ContainsFunc(got, func(v string) bool { return !strings.Contains(v, " "+string(c.broken)+": ") }) {
-					t.Errorf("reported %q, want %s alone", got, c.broken)
+				if slices.ContainsFunc(got, func(v string) bool { return !strings.Contains(v, " "+string(c.wantRule)+": ") }) {
+					t.Errorf("reported %q, want %s alone", got, c.wantRule)
 				}
 			})
 		})
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -55,7 +55,7 @@
 	log         []change
 	changed     chan struct{} // closed, and replaced, at each change
 	faults      storeFaults
-	limits      *writeLimits  // on what is written; nil: none
+	limits      *limits  // on what is written; nil: none
 	invalid     []string // why requests were answered 400
 	listed      int      // items that listings have held
 }
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -11,43 +11,43 @@
 
 // expireLeases ends the incarnations of machines that hang beyond their leases.
 func (s *Simulation) expireLeases() {
-	busy := map[*Worker]bool{}
+	workersWithTasks := map[*Worker]bool{}
 	for _, workers := range s.tasksOnMachines {
-		for k := range workers {
-			busy[k] = true
+		for worker := range workers {
+			workersWithTasks[worker] = true
 		}
 	}
-	for k := range busy {
-		k.checkLease()
+	for worker := range workersWithTasks {
+		worker.checkLease()
 	}
 }
 
 // startTask starts a task on its machine once its image has been fetched.
-func (s *Simulation) startTask(k *Worker, t *task) {
+func (s *Simulation) startTask(worker *Worker, t *task) {
 	s.checkRunningAfterCancellation()
 	s.recordStart(t)
-	s.checkStart(k, t)
+	s.checkStart(worker, t)
 	if s.tasksOnMachines[t.name] == nil {
 		s.tasksOnMachines[t.name] = map[*Worker]*task{}
 	}
-	s.tasksOnMachines[t.name][k] = t
+	s.tasksOnMachines[t.name][worker] = t
 	t.state = wire.TaskWaitingForGang
 	s.checkQuota(t.job.Team)
 	switch {
 	case s.completedTasks[t.name]:
-		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
-	case k.faulty:
+		worker.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
+	case worker.faulty:
 		t.state = wire.TaskRunning
-		k.after(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
+		worker.after(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
-		s.joinGang(k, t)
+		s.joinGang(worker, t)
 	case t.job.IsService():
-		s.runReplica(k, t)
+		s.runReplica(worker, t)
 	default:
 		t.state = wire.TaskRunning
-		k.after(t, s.runTime(t.job, t.index), func() {
+		worker.after(t, s.runTime(t.job, t.index), func() {
 			s.completeTask(t)
-			k.exit(t, wire.ExitDone, false)
+			worker.exit(t, wire.ExitDone, false)
 		})
 	}
 }
@@ -70,14 +70,14 @@
 }
 
 // runReplica runs a service's replica until it is stopped, or exits by itself.
-func (s *Simulation) runReplica(k *Worker, t *task) {
+func (s *Simulation) runReplica(worker *Worker, t *task) {
 	t.state = wire.TaskRunning
 	t.timer = nil // the fetch's, which must not fire again when a hang ends
 	if s.replicaExit == nil {
 		return
 	}
 	if d, exits := s.replicaExit(t.job, t.index); exits {
-		k.after(t, d, func() { k.exit(t, wire.ExitDone, false) })
+		worker.after(t, d, func() { worker.exit(t, wire.ExitDone, false) })
 	}
 }
 
@@ -92,9 +92,9 @@
 func (s *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
 	for i := range t.job.Tasks {
-		for k, other := range s.tasksOnMachines[wire.TaskName(t.job.ID, i)] {
+		for worker, other := range s.tasksOnMachines[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
-				members[other] = k
+				members[other] = worker
 			}
 		}
 	}
@@ -102,10 +102,10 @@
 }
 
 // joinGang has a gang start once all its tasks are there, and complete together.
-func (s *Simulation) joinGang(k *Worker, t *task) {
-	k.after(t, s.GangWaitTimeout, func() {
+func (s *Simulation) joinGang(worker *Worker, t *task) {
+	worker.after(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
-			k.exit(t, wire.ExitGangIncomplete, false)
+			worker.exit(t, wire.ExitGangIncomplete, false)
 		}
 	})
 	members := s.gangMembers(t)
@@ -117,18 +117,18 @@
 			return
 		}
 	}
-	for member, worker := range members {
+	for member, memberWorker := range members {
 		member.state = wire.TaskRunning
-		worker.after(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
+		memberWorker.after(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
 	}
 }
 
 // completeGang ends all running tasks of a gang attempt.
 func (s *Simulation) completeGang(t *task) {
-	for member, worker := range s.gangMembers(t) {
+	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
 			s.completeTask(member)
-			worker.exit(member, wire.ExitDone, false)
+			memberWorker.exit(member, wire.ExitDone, false)
 		}
 	}
 }
@@ -151,21 +151,21 @@
 }
 
 // removeTask takes a task from its machine; the rest of a running gang notices.
-func (s *Simulation) removeTask(k *Worker, t *task) {
-	if s.tasksOnMachines[t.name][k] != t {
+func (s *Simulation) removeTask(worker *Worker, t *task) {
+	if s.tasksOnMachines[t.name][worker] != t {
 		return
 	}
 	s.checkRemovalAfterCancellation(t)
-	delete(s.tasksOnMachines[t.name], k)
+	delete(s.tasksOnMachines[t.name], worker)
 	if len(s.tasksOnMachines[t.name]) == 0 {
 		delete(s.tasksOnMachines, t.name)
 	}
 	if !t.job.IsGang() || s.completedTasks[t.name] || t.state == wire.TaskWaitingForGang {
 		return
 	}
-	for member, worker := range s.gangMembers(t) {
+	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			worker.after(member, s.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
+			memberWorker.after(member, s.GangPeerTimeout, func() { memberWorker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -16,19 +16,19 @@
 	bytesPerKiB      = 1024
 )
 
-// writeLimits are the key-value store's writeLimits on what is written.
-type writeLimits struct {
+// limits are the key-value store's limits on what is written.
+type limits struct {
 	config.StateLimits
 	writeLimiter *rate.Limiter
 }
 
-// SetLimits sets the limits on what is written from now on; what is stored stays.
-func (s *KeyValueStore) SetLimits(l config.StateLimits) {
+// Limit sets the limits on what is written from now on; what is stored stays.
+func (s *KeyValueStore) Limit(newLimits config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = &writeLimits{
-		StateLimits: l,
-		writeLimiter:     rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS)),
+	s.limits = &limits{
+		StateLimits:  newLimits,
+		writeLimiter: rate.NewLimiter(rate.Limit(newLimits.WriteRPS), int(newLimits.WriteRPS)),
 	}
 }
 
@@ -40,7 +40,7 @@
 }
 
 // exceededLimit names the limit of size that a transaction exceeds; "" if none.
-func (l *writeLimits) exceededLimit(txn *rawTxn) string {
+func (l *limits) exceededLimit(txn *rawTxn) string {
 	if len(txn.Writes) > l.TxnOps {
 		return fmt.Sprintf("%d changes in a transaction", len(txn.Writes))
 	}
@@ -65,11 +65,11 @@
 	if err := wire.Unmarshal(raw, &decoded); err != nil {
 		return 0, fmt.Errorf("decoding the value: %w", err)
 	}
-	text, err := json.Marshal(withStringKeys(decoded))
+	encoded, err := json.Marshal(withStringKeys(decoded))
 	if err != nil {
 		return 0, fmt.Errorf("encoding the value as JSON: %w", err)
 	}
-	return len(text), nil
+	return len(encoded), nil
 }
 
 // withStringKeys returns a decoded value with the keys of its maps as strings, the only ones
--- a/internal/emulator/responses.go
+++ b/internal/emulator/responses.go
@@ -26,15 +26,15 @@
 }
 
 // WriteHeader sets the status to send.
-func (d *bufferedResponse) WriteHeader(status int) { d.status = status }
+func (r *bufferedResponse) WriteHeader(status int) { r.status = status }
 
 // Write appends to the body to send.
-func (d *bufferedResponse) Write(b []byte) (int, error) { return d.body.Write(b) }
+func (r *bufferedResponse) Write(b []byte) (int, error) { return r.body.Write(b) }
 
 // send sends the response.
-func (d *bufferedResponse) send() {
-	d.ResponseWriter.WriteHeader(d.status)
-	_, _ = d.ResponseWriter.Write(d.body.Bytes())
+func (r *bufferedResponse) send() {
+	r.ResponseWriter.WriteHeader(r.status)
+	_, _ = r.ResponseWriter.Write(r.body.Bytes())
 }
 
 // bufferResponses sends a handler's responses after it has returned.
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -47,16 +47,16 @@
 	replicaExit func(job *wire.Job, task int) (time.Duration, bool)
 	linkDelay   time.Duration // of the links of workers and users
 
-	jobs     map[string]*jobState
-	tasksOnMachines  map[string]map[*Worker]*task // tasks on machines, by name
+	jobs            map[string]*jobState
+	tasksOnMachines map[string]map[*Worker]*task // tasks on machines, by name
 	startedAttempts map[taskAttempt]bool         // attempts that have started
-	completedTasks     map[string]bool              // tasks that have completed, by name
+	completedTasks  map[string]bool              // tasks that have completed, by name
 
-	violations        []string
-	startCount            int
-	repeatedAttemptCount  int
+	violations             []string
+	startCount             int
+	repeatedAttemptCount   int
 	startsAfterCancelCount int
-	faultsOverAt      time.Time // zero while there are faults
+	faultsOverAt           time.Time // zero while there are faults
 	// removalTime is when the tasks that are being removed ended, if not now.
 	removalTime time.Time
 }
@@ -72,9 +72,9 @@
 	return &Simulation{
 		SimulationConfig: config,
 		jobs:             map[string]*jobState{},
-		tasksOnMachines:          map[string]map[*Worker]*task{},
-		startedAttempts:         map[taskAttempt]bool{},
-		completedTasks:             map[string]bool{},
+		tasksOnMachines:  map[string]map[*Worker]*task{},
+		startedAttempts:  map[taskAttempt]bool{},
+		completedTasks:   map[string]bool{},
 	}
 }
 
@@ -103,12 +103,12 @@
 	return s.Net
 }
 
-func (s *Simulation) newClient(machine wire.CloudMachine) *http.Client {
+func (s *Simulation) client(machine wire.CloudMachine) *http.Client {
 	return transport.Client(s.zoneNet(machine), 1, 2, time.Second)
 }
 
-// nodeIndex is the index of the named nodeIndex; -1 if there is none.
-func (s *Simulation) nodeIndex(name string) int {
+// indexOfNode is the index of the named indexOfNode; -1 if there is none.
+func (s *Simulation) indexOfNode(name string) int {
 	for i, n := range s.Nodes {
 		if n.Name == name {
 			return i
@@ -140,10 +140,10 @@
 }
 
 // AssignedNode names the node to which a worker sends its heartbeats.
-func (s *Simulation) AssignedNode(k *Worker) string {
+func (s *Simulation) AssignedNode(worker *Worker) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Nodes[k.nodeIndex%len(s.Nodes)].Name
+	return s.Nodes[worker.nodeIndex%len(s.Nodes)].Name
 }
 
 // SetReplicaExit sets what decides whether a replica of a service exits by itself, and how
@@ -163,11 +163,11 @@
 	if state == nil {
 		return 0
 	}
-	n := 0
+	count := 0
 	for i := range state.job.Tasks {
-		n += len(s.tasksOnMachines[wire.TaskName(id, i)])
+		count += len(s.tasksOnMachines[wire.TaskName(id, i)])
 	}
-	return n
+	return count
 }
 
 // TasksOnMachines counts the tasks on machines.
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -37,7 +37,7 @@
 	// submitRetryDelay is the pause before a refused submission is repeated, submitLimit how
 	// long it is repeated for.
 	submitRetryDelay = time.Second
-	submitRetryLimit      = time.Minute
+	submitRetryLimit = time.Minute
 	// All nodes are polled several times within milliseconds, so that answers that contradict
 	// each other for a short time are seen.
 	pollRepeats        = 3
@@ -47,9 +47,9 @@
 // session is a user's work on one job.
 type session struct {
 	*User
-	job    *wire.Job
-	submission   any // the submission
-	client *http.Client
+	job        *wire.Job
+	submission any // the submission
+	client     *http.Client
 	startedAt  time.Time
 }
 
@@ -61,10 +61,10 @@
 // first or the submission was given up.
 func (u *User) Run(ctx context.Context, job *wire.Job) wire.JobPhase {
 	s := &session{
-		User:   u,
-		job:    job,
-		submission:   submissionFields(job),
-		client: u.newClient(),
+		User:       u,
+		job:        job,
+		submission: submissionFields(job),
+		client:     u.newClient(),
 		startedAt:  time.Now(),
 	}
 	defer s.client.CloseIdleConnections()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -57,7 +57,7 @@
 
 // run sends heartbeats until the machine is removed.
 func (k *Worker) run(ctx context.Context) {
-	client := k.simulation.newClient(k.Machine)
+	client := k.simulation.client(k.Machine)
 	for ctx.Err() == nil {
 		k.simulation.mu.Lock()
 		k.checkLease()
@@ -87,7 +87,7 @@
 // sendCopy returns a function that sends a copy of a heartbeat to a node.
 func (k *Worker) sendCopy(heartbeat wire.Heartbeat) func(to Node) {
 	return func(to Node) {
-		client := k.simulation.newClient(k.Machine)
+		client := k.simulation.client(k.Machine)
 		k.post(k.simulation.Ctx, client, heartbeatURL(to), heartbeat, &wire.HeartbeatResponse{}, &wire.Redirect{})
 	}
 }
@@ -98,7 +98,7 @@
 func (k *Worker) handleResponse(e *exchange) time.Duration {
 	k.simulation.mu.Lock()
 	defer k.simulation.mu.Unlock()
-	redirected := k.simulation.nodeIndex(e.redirect.Node)
+	redirected := k.simulation.indexOfNode(e.redirect.Node)
 	switch {
 	case k.inboundCut:
 		k.nodeIndex++
