--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -32,9 +32,9 @@
 // slowProcessors has each message that the nodes send or receive take the fault's Wait.
 func (f *FaultInjector) slowProcessors(ctx context.Context, fault Fault) {
 	f.strikeNodes(fault, func(name string) {
-		f.Network.SlowDown(name, fault.Wait)
+		f.Network.SetMessageCost(name, fault.Wait)
 		waitUntilOver(ctx, fault)
-		f.Network.SlowDown(name, 0)
+		f.Network.SetMessageCost(name, 0)
 	})
 }
 
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -9,9 +9,9 @@
 // with a slow processor falls behind, and a frozen one sends and receives nothing. What its
 // process computes between two messages is not slowed.
 
-// SlowDown has every message that the named host sends or receives take the given time,
+// SetMessageCost has every message that the named host sends or receives take the given time,
 // one after the other, also when the host is started anew; 0 ends it.
-func (n *Network) SlowDown(name string, cost time.Duration) {
+func (n *Network) SetMessageCost(name string, cost time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.messageCost[name] = cost
