--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -8,7 +8,7 @@
 	"ambersill/internal/wire"
 )
 
-// Each check function is named after the rule of the protocol that it checks.
+// Each rule of the protocol is checked by functions of its own.
 
 // rule is the name of a rule as it appears in violation reports. Where the protocol names the
 // rule, this is the protocol's name.
@@ -383,8 +383,8 @@
 
 // hasCapacityFor reports whether the machines have free capacity for a job's first start, and
 // the start would not exceed the team's limit. The first start of a gang places all its tasks,
-// that of another job one task. The result is false for a gang that must be spread over zones,
-// because the check does not model that.
+// that of another job one task. Gangs that must be spread over zones are not checked; for them
+// the result is always false.
 func (s *Simulation) hasCapacityFor(job *wire.Job, workers []*Worker) bool {
 	if job.IsGang() && job.SpreadZones {
 		return false
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -77,8 +77,8 @@
 	if s.replicaExit == nil {
 		return
 	}
-	if d, exits := s.replicaExit(t.job, t.index); exits {
-		worker.after(t, d, func() { worker.exit(t, wire.ExitDone, false) })
+	if exitDelay, exits := s.replicaExit(t.job, t.index); exits {
+		worker.after(t, exitDelay, func() { worker.exit(t, wire.ExitDone, false) })
 	}
 }
 
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// comparesPerWrite is the ratio of the maximum number of compares in a transaction to the
-	// maximum number of writes, as the protocol states it.
+	// comparesPerWrite is how many compares a transaction may have for each write that the limit
+	// TxnOps allows. The protocol states this ratio.
 	comparesPerWrite = 4
 	bytesPerKiB      = 1024
 )
--- a/internal/emulator/responses.go
+++ b/internal/emulator/responses.go
@@ -90,8 +90,9 @@
 }
 
 // executeWithFault executes a request and sends the response, unless the injected fault prevents
-// that. RefuseRequest does not execute the request, LoseResponse executes it and sends nothing, and
-// ExecuteLate closes the connection and executes the request after the delay.
+// that. RefuseRequest responds with status 503 and does not execute the request. LoseResponse
+// executes the request and closes the connection. ExecuteLate closes the connection and executes
+// the request after the delay.
 func executeWithFault(w http.ResponseWriter, fault RequestFault, delay time.Duration, execute func() (status int, body any)) {
 	switch fault {
 	case RefuseRequest:
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -22,11 +22,11 @@
 	Nodes             []Node
 	MachineTypes      map[string]wire.MachineType
 	Teams             []config.Team
-	HeartbeatInterval time.Duration // report_s
-	LeaseDuration     time.Duration // lease_s
-	GangWaitTimeout   time.Duration // gang_wait_s
-	GangPeerTimeout   time.Duration // gang_peer_s
-	CancelDeadline    time.Duration // cancel_s
+	HeartbeatInterval time.Duration // setting report_s
+	LeaseDuration     time.Duration // setting lease_s
+	GangWaitTimeout   time.Duration // setting gang_wait_s
+	GangPeerTimeout   time.Duration // setting gang_peer_s
+	CancelDeadline    time.Duration // setting cancel_s
 	// RunTime returns how long a task runs. If it is nil, each task runs for its job's
 	// EstimatedRunS.
 	RunTime func(job *wire.Job, task int) time.Duration
@@ -50,9 +50,9 @@
 	linkDelay   time.Duration // added to each request and each response of workers and users
 
 	jobs            map[string]*jobState
-	tasksOnMachines map[string]map[*Worker]*task // tasks on machines, by name
-	startedAttempts map[taskAttempt]bool         // attempts that have started
-	completedTasks  map[string]bool              // tasks that have completed, by name
+	tasksOnMachines map[string]map[*Worker]*task // tasks on machines, by task name
+	startedAttempts map[taskAttempt]bool         // attempts that have started at least once
+	completedTasks  map[string]bool              // tasks that have completed, by task name
 
 	violations             []string
 	startCount             int
@@ -82,19 +82,19 @@
 
 // SetLinkDelay sets the delay that is added to each request and each response of workers and
 // users.
-func (s *Simulation) SetLinkDelay(d time.Duration) {
+func (s *Simulation) SetLinkDelay(delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.linkDelay = d
+	s.linkDelay = delay
 }
 
 // waitLinkDelay waits for the link delay, or until the context ends.
 func (s *Simulation) waitLinkDelay(ctx context.Context) {
 	s.mu.Lock()
-	d := s.linkDelay
+	delay := s.linkDelay
 	s.mu.Unlock()
-	if d > 0 {
-		transport.Pause(ctx, d)
+	if delay > 0 {
+		transport.Pause(ctx, delay)
 	}
 }
 
