--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -67,8 +67,8 @@
 }
 
 // canWrite reports whether the given number of writes can be added to the batch.
-func (b *batchBuilder) canWrite(changes int) bool {
-	return len(b.batch.Txn.Writes)+changes <= b.maxWrites
+func (b *batchBuilder) canWrite(writes int) bool {
+	return len(b.batch.Txn.Writes)+writes <= b.maxWrites
 }
 
 // put adds the write of a value to a key, which must be at the given revision.
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -56,8 +56,8 @@
 // updateLiveTask records the reported state of a task that has not exited.
 func (p *Partition) updateLiveTask(placement *Placement, state wire.TaskState, now time.Time) {
 	job := placement.job
-	firstSeenRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
-	if state == wire.TaskRunning && firstSeenRunning {
+	notYetRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
+	if state == wire.TaskRunning && notYetRunning {
 		placement.runningSince = now
 		job.observedRunning = true
 	}
