--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -14,7 +14,7 @@
 type Batch struct {
 	// Txn is the transaction that commits the batch.
 	Txn wire.Txn
-	// Full reports that changes may be left for the next batch.
+	// Full is set if changes may have been left for the next batch.
 	Full bool
 	// journalSequences are the sequences of the batch's journal records, entryWrites are the
 	// entries in them, and chunkWrites are the chunk records that the batch writes.
@@ -125,7 +125,8 @@
 	}
 }
 
-// hasUncommittedEnd reports whether all tasks are done, but this is not committed yet.
+// hasUncommittedEnd reports whether all tasks of a job that is not cancelled are done, and this is not
+// committed yet.
 func (j *Job) hasUncommittedEnd() bool {
 	return !j.finalized && !j.Cancelled && j.doneTasks >= j.Tasks
 }
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -29,7 +29,8 @@
 	// the index of its origin. Journal entries refer to chunks by index.
 	index    int
 	from, to int
-	// format is used for the next write of the record, storedFormat is that of the stored record.
+	// format is the format for the next write of the record, storedFormat that of the stored
+	// record.
 	format       chunkFormat
 	storedFormat chunkFormat
 	// splitFrom is the chunk that this one was split off from, directly or indirectly, and whose
@@ -241,7 +242,7 @@
 }
 
 // splitOffChunksWritten reports whether each chunk that was split off has a record, or gets one
-// by the batch. Until then the chunk's own record must not be rewritten, because it contains the
+// in the batch. Until then the chunk's own record must not be rewritten, because it contains the
 // only stored state of the tasks that were split off.
 func (c *chunk) splitOffChunksWritten(batch *Batch) bool {
 	for _, splitOffChunk := range c.splitOffChunks {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -8,7 +8,7 @@
 )
 
 // heartbeatCommands returns the commands for the response to a heartbeat. Tasks are started only if
-// stateFresh is set, which is as with HandleHeartbeat.
+// stateFresh is set; see HandleHeartbeat for its meaning.
 func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
@@ -26,7 +26,7 @@
 }
 
 // stopOrForgetCommand returns the command that stops a task on the worker's list or makes the
-// worker forget it. due is false if the task needs neither.
+// worker forget it. due is false if the task needs neither, or if it must not be forgotten yet.
 func (p *Partition) stopOrForgetCommand(machine *Machine, status *wire.TaskStatus, now time.Time) (command wire.Command, due bool) {
 	key := taskAttempt{status.Task, status.Attempt}
 	placement := machine.placements[key]
@@ -109,9 +109,9 @@
 	return !pl.start.sent && pl.machine.acceptsStarts() && pl.startPermitted()
 }
 
-// stopUnsent reports whether a stop command for the placement is still to be sent. stateFresh is as
-// with HandleHeartbeat. Without it, only tasks of cancelled jobs are stopped, because a cancellation
-// is never withdrawn.
+// stopUnsent reports whether a stop command for the placement is still to be sent. If stateFresh (see
+// HandleHeartbeat) is not set, only tasks of cancelled jobs are stopped, because a cancellation is never
+// withdrawn.
 func (pl *Placement) stopUnsent(stateFresh bool) bool {
 	return pl.stopRequest != nil && !pl.stopRequest.sent && (stateFresh || pl.job.Cancelled)
 }
@@ -152,8 +152,8 @@
 }
 
 // MachinesAwaitingCommands returns the IDs of the machines to which commands should be sent without
-// waiting for their next heartbeat. stateFresh is as with HandleHeartbeat. Without it, only stop
-// commands for cancelled jobs are sent.
+// waiting for their next heartbeat. If stateFresh (see HandleHeartbeat) is not set, only stop commands
+// for cancelled jobs are sent.
 func (p *Partition) MachinesAwaitingCommands(stateFresh bool) []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(stateFresh)
@@ -166,8 +166,8 @@
 	return m.token.acknowledged && !m.command.pending()
 }
 
-// hasUnsentCommands reports whether a start or stop command for the machine is still to be sent.
-// stateFresh is as with HandleHeartbeat.
+// hasUnsentCommands reports whether a start or stop command for the machine is still to be sent. See
+// HandleHeartbeat for the meaning of stateFresh.
 func (m *Machine) hasUnsentCommands(stateFresh bool) bool {
 	for _, placement := range m.placements {
 		if placement.stopUnsent(stateFresh) || (stateFresh && placement.startUnsent()) {
@@ -180,7 +180,7 @@
 // DirectCommands returns a request with the start and stop commands to send directly to a machine.
 // The result is false if there are none. Until a request with start commands is answered, no other
 // task is started or forgotten on the machine, because a delayed copy of the request could start
-// a task again after the worker forgot it. stateFresh is as with HandleHeartbeat.
+// a task again after the worker forgot it. See HandleHeartbeat for the meaning of stateFresh.
 func (p *Partition) DirectCommands(id string, stateFresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
@@ -276,7 +276,8 @@
 		pl.start.directToken = 0
 	case CommandsUnknown:
 		// The start may be executed as long as token and incarnation match. Only after the
-		// token is raised does the task's absence show that it is not started.
+		// token is raised does the task's absence from the worker's list show that it will
+		// not be started.
 		machine := pl.machine
 		machine.command.markUnconfirmed(machine.token.current)
 	}
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -131,8 +131,7 @@
 }
 
 // A job is cancelled while a request with a start command for its task is in flight, and the request
-// turns out never to have been sent. The placement must not use capacity and its team's
-// quota forever.
+// turns out never to have been sent. The placement must not use capacity and its team's quota forever.
 func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	request, _ := harness.DirectCommands("m-1", true)
@@ -162,6 +161,6 @@
 	}
 	harness.commitBatches()
 	if harness.jobs["req-1"] != nil {
-		t.Error("cancelled job is still known after its records were to be deleted")
+		t.Error("cancelled job is still known after a commit, want it removed and its records deleted")
 	}
 }
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -14,7 +14,7 @@
 	// 1/compactionRingDivisor of the ring's slots can be written before the ring overwrites a
 	// change that is missing from the chunk's record.
 	compactionRingDivisor = 4
-	// compactionMarginBatches is the least margin, in full batches before such an overwrite. If
+	// compactionMarginBatches is the minimum margin, in full batches before such an overwrite. If
 	// the maximum value size is small, a batch writes many journal records, and the ring could
 	// otherwise overwrite a change between two batches.
 	compactionMarginBatches = 2
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -12,8 +12,8 @@
 	"ambersill/internal/wire"
 )
 
-// These helpers write and check the files of TestProductionExchange. The production version runs the
-// same jobs on the same machines by testdata/production_exchange_test.go.txt, which must use the same
+// These helpers write and check the files of TestProductionExchange. In the production version,
+// testdata/production_exchange_test.go.txt runs the same jobs on the same machines. It must use the same
 // encoding of exchange.
 
 // exchange contains the records that one version has stored, and its state in memory.
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -237,7 +237,7 @@
 	}
 	harness.handleHeartbeat(newHeartbeat(3, sequence+1, record.FencingToken))
 	if !machine.usable() || harness.isReportedUnhealthy("m-1") {
-		t.Fatal("machine is not usable or unhealthy although its worker has acknowledged the raised token")
+		t.Fatal("machine is unusable or unhealthy although its worker has acknowledged the raised token")
 	}
 }
 
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -28,9 +28,9 @@
 	owner    *partitionHarness
 	store    *fakeStore
 	ended    map[string]bool // tasks that a worker has reported as done
-	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, a later one, the
-	// store's limits are lowered, that of values to loweredValueKB. Records that are stored by
-	// then may be larger than what may be written.
+	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, which is later, the
+	// store's limits are lowered, the one of values to loweredValueKB. Records that were stored
+	// before may exceed the lowered limit.
 	raiseLevelRound  int
 	lowerLimitsRound int
 	loweredValueKB   float64
@@ -116,8 +116,8 @@
 		if batch.Empty() {
 			return
 		}
-		test.store.commit(test.owner, batch, outcomes.Draw(test.t, "fate"))
-		if len(test.store.delayed) > 0 && rapid.Bool().Draw(test.t, "arrives") {
+		test.store.commit(test.owner, batch, outcomes.Draw(test.t, "commit outcome"))
+		if len(test.store.delayed) > 0 && rapid.Bool().Draw(test.t, "delayed transaction is applied") {
 			test.store.applyOldestDelayed()
 		}
 	}
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -18,7 +18,7 @@
 type chunkLayout struct {
 	partition     int
 	tasksPerChunk int // in numbered chunks
-	// limits are those of the key-value store for writes. ReduceWriteLimits may lower them.
+	// limits are the key-value store's limits for writes. ReduceWriteLimits may lower them.
 	limits       config.StateLimits
 	featureLevel records.FeatureLevel
 }
@@ -95,7 +95,7 @@
 // extent is a range of a job's tasks, [from, to), and the loaded record that contains their state.
 type extent struct {
 	from, to int
-	loaded   *records.LoadedChunk // nil if no record contains it
+	loaded   *records.LoadedChunk // nil if no record contains their state
 }
 
 // extentOf returns the range of the job's tasks that a record contains. The result is false if the
@@ -231,9 +231,10 @@
 	return boundaries
 }
 
-// needsFormatConversion reports whether the chunk's record can be written now to convert its format:
-// either the stored record has no explicit range and all chunks that were split off have records, or
-// the chunk was split off and has no record yet.
+// needsFormatConversion reports whether the chunk's record should be written to convert its format, and
+// can be written in the batch. This is the case if the stored record has no explicit range and all
+// chunks that were split off have records or get them in the batch, or if the chunk was split off and
+// has no record yet.
 func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -6,7 +6,7 @@
 	"ambersill/internal/tuning"
 )
 
-// ExpireLeases requeues the tasks on machines whose leases have expired, and those whose start
+// ExpireLeases requeues the tasks on machines whose leases have expired, and the tasks whose start
 // commands were lost and then withdrawn by a stop.
 func (p *Partition) ExpireLeases(now time.Time) {
 	for _, machine := range p.machines.all() {
@@ -66,10 +66,10 @@
 	return false
 }
 
-// isWithdrawnStart reports whether the placement's start command was lost and a stop is
-// requested. The command was lost if a heartbeat that was sent later does not list the task. A response
-// to a command request does not show this, because the start command may still be in transit in the
-// response to a heartbeat.
+// isWithdrawnStart reports whether the placement's start command was lost and a stop is requested. The
+// command was lost if a heartbeat that was sent later does not list the task. A response to a command
+// request does not show this, because the start command may still be in transit in the response to a
+// heartbeat.
 func (pl *Placement) isWithdrawnStart() bool {
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -11,7 +11,7 @@
 type pendingForget struct {
 	job          *Job
 	task         int
-	chunkVersion int // change version of the task's chunk that contains the end
+	chunkVersion int // a change version of the task's chunk that includes the end of the task
 }
 
 // isEndCommitted reports whether the end of the task is committed.
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -111,8 +111,10 @@
 	}
 }
 
-// stateToUpdate returns the state of a task's chunk, or nil if the chunk's own record already
-// includes the journal record with the given sequence.
+// stateToUpdate returns the state of a task's chunk, to which a change from the journal record with the
+// given sequence must be applied, and records that the change is missing from the chunk's own record.
+// It returns nil if the chunk's own record already includes the journal record, or if the job has no
+// such task.
 func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
 	if task < 0 || task >= job.Tasks {
 		return nil
@@ -161,7 +163,7 @@
 	return state
 }
 
-// restoreChunk sets the states of a chunk's tasks from the state that was read.
+// restoreChunk sets the states of a chunk's tasks from the chunk's restored state.
 func (p *Partition) restoreChunk(chunk *chunk, state *chunkState) {
 	job := chunk.job
 	if chunk.oldestUncompactedSequence > 0 {
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -58,8 +58,8 @@
 	acknowledged bool
 	// everAcknowledged is set once any token of this owner has been acknowledged.
 	everAcknowledged bool
-	// unacknowledgedSince is the time of the first of the worker's latest heartbeats that do not
-	// carry the token that this owner waits for, or zero if it does not wait for one.
+	// unacknowledgedSince is the time since which all heartbeats of the worker have lacked the
+	// token that this owner is waiting for. It is zero if the owner is not waiting for a token.
 	unacknowledgedSince time.Time
 }
 
@@ -91,8 +91,8 @@
 // answered heartbeat renews the lease. When it expires, the worker kills its tasks.
 type leaseState struct {
 	lastAnsweredAt time.Time // when a heartbeat was last answered
-	answeredSince  time.Time // start of the period without a gap between answers longer than the lease
-	expired        bool      // it has expired even if the worker's clock is slow by the tolerated drift
+	answeredSince  time.Time // start of the period in which answers were never further apart than a lease duration
+	expired        bool      // the lease has expired even if the worker's clock is slow by the tolerated drift
 	expiredAt      time.Time // when the expiry was detected
 }
 
