--- a/internal/controller/cycle.go
+++ b/internal/controller/cycle.go
@@ -130,7 +130,7 @@
 		slog.Debug("reading feature level failed", "err", err)
 	}
 	o.mu.Lock()
-	o.partition.ReduceLimits()
+	o.partition.ReduceWriteLimits()
 	o.mu.Unlock()
 }
 
--- a/internal/scheduler/journal_writer.go
+++ b/internal/scheduler/journal_writer.go
@@ -8,19 +8,19 @@
 	"ambersill/internal/tuning"
 )
 
-// journalRecordOverheadBytes bounds the size of a journal record without its entries.
+// journalRecordOverheadBytes is an upper bound of the size of a journal record without entries.
 const journalRecordOverheadBytes = 64
 
-// journalWriter adds journal records to a batch, each as full as a value permits.
+// journalWriter adds journal records to a batch and fills each up to the maximum value size.
 type journalWriter struct {
-	builder *batchBuilder
-	record  *records.JournalRecord // the one being filled; nil: none
-	size    int                    // bytes of its entries
+	builder   *batchBuilder
+	record    *records.JournalRecord // the record being filled, or nil
+	sizeBound int                    // of the record's entries, in bytes
 }
 
-// appendJournal adds the changes of all chunks to the batch as far as they fit, those first
-// that have waited the longest.
-func (b *batchBuilder) appendJournal() {
+// appendJournalRecords adds the changes of dirty chunks to the batch until it is full, beginning
+// with the chunks that have been dirty the longest.
+func (b *batchBuilder) appendJournalRecords() {
 	writer := &journalWriter{builder: b}
 	for _, chunk := range b.chunksToJournal() {
 		if !writer.appendChunk(chunk) {
@@ -30,7 +30,8 @@
 	writer.flush()
 }
 
-// chunksToJournal lists the chunks with changes that the batch does not contain otherwise.
+// chunksToJournal returns the dirty chunks whose changes the batch does not contain already, those
+// that have been dirty the longest first.
 func (b *batchBuilder) chunksToJournal() []*chunk {
 	var chunks []*chunk
 	for chunk := range b.partition.journal.dirtyChunks {
@@ -38,11 +39,12 @@
 			chunks = append(chunks, chunk)
 		}
 	}
-	slices.SortFunc(chunks, func(x, y *chunk) int { return cmp.Compare(x.dirtySince, y.dirtySince) })
+	slices.SortFunc(chunks, func(x, y *chunk) int { return cmp.Compare(x.dirtyOrder, y.dirtyOrder) })
 	return chunks
 }
 
-// appendChunk adds the changes of a chunk, and reports whether all of them fit the batch.
+// appendChunk adds the uncommitted changes of a chunk, and reports whether all of them fit into the
+// batch.
 func (w *journalWriter) appendChunk(chunk *chunk) bool {
 	tasks := chunk.sortedDirtyTasks()
 	for len(tasks) > 0 {
@@ -50,39 +52,39 @@
 			return false
 		}
 		entryOverhead := records.JournalEntryOverheadBytes + len(chunk.job.ID)
-		count := chunk.tasksFitting(tasks, w.bytesLeft()-entryOverhead)
+		count := chunk.countFittingTasks(tasks, w.bytesLeft()-entryOverhead)
 		if count <= 0 && len(w.record.Entries) > 0 {
 			w.flush()
 			continue
 		}
-		count = max(count, 1) // a task that exceeds the limits alone must still be written
+		count = max(count, 1) // a single task is written even if it exceeds the limit
 		w.appendEntry(chunk, tasks[:count])
 		tasks = tasks[count:]
 	}
 	return true
 }
 
-// beginRecord begins a record, and reports whether the batch has capacity for one.
+// beginRecord begins a journal record, and reports whether the batch has capacity for one.
 func (w *journalWriter) beginRecord() bool {
-	if !w.builder.canWrite(1) || w.builder.size+tuning.MinJournalBytes > tuning.MaxTxnBytes {
+	if !w.builder.canWrite(1) || w.builder.sizeBound+tuning.MinJournalBytes > tuning.MaxTxnBytes {
 		return false
 	}
 	w.record = &records.JournalRecord{Sequence: w.builder.partition.journal.nextSequence()}
-	w.size = 0
+	w.sizeBound = 0
 	return true
 }
 
-// bytesLeft returns how many bytes the record may still grow by.
+// bytesLeft returns the number of bytes by which the record may still grow.
 func (w *journalWriter) bytesLeft() int {
 	valueBytes := w.builder.partition.layout.maxValueBytes() - journalRecordOverheadBytes
-	return min(valueBytes, tuning.MaxTxnBytes-w.builder.size) - w.size
+	return min(valueBytes, tuning.MaxTxnBytes-w.builder.sizeBound) - w.sizeBound
 }
 
-// appendEntry adds the present state of some of a chunk's tasks to the record.
+// appendEntry adds the current state of the given tasks of a chunk to the record.
 func (w *journalWriter) appendEntry(chunk *chunk, tasks []int) {
 	entry := chunk.journalEntry(tasks)
 	w.record.Entries = append(w.record.Entries, entry)
-	w.size += entry.SizeBound()
+	w.sizeBound += entry.SizeBound()
 	w.builder.batch.entryWrites = append(w.builder.batch.entryWrites, entryWrite{
 		chunk:         chunk,
 		changeVersion: chunk.changeVersion,
@@ -91,7 +93,7 @@
 	})
 }
 
-// flush adds the record to the batch.
+// flush adds the record to the batch unless it has no entries.
 func (w *journalWriter) flush() {
 	if w.record == nil || len(w.record.Entries) == 0 {
 		return
@@ -100,6 +102,6 @@
 	journal := &w.builder.partition.journal
 	w.builder.put(journal.key(sequence), journal.revision(sequence), *w.record)
 	w.builder.batch.journalSequences = append(w.builder.batch.journalSequences, sequence)
-	w.builder.size += w.size
+	w.builder.sizeBound += w.sizeBound
 	w.record = nil
 }
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -10,19 +10,20 @@
 	"ambersill/internal/records"
 )
 
-// chunkLayout divides jobs' tasks into chunks, each with a record of its own. In the initial
-// format a chunk's name is its number, and its range follows from a setting. From
-// records.FeatureExplicitChunks on each record contains its range, so that a chunk whose record
-// would outgrow a value can be split, and a change of the setting moves no task.
+// chunkLayout divides jobs' tasks into chunks, each of which has its own record. In the initial
+// format a chunk is named by its index, and its range follows from the configured value size.
+// From feature level records.FeatureExplicitChunks on, each record contains its range. A chunk
+// whose record would exceed the maximum value size can then be split, and a change of the
+// configured size does not move tasks between chunks.
 type chunkLayout struct {
 	partition     int
-	tasksPerChunk int // of numbered chunks
-	// limits are those of the key-value store that everything written must keep to.
+	tasksPerChunk int // in numbered chunks
+	// limits are the key-value store's limits for writes. ReduceWriteLimits may lower them.
 	limits       config.StateLimits
 	featureLevel records.FeatureLevel
 }
 
-// newChunkLayout returns the layout that the settings give a partition.
+// newChunkLayout returns a partition's layout for the given settings.
 func newChunkLayout(partition int, settings *config.Settings) chunkLayout {
 	return chunkLayout{
 		partition:     partition,
@@ -31,42 +32,43 @@
 	}
 }
 
-// Level returns the cluster's feature level as last set.
+// Level returns the cluster's feature level, as set by SetLevel.
 func (p *Partition) Level() records.FeatureLevel { return p.layout.featureLevel }
 
-// SetLevel sets the cluster's feature level, which never goes down.
+// SetLevel raises the cluster's feature level. A lower level is ignored.
 func (p *Partition) SetLevel(level records.FeatureLevel) {
 	p.layout.featureLevel = max(p.layout.featureLevel, level)
 }
 
-// Lower bounds of ReduceLimits.
+// Lower bounds of the limits that ReduceWriteLimits sets.
 const (
-	minValueKB = 1 // a job's description must still fit
-	minTxnOps  = 3 // the end of a job needs two changes, and one more must fit with them
+	minValueKB = 1 // a job's description must still fit into a value
+	minTxnOps  = 3 // committing a job's end takes two writes, and one more must fit with them
 )
 
-// ReduceLimits halves what the next commits may contain, after the key-value store has found
-// one invalid: its limits are lower than the settings claim.
-func (p *Partition) ReduceLimits() {
+// ReduceWriteLimits halves the limits of values and transactions. It is called when the key-value
+// store has rejected a commit as invalid, because then its limits are lower than configured.
+func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
 	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
 	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
 }
 
-// writesExplicitRanges reports whether the cluster's feature level permits explicit ranges.
+// writesExplicitRanges reports whether the cluster's feature level permits records with explicit
+// ranges.
 func (l *chunkLayout) writesExplicitRanges() bool {
 	return l.featureLevel >= records.FeatureExplicitChunks
 }
 
-// newFormat returns the format of new chunks.
-func (l *chunkLayout) newFormat() chunkFormat {
+// formatForNewChunks returns the format in which the records of new chunks are written.
+func (l *chunkLayout) formatForNewChunks() chunkFormat {
 	if l.writesExplicitRanges() {
 		return explicitRangeChunk
 	}
 	return numberedChunk
 }
 
-// maxValueBytes returns the size of the largest value that may be written.
+// maxValueBytes returns the maximum size of a value that may be written, in bytes.
 func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
 
 // chunkKey returns the key of a chunk's record.
@@ -74,45 +76,47 @@
 	return records.ChunkKey(l.partition, chunk.job.ID, chunk.name)
 }
 
-// numberOf returns the number of the chunk that a task belongs to in the initial format.
-func (l *chunkLayout) numberOf(task int) int { return task / l.tasksPerChunk }
+// chunkIndex returns the index of the chunk that contains the task in the initial format.
+func (l *chunkLayout) chunkIndex(task int) int { return task / l.tasksPerChunk }
 
-// newChunks returns the chunks of a new job. Only the first one has a record, which was created
-// with the job's own at the given revision.
+// newChunks returns the chunks of a new job. Only the first chunk has a record, which was created
+// together with the job's record at the given revision.
 func (l *chunkLayout) newChunks(job *Job, revision uint64) []*chunk {
 	var chunks []*chunk
 	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
 		to := min(from+l.tasksPerChunk, job.Tasks)
-		chunks = append(chunks, newChunk(job, l.numberOf(from), from, to, l.newFormat()))
+		chunks = append(chunks, newChunk(job, l.chunkIndex(from), from, to, l.formatForNewChunks()))
 	}
 	chunks[0].revision = revision
-	chunks[0].storedFormat = l.newFormat()
+	chunks[0].storedFormat = l.formatForNewChunks()
 	return chunks
 }
 
-// extent is a range of a job's tasks, [from, to), with the record that contains their state.
+// extent is a range of a job's tasks, [from, to), and the loaded record that contains their state.
 type extent struct {
 	from, to int
-	loaded   *records.LoadedChunk // nil: no record
+	loaded   *records.LoadedChunk // nil if no record contains their state
 }
 
-// extentOf returns the range of tasks that a record contains, and whether it has any.
+// extentOf returns the range of the job's tasks that a record contains. The result is false if the
+// record contains none.
 func (l *chunkLayout) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.HasExplicitRange() {
 		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
 		return extent{from: from, to: to, loaded: loaded}, from >= 0 && from < to
 	}
-	number, err := strconv.Atoi(loaded.Name)
+	index, err := strconv.Atoi(loaded.Name)
 	chunkCount := (job.Tasks + l.tasksPerChunk - 1) / l.tasksPerChunk
-	if err != nil || number < 0 || number >= chunkCount {
+	if err != nil || index < 0 || index >= chunkCount {
 		return extent{}, false
 	}
-	from := number * l.tasksPerChunk
+	from := index * l.tasksPerChunk
 	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
 }
 
-// extents divides a job's tasks by the records that contain them. Where two records contain the
-// same task, the one that begins later was split off from the other, and applies.
+// extents divides a job's tasks into ranges by the records that contain them. If two records
+// contain the same task, the record with the later start takes precedence, since its chunk was
+// split off from the other.
 func (l *chunkLayout) extents(job *Job, loadedChunks []*records.LoadedChunk) []extent {
 	var recorded []extent
 	for _, loaded := range loadedChunks {
@@ -131,10 +135,11 @@
 	return all
 }
 
-// overlay replaces what a new extent covers of the others, which are sorted without gaps.
+// overlay inserts an extent into a sorted list of extents without gaps, and cuts away the parts of
+// the others that it covers.
 func overlay(all []extent, added extent) []extent {
-	const mostAdded = 2 // the new extent, and the rest of one that is cut in two
-	out := make([]extent, 0, len(all)+mostAdded)
+	const maxAdded = 2 // the new extent, and the second part of an extent that it cuts in two
+	out := make([]extent, 0, len(all)+maxAdded)
 	placed := false
 	for _, e := range all {
 		if e.to <= added.from {
@@ -155,39 +160,40 @@
 	return out
 }
 
-// loadedChunk is a chunk with the record that contains its state.
-type loadedChunk struct {
+// chunkWithRecord is a chunk and the loaded record that contains its tasks' state.
+type chunkWithRecord struct {
 	chunk  *chunk
-	record *records.ChunkRecord // nil: no record
+	record *records.ChunkRecord // nil if there is none
 }
 
-// loadChunks returns the chunks that a job's records describe.
-func (l *chunkLayout) loadChunks(job *Job, loadedChunks []*records.LoadedChunk) []loadedChunk {
-	format := l.newFormat()
+// chunksFromRecords returns the chunks of a job as described by its loaded records. Ranges that no
+// record contains become chunks without a record.
+func (l *chunkLayout) chunksFromRecords(job *Job, loadedChunks []*records.LoadedChunk) []chunkWithRecord {
+	format := l.formatForNewChunks()
 	if slices.ContainsFunc(loadedChunks, func(loaded *records.LoadedChunk) bool { return loaded.Record.HasExplicitRange() }) {
 		format = explicitRangeChunk
 	}
 	origins := map[*records.LoadedChunk]*chunk{}
-	var all []loadedChunk
+	var all []chunkWithRecord
 	for _, e := range l.extents(job, loadedChunks) {
-		chunk := newChunk(job, l.numberOf(e.from), e.from, e.to, format)
+		chunk := newChunk(job, l.chunkIndex(e.from), e.from, e.to, format)
 		if e.loaded == nil {
-			all = append(all, loadedChunk{chunk: chunk})
+			all = append(all, chunkWithRecord{chunk: chunk})
 			continue
 		}
 		if origin := origins[e.loaded]; origin == nil {
-			chunk.adoptRecord(e.loaded)
+			chunk.initFromRecord(e.loaded)
 			origins[e.loaded] = chunk
 		} else {
-			chunk.awaitOwnRecord(origin)
+			chunk.initSplitOff(origin)
 		}
-		all = append(all, loadedChunk{chunk: chunk, record: &e.loaded.Record})
+		all = append(all, chunkWithRecord{chunk: chunk, record: &e.loaded.Record})
 	}
 	return all
 }
 
-// adoptRecord makes a loaded record that of the chunk.
-func (c *chunk) adoptRecord(loaded *records.LoadedChunk) {
+// initFromRecord sets the name, revision and format of a new chunk to those of its loaded record.
+func (c *chunk) initFromRecord(loaded *records.LoadedChunk) {
 	c.name = loaded.Name
 	c.revision = loaded.Revision
 	c.storedFormat = numberedChunk
@@ -197,52 +203,54 @@
 	c.format = c.storedFormat
 }
 
-// awaitOwnRecord makes the chunk one that the earlier owner had yet to split off: the record of
-// the origin contains its tasks as well.
-func (c *chunk) awaitOwnRecord(origin *chunk) {
+// initSplitOff initializes a chunk that an earlier owner split off from origin without writing its
+// record. The record of origin still contains the chunk's tasks.
+func (c *chunk) initSplitOff(origin *chunk) {
 	c.name = records.ExplicitChunkName(c.from)
 	c.format = explicitRangeChunk
-	c.linkTo(origin)
+	c.setSplitFrom(origin)
 }
 
-// splitPoints returns the tasks at which to split a chunk so that each piece's record fits a
-// value; none if its record fits as it is.
+// splitPoints returns the tasks before which to split a chunk so that each resulting record fits
+// into a value. It returns none if the record fits without a split.
 func (l *chunkLayout) splitPoints(c *chunk) []int {
 	limit := l.maxValueBytes()
 	size := records.ChunkOverheadBytes
 	if c.from == 0 {
 		size += records.JobDescriptionSizeBound(c.job.Job)
 	}
-	var cuts []int
+	var boundaries []int
 	for task := c.from; task < c.to; task++ {
-		taskBytes := c.recordedTaskBytes(task)
+		taskBytes := c.recordedTaskSizeBound(task)
 		if size+taskBytes > limit && task > c.from {
-			cuts = append(cuts, task)
+			boundaries = append(boundaries, task)
 			size = records.ChunkOverheadBytes
 		}
 		size += taskBytes
 	}
-	return cuts
+	return boundaries
 }
 
-// isOutdated reports whether the chunk's record is to be written to convert its format: the
-// stored one has no explicit range, or the chunk was split off and has none yet.
-func (c *chunk) isOutdated(batch *Batch) bool {
+// needsFormatConversion reports whether the chunk's record should be written to convert its format, and
+// can be written in the batch. This is the case if the stored record has no explicit range and all
+// chunks that were split off have records or get them in the batch, or if the chunk was split off and
+// has no record yet.
+func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
 	}
-	return c.storedFormat == numberedChunk && c.splitOffWritten(batch)
+	return c.storedFormat == numberedChunk && c.splitOffChunksWritten(batch)
 }
 
-// outdatedChunk returns a chunk whose record is to be written to convert its format, or nil.
-func (p *Partition) outdatedChunk(batch *Batch) *chunk {
+// nextChunkToConvert returns a chunk for which needsFormatConversion holds, or nil if there is none.
+func (p *Partition) nextChunkToConvert(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
 		if job.finalized || job.recordsDeletable() {
 			continue
 		}
 		for _, chunk := range slices.Backward(job.chunks) {
-			if chunk.isOutdated(batch) {
+			if chunk.needsFormatConversion(batch) {
 				return chunk
 			}
 		}
