--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -143,7 +143,7 @@
 
 // setNodeIsolated cuts a controller off from the key-value store and the other controllers, but
 // not from its workers, or restores these links.
-func (cluster *simulatedCluster) setNodeIsolated(node int, cut bool, random *rand.Rand) {
+func (cluster *simulatedCluster) setNodeIsolated(node int, isolated bool, random *rand.Rand) {
 	hosts := []string{"state"}
 	for i, other := range cluster.nodes {
 		if i != node {
@@ -152,7 +152,7 @@
 	}
 	random.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	for _, host := range hosts {
-		cluster.network.Cut(cluster.nodes[node].Name, host, cut)
+		cluster.network.Cut(cluster.nodes[node].Name, host, isolated)
 	}
 }
 
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -39,7 +39,7 @@
 func cancellationInOutageScenarios() []faultScenario {
 	refused := nodeFault(emulator.StoreRefusesNode, 40*second, 3*second, ownerNode)
 	refusedLonger := nodeFault(emulator.StoreRefusesNode, 40*second, 70*second, ownerNode)
-	cancellations := cancelFault(41*second, 5)
+	cancellations := cancelJobsFault(41*second, 5)
 	outage := storeOutageFault(42500*time.Millisecond, 60*second)
 	scriptWith := func(more ...emulator.Fault) []emulator.Fault {
 		return append([]emulator.Fault{refused, cancellations, outage}, more...)
@@ -86,7 +86,7 @@
 			name: "refusal and cancellations at the same time",
 			script: []emulator.Fault{
 				refused,
-				cancelFault(40*second, 5),
+				cancelJobsFault(40*second, 5),
 				storeOutageFault(41500*time.Millisecond, 60*second),
 			},
 		},
@@ -110,7 +110,7 @@
 func missedCancellationScenarios() []faultScenario {
 	watchesStalled := emulator.Fault{At: 40 * second, For: 80 * second, Kind: emulator.WatchesStalled}
 	listsRefused := emulator.Fault{At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused}
-	cancellations := cancelFault(41*second, 5)
+	cancellations := cancelJobsFault(41*second, 5)
 	return []faultScenario{
 		{
 			name:        "watches stall",
@@ -226,7 +226,7 @@
 			// Otherwise the next owner would return the machines to the cloud for lack of
 			// heartbeats, which would end all their tasks.
 			nodeFault(emulator.CloudCut, 60*second, 80*second, otherNodes),
-			cancelFault(68*second, 5),
+			cancelJobsFault(68*second, 5),
 		},
 	}})
 }
@@ -246,7 +246,7 @@
 			observe:     expectTeamsAtLimits(69 * second),
 			minInjected: faultCounts{emulator.CancelRunningJobs: 6, emulator.ControllerCrash: 1},
 			script: append(unreachable,
-				cancelFault(cancelAt, allTargets),
+				cancelJobsFault(cancelAt, allTargets),
 				crashFault(71*second, ownerNode, 3*second),
 			),
 		}
@@ -364,7 +364,7 @@
 			// next incarnation refuses them. After the next owner has learned the machines'
 			// addresses, no machine can be returned to the cloud.
 			script: []emulator.Fault{
-				cancelFault(61*second, allTargets),
+				cancelJobsFault(61*second, allTargets),
 				nodeFault(emulator.CloudCut, 54*second, 40*second, allNodes),
 				machineFault(emulator.MachineOutboundCut, 45*second, 45*second, 5),
 				crashFault(48*second, ownerNode, 2*second),
@@ -436,7 +436,7 @@
 func periodicMachineLosses(interval, from time.Duration, count int) []emulator.Fault {
 	var script []emulator.Fault
 	for i := range count {
-		script = append(script, lostMachinesFault(from+time.Duration(i)*interval, 1, ""))
+		script = append(script, machineLossFault(from+time.Duration(i)*interval, 1, ""))
 	}
 	return script
 }
@@ -461,7 +461,7 @@
 			pollAllNodes: true,
 			submit:       submitJobStream(40, 2, 2, 500*time.Millisecond, 6),
 			minInjected:  faultCounts{emulator.CancelRunningJobs: 3},
-			script:       []emulator.Fault{cancelFault(30*second, 10), cancelFault(34*second, 10)},
+			script:       []emulator.Fault{cancelJobsFault(30*second, 10), cancelJobsFault(34*second, 10)},
 		},
 		{
 			name:         "cancelled during a failover",
@@ -471,9 +471,9 @@
 			minInjected:  faultCounts{emulator.CancelRunningJobs: 9, emulator.ControllerCrash: 1},
 			script: []emulator.Fault{
 				crashFault(60*second, ownerNode, 20*second),
-				cancelFault(60300*time.Millisecond, 3),
-				cancelFault(62*second, 3),
-				cancelFault(64500*time.Millisecond, 3),
+				cancelJobsFault(60300*time.Millisecond, 3),
+				cancelJobsFault(62*second, 3),
+				cancelJobsFault(64500*time.Millisecond, 3),
 			},
 		},
 		{
@@ -557,8 +557,8 @@
 		minInjected: faultCounts{emulator.MachineLost: 6, emulator.ZoneCut: 1},
 		submit:      submitSingleZoneJobs,
 		script: []emulator.Fault{
-			lostMachinesFault(45*second, 3, "a"),
-			lostMachinesFault(55*second, 3, "b"),
+			machineLossFault(45*second, 3, "a"),
+			machineLossFault(55*second, 3, "b"),
 			zoneCutFault(70*second, 20*second, "a", nil),
 		},
 	}})
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -23,7 +23,7 @@
 	return emulator.Fault{At: at, Kind: emulator.ControllerCrash, Nodes: nodes, Wait: downtime}
 }
 
-func cancelFault(at time.Duration, jobs int) emulator.Fault {
+func cancelJobsFault(at time.Duration, jobs int) emulator.Fault {
 	return emulator.Fault{At: at, Kind: emulator.CancelRunningJobs, Count: jobs}
 }
 
@@ -55,9 +55,9 @@
 	return emulator.Fault{At: at, For: duration, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
 }
 
-// lostMachinesFault makes the cloud remove machines of the zone without notice, or of any zone if
+// machineLossFault makes the cloud remove machines of the zone without notice, or of any zone if
 // zone is "".
-func lostMachinesFault(at time.Duration, machines int, zone string) emulator.Fault {
+func machineLossFault(at time.Duration, machines int, zone string) emulator.Fault {
 	return emulator.Fault{At: at, Kind: emulator.MachineLost, Count: machines, Zone: zone}
 }
 
--- a/internal/controller/slow_controllers_test.go
+++ b/internal/controller/slow_controllers_test.go
@@ -29,7 +29,7 @@
 			check:       expectTaskStarts(20),
 			observe:     expectOwnerChange(71 * second),
 			minInjected: faultCounts{emulator.NodeFrozen: 1, emulator.CancelRunningJobs: 4},
-			script:      []emulator.Fault{freeze(60*second, 12*second, ownerNode), cancelFault(67*second, 4)},
+			script:      []emulator.Fault{freeze(60*second, 12*second, ownerNode), cancelJobsFault(67*second, 4)},
 		},
 		{
 			name:        "the owner, while the next owner crashes",
@@ -79,7 +79,7 @@
 	}
 	crash := crashFault(60*second, ownerNode, 2*second)
 	crashAll := crashFault(60*second, allNodes, 2*second)
-	cancels := cancelFault(61*second, 10)
+	cancels := cancelJobsFault(61*second, 10)
 	runScenarios(t, []faultScenario{
 		{
 			name:        "the owner, which then crashes",
