--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -29,23 +29,23 @@
 				return faultAt, exits
 			})
 		}},
-		{"its machine is lost", func(cluster *simulatedCluster) {
+		{"the replica's machine is lost", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() { cluster.loseFirstMachine() })
 		}},
-		{"its machine hangs and then resumes it", func(cluster *simulatedCluster) {
+		{"the replica's machine hangs and then resumes", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() { cluster.cloud.Workers()[0].Hang(40 * time.Second) })
 		}},
-		{"its machine gets a termination notice", func(cluster *simulatedCluster) {
+		{"the replica's machine gets a termination notice", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() { cluster.terminateWithNotice(cluster.cloud.Workers()[0], 20*time.Second) })
 		}},
-		{"its machine is lost and another fails all tasks", func(cluster *simulatedCluster) {
+		{"the replica's machine is lost and another fails all tasks", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() {
 				workers := cluster.cloud.Workers()
 				workers[0].Fail(true)
 				cluster.cloud.TakeBack(workers[1].Machine.ID)
 			})
 		}},
-		{"the owner crashes while it is being restarted", func(cluster *simulatedCluster) {
+		{"the owner crashes while the replica is being restarted", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() {
 				cluster.loseFirstMachine()
 				time.Sleep(35 * time.Second)
