--- a/internal/agentclient/client_test.go
+++ b/internal/agentclient/client_test.go
@@ -16,20 +16,20 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// unreachable is a network without any host.
-type unreachable struct{ transport.TCP }
+// unreachableNet is a network without any host.
+type unreachableNet struct{ transport.TCP }
 
-func (unreachable) Dial(context.Context, string) (net.Conn, error) { return nil, errUnreachable }
+func (unreachableNet) Dial(context.Context, string) (net.Conn, error) { return nil, errUnreachable }
 
 func TestFailedConnectionMeansNotSent(t *testing.T) {
-	client := New(unreachable{}, time.Second)
+	client := New(unreachableNet{}, time.Second)
 	_, executed, err := client.SendCommands(context.Background(), "10.0.0.1:1", wire.CommandRequest{})
 	if executed || !errors.Is(err, ErrNotSent) || !errors.Is(err, errUnreachable) || !strings.Contains(err.Error(), "10.0.0.1:1") {
 		t.Fatal(executed, err)
 	}
 }
 
-func TestUnexpectedStatusIsNotNotSent(t *testing.T) {
+func TestUnexpectedStatusCountsAsSent(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(server.Close)
 	client := New(transport.TCP{}, time.Second)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -35,8 +35,8 @@
 	requestTimeout = 10 * time.Second
 	// pageSize is the most machines that the cloud lists at once.
 	pageSize = 500
-	// rateFraction is the fraction of the cloud's rate limit that is used; the rest is margin.
-	rateFraction = 0.8
+	// usedRateFraction is the fraction of the cloud's rate limit that is used; the rest is margin.
+	usedRateFraction = 0.8
 )
 
 // OperationError reports which operation failed, and what it was for.
@@ -66,8 +66,8 @@
 func New(n transport.Net, addr string, requestsPerSecond float64) *Client {
 	return &Client{
 		base:    "http://" + addr,
-		http:    transport.Client(n, maxConns, maxConns, connectTimeout),
-		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*rateFraction), max(1, int(requestsPerSecond))),
+		http:    transport.NewClient(n, maxConns, maxConns, connectTimeout),
+		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*usedRateFraction), max(1, int(requestsPerSecond))),
 	}
 }
 
@@ -149,7 +149,7 @@
 
 // responseError returns the error that a response other than 200 stands for.
 func responseError(resp *http.Response) error {
-	reason := transport.Reason(resp)
+	reason := transport.ReadReason(resp)
 	if resp.StatusCode == http.StatusServiceUnavailable && reason == reasonNoCapacity {
 		return ErrNoCapacity
 	}
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -46,7 +46,7 @@
 func (c *Controller) counters() nodeCounters {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	served, refused, unknown := c.store.Counts()
+	served, refused, unknown := c.store.RequestCounts()
 	counters := nodeCounters{
 		heapMiB:         memory.HeapAlloc >> 20,
 		systemMiB:       memory.Sys >> 20,
--- a/internal/controller/forward.go
+++ b/internal/controller/forward.go
@@ -61,7 +61,7 @@
 // forward forwards a heartbeat to the peer and returns the peer's answer. reached is false if
 // the peer did not answer, or if the queue is full.
 func (f *forwarder) forward(heartbeat *wire.Heartbeat) (result peerrpc.HeartbeatResult, reached bool) {
-	if f.peer.Failing(peerBackoff) {
+	if f.peer.FailedWithin(peerBackoff) {
 		return peerrpc.HeartbeatResult{}, false
 	}
 	request := forwardRequest{heartbeat: heartbeat, answer: make(chan forwardAnswer, 1)}
@@ -123,7 +123,7 @@
 // makes no call within peerBackoff of a failed call, so that requests that were queued in the
 // meantime are answered at once.
 func (f *forwarder) callPeer(batch []forwardRequest) (results []peerrpc.HeartbeatResult, reached bool) {
-	if f.peer.Failing(peerBackoff) {
+	if f.peer.FailedWithin(peerBackoff) {
 		return nil, false
 	}
 	heartbeats := make([]*wire.Heartbeat, len(batch))
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -23,12 +23,12 @@
 	unblock chan struct{} // no heartbeat is answered until this channel is closed
 }
 
-func (*echoOwner) PartitionClaimed(peerrpc.OwnershipClaim) {}
-func (*echoOwner) JobCancelled(peerrpc.JobCancellation)    {}
+func (*echoOwner) HandleClaim(peerrpc.OwnershipClaim) {}
+func (*echoOwner) HandleCancellation(peerrpc.JobCancellation)    {}
 func (*echoOwner) LocalJobCounts(string) peerrpc.JobCounts { return peerrpc.JobCounts{} }
 func (*echoOwner) SinceContact() time.Duration             { return 0 }
 
-func (o *echoOwner) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
+func (o *echoOwner) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	<-o.unblock
 	return peerrpc.HeartbeatResult{Accepted: true, Response: wire.HeartbeatResponse{FencingToken: heartbeat.Sequence}}
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -31,7 +31,7 @@
 		return api.HeartbeatResult{RedirectTo: assigned}
 	}
 	if c.ownedPartition(partition) != nil {
-		return apiHeartbeatResult(c.OwnedHeartbeat(heartbeat))
+		return apiHeartbeatResult(c.AnswerHeartbeatAsOwner(heartbeat))
 	}
 	return c.forwardHeartbeat(heartbeat, owner)
 }
@@ -56,9 +56,9 @@
 	return api.HeartbeatResult{Accepted: result.Accepted, Response: result.Response}
 }
 
-// OwnedHeartbeat answers a heartbeat as the owner of the machine's partition. The heartbeat is
+// AnswerHeartbeatAsOwner answers a heartbeat as the owner of the machine's partition. The heartbeat is
 // not accepted if this node does not own the partition.
-func (c *Controller) OwnedHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
+func (c *Controller) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
 		return peerrpc.HeartbeatResult{}
--- a/internal/controller/heartbeat_test.go
+++ b/internal/controller/heartbeat_test.go
@@ -64,7 +64,7 @@
 	if err := wire.Unmarshal(nextHeartbeat(), &heartbeat); err != nil {
 		t.Fatal(err)
 	}
-	if result := c.OwnedHeartbeat(&heartbeat); !result.Accepted || c.address(heartbeat.Machine) != heartbeat.Address {
+	if result := c.AnswerHeartbeatAsOwner(&heartbeat); !result.Accepted || c.address(heartbeat.Machine) != heartbeat.Address {
 		t.Errorf("forwarded heartbeat: accepted = %v, want true; recorded address %q, want %q", result.Accepted, c.address(heartbeat.Machine), heartbeat.Address)
 	}
 }
--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -63,7 +63,7 @@
 		return
 	}
 	peer := c.peers[c.cluster.partitionOwner(partition).node]
-	if peer == nil || peer.Failing(peerBackoff) {
+	if peer == nil || peer.FailedWithin(peerBackoff) {
 		return
 	}
 	select {
@@ -80,8 +80,8 @@
 	}()
 }
 
-// JobCancelled handles a peer's announcement that it has committed a job's cancellation.
-func (c *Controller) JobCancelled(cancellation peerrpc.JobCancellation) {
+// HandleCancellation handles a peer's announcement that it has committed a job's cancellation.
+func (c *Controller) HandleCancellation(cancellation peerrpc.JobCancellation) {
 	if owned := c.ownedPartition(cancellation.Partition); owned != nil {
 		owned.cancelJob(cancellation.JobID)
 	}
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -49,7 +49,7 @@
 // claim of the partition therefore has a higher revision than the token.
 func (o *ownedPartition) nextFencingToken(machine string) uint64 {
 	entry, _ := o.controller.cluster.machine(machine)
-	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
+	return max(o.controller.store.HighestRevision(), o.revision, entry.revision) + 1
 }
 
 // commitMachineRecords changes machines' records, in as many transactions as their limits
--- a/internal/controller/partition_claims.go
+++ b/internal/controller/partition_claims.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// PartitionClaimed handles a peer's announcement that it owns a partition.
-func (c *Controller) PartitionClaimed(claim peerrpc.OwnershipClaim) {
+// HandleClaim handles a peer's announcement that it owns a partition.
+func (c *Controller) HandleClaim(claim peerrpc.OwnershipClaim) {
 	if claim.Partition < 0 || claim.Partition >= c.partitionCount {
 		return
 	}
--- a/internal/kvstore/contact.go
+++ b/internal/kvstore/contact.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// counters counts requests by outcome.
-type counters struct {
+// requestCounters counts requests by outcome.
+type requestCounters struct {
 	served, refused, unanswered atomic.Int64
 }
 
-// Counts returns how many requests were served, refused and left unanswered.
-func (c *Client) Counts() (served, refused, unanswered int) {
+// RequestCounts returns how many requests were served, refused and left unanswered.
+func (c *Client) RequestCounts() (served, refused, unanswered int) {
 	return int(c.counters.served.Load()), int(c.counters.refused.Load()), int(c.counters.unanswered.Load())
 }
 
@@ -19,15 +19,15 @@
 // request counts, since a response proves nothing about what came after it. Watches don't
 // count at all: one stays open through an outage, and may end in the middle of it.
 func (c *Client) SinceContact() time.Duration {
-	return time.Since(c.start) - time.Duration(c.lastServed.Load())
+	return time.Since(c.startTime) - time.Duration(c.lastServedNanos.Load())
 }
 
-// noteServed records that a request that was sent at the given time has been served.
-func (c *Client) noteServed(sent time.Time) {
-	at := int64(sent.Sub(c.start))
+// recordServed records that a request that was sent at the given time has been served.
+func (c *Client) recordServed(sent time.Time) {
+	sentNanos := int64(sent.Sub(c.startTime))
 	for {
-		newest := c.lastServed.Load()
-		if at <= newest || c.lastServed.CompareAndSwap(newest, at) {
+		lastNanos := c.lastServedNanos.Load()
+		if sentNanos <= lastNanos || c.lastServedNanos.CompareAndSwap(lastNanos, sentNanos) {
 			return
 		}
 	}
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -44,7 +44,7 @@
 		{http.StatusTooManyRequests, "", ErrRefused},
 		{http.StatusServiceUnavailable, "", ErrRefused},
 		{http.StatusBadRequest, "too large", ErrInvalid},
-		{http.StatusBadRequest, reasonNoLease, ErrLeaseNotFound},
+		{http.StatusBadRequest, reasonLeaseNotFound, ErrLeaseNotFound},
 	} {
 		client := newTestClient(t, test.status, wire.ErrorResponse{Error: test.reason})
 		err := commitOneKey(client)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestUnexpectedStatusIsKept(t *testing.T) {
+func TestUnexpectedStatusIsReturned(t *testing.T) {
 	client := newTestClient(t, http.StatusTeapot, wire.ErrorResponse{Error: "no coffee"})
 	_, err := client.Get(context.Background(), testKey)
 	var status *transport.StatusError
@@ -93,12 +93,12 @@
 	if !errors.Is(err, ErrOutcomeUnknown) || !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	if served, refused, unanswered := client.Counts(); served != 0 || refused != 0 || unanswered != 1 {
+	if served, refused, unanswered := client.RequestCounts(); served != 0 || refused != 0 || unanswered != 1 {
 		t.Fatal(served, refused, unanswered)
 	}
 }
 
-func TestRateLimitRefuses(t *testing.T) {
+func TestRateLimitReturnsErrRefused(t *testing.T) {
 	client := newTestClient(t, http.StatusOK, wire.KeyValue{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -12,9 +12,9 @@
 // burst would never be sent.
 const minWriteBurst = 16
 
-// maxOverdraft is by how much urgent commits may exceed the write rate, as the time after
+// maxTokenDebt is by how much urgent commits may exceed the write rate, as the time after
 // which the rate is kept again. The store allows bursts of a second's worth.
-const maxOverdraft = time.Second
+const maxTokenDebt = time.Second
 
 // readBurst is half a second's worth.
 func readBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
@@ -38,7 +38,7 @@
 // request with ErrRefused.
 func (c *Client) throttle(ctx context.Context, limiter *rate.Limiter, n int, req request) error {
 	if err := limiter.WaitN(ctx, n); err != nil {
-		return req.fail(fmt.Errorf("%w: %w: %w", ErrRefused, errRateLimited, err))
+		return req.wrapError(fmt.Errorf("%w: %w: %w", ErrRefused, errRateLimited, err))
 	}
 	return nil
 }
@@ -47,7 +47,7 @@
 // overdraft allows that; if not, none are taken.
 func (c *Client) reserveUrgentWrites(n int) bool {
 	reservation := c.writes.ReserveN(time.Now(), n)
-	if !reservation.OK() || reservation.Delay() > maxOverdraft {
+	if !reservation.OK() || reservation.Delay() > maxTokenDebt {
 		reservation.Cancel()
 		return false
 	}
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -10,9 +10,9 @@
 	"ambersill/internal/wire"
 )
 
-// reasonNoLease is the store's reason for refusing a transaction that names a lease which
+// reasonLeaseNotFound is the store's reason for refusing a transaction that names a lease which
 // does not exist.
-const reasonNoLease = "no such lease"
+const reasonLeaseNotFound = "no such lease"
 
 // request is one HTTP request to the store.
 type request struct {
@@ -23,8 +23,8 @@
 	body      any    // nil: none
 }
 
-// fail says which request failed.
-func (r request) fail(cause error) error {
+// wrapError says which request failed.
+func (r request) wrapError(cause error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: cause}
 }
 
@@ -36,21 +36,21 @@
 	sent := time.Now()
 	resp, err := c.send(ctx, c.requestHTTP, req)
 	if err != nil {
-		return req.fail(err)
+		return req.wrapError(err)
 	}
 	defer resp.Body.Close()
-	c.noteServed(sent)
-	return req.result(resp, out)
+	c.recordServed(sent)
+	return req.decodeResponse(resp, out)
 }
 
 // callWatch is call for a watch, whose response does not count as a sign of contact.
 func (c *Client) callWatch(ctx context.Context, req request, out any) error {
 	resp, err := c.send(ctx, c.watchHTTP, req)
 	if err != nil {
-		return req.fail(err)
+		return req.wrapError(err)
 	}
 	defer resp.Body.Close()
-	return req.result(resp, out)
+	return req.decodeResponse(resp, out)
 }
 
 // send returns a response that shows that the store served this node. The caller closes its
@@ -72,13 +72,13 @@
 	return resp, nil
 }
 
-// result decodes a response, or returns the error that it stands for.
-func (r request) result(resp *http.Response, out any) error {
+// decodeResponse decodes a response, or returns the error that it stands for.
+func (r request) decodeResponse(resp *http.Response, out any) error {
 	if resp.StatusCode != http.StatusOK {
-		return r.fail(responseError(resp))
+		return r.wrapError(responseError(resp))
 	}
 	if err := transport.Decode(resp, out); err != nil {
-		return r.fail(fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
+		return r.wrapError(fmt.Errorf("%w: %w", ErrOutcomeUnknown, err))
 	}
 	return nil
 }
@@ -95,8 +95,8 @@
 	case http.StatusConflict:
 		return conflictError(resp)
 	}
-	reason := transport.Reason(resp)
-	if reason == reasonNoLease {
+	reason := transport.ReadReason(resp)
+	if reason == reasonLeaseNotFound {
 		return ErrLeaseNotFound
 	}
 	cause := &transport.StatusError{Code: resp.StatusCode, Reason: reason}
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -33,20 +33,20 @@
 	return c.commit(ctx, commitRequest(txn))
 }
 
-// Revision returns the highest revision of this client's commits.
-func (c *Client) Revision() uint64 { return c.highestRevision.Load() }
+// HighestRevision returns the highest revision of this client's commits.
+func (c *Client) HighestRevision() uint64 { return c.highestRevision.Load() }
 
 func (c *Client) commit(ctx context.Context, req request) (uint64, error) {
 	var response wire.TxnResponse
 	if err := c.call(ctx, req, &response); err != nil {
 		return 0, err
 	}
-	c.noteRevision(response.Revision)
+	c.recordRevision(response.Revision)
 	return response.Revision, nil
 }
 
-// noteRevision raises the highest revision; commits may be answered out of order.
-func (c *Client) noteRevision(revision uint64) {
+// recordRevision raises the highest revision; commits may be answered out of order.
+func (c *Client) recordRevision(revision uint64) {
 	for {
 		highest := c.highestRevision.Load()
 		if revision <= highest || c.highestRevision.CompareAndSwap(highest, revision) {
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -11,8 +11,8 @@
 )
 
 // Watch waits at most the given time for changes under a prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) (wire.WatchResponse, error) {
-	query := fmt.Sprintf("prefix=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), since, wait.Milliseconds())
+func (c *Client) Watch(ctx context.Context, prefix string, afterRevision uint64, maxWait time.Duration) (wire.WatchResponse, error) {
+	query := fmt.Sprintf("prefix=%s&since=%d&waitMs=%d", url.QueryEscape(prefix), afterRevision, maxWait.Milliseconds())
 	req := request{
 		operation: "watch",
 		target:    prefix,
@@ -25,7 +25,7 @@
 	}
 	// The store keeps watches open through an outage; the additional time bounds the wait on
 	// a connection that was cut without notice.
-	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
+	ctx, cancel := context.WithTimeout(ctx, maxWait+c.timeout)
 	defer cancel()
 	err := c.callWatch(ctx, req, &response)
 	return response, err
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -15,9 +15,9 @@
 	"ambersill/internal/wire"
 )
 
-// silentLimit is how long a connection may leave calls unanswered before it is dropped.
+// unresponsiveTimeout is how long a connection may leave calls unanswered before it is dropped.
 // A busy peer answers late, and connecting anew would only add to its work.
-const silentLimit = 2 * time.Second
+const unresponsiveTimeout = 2 * time.Second
 
 // errTimeout: the peer did not answer within the caller's limit.
 var errTimeout = errors.New("peer: no answer in time")
@@ -27,40 +27,40 @@
 	config.Member
 	Net transport.Net
 
-	once sync.Once
-	// sending holds a place for the call that is being written: that blocks, whatever the
+	initOnce sync.Once
+	// sendSlot holds a place for the call that is being written: that blocks, whatever the
 	// caller's limit, while the peer reads nothing.
-	sending chan struct{}
+	sendSlot chan struct{}
 
 	mu       sync.Mutex
 	client   *rpc.Client
-	answered time.Time // last answer on the connection, or when it was made
-	failed   time.Time // when a call last failed, with none answered since
+	lastAnswer time.Time // last answer on the connection, or when it was made
+	lastFailure   time.Time // when a call last failed, with none answered since
 }
 
-// Failing tells whether a call has failed within the given time, with none answered since.
-func (p *Peer) Failing(within time.Duration) bool {
+// FailedWithin tells whether a call has failed within the given time, with none answered since.
+func (p *Peer) FailedWithin(period time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.failed.IsZero() && time.Since(p.failed) < within
+	return !p.lastFailure.IsZero() && time.Since(p.lastFailure) < period
 }
 
 // AnnounceClaim tells the peer that this node owns a partition.
 func (p *Peer) AnnounceClaim(claim OwnershipClaim, timeout time.Duration) error {
 	message := Claim{Part: claim.Partition, Stamp: claim.Revision, Node: claim.Node}
-	return p.callAndTrack(methodClaimed, message, &struct{}{}, timeout)
+	return p.callAndRecordFailure(methodClaimed, message, &struct{}{}, timeout)
 }
 
 // AnnounceCancellation tells the peer that a job's cancellation is committed.
-func (p *Peer) AnnounceCancellation(c JobCancellation, timeout time.Duration) error {
-	message := Cancellation{Part: c.Partition, Job: c.JobID}
-	return p.callAndTrack(methodCancelled, message, &struct{}{}, timeout)
+func (p *Peer) AnnounceCancellation(cancellation JobCancellation, timeout time.Duration) error {
+	message := Cancellation{Part: cancellation.Partition, Job: cancellation.JobID}
+	return p.callAndRecordFailure(methodCancelled, message, &struct{}{}, timeout)
 }
 
 // JobCounts asks the peer for a job's counts.
 func (p *Peer) JobCounts(jobID string, timeout time.Duration) (JobCounts, error) {
 	var answer Answer
-	if err := p.callAndTrack(methodView, Query{Job: jobID}, &answer, timeout); err != nil {
+	if err := p.callAndRecordFailure(methodView, Query{Job: jobID}, &answer, timeout); err != nil {
 		return JobCounts{}, err
 	}
 	return JobCounts{Known: answer.Known, Done: answer.Done, Running: answer.Running}, nil
@@ -69,7 +69,7 @@
 // SinceContact asks the peer how long ago the key-value store last served it.
 func (p *Peer) SinceContact(timeout time.Duration) (time.Duration, error) {
 	var answer Answer
-	if err := p.callAndTrack(methodView, Query{}, &answer, timeout); err != nil {
+	if err := p.callAndRecordFailure(methodView, Query{}, &answer, timeout); err != nil {
 		return 0, err
 	}
 	return tuning.Seconds(answer.Contact), nil
@@ -80,10 +80,10 @@
 func (p *Peer) ForwardHeartbeats(heartbeats []*wire.Heartbeat, timeout time.Duration) ([]HeartbeatResult, error) {
 	batch := ReportBatch{Reports: make([]WorkerReport, len(heartbeats))}
 	for i, heartbeat := range heartbeats {
-		batch.Reports[i] = newWorkerReport(heartbeat)
+		batch.Reports[i] = encodeHeartbeat(heartbeat)
 	}
 	var reply BatchReply
-	if err := p.callAndTrack(methodReports, batch, &reply, timeout); err != nil {
+	if err := p.callAndRecordFailure(methodReports, batch, &reply, timeout); err != nil {
 		return nil, err
 	}
 	if len(reply.Replies) != len(heartbeats) {
@@ -91,20 +91,20 @@
 	}
 	results := make([]HeartbeatResult, len(heartbeats))
 	for i := range reply.Replies {
-		results[i] = HeartbeatResult{Accepted: reply.Replies[i].Accepted, Response: reply.Replies[i].Reply.response()}
+		results[i] = HeartbeatResult{Accepted: reply.Replies[i].Accepted, Response: reply.Replies[i].Reply.decodeResponse()}
 	}
 	return results, nil
 }
 
-// callAndTrack makes a call and keeps what Failing tells. After an error the reply must not
+// callAndRecordFailure makes a call and keeps what Failing tells. After an error the reply must not
 // be read: a late answer may still be written to it.
-func (p *Peer) callAndTrack(method string, args, reply any, timeout time.Duration) error {
+func (p *Peer) callAndRecordFailure(method string, args, reply any, timeout time.Duration) error {
 	err := p.call(method, args, reply, timeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.failed = time.Time{}
+	p.lastFailure = time.Time{}
 	if err != nil {
-		p.failed = time.Now()
+		p.lastFailure = time.Now()
 	}
 	return err
 }
@@ -114,45 +114,45 @@
 	if err != nil {
 		return err
 	}
-	p.once.Do(func() { p.sending = make(chan struct{}, 1) })
+	p.initOnce.Do(func() { p.sendSlot = make(chan struct{}, 1) })
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case p.sending <- struct{}{}:
+	case p.sendSlot <- struct{}{}:
 	case <-timer.C:
 		return errTimeout
 	}
 	done := make(chan *rpc.Call, 1)
 	go func() {
 		client.Go(method, args, reply, done)
-		<-p.sending
+		<-p.sendSlot
 	}()
 	select {
 	case call := <-done:
 		if call.Error != nil {
-			p.drop(client)
+			p.closeClient(client)
 			return call.Error
 		}
 		p.mu.Lock()
-		p.answered = time.Now()
+		p.lastAnswer = time.Now()
 		p.mu.Unlock()
 		return nil
 	case <-timer.C:
 		p.mu.Lock()
-		silent := time.Since(p.answered) >= silentLimit
+		unresponsive := time.Since(p.lastAnswer) >= unresponsiveTimeout
 		p.mu.Unlock()
-		if silent {
-			p.drop(client)
+		if unresponsive {
+			p.closeClient(client)
 		}
 		return errTimeout
 	}
 }
 
-// boundedConn gives a write up that the other end does not take in time.
-type boundedConn struct{ net.Conn }
+// writeTimeoutConn gives a write up that the other end does not take in time.
+type writeTimeoutConn struct{ net.Conn }
 
-func (c boundedConn) Write(b []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(silentLimit)); err != nil {
+func (c writeTimeoutConn) Write(b []byte) (int, error) {
+	if err := c.SetWriteDeadline(time.Now().Add(unresponsiveTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -181,11 +181,11 @@
 		_ = conn.Close() // another call was faster
 		return p.client, nil
 	}
-	p.client, p.answered = rpc.NewClient(boundedConn{conn}), time.Now()
+	p.client, p.lastAnswer = rpc.NewClient(writeTimeoutConn{conn}), time.Now()
 	return p.client, nil
 }
 
-func (p *Peer) drop(client *rpc.Client) {
+func (p *Peer) closeClient(client *rpc.Client) {
 	p.mu.Lock()
 	if p.client == client {
 		p.client = nil
--- a/internal/peerrpc/exchange_test.go
+++ b/internal/peerrpc/exchange_test.go
@@ -16,21 +16,21 @@
 	return []any{&Claim{}, &Cancellation{}, &Query{}, &Answer{}, &ReportBatch{}, &BatchReply{}}
 }
 
-// fill gives every field below a value one of its own that is not zero.
-func fill(t *testing.T, v reflect.Value, next *int) {
+// setDistinctValues gives every field below a value one of its own that is not zero.
+func setDistinctValues(t *testing.T, v reflect.Value, next *int) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for _, field := range v.Fields() {
-			fill(t, field, next)
+			setDistinctValues(t, field, next)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), next)
+		setDistinctValues(t, v.Elem(), next)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			fill(t, v.Index(i), next)
+			setDistinctValues(t, v.Index(i), next)
 		}
 	case reflect.String:
 		v.SetString(fmt.Sprint("text ", *next))
@@ -52,7 +52,7 @@
 	messages := emptyMessages()
 	next := 0
 	for _, message := range messages {
-		fill(t, reflect.ValueOf(message).Elem(), &next)
+		setDistinctValues(t, reflect.ValueOf(message).Elem(), &next)
 	}
 	return messages
 }
--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -100,23 +100,23 @@
 	Grace   float64
 }
 
-// newWorkerReport encodes a heartbeat.
-func newWorkerReport(r *wire.Heartbeat) WorkerReport {
+// encodeHeartbeat encodes a heartbeat.
+func encodeHeartbeat(heartbeat *wire.Heartbeat) WorkerReport {
 	message := Report{
-		Machine: r.Machine,
-		Addr:    r.Address,
-		Type:    r.MachineType,
-		Zone:    r.Zone,
-		Spot:    r.Spot,
-		Session: r.Incarnation,
-		Seq:     r.Sequence,
-		Token:   r.FencingToken,
-		Notice:  r.TerminationNoticeS,
+		Machine: heartbeat.Machine,
+		Addr:    heartbeat.Address,
+		Type:    heartbeat.MachineType,
+		Zone:    heartbeat.Zone,
+		Spot:    heartbeat.Spot,
+		Session: heartbeat.Incarnation,
+		Seq:     heartbeat.Sequence,
+		Token:   heartbeat.FencingToken,
+		Notice:  heartbeat.TerminationNoticeS,
 	}
-	if r.Tasks != nil {
-		message.Tasks = make([]TaskReport, len(r.Tasks))
+	if heartbeat.Tasks != nil {
+		message.Tasks = make([]TaskReport, len(heartbeat.Tasks))
 	}
-	for i, t := range r.Tasks {
+	for i, t := range heartbeat.Tasks {
 		message.Tasks[i] = TaskReport{
 			Task:    t.Task,
 			Attempt: t.Attempt,
@@ -125,13 +125,13 @@
 			Saved:   t.CheckpointSaved,
 		}
 	}
-	return WorkerReport{Report: message, Notice: r.TerminationNoticeS != nil}
+	return WorkerReport{Report: message, Notice: heartbeat.TerminationNoticeS != nil}
 }
 
-// heartbeat decodes a heartbeat, and restores what the encoding loses.
-func (w *WorkerReport) heartbeat() *wire.Heartbeat {
+// decodeHeartbeat decodes a decodeHeartbeat, and restores what the encoding loses.
+func (w *WorkerReport) decodeHeartbeat() *wire.Heartbeat {
 	message := &w.Report
-	r := &wire.Heartbeat{
+	heartbeat := &wire.Heartbeat{
 		Machine:            message.Machine,
 		Address:            message.Addr,
 		MachineType:        message.Type,
@@ -142,14 +142,14 @@
 		FencingToken:       message.Token,
 		TerminationNoticeS: message.Notice,
 	}
-	if w.Notice && r.TerminationNoticeS == nil {
-		r.TerminationNoticeS = new(float64)
+	if w.Notice && heartbeat.TerminationNoticeS == nil {
+		heartbeat.TerminationNoticeS = new(float64)
 	}
 	if message.Tasks != nil {
-		r.Tasks = make([]wire.TaskStatus, len(message.Tasks))
+		heartbeat.Tasks = make([]wire.TaskStatus, len(message.Tasks))
 	}
 	for i, t := range message.Tasks {
-		r.Tasks[i] = wire.TaskStatus{
+		heartbeat.Tasks[i] = wire.TaskStatus{
 			Task:            t.Task,
 			Attempt:         t.Attempt,
 			State:           wire.TaskState(t.State),
@@ -157,29 +157,29 @@
 			CheckpointSaved: t.Saved,
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// newReportReply encodes a response.
-func newReportReply(r wire.HeartbeatResponse) ReportReply {
-	message := ReportReply{Token: r.FencingToken}
-	if r.Commands != nil {
-		message.Commands = make([]Command, len(r.Commands))
+// encodeResponse encodes a response.
+func encodeResponse(response wire.HeartbeatResponse) ReportReply {
+	message := ReportReply{Token: response.FencingToken}
+	if response.Commands != nil {
+		message.Commands = make([]Command, len(response.Commands))
 	}
-	for i, c := range r.Commands {
+	for i, c := range response.Commands {
 		message.Commands[i] = Command{Op: string(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.GracePeriodS}
 	}
 	return message
 }
 
-// response decodes a response.
-func (r *ReportReply) response() wire.HeartbeatResponse {
-	out := wire.HeartbeatResponse{FencingToken: r.Token}
+// decodeResponse decodes a decodeResponse.
+func (r *ReportReply) decodeResponse() wire.HeartbeatResponse {
+	response := wire.HeartbeatResponse{FencingToken: r.Token}
 	if r.Commands != nil {
-		out.Commands = make([]wire.Command, len(r.Commands))
+		response.Commands = make([]wire.Command, len(r.Commands))
 	}
 	for i, c := range r.Commands {
-		out.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.Grace}
+		response.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.Grace}
 	}
-	return out
+	return response
 }
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -16,23 +16,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// ownerStub accepts every report but those of one machine, and answers views late while
+// stubHandler accepts every report but those of one machine, and answers views late while
 // it is busy.
-type ownerStub struct {
-	got  []wire.Heartbeat
-	busy atomic.Int64 // nanoseconds that a view takes
+type stubHandler struct {
+	received  []wire.Heartbeat
+	jobCountsDelay atomic.Int64 // nanoseconds that a view takes
 }
 
-func (*ownerStub) PartitionClaimed(OwnershipClaim) {}
-func (*ownerStub) JobCancelled(JobCancellation)    {}
-func (*ownerStub) SinceContact() time.Duration     { return 0 }
-func (o *ownerStub) LocalJobCounts(string) JobCounts {
-	time.Sleep(time.Duration(o.busy.Load()))
+func (*stubHandler) HandleClaim(OwnershipClaim) {}
+func (*stubHandler) HandleCancellation(JobCancellation)    {}
+func (*stubHandler) SinceContact() time.Duration     { return 0 }
+func (o *stubHandler) LocalJobCounts(string) JobCounts {
+	time.Sleep(time.Duration(o.jobCountsDelay.Load()))
 	return JobCounts{Known: true, Done: 1, Running: 2}
 }
 
-func (o *ownerStub) OwnedHeartbeat(r *wire.Heartbeat) HeartbeatResult {
-	o.got = append(o.got, *r)
+func (o *stubHandler) AnswerHeartbeatAsOwner(r *wire.Heartbeat) HeartbeatResult {
+	o.received = append(o.received, *r)
 	response := wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{{Op: wire.StartTask, Task: "req-000001/0", Attempt: r.Sequence}}}
 	return HeartbeatResult{Accepted: r.Machine != "refused", Response: response}
 }
@@ -48,7 +48,7 @@
 	return n.TCP.Dial(ctx, addr)
 }
 
-func connect(t *testing.T, h Handler) (*Peer, *countingNet) {
+func serveAndConnect(t *testing.T, h Handler) (*Peer, *countingNet) {
 	l, err := transport.TCP{}.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,23 +58,23 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	serverDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(serverDone)
 		if err := Serve(ctx, transport.TCP{}, addr, h); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { cancel(); <-over })
+	t.Cleanup(func() { cancel(); <-serverDone })
 	n := &countingNet{}
 	p := &Peer{Member: config.Member{Node: "owner", Addr: addr}, Net: n}
-	began := time.Now()
+	start := time.Now()
 	for { // until it listens
 		_, err := p.SinceContact(time.Second)
 		if err == nil {
 			break
 		}
-		if time.Since(began) > 10*time.Second {
+		if time.Since(start) > 10*time.Second {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -85,9 +85,9 @@
 
 // A report must reach the owner as its worker sent it, whatever the encoding leaves out:
 // a spot notice that has counted down to zero was once lost on the way.
-func TestReportsArriveAsSent(t *testing.T) {
-	owner := &ownerStub{}
-	p, _ := connect(t, owner)
+func TestForwardedHeartbeatsArriveUnchanged(t *testing.T) {
+	owner := &stubHandler{}
+	p, _ := serveAndConnect(t, owner)
 	zero, some := 0.0, 7.5
 	sent := []wire.Heartbeat{
 		{Machine: "m-1", Incarnation: 1, Sequence: 3, FencingToken: 9, TerminationNoticeS: &zero},
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(sent, owner.got); d != "" {
+	if d := cmp.Diff(sent, owner.received); d != "" {
 		t.Errorf("reports changed on the way:\n%s", d)
 	}
 	for i, r := range got {
@@ -117,14 +117,14 @@
 
 // A call that a busy peer answers late fails alone: the connection was once dropped with
 // it, which failed all calls under way and had the peer accept another one.
-func TestLateAnswerKeepsTheConnection(t *testing.T) {
-	owner := &ownerStub{}
-	p, n := connect(t, owner)
-	owner.busy.Store(int64(300 * time.Millisecond))
+func TestLateAnswerKeepsConnection(t *testing.T) {
+	owner := &stubHandler{}
+	p, n := serveAndConnect(t, owner)
+	owner.jobCountsDelay.Store(int64(300 * time.Millisecond))
 	if _, err := p.JobCounts("req-000001", 50*time.Millisecond); err == nil {
 		t.Fatal("the call was not late")
 	}
-	if !p.Failing(time.Minute) {
+	if !p.FailedWithin(time.Minute) {
 		t.Error("the late call left no trace")
 	}
 	if counts, err := p.JobCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
@@ -133,16 +133,16 @@
 	if n.dials.Load() != 0 {
 		t.Errorf("connected anew %d times", n.dials.Load())
 	}
-	if p.Failing(time.Minute) {
+	if p.FailedWithin(time.Minute) {
 		t.Error("failing although the last call was answered")
 	}
 }
 
-// silentNet connects to a peer that reads nothing, as one that stands still once the
+// nonReadingNet connects to a peer that reads nothing, as one that stands still once the
 // buffers between the two are full.
-type silentNet struct{ transport.TCP }
+type nonReadingNet struct{ transport.TCP }
 
-func (silentNet) Dial(context.Context, string) (net.Conn, error) {
+func (nonReadingNet) Dial(context.Context, string) (net.Conn, error) {
 	near, _ := net.Pipe()
 	return near, nil
 }
@@ -150,10 +150,10 @@
 // A call ends within its limit although its request cannot even be written; so do those
 // behind it, and the connection is given up. Writing once held up all callers for as long
 // as the peer stood still.
-func TestCallsToAPeerThatReadsNothing(t *testing.T) {
+func TestCallsTimeOutWhenPeerReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 200 * time.Millisecond
-		p := &Peer{Member: config.Member{Node: "silent", Addr: "10.0.0.1:8081"}, Net: silentNet{}}
+		p := &Peer{Member: config.Member{Node: "silent", Addr: "10.0.0.1:8081"}, Net: nonReadingNet{}}
 		var wg sync.WaitGroup
 		for range 5 {
 			wg.Go(func() {
@@ -164,10 +164,10 @@
 			})
 		}
 		wg.Wait()
-		time.Sleep(silentLimit)
+		time.Sleep(unresponsiveTimeout)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if p.client != nil && len(p.sending) > 0 {
+		if p.client != nil && len(p.sendSlot) > 0 {
 			t.Error("still writing beyond the limit")
 		}
 		if p.client != nil {
--- a/internal/peerrpc/production_test.go
+++ b/internal/peerrpc/production_test.go
@@ -15,20 +15,20 @@
 func TestProductionMessages(t *testing.T) {
 	const directory = "internal/mesh" // where the production version has this package
 	production := productiontest.Extract(t, filepath.Join("..", ".."))
-	shared, err := os.ReadFile("exchange_test.go")
+	exchangeSource, err := os.ReadFile("exchange_test.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	production.AddFile(t, directory, "exchange_test.go", bytes.Replace(shared, []byte("package peerrpc"), []byte("package mesh"), 1))
-	entry, err := os.ReadFile(filepath.Join("testdata", "production_test.go.txt"))
+	production.AddFile(t, directory, "exchange_test.go", bytes.Replace(exchangeSource, []byte("package peerrpc"), []byte("package mesh"), 1))
+	testSource, err := os.ReadFile(filepath.Join("testdata", "production_test.go.txt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	production.AddFile(t, directory, "messages_test.go", entry)
+	production.AddFile(t, directory, "messages_test.go", testSource)
 
-	peer, _ := connect(t, &ownerStub{})
-	ours, theirs := filepath.Join(t.TempDir(), "ours"), filepath.Join(t.TempDir(), "theirs")
-	writeMessages(t, ours)
-	production.Test(t, directory, "TestMessages", "MESSAGES_IN="+ours, "MESSAGES_OUT="+theirs, "NEW_ADDR="+peer.Addr)
-	checkMessages(t, theirs)
+	peer, _ := serveAndConnect(t, &stubHandler{})
+	newFile, productionFile := filepath.Join(t.TempDir(), "ours"), filepath.Join(t.TempDir(), "theirs")
+	writeMessages(t, newFile)
+	production.Test(t, directory, "TestMessages", "MESSAGES_IN="+newFile, "MESSAGES_OUT="+productionFile, "NEW_ADDR="+peer.Addr)
+	checkMessages(t, productionFile)
 }
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -44,17 +44,17 @@
 
 // Handler answers the calls of other controllers.
 type Handler interface {
-	// PartitionClaimed handles the announcement that another node owns a partition.
-	PartitionClaimed(OwnershipClaim)
-	// JobCancelled handles the announcement that another node has committed a cancellation.
-	JobCancelled(JobCancellation)
+	// HandleClaim handles the announcement that another node owns a partition.
+	HandleClaim(OwnershipClaim)
+	// HandleCancellation handles the announcement that another node has committed a cancellation.
+	HandleCancellation(JobCancellation)
 	// LocalJobCounts counts the tasks of a job that this node runs.
 	LocalJobCounts(jobID string) JobCounts
 	// SinceContact is the time since the key-value store last served this node.
 	SinceContact() time.Duration
-	// OwnedHeartbeat answers a heartbeat that reached another node, as the owner of the
+	// AnswerHeartbeatAsOwner answers a heartbeat that reached another node, as the owner of the
 	// machine's partition.
-	OwnedHeartbeat(heartbeat *wire.Heartbeat) HeartbeatResult
+	AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) HeartbeatResult
 }
 
 // Service holds the methods that net/rpc offers to other controllers. They are named, and
@@ -63,13 +63,13 @@
 
 // Claimed is called by a node that has become the owner of a partition.
 func (s *Service) Claimed(claim Claim, _ *struct{}) error {
-	s.handler.PartitionClaimed(OwnershipClaim{Partition: claim.Part, Revision: claim.Stamp, Node: claim.Node})
+	s.handler.HandleClaim(OwnershipClaim{Partition: claim.Part, Revision: claim.Stamp, Node: claim.Node})
 	return nil
 }
 
 // Cancelled is called by a node that has confirmed a cancellation to a user.
 func (s *Service) Cancelled(c Cancellation, _ *struct{}) error {
-	s.handler.JobCancelled(JobCancellation{Partition: c.Part, JobID: c.Job})
+	s.handler.HandleCancellation(JobCancellation{Partition: c.Part, JobID: c.Job})
 	return nil
 }
 
@@ -87,15 +87,15 @@
 func (s *Service) Reports(batch ReportBatch, reply *BatchReply) error {
 	reply.Replies = make([]WorkerReply, len(batch.Reports))
 	for i := range batch.Reports {
-		result := s.handler.OwnedHeartbeat(batch.Reports[i].heartbeat())
-		reply.Replies[i] = WorkerReply{Accepted: result.Accepted, Reply: newReportReply(result.Response)}
+		result := s.handler.AnswerHeartbeatAsOwner(batch.Reports[i].decodeHeartbeat())
+		reply.Replies[i] = WorkerReply{Accepted: result.Accepted, Reply: encodeResponse(result.Response)}
 	}
 	return nil
 }
 
 const (
-	// maxInboundPeers bounds the connections that others may hold to this node.
-	maxInboundPeers = 32
+	// maxInboundConns bounds the connections that others may hold to this node.
+	maxInboundConns = 32
 	// acceptRetryDelay is the pause after a failed accept, as for want of sockets.
 	acceptRetryDelay = 50 * time.Millisecond
 )
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	listener = netutil.LimitListener(listener, maxInboundPeers)
+	listener = netutil.LimitListener(listener, maxInboundConns)
 	stop := context.AfterFunc(ctx, func() { _ = listener.Close() })
 	defer stop()
 	for {
@@ -133,5 +133,5 @@
 func serveConn(ctx context.Context, server *rpc.Server, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	server.ServeConn(boundedConn{conn})
+	server.ServeConn(writeTimeoutConn{conn})
 }
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -9,10 +9,10 @@
 // Main runs a package's tests with a fixed seed for rapid, unless the command line sets
 // one; -rapid.seed=0 draws anew. It returns the exit code.
 func Main(m *testing.M) int {
-	fixed := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
+	defaults := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
 	flag.Parse()
-	flag.Visit(func(f *flag.Flag) { delete(fixed, f.Name) })
-	for name, value := range fixed {
+	flag.Visit(func(f *flag.Flag) { delete(defaults, f.Name) })
+	for name, value := range defaults {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
