--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -36,7 +36,7 @@
 	connectTimeout := min(timeout, tuning.FencingTimeout)
 	return &Client{
 		timeout: timeout,
-		http:    transport.NewClient(n, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
+		http:    transport.Client(n, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
 	}
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -66,7 +66,7 @@
 func New(n transport.Net, addr string, requestsPerSecond float64) *Client {
 	return &Client{
 		base:    "http://" + addr,
-		http:    transport.NewClient(n, maxConns, maxConns, connectTimeout),
+		http:    transport.Client(n, maxConns, maxConns, connectTimeout),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*usedRateFraction), max(1, int(requestsPerSecond))),
 	}
 }
@@ -149,7 +149,7 @@
 
 // responseError returns the error that a response other than 200 stands for.
 func responseError(resp *http.Response) error {
-	reason := transport.ReadReason(resp)
+	reason := transport.Reason(resp)
 	if resp.StatusCode == http.StatusServiceUnavailable && reason == reasonNoCapacity {
 		return ErrNoCapacity
 	}
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -23,10 +23,10 @@
 	unblock chan struct{} // no heartbeat is answered until this channel is closed
 }
 
-func (*echoOwner) HandleClaim(peerrpc.OwnershipClaim) {}
-func (*echoOwner) HandleCancellation(peerrpc.JobCancellation)    {}
-func (*echoOwner) LocalJobCounts(string) peerrpc.JobCounts { return peerrpc.JobCounts{} }
-func (*echoOwner) SinceContact() time.Duration             { return 0 }
+func (*echoOwner) HandleClaim(peerrpc.OwnershipClaim)         {}
+func (*echoOwner) HandleCancellation(peerrpc.JobCancellation) {}
+func (*echoOwner) LocalJobCounts(string) peerrpc.JobCounts    { return peerrpc.JobCounts{} }
+func (*echoOwner) SinceContact() time.Duration                { return 0 }
 
 func (o *echoOwner) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	<-o.unblock
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -104,7 +104,7 @@
 }
 
 func (w *Simulation) client(machine wire.CloudMachine) *http.Client {
-	return transport.NewClient(w.net(machine), 1, 2, time.Second)
+	return transport.Client(w.net(machine), 1, 2, time.Second)
 }
 
 // node is the index of the named node; -1 if there is none.
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -54,7 +54,7 @@
 }
 
 func (u *User) newClient() *http.Client {
-	return transport.NewClient(u.Net, 1, 1, time.Second)
+	return transport.Client(u.Net, 1, 1, time.Second)
 }
 
 // Run submits the job, polls it, and returns the phase it ended in; "" if the context ended
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -44,10 +44,10 @@
 	reads       *rate.Limiter
 	writes      *rate.Limiter
 	unthrottled *rate.Limiter
-	counters    requestCounters
+	counters    counters
 
-	startTime           time.Time
-	lastServedNanos      atomic.Int64  // when the newest served request was sent, in nanoseconds since start
+	startTime       time.Time
+	lastServedNanos atomic.Int64  // when the newest served request was sent, in nanoseconds since start
 	highestRevision atomic.Uint64 // of this client's commits
 }
 
@@ -56,12 +56,12 @@
 	return &Client{
 		base:        "http://" + o.Addr,
 		timeout:     o.Timeout,
-		requestHTTP: transport.NewClient(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
-		watchHTTP:   transport.NewClient(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
+		requestHTTP: transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
+		watchHTTP:   transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
 		reads:       rate.NewLimiter(rate.Limit(o.ReadRate), readBurst(o.ReadRate)),
 		writes:      rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
 		unthrottled: rate.NewLimiter(rate.Inf, 0),
-		startTime:       time.Now(),
+		startTime:   time.Now(),
 	}
 }
 
--- a/internal/kvstore/contact.go
+++ b/internal/kvstore/contact.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// requestCounters counts requests by outcome.
-type requestCounters struct {
+// counters counts requests by outcome.
+type counters struct {
 	served, refused, unanswered atomic.Int64
 }
 
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -95,7 +95,7 @@
 	case http.StatusConflict:
 		return conflictError(resp)
 	}
-	reason := transport.ReadReason(resp)
+	reason := transport.Reason(resp)
 	if reason == reasonLeaseNotFound {
 		return ErrLeaseNotFound
 	}
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -32,10 +32,10 @@
 	// caller's limit, while the peer reads nothing.
 	sendSlot chan struct{}
 
-	mu       sync.Mutex
-	client   *rpc.Client
-	lastAnswer time.Time // last answer on the connection, or when it was made
-	lastFailure   time.Time // when a call last failed, with none answered since
+	mu          sync.Mutex
+	client      *rpc.Client
+	lastAnswer  time.Time // last answer on the connection, or when it was made
+	lastFailure time.Time // when a call last failed, with none answered since
 }
 
 // FailedWithin tells whether a call has failed within the given time, with none answered since.
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -19,20 +19,20 @@
 // stubHandler accepts every report but those of one machine, and answers views late while
 // it is busy.
 type stubHandler struct {
-	received  []wire.Heartbeat
+	got       []wire.Heartbeat
 	jobCountsDelay atomic.Int64 // nanoseconds that a view takes
 }
 
-func (*stubHandler) HandleClaim(OwnershipClaim) {}
-func (*stubHandler) HandleCancellation(JobCancellation)    {}
-func (*stubHandler) SinceContact() time.Duration     { return 0 }
+func (*stubHandler) HandleClaim(OwnershipClaim)         {}
+func (*stubHandler) HandleCancellation(JobCancellation) {}
+func (*stubHandler) SinceContact() time.Duration        { return 0 }
 func (o *stubHandler) LocalJobCounts(string) JobCounts {
 	time.Sleep(time.Duration(o.jobCountsDelay.Load()))
 	return JobCounts{Known: true, Done: 1, Running: 2}
 }
 
 func (o *stubHandler) AnswerHeartbeatAsOwner(r *wire.Heartbeat) HeartbeatResult {
-	o.received = append(o.received, *r)
+	o.got = append(o.got, *r)
 	response := wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{{Op: wire.StartTask, Task: "req-000001/0", Attempt: r.Sequence}}}
 	return HeartbeatResult{Accepted: r.Machine != "refused", Response: response}
 }
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(sent, owner.received); d != "" {
+	if d := cmp.Diff(sent, owner.got); d != "" {
 		t.Errorf("reports changed on the way:\n%s", d)
 	}
 	for i, r := range got {
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("unexpected status %d: %s", e.Code, e.Reason)
 }
 
-// NewClient returns an HTTP client with at most connsPerHost connections to a host, which
+// Client returns an HTTP client with at most connsPerHost connections to a host, which
 // keeps at most idleConns of them open in all. Connecting takes at most connectTimeout.
-func NewClient(network Net, connsPerHost, idleConns int, connectTimeout time.Duration) *http.Client {
+func Client(network Net, connsPerHost, idleConns int, connectTimeout time.Duration) *http.Client {
 	dial := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 		defer cancel()
@@ -78,9 +78,9 @@
 	return wire.ReadResponse(resp.Body, out)
 }
 
-// ReadReason returns the reason that the body of a refusal states. It is empty if the body is
+// Reason returns the reason that the body of a refusal states. It is empty if the body is
 // no such message: the status alone must then do.
-func ReadReason(resp *http.Response) string {
+func Reason(resp *http.Response) string {
 	var refusal wire.ErrorResponse
 	if err := wire.ReadResponse(resp.Body, &refusal); err != nil {
 		return ""
