--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -15,14 +15,14 @@
 	"ambersill/internal/wire"
 )
 
-// ErrNotSent reports that there was no connection, so that the commands have certainly not
-// left this node.
+// ErrNotSent is returned if there was no connection to the agent, so that no command was sent.
 var ErrNotSent = errors.New("commands not sent")
 
-// connsPerAgent bounds the sockets that one silent machine can occupy.
+// connsPerAgent is the number of connections, and therefore of sockets, that a machine which
+// does not respond can occupy.
 const connsPerAgent = 1
 
-// commandsPath is where agents accept commands.
+// commandsPath is the HTTP path at which agents accept commands.
 const commandsPath = "/orders"
 
 // Client sends commands to agents.
@@ -31,7 +31,8 @@
 	timeout time.Duration
 }
 
-// New returns a client that waits for a response for at most the given time.
+// New returns a client that waits for the response to a request for at most timeout. It gives up
+// connecting after tuning.FencingTimeout if that is shorter.
 func New(n transport.Net, timeout time.Duration) *Client {
 	connectTimeout := min(timeout, tuning.FencingTimeout)
 	return &Client{
@@ -40,9 +41,10 @@
 	}
 }
 
-// SendCommands sends commands to the agent at an address, and returns the heartbeat that it
-// answers with. executed reports whether the agent executed them. After an error other than
-// ErrNotSent it may still do so, as long as fencing token and incarnation match.
+// SendCommands sends commands to the agent at an address, and returns the heartbeat with which
+// the agent responds. executed is false if the agent refused the commands (status 409). After an
+// error other than ErrNotSent the agent may have executed them, or may still do so while the
+// fencing token and the incarnation in the request match its own.
 func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.CommandRequest) (heartbeat *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -56,12 +58,13 @@
 	}
 	heartbeat = &wire.Heartbeat{}
 	if err := wire.ReadResponse(resp.Body, heartbeat); err != nil {
-		return nil, false, fmt.Errorf("agent at %s: reading the heartbeat: %w", addr, err)
+		return nil, false, fmt.Errorf("agent at %s: decoding the heartbeat in its response: %w", addr, err)
 	}
 	return heartbeat, resp.StatusCode == http.StatusOK, nil
 }
 
-// post sends the request, and returns ErrNotSent if it failed before there was a connection.
+// post sends commands, and returns ErrNotSent if the attempt failed before a connection was
+// available.
 func (c *Client) post(ctx context.Context, addr string, commands wire.CommandRequest) (*http.Response, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/internal/agentclient/client_test.go
+++ b/internal/agentclient/client_test.go
@@ -16,7 +16,7 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// unreachableNet is a network without any host.
+// unreachableNet is a network on which every attempt to connect fails.
 type unreachableNet struct{ transport.TCP }
 
 func (unreachableNet) Dial(context.Context, string) (net.Conn, error) { return nil, errUnreachable }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents out machines.
+// Package cloud is the client of the cloud provider from which machines are rented.
 package cloud
 
 import (
@@ -17,32 +17,34 @@
 
 // Errors that callers distinguish with errors.Is.
 var (
-	// ErrNoCapacity reports that the cloud has no machine of this type and zone, spot or
-	// on demand as asked for, at present.
+	// ErrNoCapacity is returned if the cloud has at present no machine of the requested type
+	// and zone, on the requested terms (spot or on demand).
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrRequestFailed reports that the request was refused for another reason or left
-	// unanswered; it may have been executed.
+	// ErrRequestFailed is returned if the request was refused for another reason, or got no
+	// valid response. It may have been executed.
 	ErrRequestFailed = errors.New("request failed")
 )
 
-// reasonNoCapacity is the cloud's reason for refusing a rental for lack of machines.
+// reasonNoCapacity is the reason that the cloud gives if it has no machines for a rental.
 const reasonNoCapacity = "no capacity"
 
 const (
 	maxConns       = 4
 	connectTimeout = 2 * time.Second
-	// requestTimeout is long, since rentals are slower than reads; a lost one is repeated.
+	// requestTimeout allows for rentals, which take the cloud longer than reads. A rental
+	// whose response is lost is retried with the same request ID.
 	requestTimeout = 10 * time.Second
-	// pageSize is the most machines that the cloud lists at once.
+	// pageSize is the largest number of machines that the cloud returns in one page of the list.
 	pageSize = 500
-	// usedRateFraction is the fraction of the cloud's rate limit that is used; the rest is margin.
+	// usedRateFraction is the fraction of the cloud's rate limit that this client uses. The rest is a
+	// safety margin.
 	usedRateFraction = 0.8
 )
 
-// OperationError reports which operation failed, and what it was for.
+// OperationError names the operation that failed and its target.
 type OperationError struct {
 	Operation string
-	Target    string // a rental request or a machine type; empty if there is none
+	Target    string // the ID of a rental request or a list of machine IDs; empty if there is none
 	Err       error
 }
 
@@ -55,32 +57,33 @@
 
 func (e *OperationError) Unwrap() error { return e.Err }
 
-// Client sends requests to the cloud within its rate limit.
+// Client sends requests to the cloud, at no more than usedRateFraction of its rate limit.
 type Client struct {
-	base    string
+	baseURL string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// New returns a client for a cloud that serves the given number of requests per second.
+// New returns a client for a cloud whose rate limit is requestsPerSecond.
 func New(n transport.Net, addr string, requestsPerSecond float64) *Client {
 	return &Client{
-		base:    "http://" + addr,
+		baseURL: "http://" + addr,
 		http:    transport.Client(n, maxConns, maxConns, connectTimeout),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*usedRateFraction), max(1, int(requestsPerSecond))),
 	}
 }
 
-// Catalog reads the machine types with their present prices.
+// Catalog returns the machine types with their current prices.
 func (c *Client) Catalog(ctx context.Context) ([]wire.MachineType, error) {
 	var catalog wire.Catalog
 	if err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog); err != nil {
-		return nil, &OperationError{Operation: "catalog", Err: err}
+		return nil, &OperationError{Operation: "read catalog", Err: err}
 	}
 	return catalog.Types, nil
 }
 
-// Rent rents machines and returns their IDs. The request's ID makes retries idempotent.
+// Rent rents machines and returns their IDs. A retry with the same request ID does not rent
+// machines again.
 func (c *Client) Rent(ctx context.Context, rental wire.RentRequest) ([]string, error) {
 	var rented wire.MachineIDs
 	if err := c.call(ctx, http.MethodPost, "/hosts", rental, &rented); err != nil {
@@ -89,24 +92,25 @@
 	return rented.Machines, nil
 }
 
-// Return returns machines to the cloud. Without an error, they are gone with all that runs
-// on them.
+// Return gives machines back to the cloud. If it returns no error, the cloud has stopped the
+// machines and everything that ran on them.
 func (c *Client) Return(ctx context.Context, ids []string) error {
 	err := c.call(ctx, http.MethodPost, "/hosts/return", wire.MachineIDs{Machines: ids}, nil)
 	if err != nil {
-		return &OperationError{Operation: "return", Target: fmt.Sprint(ids), Err: err}
+		return &OperationError{Operation: "return machines", Target: fmt.Sprint(ids), Err: err}
 	}
 	return nil
 }
 
-// List reads the whole list of machines, which lags behind their actual state.
+// List returns all rented machines. The cloud updates the list with a delay, so that it may not
+// show the current state of a machine.
 func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
 	var machines []wire.CloudMachine
 	lastID := ""
 	for {
 		page, err := c.listPage(ctx, lastID)
 		if err != nil {
-			return nil, &OperationError{Operation: "list", Err: err}
+			return nil, &OperationError{Operation: "list machines", Err: err}
 		}
 		machines = append(machines, page.Machines...)
 		if !page.More || len(page.Machines) == 0 {
@@ -116,7 +120,7 @@
 	}
 }
 
-// listPage reads the page that follows a machine, or the first page if lastID is empty.
+// listPage reads the page that follows the machine lastID, or the first page if lastID is empty.
 func (c *Client) listPage(ctx context.Context, lastID string) (wire.MachinePage, error) {
 	path := fmt.Sprintf("/hosts?most=%d", pageSize)
 	if lastID != "" {
@@ -133,7 +137,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	resp, err := transport.Send(ctx, c.http, method, c.base+path, body)
+	resp, err := transport.Send(ctx, c.http, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrRequestFailed, err)
 	}
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// responseError returns the error that a response other than 200 stands for.
+// responseError returns the error that a response with a status other than 200 represents.
 func responseError(resp *http.Response) error {
 	reason := transport.Reason(resp)
 	if resp.StatusCode == http.StatusServiceUnavailable && reason == reasonNoCapacity {
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -11,7 +11,8 @@
 	"ambersill/internal/wire"
 )
 
-// newTestClient returns a client of a cloud that answers every request alike.
+// newTestClient returns a client of a cloud that answers every request with the same status and
+// message.
 func newTestClient(t *testing.T, status int, message any) *Client {
 	t.Helper()
 	client := New(transport.TCP{}, servertest.Start(t, status, message), 100)
@@ -21,10 +22,10 @@
 
 func TestResponseDeterminesError(t *testing.T) {
 	for _, test := range []struct {
-		status int
-		reason string
-		want   error
-		other  error
+		status   int
+		reason   string
+		want     error
+		unwanted error
 	}{
 		{http.StatusServiceUnavailable, reasonNoCapacity, ErrNoCapacity, ErrRequestFailed},
 		{http.StatusServiceUnavailable, "overloaded", ErrRequestFailed, ErrNoCapacity},
@@ -32,12 +33,12 @@
 	} {
 		client := newTestClient(t, test.status, wire.ErrorResponse{Error: test.reason})
 		_, err := client.Rent(context.Background(), wire.RentRequest{RequestID: "r-1"})
-		if !errors.Is(err, test.want) || errors.Is(err, test.other) {
-			t.Errorf("status %d %q: got %v, want %v", test.status, test.reason, err, test.want)
+		if !errors.Is(err, test.want) || errors.Is(err, test.unwanted) {
+			t.Errorf("error after status %d with reason %q: got %v, want %v", test.status, test.reason, err, test.want)
 		}
 		var operation *OperationError
 		if !errors.As(err, &operation) || operation.Operation != "rent" || operation.Target != "r-1" {
-			t.Errorf("status %d %q: %v does not name the rental", test.status, test.reason, err)
+			t.Errorf("error after status %d with reason %q: got %v, want an OperationError with the rental request's ID", test.status, test.reason, err)
 		}
 	}
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -56,8 +56,8 @@
 	return api.HeartbeatResult{Accepted: result.Accepted, Response: result.Response}
 }
 
-// AnswerHeartbeatAsOwner answers a heartbeat as the owner of the machine's partition. The heartbeat is
-// not accepted if this node does not own the partition.
+// AnswerHeartbeatAsOwner answers a heartbeat as the owner of the machine's partition. The
+// heartbeat is not accepted if this node does not own the partition.
 func (c *Controller) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	entry, known := c.cluster.machine(heartbeat.Machine)
 	if !known {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,5 +1,5 @@
-// Package kvstore is the client of the key-value store, the only place where controllers
-// keep state.
+// Package kvstore is the client of the key-value store, the only place where controllers keep
+// persistent state.
 package kvstore
 
 import (
@@ -16,45 +16,46 @@
 	"golang.org/x/time/rate"
 )
 
-// Connections to the store. Watches have their own, since each holds one while it is open.
+// Limits on the connections to the store. Watches have a limit of their own, because an open
+// watch occupies its connection until the store responds.
 const (
 	maxRequestConns = 16
 	maxWatchConns   = 8
 )
 
-// pageSize is the most keys that the store lists at once.
+// pageSize is the largest number of keys that the store returns in one page of a listing.
 const pageSize = 1000
 
-// Options configure a client.
+// Options configures a client.
 type Options struct {
 	Net     transport.Net
 	Addr    string
-	Timeout time.Duration // of one request, except a watch
-	// ReadRate and WriteRate are this node's fraction of the store's rate limits, in
-	// requests and in writes per second.
+	Timeout time.Duration // of one request; a watch may take this long beyond its waiting time
+	// ReadRate and WriteRate are this node's portion of the store's rate limits, in requests
+	// per second and in writes per second.
 	ReadRate, WriteRate float64
 }
 
-// Client sends requests to the key-value store within a rate limit.
+// Client sends requests to the key-value store, and limits the rates of requests and writes.
 type Client struct {
-	base        string
-	timeout     time.Duration
-	requestHTTP *http.Client
-	watchHTTP   *http.Client
-	reads       *rate.Limiter
-	writes      *rate.Limiter
-	unthrottled *rate.Limiter
-	counters    counters
+	baseURL         string
+	timeout         time.Duration
+	requestHTTP     *http.Client
+	watchHTTP       *http.Client
+	reads           *rate.Limiter
+	writes          *rate.Limiter
+	unthrottled     *rate.Limiter
+	requestCounters requestCounters
 
 	startTime       time.Time
-	lastServedNanos atomic.Int64  // when the newest served request was sent, in nanoseconds since start
-	highestRevision atomic.Uint64 // of this client's commits
+	lastServedNanos atomic.Int64  // from startTime until the latest served request was sent
+	highestRevision atomic.Uint64 // highest revision returned for a commit of this client
 }
 
-// New returns a client.
+// New returns a client for the store at o.Addr. It connects when the first request is sent.
 func New(o Options) *Client {
 	return &Client{
-		base:        "http://" + o.Addr,
+		baseURL:     "http://" + o.Addr,
 		timeout:     o.Timeout,
 		requestHTTP: transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
 		watchHTTP:   transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
@@ -65,7 +66,7 @@
 	}
 }
 
-// Get reads one key.
+// Get reads one key, or returns ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	req := request{
 		operation: "get",
@@ -81,14 +82,14 @@
 	return item, err
 }
 
-// List reads all keys with a prefix. The revision is that of the first page: a watch from
-// there misses no change.
+// List reads all keys with a prefix. It returns the revision of the first page, so that a
+// watch that starts there reports every change that the other pages may lack.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, c.reads)
 }
 
-// ListUnthrottled is List without the rate limit, for the few reads that must not queue
-// behind users' queries.
+// ListUnthrottled is List without the rate limit, for the few reads that must not wait behind
+// the requests that users cause.
 func (c *Client) ListUnthrottled(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
 	return c.list(ctx, prefix, c.unthrottled)
 }
@@ -117,7 +118,8 @@
 	}
 }
 
-// listRequest asks for the page that follows a key, or the first page if it is empty.
+// listRequest returns the request for the page that follows lastKey, or for the first page if
+// lastKey is empty.
 func listRequest(prefix, lastKey string) request {
 	path := "/store?prefix=" + url.QueryEscape(prefix) + "&most=" + strconv.Itoa(pageSize)
 	if lastKey != "" {
--- a/internal/kvstore/contact.go
+++ b/internal/kvstore/contact.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// counters counts requests by outcome.
-type counters struct {
+// requestCounters contains the numbers of requests by outcome since the client was created.
+type requestCounters struct {
 	served, refused, unanswered atomic.Int64
 }
 
-// RequestCounts returns how many requests were served, refused and left unanswered.
+// RequestCounts returns the numbers of requests that were served, refused and left without a
+// response.
 func (c *Client) RequestCounts() (served, refused, unanswered int) {
-	return int(c.counters.served.Load()), int(c.counters.refused.Load()), int(c.counters.unanswered.Load())
+	return int(c.requestCounters.served.Load()), int(c.requestCounters.refused.Load()), int(c.requestCounters.unanswered.Load())
 }
 
-// SinceContact returns the time since the newest served request was sent. The time of the
-// request counts, since a response proves nothing about what came after it. Watches don't
-// count at all: one stays open through an outage, and may end in the middle of it.
+// SinceContact returns the time since the most recently sent request that was served. It counts
+// from when the request was sent, because the response does not prove that the store was
+// reachable after it had executed the request. Watches are ignored, because the store keeps
+// them open through an outage and may complete them during it.
 func (c *Client) SinceContact() time.Duration {
 	return time.Since(c.startTime) - time.Duration(c.lastServedNanos.Load())
 }
 
-// recordServed records that a request that was sent at the given time has been served.
+// recordServed records that a request sent at the given time was served.
 func (c *Client) recordServed(sent time.Time) {
 	sentNanos := int64(sent.Sub(c.startTime))
 	for {
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -14,7 +14,8 @@
 
 const testKey = "jobs/req-7"
 
-// newTestClient returns a client of a store that answers every request alike.
+// newTestClient returns a client of a store that answers every request with the same status
+// and message.
 func newTestClient(t *testing.T, status int, message any) *Client {
 	t.Helper()
 	client := New(Options{
@@ -49,11 +50,11 @@
 		client := newTestClient(t, test.status, wire.ErrorResponse{Error: test.reason})
 		err := commitOneKey(client)
 		if !errors.Is(err, test.want) {
-			t.Errorf("status %d %q: got %v, want %v", test.status, test.reason, err, test.want)
+			t.Errorf("error after status %d with reason %q: got %v, want %v", test.status, test.reason, err, test.want)
 		}
 		var operation *OperationError
 		if !errors.As(err, &operation) || operation.Operation != "commit" || operation.Target != testKey {
-			t.Errorf("status %d %q: %v does not name the operation and the key", test.status, test.reason, err)
+			t.Errorf("error after status %d with reason %q: got %v, want an OperationError with the operation and the key", test.status, test.reason, err)
 		}
 	}
 }
@@ -76,11 +77,12 @@
 	}
 }
 
-// A response that cannot be read leaves open whether the transaction was executed.
+// If the response cannot be decoded, the client cannot know whether the transaction was
+// executed, even if the status is 200 or 409.
 func TestUnreadableResponseLeavesOutcomeUnknown(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusConflict} {
 		if err := commitOneKey(newTestClient(t, status, "text")); !errors.Is(err, ErrOutcomeUnknown) {
-			t.Errorf("status %d: %v", status, err)
+			t.Errorf("error after status %d and an undecodable body: got %v, want ErrOutcomeUnknown", status, err)
 		}
 	}
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -9,10 +9,10 @@
 	"ambersill/internal/wire"
 )
 
-// Requests for leases are exempt from the rate limit: a controller that cannot renew its
-// lease loses everything else.
+// Lease requests are exempt from the rate limit, because a controller that cannot renew its
+// lease in time loses all of its partitions.
 
-// GrantLease creates a lease with a time to live, and returns its ID.
+// GrantLease creates a lease with the given time to live, and returns its ID.
 func (c *Client) GrantLease(ctx context.Context, timeToLive time.Duration) (uint64, error) {
 	var response wire.LeaseResponse
 	err := c.call(ctx, request{
@@ -25,7 +25,7 @@
 	return response.LeaseID, err
 }
 
-// RenewLease extends a lease by its time to live from now on.
+// RenewLease restarts a lease's time to live.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	id := strconv.FormatUint(leaseID, 10)
 	return c.call(ctx, request{
@@ -36,7 +36,7 @@
 	}, nil)
 }
 
-// RevokeLease ends a lease at once, which deletes the keys that depend on it.
+// RevokeLease ends a lease at once, which makes the store delete the keys attached to it.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	id := strconv.FormatUint(leaseID, 10)
 	return c.call(ctx, request{
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -8,21 +8,22 @@
 	"golang.org/x/time/rate"
 )
 
-// minWriteBurst keeps transactions possible at low rates: one with more writes than the
-// burst would never be sent.
+// minWriteBurst allows transactions with several writes even at low rates. The limiter never
+// admits a transaction with more writes than its burst.
 const minWriteBurst = 16
 
-// maxTokenDebt is by how much urgent commits may exceed the write rate, as the time after
-// which the rate is kept again. The store allows bursts of a second's worth.
+// maxTokenDebt limits how far urgent commits may exceed the write rate. It is the time in which the
+// limiter refills the tokens taken in advance. The store allows bursts of one second's writes.
 const maxTokenDebt = time.Second
 
-// readBurst is half a second's worth.
+// readBurst returns the number of requests that half a second allows, at least 1.
 func readBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
 
-// writeBurst is a second's worth.
+// writeBurst returns the number of writes that one second allows, at least minWriteBurst.
 func writeBurst(perSecond float64) int { return max(minWriteBurst, int(perSecond)) }
 
-// SetRateLimits changes this node's fraction of the store's rate limits, per second.
+// SetRateLimits changes this node's portion of the store's rate limits, in requests per second
+// and in writes per second.
 func (c *Client) SetRateLimits(reads, writes float64) {
 	setLimit(c.reads, rate.Limit(reads))
 	setLimit(c.writes, rate.Limit(writes))
@@ -34,8 +35,8 @@
 	}
 }
 
-// throttle waits for n tokens of a limiter. A wait longer than the context allows fails the
-// request with ErrRefused.
+// throttle waits for n tokens of a limiter. It returns ErrRefused for the request if the
+// context ends, or would end, before the limiter has them.
 func (c *Client) throttle(ctx context.Context, limiter *rate.Limiter, n int, req request) error {
 	if err := limiter.WaitN(ctx, n); err != nil {
 		return req.wrapError(fmt.Errorf("%w: %w: %w", ErrRefused, errRateLimited, err))
@@ -43,8 +44,8 @@
 	return nil
 }
 
-// reserveUrgentWrites takes n tokens for writes without waiting, and reports whether the
-// overdraft allows that; if not, none are taken.
+// reserveUrgentWrites takes n tokens for writes without waiting for them. If the limiter would
+// need more than maxTokenDebt to refill, it takes none and returns false.
 func (c *Client) reserveUrgentWrites(n int) bool {
 	reservation := c.writes.ReserveN(time.Now(), n)
 	if !reservation.OK() || reservation.Delay() > maxTokenDebt {
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -10,26 +10,26 @@
 	"ambersill/internal/wire"
 )
 
-// reasonLeaseNotFound is the store's reason for refusing a transaction that names a lease which
+// reasonLeaseNotFound is the reason that the store gives if a transaction names a lease that
 // does not exist.
 const reasonLeaseNotFound = "no such lease"
 
 // request is one HTTP request to the store.
 type request struct {
-	operation string // for errors
-	target    string // the key, prefix or lease that it is for; for errors
+	operation string // for error messages
+	target    string // see OperationError.Target; for error messages
 	method    string
-	path      string // with the query
-	body      any    // nil: none
+	path      string // includes the query
+	body      any    // encoded as CBOR; no body if nil
 }
 
-// wrapError says which request failed.
+// wrapError returns cause as an OperationError that names this request.
 func (r request) wrapError(cause error) error {
 	return &OperationError{Operation: r.operation, Target: r.target, Err: cause}
 }
 
-// call sends a request with the usual timeout, and decodes the response into out unless
-// that is nil.
+// call sends a request with the client's timeout, and decodes the response into out unless out
+// is nil.
 func (c *Client) call(ctx context.Context, req request, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -43,7 +43,8 @@
 	return req.decodeResponse(resp, out)
 }
 
-// callWatch is call for a watch, whose response does not count as a sign of contact.
+// callWatch sends a watch request. The caller sets the timeout, and the response is not counted
+// by SinceContact.
 func (c *Client) callWatch(ctx context.Context, req request, out any) error {
 	resp, err := c.send(ctx, c.watchHTTP, req)
 	if err != nil {
@@ -53,26 +54,27 @@
 	return req.decodeResponse(resp, out)
 }
 
-// send returns a response that shows that the store served this node. The caller closes its
-// body.
+// send sends a request and counts its outcome. It returns ErrOutcomeUnknown if no response
+// arrived, and ErrRefused for status 429 or 503. The caller closes the body of the response.
 func (c *Client) send(ctx context.Context, client *http.Client, req request) (*http.Response, error) {
-	resp, err := transport.Send(ctx, client, req.method, c.base+req.path, req.body)
+	resp, err := transport.Send(ctx, client, req.method, c.baseURL+req.path, req.body)
 	if err != nil {
-		c.counters.unanswered.Add(1)
+		c.requestCounters.unanswered.Add(1)
 		return nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		c.counters.refused.Add(1)
+		c.requestCounters.refused.Add(1)
 		transport.Discard(resp)
 		_ = resp.Body.Close()
 		return nil, fmt.Errorf("%w: %w", ErrRefused, &transport.StatusError{Code: resp.StatusCode})
 	}
-	c.counters.served.Add(1)
+	c.requestCounters.served.Add(1)
 	return resp, nil
 }
 
-// decodeResponse decodes a response, or returns the error that it stands for.
+// decodeResponse decodes a response with status 200 into out, and returns the error that any
+// other status represents.
 func (r request) decodeResponse(resp *http.Response, out any) error {
 	if resp.StatusCode != http.StatusOK {
 		return r.wrapError(responseError(resp))
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// responseError returns the error that a response other than 200 stands for.
+// responseError returns the error that a response with a status other than 200 represents.
 func responseError(resp *http.Response) error {
 	switch resp.StatusCode {
 	case http.StatusNotFound:
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -8,8 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// Commit executes a transaction and returns its revision. After ErrOutcomeUnknown it may
-// still take effect.
+// Commit executes a transaction and returns its revision. If it returns ErrOutcomeUnknown, the
+// transaction may have taken effect or may still do so.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	req := commitRequest(txn)
 	if err := c.throttle(ctx, c.reads, 1, req); err != nil {
@@ -23,9 +23,9 @@
 	return c.commit(ctx, req)
 }
 
-// CommitUrgent is Commit ahead of the transactions that wait for the rate limit, for those
-// that users wait for. Its writes count against the limit, but wait for it only when it is
-// exceeded by more than maxOverdraft.
+// CommitUrgent is Commit for transactions that a user is waiting for. It overtakes the
+// transactions that wait for the rate limit. Its writes count against the limit, but wait only
+// if they would exceed it by more than maxTokenDebt.
 func (c *Client) CommitUrgent(ctx context.Context, txn wire.Txn) (uint64, error) {
 	if n := len(txn.Writes); n > 0 && !c.reserveUrgentWrites(n) {
 		return c.Commit(ctx, txn)
@@ -33,7 +33,7 @@
 	return c.commit(ctx, commitRequest(txn))
 }
 
-// HighestRevision returns the highest revision of this client's commits.
+// HighestRevision returns the highest revision that any commit of this client returned.
 func (c *Client) HighestRevision() uint64 { return c.highestRevision.Load() }
 
 func (c *Client) commit(ctx context.Context, req request) (uint64, error) {
@@ -45,7 +45,8 @@
 	return response.Revision, nil
 }
 
-// recordRevision raises the highest revision; commits may be answered out of order.
+// recordRevision raises the highest revision if the given one is higher. Responses to commits may
+// arrive out of order.
 func (c *Client) recordRevision(revision uint64) {
 	for {
 		highest := c.highestRevision.Load()
@@ -57,7 +58,7 @@
 
 func commitRequest(txn wire.Txn) request {
 	if txn.Compares == nil {
-		txn.Compares = []wire.Compare{} // encoded as an empty list instead of null
+		txn.Compares = []wire.Compare{} // nil would be encoded as null instead of an empty list
 	}
 	return request{
 		operation: "commit",
@@ -68,7 +69,8 @@
 	}
 }
 
-// writtenKeys names the keys that a transaction writes, for errors.
+// writtenKeys returns the keys that a transaction writes or deletes, separated by spaces, for
+// error messages.
 func writtenKeys(txn wire.Txn) string {
 	keys := make([]string, 0, len(txn.Writes))
 	for _, write := range txn.Writes {
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -15,30 +15,33 @@
 	"ambersill/internal/wire"
 )
 
-// unresponsiveTimeout is how long a connection may leave calls unanswered before it is dropped.
-// A busy peer answers late, and connecting anew would only add to its work.
+// unresponsiveTimeout is how long a connection may go without any answer before a call that times
+// out closes it, and how long a write on it may block. Calls to a busy peer may time out sooner,
+// and a new connection for each of them would only add to its load.
 const unresponsiveTimeout = 2 * time.Second
 
-// errTimeout: the peer did not answer within the caller's limit.
-var errTimeout = errors.New("peer: no answer in time")
+// errTimeout is returned if the peer did not answer within the caller's timeout.
+var errTimeout = errors.New("peer did not answer before the timeout")
 
-// Peer is a client of another controller; its connection is made when needed.
+// Peer is a client of another controller. It connects when the first call is made, and again
+// after a connection was closed.
 type Peer struct {
 	config.Member
 	Net transport.Net
 
 	initOnce sync.Once
-	// sendSlot holds a place for the call that is being written: that blocks, whatever the
-	// caller's limit, while the peer reads nothing.
+	// sendSlot is a semaphore for the one call that is being written. Writing is limited by
+	// unresponsiveTimeout instead of the caller's timeout, and blocks while the peer does not
+	// read. The other calls wait for the semaphore until their own timeouts.
 	sendSlot chan struct{}
 
 	mu          sync.Mutex
 	client      *rpc.Client
-	lastAnswer  time.Time // last answer on the connection, or when it was made
-	lastFailure time.Time // when a call last failed, with none answered since
+	lastAnswer  time.Time // time of the last answer on the connection, or of connecting
+	lastFailure time.Time // time of the last call if it failed, otherwise zero
 }
 
-// FailedWithin tells whether a call has failed within the given time, with none answered since.
+// FailedWithin reports whether the last call failed, and did so within the given period.
 func (p *Peer) FailedWithin(period time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,13 +54,13 @@
 	return p.callAndRecordFailure(methodClaimed, message, &struct{}{}, timeout)
 }
 
-// AnnounceCancellation tells the peer that a job's cancellation is committed.
+// AnnounceCancellation tells the peer that the cancellation of a job has been committed.
 func (p *Peer) AnnounceCancellation(cancellation JobCancellation, timeout time.Duration) error {
 	message := Cancellation{Part: cancellation.Partition, Job: cancellation.JobID}
 	return p.callAndRecordFailure(methodCancelled, message, &struct{}{}, timeout)
 }
 
-// JobCounts asks the peer for a job's counts.
+// JobCounts asks the peer for the task counts of a job.
 func (p *Peer) JobCounts(jobID string, timeout time.Duration) (JobCounts, error) {
 	var answer Answer
 	if err := p.callAndRecordFailure(methodView, Query{Job: jobID}, &answer, timeout); err != nil {
@@ -66,7 +69,8 @@
 	return JobCounts{Known: answer.Known, Done: answer.Done, Running: answer.Running}, nil
 }
 
-// SinceContact asks the peer how long ago the key-value store last served it.
+// SinceContact asks the peer for the time since it sent the last request that the key-value
+// store served.
 func (p *Peer) SinceContact(timeout time.Duration) (time.Duration, error) {
 	var answer Answer
 	if err := p.callAndRecordFailure(methodView, Query{}, &answer, timeout); err != nil {
@@ -75,8 +79,8 @@
 	return tuning.Seconds(answer.Contact), nil
 }
 
-// ForwardHeartbeats has the peer answer heartbeats as the owner of their machines'
-// partitions. The results are in the order of the heartbeats.
+// ForwardHeartbeats sends heartbeats to the peer, which answers them as the owner of their
+// machines' partitions. The results are in the order of the heartbeats.
 func (p *Peer) ForwardHeartbeats(heartbeats []*wire.Heartbeat, timeout time.Duration) ([]HeartbeatResult, error) {
 	batch := ReportBatch{Reports: make([]WorkerReport, len(heartbeats))}
 	for i, heartbeat := range heartbeats {
@@ -87,7 +91,7 @@
 		return nil, err
 	}
 	if len(reply.Replies) != len(heartbeats) {
-		return nil, fmt.Errorf("peer %s: %d replies to %d heartbeats", p.Node, len(reply.Replies), len(heartbeats))
+		return nil, fmt.Errorf("forwarding heartbeats to peer %s: got %d replies to %d heartbeats", p.Node, len(reply.Replies), len(heartbeats))
 	}
 	results := make([]HeartbeatResult, len(heartbeats))
 	for i := range reply.Replies {
@@ -96,8 +100,8 @@
 	return results, nil
 }
 
-// callAndRecordFailure makes a call and keeps what Failing tells. After an error the reply must not
-// be read: a late answer may still be written to it.
+// callAndRecordFailure makes a call and records for FailedWithin whether it failed. After an error
+// the caller must not read reply, because a late answer may still be written to it.
 func (p *Peer) callAndRecordFailure(method string, args, reply any, timeout time.Duration) error {
 	err := p.call(method, args, reply, timeout)
 	p.mu.Lock()
@@ -148,7 +152,8 @@
 	}
 }
 
-// writeTimeoutConn gives a write up that the other end does not take in time.
+// writeTimeoutConn is a connection whose writes fail if they take longer than
+// unresponsiveTimeout.
 type writeTimeoutConn struct{ net.Conn }
 
 func (c writeTimeoutConn) Write(b []byte) (int, error) {
@@ -158,8 +163,8 @@
 	return c.Conn.Write(b)
 }
 
-// connect returns the open connection, or makes one. A new one gets no caller's context,
-// since all later calls share it.
+// connect returns the client of the open connection, or opens a connection. It takes no context
+// from the caller, because later calls share the connection.
 //
 //nolint:contextcheck // see above
 func (p *Peer) connect(timeout time.Duration) (*rpc.Client, error) {
@@ -178,7 +183,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.client != nil {
-		_ = conn.Close() // another call was faster
+		_ = conn.Close() // another call has connected in the meantime
 		return p.client, nil
 	}
 	p.client, p.lastAnswer = rpc.NewClient(writeTimeoutConn{conn}), time.Now()
@@ -191,5 +196,5 @@
 		p.client = nil
 	}
 	p.mu.Unlock()
-	_ = client.Close() // it may have ended by itself
+	_ = client.Close() // returns an error if the connection has already closed
 }
--- a/internal/peerrpc/exchange_test.go
+++ b/internal/peerrpc/exchange_test.go
@@ -9,55 +9,58 @@
 	"testing"
 )
 
-// This file is compiled into the production version as well; see TestProductionMessages.
+// TestProductionMessages also compiles this file in this package of the version in production,
+// so it may use only names that both versions have.
 
-// emptyMessages lists the arguments and replies of all calls.
+// emptyMessages returns an empty value of the argument and the reply of each method, except
+// replies without fields.
 func emptyMessages() []any {
 	return []any{&Claim{}, &Cancellation{}, &Query{}, &Answer{}, &ReportBatch{}, &BatchReply{}}
 }
 
-// setDistinctValues gives every field below a value one of its own that is not zero.
-func setDistinctValues(t *testing.T, v reflect.Value, next *int) {
-	*next++
+// setDistinctValues sets every field in v, also in nested values, to a value that is not zero. Fields
+// of the same type get different values, except booleans. counter increases with each value.
+func setDistinctValues(t *testing.T, v reflect.Value, counter *int) {
+	*counter++
 	switch v.Kind() {
 	case reflect.Struct:
 		for _, field := range v.Fields() {
-			setDistinctValues(t, field, next)
+			setDistinctValues(t, field, counter)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		setDistinctValues(t, v.Elem(), next)
+		setDistinctValues(t, v.Elem(), counter)
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			setDistinctValues(t, v.Index(i), next)
+			setDistinctValues(t, v.Index(i), counter)
 		}
 	case reflect.String:
-		v.SetString(fmt.Sprint("text ", *next))
+		v.SetString(fmt.Sprint("text ", *counter))
 	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(*next))
+		v.SetInt(int64(*counter))
 	case reflect.Uint64:
-		v.SetUint(uint64(*next))
+		v.SetUint(uint64(*counter))
 	case reflect.Float64:
-		v.SetFloat(float64(*next) + 0.5)
+		v.SetFloat(float64(*counter) + 0.5)
 	case reflect.Bool:
 		v.SetBool(true)
 	default:
-		t.Fatalf("no value for a field of type %v", v.Type())
+		t.Fatalf("setting a field of type %v is not implemented", v.Type())
 	}
 }
 
-// filledMessages are all messages with every field set.
+// filledMessages returns all messages with every field set.
 func filledMessages(t *testing.T) []any {
 	messages := emptyMessages()
-	next := 0
+	counter := 0
 	for _, message := range messages {
-		setDistinctValues(t, reflect.ValueOf(message).Elem(), &next)
+		setDistinctValues(t, reflect.ValueOf(message).Elem(), &counter)
 	}
 	return messages
 }
 
-// writeMessages encodes all messages, each as the first of a stream.
+// writeMessages writes all messages to a file, each encoded as a gob stream of its own.
 func writeMessages(t *testing.T, file string) {
 	var encoded [][]byte
 	for _, message := range filledMessages(t) {
@@ -76,7 +79,8 @@
 	}
 }
 
-// checkMessages decodes what another version has encoded, and compares every field.
+// checkMessages decodes the messages in a file that writeMessages of another version has written,
+// and compares every field.
 func checkMessages(t *testing.T, file string) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -88,14 +92,14 @@
 	}
 	messages, want := emptyMessages(), filledMessages(t)
 	if len(encoded) != len(messages) {
-		t.Fatalf("%d messages, not %d", len(encoded), len(messages))
+		t.Fatalf("messages in the file of the other version: got %d, want %d", len(encoded), len(messages))
 	}
 	for i, message := range messages {
 		if err := gob.NewDecoder(bytes.NewReader(encoded[i])).Decode(message); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(message, want[i]) {
-			t.Errorf("message %T:\nread    %+v\nwritten %+v", message, message, want[i])
+			t.Errorf("message %T decoded from the other version's encoding:\ngot  %+v\nwant %+v", message, message, want[i])
 		}
 	}
 }
--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -4,13 +4,13 @@
 	"ambersill/internal/wire"
 )
 
-// The messages in this file travel as gob, which matches struct fields by name and drops
-// those that the other side does not know. Controllers of different versions run beside
-// each other during an upgrade, so the names of the methods and of every field below are
-// a format: they stay as they are. TestProductionMessages compares them with the version
-// in production.
+// The messages in this file are encoded as gob, which matches struct fields by name and ignores
+// fields that the receiver does not have. Controllers of different versions call each other
+// during an upgrade, so the names of the methods and of every field below are part of the
+// protocol and must not change. TestProductionMessages checks them against the version in
+// production.
 
-// The methods of the service.
+// Names under which net/rpc registers the service and finds its methods.
 const (
 	serviceName     = "Mesh"
 	methodClaimed   = serviceName + ".Claimed"
@@ -32,25 +32,26 @@
 	Job  string
 }
 
-// Query is the argument of View; without a job it asks for Contact only.
+// Query is the argument of View. If Job is empty, it asks for Contact only.
 type Query struct{ Job string }
 
 // Answer is the reply of View.
 type Answer struct {
 	Known         bool
 	Done, Running int
-	// Contact: seconds since the key-value store last served the node.
+	// Contact is the time in seconds since the node sent the last request that the key-value
+	// store served.
 	Contact float64
 }
 
 // ReportBatch is the argument of Reports.
 type ReportBatch struct{ Reports []WorkerReport }
 
-// WorkerReport is one heartbeat of a batch.
+// WorkerReport is one heartbeat in a batch.
 type WorkerReport struct {
 	Report Report
-	// Notice repeats that the heartbeat carries a spot notice: gob drops a pointer to
-	// zero, which is what a notice counts down to.
+	// Notice is true if the heartbeat contains a spot termination notice. The notice counts
+	// down to zero, and gob omits a pointer to zero, so that Report.Notice alone would be lost.
 	Notice bool
 }
 
@@ -68,7 +69,7 @@
 	Tasks   []TaskReport
 }
 
-// TaskReport is the status of one task of a heartbeat.
+// TaskReport is the status of one task in a heartbeat.
 type TaskReport struct {
 	Task    string
 	Attempt uint64
@@ -77,10 +78,10 @@
 	Saved   bool
 }
 
-// BatchReply is the reply of Reports, in the order of the batch.
+// BatchReply is the reply of Reports, with the answers in the order of the batch's heartbeats.
 type BatchReply struct{ Replies []WorkerReply }
 
-// WorkerReply answers one heartbeat of a batch.
+// WorkerReply is the answer to one heartbeat of a batch.
 type WorkerReply struct {
 	Accepted bool
 	Reply    ReportReply
@@ -92,7 +93,7 @@
 	Commands []Command
 }
 
-// Command is one command of a response.
+// Command is one command in the response to a heartbeat.
 type Command struct {
 	Op      string
 	Task    string
@@ -100,7 +101,7 @@
 	Grace   float64
 }
 
-// encodeHeartbeat encodes a heartbeat.
+// encodeHeartbeat converts a heartbeat to the message that contains it.
 func encodeHeartbeat(heartbeat *wire.Heartbeat) WorkerReport {
 	message := Report{
 		Machine: heartbeat.Machine,
@@ -128,7 +129,8 @@
 	return WorkerReport{Report: message, Notice: heartbeat.TerminationNoticeS != nil}
 }
 
-// decodeHeartbeat decodes a decodeHeartbeat, and restores what the encoding loses.
+// decodeHeartbeat returns the heartbeat in the message, and restores a notice of zero seconds,
+// which gob omits.
 func (w *WorkerReport) decodeHeartbeat() *wire.Heartbeat {
 	message := &w.Report
 	heartbeat := &wire.Heartbeat{
@@ -160,7 +162,7 @@
 	return heartbeat
 }
 
-// encodeResponse encodes a response.
+// encodeResponse converts the response to a heartbeat to a message.
 func encodeResponse(response wire.HeartbeatResponse) ReportReply {
 	message := ReportReply{Token: response.FencingToken}
 	if response.Commands != nil {
@@ -172,7 +174,7 @@
 	return message
 }
 
-// decodeResponse decodes a decodeResponse.
+// decodeResponse returns the response to a heartbeat that the message contains.
 func (r *ReportReply) decodeResponse() wire.HeartbeatResponse {
 	response := wire.HeartbeatResponse{FencingToken: r.Token}
 	if r.Commands != nil {
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -16,28 +16,27 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// stubHandler accepts every report but those of one machine, and answers views late while
-// it is busy.
+// stubHandler is a Handler that accepts every heartbeat except those of the machine "refused".
 type stubHandler struct {
-	got       []wire.Heartbeat
-	jobCountsDelay atomic.Int64 // nanoseconds that a view takes
+	got            []wire.Heartbeat
+	jobCountsDelay atomic.Int64 // how long LocalJobCounts takes, in nanoseconds
 }
 
 func (*stubHandler) HandleClaim(OwnershipClaim)         {}
 func (*stubHandler) HandleCancellation(JobCancellation) {}
 func (*stubHandler) SinceContact() time.Duration        { return 0 }
-func (o *stubHandler) LocalJobCounts(string) JobCounts {
-	time.Sleep(time.Duration(o.jobCountsDelay.Load()))
+func (h *stubHandler) LocalJobCounts(string) JobCounts {
+	time.Sleep(time.Duration(h.jobCountsDelay.Load()))
 	return JobCounts{Known: true, Done: 1, Running: 2}
 }
 
-func (o *stubHandler) AnswerHeartbeatAsOwner(r *wire.Heartbeat) HeartbeatResult {
-	o.got = append(o.got, *r)
-	response := wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{{Op: wire.StartTask, Task: "req-000001/0", Attempt: r.Sequence}}}
-	return HeartbeatResult{Accepted: r.Machine != "refused", Response: response}
+func (h *stubHandler) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) HeartbeatResult {
+	h.got = append(h.got, *heartbeat)
+	response := wire.HeartbeatResponse{FencingToken: heartbeat.FencingToken, Commands: []wire.Command{{Op: wire.StartTask, Task: "req-000001/0", Attempt: heartbeat.Sequence}}}
+	return HeartbeatResult{Accepted: heartbeat.Machine != "refused", Response: response}
 }
 
-// countingNet counts the connections that are made.
+// countingNet counts the attempts to connect.
 type countingNet struct {
 	transport.TCP
 	dials atomic.Int64
@@ -48,29 +47,29 @@
 	return n.TCP.Dial(ctx, addr)
 }
 
-func serveAndConnect(t *testing.T, h Handler) (*Peer, *countingNet) {
-	l, err := transport.TCP{}.Listen(t.Context(), "127.0.0.1:0")
+func serveAndConnect(t *testing.T, handler Handler) (*Peer, *countingNet) {
+	listener, err := transport.TCP{}.Listen(t.Context(), "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	if err := l.Close(); err != nil {
+	addr := listener.Addr().String()
+	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	serverDone := make(chan struct{})
 	go func() {
 		defer close(serverDone)
-		if err := Serve(ctx, transport.TCP{}, addr, h); err != nil {
+		if err := Serve(ctx, transport.TCP{}, addr, handler); err != nil {
 			t.Error(err)
 		}
 	}()
 	t.Cleanup(func() { cancel(); <-serverDone })
-	n := &countingNet{}
-	p := &Peer{Member: config.Member{Node: "owner", Addr: addr}, Net: n}
+	network := &countingNet{}
+	peer := &Peer{Member: config.Member{Node: "owner", Addr: addr}, Net: network}
 	start := time.Now()
-	for { // until it listens
-		_, err := p.SinceContact(time.Second)
+	for { // until the server accepts connections
+		_, err := peer.SinceContact(time.Second)
 		if err == nil {
 			break
 		}
@@ -79,19 +78,19 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	n.dials.Store(0)
-	return p, n
+	network.dials.Store(0)
+	return peer, network
 }
 
-// A report must reach the owner as its worker sent it, whatever the encoding leaves out:
-// a spot notice that has counted down to zero was once lost on the way.
+// A forwarded heartbeat must reach the owner unchanged. Because gob omits a pointer to zero, spot
+// termination notices that had counted down to zero were once lost.
 func TestForwardedHeartbeatsArriveUnchanged(t *testing.T) {
 	owner := &stubHandler{}
-	p, _ := serveAndConnect(t, owner)
-	zero, some := 0.0, 7.5
+	peer, _ := serveAndConnect(t, owner)
+	zero, positive := 0.0, 7.5
 	sent := []wire.Heartbeat{
 		{Machine: "m-1", Incarnation: 1, Sequence: 3, FencingToken: 9, TerminationNoticeS: &zero},
-		{Machine: "refused", Incarnation: 2, Sequence: 1, TerminationNoticeS: &some},
+		{Machine: "refused", Incarnation: 2, Sequence: 1, TerminationNoticeS: &positive},
 		{
 			Machine: "m-2", Address: "10.1.0.1:9000", MachineType: "big", Zone: "a", Spot: true, Incarnation: 1, Sequence: 8, FencingToken: 9,
 			Tasks: []wire.TaskStatus{{Task: "req-000001/0", Attempt: 4, State: wire.TaskExited, ExitCause: wire.ExitStopped, CheckpointSaved: true}},
@@ -101,45 +100,45 @@
 	for i := range sent {
 		heartbeats = append(heartbeats, &sent[i])
 	}
-	got, err := p.ForwardHeartbeats(heartbeats, time.Second)
+	got, err := peer.ForwardHeartbeats(heartbeats, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d := cmp.Diff(sent, owner.got); d != "" {
-		t.Errorf("reports changed on the way:\n%s", d)
+	if diff := cmp.Diff(sent, owner.got); diff != "" {
+		t.Errorf("forwarded heartbeats (-sent +received):\n%s", diff)
 	}
 	for i, r := range got {
 		if r.Accepted != (sent[i].Machine != "refused") || r.Response.FencingToken != sent[i].FencingToken || r.Response.Commands[0].Attempt != sent[i].Sequence {
-			t.Errorf("reply %d is %+v", i, r)
+			t.Errorf("result %d: got %+v, want the fencing token and sequence of the heartbeat, and only \"refused\" not accepted", i, r)
 		}
 	}
 }
 
-// A call that a busy peer answers late fails alone: the connection was once dropped with
-// it, which failed all calls under way and had the peer accept another one.
+// A call that times out because the peer is busy must not close the connection. It once did, which
+// made all other pending calls fail and the peer accept another connection.
 func TestLateAnswerKeepsConnection(t *testing.T) {
 	owner := &stubHandler{}
-	p, n := serveAndConnect(t, owner)
+	peer, network := serveAndConnect(t, owner)
 	owner.jobCountsDelay.Store(int64(300 * time.Millisecond))
-	if _, err := p.JobCounts("req-000001", 50*time.Millisecond); err == nil {
-		t.Fatal("the call was not late")
+	if _, err := peer.JobCounts("req-000001", 50*time.Millisecond); err == nil {
+		t.Fatal("JobCounts with a timeout shorter than the peer's delay: got no error, want a timeout")
 	}
-	if !p.FailedWithin(time.Minute) {
-		t.Error("the late call left no trace")
+	if !peer.FailedWithin(time.Minute) {
+		t.Error("FailedWithin after a call that timed out: got false, want true")
 	}
-	if counts, err := p.JobCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
-		t.Errorf("the next call: %+v, %v", counts, err)
+	if counts, err := peer.JobCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
+		t.Errorf("JobCounts after a call that timed out: got %+v, error %v, want 2 running tasks", counts, err)
 	}
-	if n.dials.Load() != 0 {
-		t.Errorf("connected anew %d times", n.dials.Load())
+	if network.dials.Load() != 0 {
+		t.Errorf("new connections after a call that timed out: got %d, want 0", network.dials.Load())
 	}
-	if p.FailedWithin(time.Minute) {
-		t.Error("failing although the last call was answered")
+	if peer.FailedWithin(time.Minute) {
+		t.Error("FailedWithin after an answered call: got true, want false")
 	}
 }
 
-// nonReadingNet connects to a peer that reads nothing, as one that stands still once the
-// buffers between the two are full.
+// nonReadingNet connects to a peer that reads nothing, like a process that hangs after the socket
+// buffers have filled up.
 type nonReadingNet struct{ transport.TCP }
 
 func (nonReadingNet) Dial(context.Context, string) (net.Conn, error) {
@@ -147,31 +146,31 @@
 	return near, nil
 }
 
-// A call ends within its limit although its request cannot even be written; so do those
-// behind it, and the connection is given up. Writing once held up all callers for as long
-// as the peer stood still.
+// If the peer does not read, a call and those that wait behind it must end at their timeouts, and
+// the connection must be closed. A write that had no timeout once blocked all callers for as long
+// as the peer hung.
 func TestCallsTimeOutWhenPeerReadsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const limit = 200 * time.Millisecond
-		p := &Peer{Member: config.Member{Node: "silent", Addr: "10.0.0.1:8081"}, Net: nonReadingNet{}}
+		const timeout = 200 * time.Millisecond
+		peer := &Peer{Member: config.Member{Node: "silent", Addr: "10.0.0.1:8081"}, Net: nonReadingNet{}}
 		var wg sync.WaitGroup
 		for range 5 {
 			wg.Go(func() {
-				began := time.Now()
-				if _, err := p.SinceContact(limit); err == nil || time.Since(began) > limit {
-					t.Errorf("%v after %v", err, time.Since(began))
+				start := time.Now()
+				if _, err := peer.SinceContact(timeout); err == nil || time.Since(start) > timeout {
+					t.Errorf("SinceContact of a peer that reads nothing: got error %v after %v, want an error within the timeout", err, time.Since(start))
 				}
 			})
 		}
 		wg.Wait()
 		time.Sleep(unresponsiveTimeout)
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.client != nil && len(p.sendSlot) > 0 {
-			t.Error("still writing beyond the limit")
+		peer.mu.Lock()
+		defer peer.mu.Unlock()
+		if peer.client != nil && len(peer.sendSlot) > 0 {
+			t.Error("call is still being written after unresponsiveTimeout")
 		}
-		if p.client != nil {
-			_ = p.client.Close() // it may have ended by itself
+		if peer.client != nil {
+			_ = peer.client.Close() // returns an error if the connection has already closed
 		}
 	})
 }
--- a/internal/peerrpc/production_test.go
+++ b/internal/peerrpc/production_test.go
@@ -9,11 +9,11 @@
 	"ambersill/internal/productiontest"
 )
 
-// Controllers of the production version, which deploy/service.toml names, serve beside
-// those of this one during an upgrade: each decodes every field that the other encodes,
-// and the production version finds every method that it calls.
+// During an upgrade, controllers of this version and of the version in production (named in
+// deploy/service.toml) call each other. The test checks that each version decodes every field
+// that the other encodes, and that this version serves every method that the other calls.
 func TestProductionMessages(t *testing.T) {
-	const directory = "internal/mesh" // where the production version has this package
+	const directory = "internal/mesh" // directory of this package in the version in production
 	production := productiontest.Extract(t, filepath.Join("..", ".."))
 	exchangeSource, err := os.ReadFile("exchange_test.go")
 	if err != nil {
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -1,5 +1,5 @@
-// Package peerrpc carries the calls between controllers, by net/rpc. Every call is a
-// hint: the key-value store alone decides.
+// Package peerrpc implements the calls between controllers, with net/rpc. What a call reports is
+// only a hint: the records in the key-value store are authoritative.
 package peerrpc
 
 import (
@@ -15,28 +15,28 @@
 	"golang.org/x/net/netutil"
 )
 
-// OwnershipClaim says that a node has become the owner of a partition.
+// OwnershipClaim announces that a node has become the owner of a partition.
 type OwnershipClaim struct {
 	Partition int
 	Revision  uint64 // of the partition's ownership key
 	Node      string
 }
 
-// JobCancellation says that a job's cancellation is committed.
+// JobCancellation announces that the cancellation of a job has been committed.
 type JobCancellation struct {
 	Partition int
 	JobID     string
 }
 
-// JobCounts counts a job's tasks for display; they are unknown to a node that does not
-// run the job.
+// JobCounts contains the numbers of a job's tasks by state, for display to users. Known is false
+// if the node that was asked does not run the job.
 type JobCounts struct {
 	Known         bool
 	Done, Running int
 }
 
-// HeartbeatResult is the owner's answer to a forwarded heartbeat; without Accepted the
-// worker must not be answered with success.
+// HeartbeatResult is the owner's answer to a forwarded heartbeat. If Accepted is false, the node
+// that forwarded it must not send the worker a successful response.
 type HeartbeatResult struct {
 	Accepted bool
 	Response wire.HeartbeatResponse
@@ -44,36 +44,39 @@
 
 // Handler answers the calls of other controllers.
 type Handler interface {
-	// HandleClaim handles the announcement that another node owns a partition.
+	// HandleClaim handles another node's announcement that it owns a partition.
 	HandleClaim(OwnershipClaim)
-	// HandleCancellation handles the announcement that another node has committed a cancellation.
+	// HandleCancellation handles another node's announcement that it has committed a
+	// cancellation.
 	HandleCancellation(JobCancellation)
-	// LocalJobCounts counts the tasks of a job that this node runs.
+	// LocalJobCounts returns the task counts of a job if this node runs the job.
 	LocalJobCounts(jobID string) JobCounts
-	// SinceContact is the time since the key-value store last served this node.
+	// SinceContact returns the time since this node sent the last request that the key-value
+	// store served.
 	SinceContact() time.Duration
-	// AnswerHeartbeatAsOwner answers a heartbeat that reached another node, as the owner of the
-	// machine's partition.
+	// AnswerHeartbeatAsOwner answers a heartbeat that a worker sent to another node. This node
+	// owns the partition of the worker's machine, unless ownership has changed.
 	AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) HeartbeatResult
 }
 
-// Service holds the methods that net/rpc offers to other controllers. They are named, and
-// take and return messages, as the production version expects; see messages.go.
+// Service has the methods that other controllers call through net/rpc. Controllers of the
+// version in production call them too, which fixes their names and messages; see messages.go.
 type Service struct{ handler Handler }
 
-// Claimed is called by a node that has become the owner of a partition.
+// Claimed receives the announcement of a node that has become the owner of a partition.
 func (s *Service) Claimed(claim Claim, _ *struct{}) error {
 	s.handler.HandleClaim(OwnershipClaim{Partition: claim.Part, Revision: claim.Stamp, Node: claim.Node})
 	return nil
 }
 
-// Cancelled is called by a node that has confirmed a cancellation to a user.
+// Cancelled receives the announcement of a node that has confirmed a cancellation to a user.
 func (s *Service) Cancelled(c Cancellation, _ *struct{}) error {
 	s.handler.HandleCancellation(JobCancellation{Partition: c.Part, JobID: c.Job})
 	return nil
 }
 
-// View is called for a job's counts, or for the age of the last contact only.
+// View returns a job's counts and the time since the last contact with the key-value store, or
+// only the latter if the query names no job.
 func (s *Service) View(query Query, answer *Answer) error {
 	if query.Job != "" {
 		counts := s.handler.LocalJobCounts(query.Job)
@@ -83,7 +86,8 @@
 	return nil
 }
 
-// Reports is called with workers' heartbeats that reached another node.
+// Reports receives heartbeats that workers sent to another node, and returns the answers to
+// them.
 func (s *Service) Reports(batch ReportBatch, reply *BatchReply) error {
 	reply.Replies = make([]WorkerReply, len(batch.Reports))
 	for i := range batch.Reports {
@@ -94,13 +98,14 @@
 }
 
 const (
-	// maxInboundConns bounds the connections that others may hold to this node.
+	// maxInboundConns limits the connections from other controllers that are open at once.
 	maxInboundConns = 32
-	// acceptRetryDelay is the pause after a failed accept, as for want of sockets.
+	// acceptRetryDelay is the wait after a failed accept, for example when the process has no
+	// file descriptors left.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Serve answers other controllers until the context ends.
+// Serve answers the calls of other controllers until the context ends.
 func Serve(ctx context.Context, network transport.Net, addr string, handler Handler) error {
 	server := rpc.NewServer()
 	if err := server.RegisterName(serviceName, &Service{handler}); err != nil {
@@ -129,7 +134,8 @@
 	}
 }
 
-// serveConn answers the calls of one connection until it or the context ends.
+// serveConn answers the calls on one connection until the connection closes or the context
+// ends.
 func serveConn(ctx context.Context, server *rpc.Server, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,4 +1,5 @@
-// Package rapidtest gives property-based tests the same verdict in every run.
+// Package rapidtest runs property-based tests with a fixed seed, so that every run checks the
+// same cases.
 package rapidtest
 
 import (
@@ -6,8 +7,9 @@
 	"testing"
 )
 
-// Main runs a package's tests with a fixed seed for rapid, unless the command line sets
-// one; -rapid.seed=0 draws anew. It returns the exit code.
+// Main runs a package's tests and returns the exit code. It sets the seed of package rapid to 1
+// and turns off rapid's files of failed cases, unless the command line sets these flags;
+// -rapid.seed=0 selects a random seed.
 func Main(m *testing.M) int {
 	defaults := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
 	flag.Parse()
--- a/internal/servertest/servertest.go
+++ b/internal/servertest/servertest.go
@@ -1,4 +1,4 @@
-// Package servertest gives the tests of HTTP clients a server to talk to.
+// Package servertest starts HTTP servers with a fixed response, for tests of HTTP clients.
 package servertest
 
 import (
@@ -10,8 +10,8 @@
 	"ambersill/internal/wire"
 )
 
-// Start starts a server on loopback that answers every request with the status and the
-// message, and returns its address. The server ends with the test.
+// Start starts a server on a loopback address that answers every request with the given status
+// and encoded message. It returns the server's address. The server stops when the test ends.
 func Start(t *testing.T, status int, message any) string {
 	t.Helper()
 	body, err := wire.Marshal(message)
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -12,17 +12,18 @@
 	"ambersill/internal/wire"
 )
 
-// idleConnTimeout closes connections that the other side may have dropped without notice.
+// idleConnTimeout is how long an idle connection stays open. The server may have closed an
+// older one without this side being notified.
 const idleConnTimeout = time.Minute
 
-// maxDiscardBytes is the longest body that is read only to be dropped; closing the
-// connection costs less than reading more.
+// maxDiscardBytes is the largest part of a body that is read and discarded in order to keep its
+// connection open. Opening a new connection costs less than reading more.
 const maxDiscardBytes = 4096
 
-// StatusError reports a response with a status that the caller has no other error for.
+// StatusError describes a response whose status has no error value of its own.
 type StatusError struct {
 	Code   int
-	Reason string // from the body; empty if there is none
+	Reason string // from the body; empty if the body states none
 }
 
 func (e *StatusError) Error() string {
@@ -32,8 +33,9 @@
 	return fmt.Sprintf("unexpected status %d: %s", e.Code, e.Reason)
 }
 
-// Client returns an HTTP client with at most connsPerHost connections to a host, which
-// keeps at most idleConns of them open in all. Connecting takes at most connectTimeout.
+// Client returns an HTTP client that opens at most connsPerHost connections to a host, and
+// keeps at most idleConns idle connections to all hosts together. An attempt to connect is
+// abandoned after connectTimeout.
 func Client(network Net, connsPerHost, idleConns int, connectTimeout time.Duration) *http.Client {
 	dial := func(ctx context.Context, _, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, connectTimeout)
@@ -50,14 +52,14 @@
 	}}
 }
 
-// Send sends a request with a message as its body, or without a body if message is nil.
-// The caller closes the response's body.
+// Send sends a request whose body is the encoded message, or that has no body if message is
+// nil. The caller closes the body of the response.
 func Send(ctx context.Context, client *http.Client, method, url string, message any) (*http.Response, error) {
 	var body io.Reader
 	if message != nil {
 		encoded, err := wire.Marshal(message)
 		if err != nil {
-			return nil, fmt.Errorf("encoding %T: %w", message, err)
+			return nil, fmt.Errorf("encoding request body of type %T: %w", message, err)
 		}
 		body = bytes.NewReader(encoded)
 	}
@@ -78,8 +80,8 @@
 	return wire.ReadResponse(resp.Body, out)
 }
 
-// Reason returns the reason that the body of a refusal states. It is empty if the body is
-// no such message: the status alone must then do.
+// Reason reads the body of an error response and returns the reason that it states. The result
+// is empty if the body is not a wire.ErrorResponse.
 func Reason(resp *http.Response) string {
 	var refusal wire.ErrorResponse
 	if err := wire.ReadResponse(resp.Body, &refusal); err != nil {
@@ -88,7 +90,8 @@
 	return refusal.Error
 }
 
-// Discard reads a short body to its end, so that the connection can be used again.
+// Discard reads and ignores up to maxDiscardBytes of a body. The connection of a body that
+// ends within them can be reused.
 func Discard(resp *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes))
 }
