--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -20,9 +20,9 @@
 	referenceMachineCPUs = 64
 )
 
-// ignoreGPUShareStarveFactor is the multiple of StarveS after which a job without GPUs may use
+// ignoreGPUSetAsideStarveFactor is the multiple of StarveS after which a job without GPUs may use
 // the CPUs and memory that are set aside for the free GPUs of a machine.
-const ignoreGPUShareStarveFactor = 2
+const ignoreGPUSetAsideStarveFactor = 2
 
 // teamQueue contains the jobs of a team that have tasks to place, ordered by precedence.
 type teamQueue struct {
@@ -152,7 +152,7 @@
 		slices.SortFunc(jobs, compareSubmission)
 		p.updateGuarantees(team, jobs)
 		for _, job := range jobs {
-			p.updateAgeClaims(job, now)
+			p.updateAgeDependentState(job, now)
 		}
 		queue := &teamQueue{team: team, jobs: p.placeableJobs(jobs, now)}
 		if len(queue.jobs) > 0 {
@@ -162,8 +162,8 @@
 	return queues
 }
 
-// unfinishedJobsByTeam returns, by team name, the jobs that have tasks that are not done and are
-// not cancelled.
+// unfinishedJobsByTeam returns, by team name, the jobs that are not cancelled and have tasks that
+// are not done.
 func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
 	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
@@ -194,15 +194,15 @@
 	}
 }
 
-// updateAgeClaims sets the parts of a job's cycle state that depend on its age, and whether
+// updateAgeDependentState sets the parts of a job's cycle state that depend on its age, and whether
 // machines without GPUs could run it.
-func (p *Partition) updateAgeClaims(job *Job, now time.Time) {
+func (p *Partition) updateAgeDependentState(job *Job, now time.Time) {
 	age := now.Sub(job.SubmittedAt)
 	waitsForFirstStart := !job.hasStarted()
 	job.cycle.starved = waitsForFirstStart && age > tuning.Seconds(p.tuning.StarveS)
 	job.cycle.startOverdue = waitsForFirstStart && age > tuning.Seconds(p.tuning.OverdueS)
 	job.cycle.startForced = waitsForFirstStart && age > tuning.Seconds(p.tuning.ForceS)
-	job.cycle.ignoresGPUShare = age > tuning.Seconds(ignoreGPUShareStarveFactor*p.tuning.StarveS)
+	job.cycle.ignoresGPUSetAside = age > tuning.Seconds(ignoreGPUSetAsideStarveFactor*p.tuning.StarveS)
 	job.cycle.cpuOnlyTypeFits = job.GPUs == 0 &&
 		resource.CPUOnlyTypeFits(resource.TaskRequest(job.Job), job.MachineTypes, maps.Values(p.machineTypes))
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -11,7 +11,7 @@
 type pendingForget struct {
 	job          *Job
 	task         int
-	chunkVersion int // change version of the task's chunk that contains the end
+	chunkVersion int // a change version of the task's chunk that includes the end of the task
 }
 
 // isEndCommitted reports whether the end of the task is committed.
@@ -56,8 +56,8 @@
 // updateLiveTask records the reported state of a task that has not exited.
 func (p *Partition) updateLiveTask(placement *Placement, state wire.TaskState, now time.Time) {
 	job := placement.job
-	firstSeenRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
-	if state == wire.TaskRunning && firstSeenRunning {
+	notYetRunning := placement.state != wire.TaskRunning && placement.runningSince.IsZero()
+	if state == wire.TaskRunning && notYetRunning {
 		placement.runningSince = now
 		job.observedRunning = true
 	}
