--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -1,4 +1,4 @@
-// This file builds the faults that scenarios share, and the jobs they meet.
+// This file builds the faults that several scenarios share and submits the jobs of scenarios.
 
 package controller
 
@@ -8,82 +8,87 @@
 	"ambersill/internal/emulator"
 )
 
-// The nodes that a fault may affect.
+// Sets of nodes that a fault can affect. emulator.Owner and emulator.Others are resolved when the
+// fault begins.
 var (
 	ownerNode  = []int{emulator.Owner}
 	otherNodes = []int{emulator.Others}
 	allNodes   = []int{0, 1, 2}
 )
 
-// allOfThem is the count of a fault that affects all machines or jobs that it can.
-const allOfThem = 0
+// allTargets is the count of a fault that affects all eligible machines or jobs.
+const allTargets = 0
 
 func crashFault(at time.Duration, nodes []int, downtime time.Duration) emulator.Fault {
 	return emulator.Fault{At: at, Kind: emulator.ControllerCrash, Nodes: nodes, Wait: downtime}
 }
 
-func cancelFault(at time.Duration, jobs int) emulator.Fault {
+func cancelJobsFault(at time.Duration, jobs int) emulator.Fault {
 	return emulator.Fault{At: at, Kind: emulator.CancelRunningJobs, Count: jobs}
 }
 
-func outageFault(at, length time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.StoreOutage}
+func storeOutageFault(at, duration time.Duration) emulator.Fault {
+	return emulator.Fault{At: at, For: duration, Kind: emulator.StoreOutage}
 }
 
-func slowStoreFault(at, length, delay time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.StoreSlow, Wait: delay}
+func slowStoreFault(at, duration, delay time.Duration) emulator.Fault {
+	return emulator.Fault{At: at, For: duration, Kind: emulator.StoreSlow, Wait: delay}
 }
 
-func nodeFault(kind emulator.FaultKind, at, length time.Duration, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: kind, Nodes: nodes}
+func nodeFault(kind emulator.FaultKind, at, duration time.Duration, nodes []int) emulator.Fault {
+	return emulator.Fault{At: at, For: duration, Kind: kind, Nodes: nodes}
 }
 
-func machineFault(kind emulator.FaultKind, at, length time.Duration, machines int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: kind, Count: machines}
+func machineFault(kind emulator.FaultKind, at, duration time.Duration, machines int) emulator.Fault {
+	return emulator.Fault{At: at, For: duration, Kind: kind, Count: machines}
 }
 
-// ofTeam restricts a fault of machines to those with tasks of the team.
-func ofTeam(team string, fault emulator.Fault) emulator.Fault {
+// limitedToTeam restricts a machine fault to machines that run tasks of the team.
+func limitedToTeam(team string, fault emulator.Fault) emulator.Fault {
 	fault.Team = team
 	return fault
 }
 
-// zoneCutFault cuts a zone's workers off, and the nodes with them.
-func zoneCutFault(at, length time.Duration, zone string, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
+// zoneCutFault disconnects the workers of a zone, together with the given nodes, from all other
+// hosts.
+func zoneCutFault(at, duration time.Duration, zone string, nodes []int) emulator.Fault {
+	return emulator.Fault{At: at, For: duration, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
 }
 
-// lostMachinesFault has the cloud take machines of a zone, or of any zone if it is "".
-func lostMachinesFault(at time.Duration, machines int, zone string) emulator.Fault {
+// machineLossFault makes the cloud remove machines of the zone without notice, or of any zone if
+// zone is "".
+func machineLossFault(at time.Duration, machines int, zone string) emulator.Fault {
 	return emulator.Fault{At: at, Kind: emulator.MachineLost, Count: machines, Zone: zone}
 }
 
-// submitLongJobs submits jobs that run until after the last check of a scenario.
+// submitLongJobs returns a function that submits jobs whose tasks run for 200 s, until after the
+// last check of a scenario.
 func submitLongJobs(jobs int) func(cluster *simulatedCluster) {
 	return func(cluster *simulatedCluster) {
 		for n := range jobs {
-			cluster.submit(smallMachineJob(n, 2, 4, 200), 0)
+			cluster.submit(newSmallMachineJob(n, 2, 4, 200), 0)
 		}
 	}
 }
 
-// submitLongAndShortJobs submits such jobs, and short ones that end within the first minute and
-// leave their machines idle.
-func submitLongAndShortJobs(long, short int, shortSeconds float64) func(cluster *simulatedCluster) {
+// submitLongAndShortJobs returns a function that submits long jobs, as submitLongJobs does, and
+// short ones that end within the first minute and leave their machines idle.
+func submitLongAndShortJobs(long, short int, shortRunSeconds float64) func(cluster *simulatedCluster) {
 	return func(cluster *simulatedCluster) {
 		submitLongJobs(long)(cluster)
 		for n := range short {
-			cluster.submit(smallMachineJob(100+n, 1, 8, shortSeconds), 0)
+			cluster.submit(newSmallMachineJob(100+n, 1, 8, shortRunSeconds), 0)
 		}
 	}
 }
 
-// submitJobStream submits a job each interval, and cancels every fourth within seconds.
+// submitJobStream returns a function that submits one job per interval and cancels every fourth
+// within seconds.
 func submitJobStream(
 	jobs, tasks int,
 	cpus float64,
 	interval time.Duration,
-	seconds float64,
+	runSeconds float64,
 ) func(cluster *simulatedCluster) {
 	return func(cluster *simulatedCluster) {
 		for n := range jobs {
@@ -91,40 +96,41 @@
 			if n%4 == 3 {
 				cancelAfter = time.Duration(n%5) * second
 			}
-			cluster.submit(smallMachineJob(n, tasks, cpus, seconds), cancelAfter)
+			cluster.submit(newSmallMachineJob(n, tasks, cpus, runSeconds), cancelAfter)
 			time.Sleep(interval)
 		}
 	}
 }
 
-// submitJobsAtTeamLimits has every team with a limit use all of it until after the last check
-// of a scenario, with more than a limit's worth of its jobs queued. It adds jobs of the team
-// without limits whose machines could run the queued ones at once.
+// submitJobsAtTeamLimits submits jobs such that every team with a limit uses all of it until
+// after the last check of a scenario and has more jobs queued than its limit allows at a time. It
+// also submits jobs of the team without limits, whose machines could run the queued jobs
+// immediately.
 func submitJobsAtTeamLimits(cluster *simulatedCluster) {
 	for n := range 22 {
-		cluster.submit(smallMachineJob(100+n, 1, 4, 80, withTeam("blue")), 0)
+		cluster.submit(newSmallMachineJob(100+n, 1, 4, 80, withTeam("blue")), 0)
 		cluster.submit(newArrayJob(200+n, 1, 2, 80, withTeam("red"), withGPUs(1), allowSpot), 0)
 	}
 	time.Sleep(10 * second)
 	for n := range 9 {
-		cluster.submit(smallMachineJob(300+n, 1, 8, 80), 0)
+		cluster.submit(newSmallMachineJob(300+n, 1, 8, 80), 0)
 	}
 	for n := range 3 {
 		cluster.submit(newArrayJob(400+n, 1, 10, 80, withGPUs(4), allowSpot), 0)
 	}
 }
 
-// submitPreemptingJobs submits jobs that need whole machines, in turn of low and of high
-// priority, so that tasks are preempted before their start is acknowledged.
+// submitPreemptingJobs submits jobs that need whole machines, alternating between the idle and
+// the urgent priority, so that tasks are preempted before their start is acknowledged.
 func submitPreemptingJobs(cluster *simulatedCluster) {
 	priorities := []jobOption{withPriority("idle"), withPriority("urgent")}
 	for n := range 180 {
-		cluster.submit(smallMachineJob(n, 2, 8, 2, priorities[n%2]), 0)
+		cluster.submit(newSmallMachineJob(n, 2, 8, 2, priorities[n%2]), 0)
 		time.Sleep(second / 3)
 	}
 }
 
-// submitInvalidJobs submits long jobs, and then invalid ones.
+// submitInvalidJobs submits long jobs and then invalid ones.
 func submitInvalidJobs(cluster *simulatedCluster) {
 	submitLongJobs(2)(cluster)
 	user := &emulator.User{
@@ -134,15 +140,15 @@
 	}
 	for n := range 10 {
 		time.Sleep(2 * second)
-		user.SubmitInvalid(cluster.ctx, smallMachineJob(500+n, 1, 1, 5))
+		user.SubmitInvalid(cluster.ctx, newSmallMachineJob(500+n, 1, 1, 5))
 	}
 }
 
-// submitSingleZoneJobs submits jobs that are bound to one zone: to a given one, as gangs, and as
-// job arrays.
+// submitSingleZoneJobs submits jobs whose tasks must all run in one zone: job arrays in zone "b",
+// gangs in any zone and job arrays in any zone.
 func submitSingleZoneJobs(cluster *simulatedCluster) {
 	for n := range 12 {
-		job := smallMachineJob(n, 3, 4, 60, inOneZone)
+		job := newSmallMachineJob(n, 3, 4, 60, inOneZone)
 		switch n % 3 {
 		case 0:
 			job.Zone = "b"
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -1,4 +1,5 @@
-// Services: replicas that end or lose their machine run again, within the team's limit.
+// Tests of services: replicas that exit or lose their machine are restarted within the team's
+// limit.
 
 package controller
 
@@ -11,8 +12,8 @@
 	"ambersill/internal/wire"
 )
 
-// A replica that ends, or whose machine is lost, hangs or fails all tasks, runs again; the user
-// is never told that its service is done; once it is cancelled, all replicas end.
+// A replica that exits, or whose machine is lost, hangs or fails all tasks, must be restarted. The
+// user must never be told that the service is done, and the service must end once it is cancelled.
 func TestReplicasAreRestarted(t *testing.T) {
 	t.Parallel()
 	const faultAt = 45 * time.Second
@@ -20,7 +21,7 @@
 		name  string
 		setup func(cluster *simulatedCluster)
 	}{
-		{"a replica ends by itself", func(cluster *simulatedCluster) {
+		{"a replica exits", func(cluster *simulatedCluster) {
 			exited := false
 			cluster.simulation.SetReplicaExit(func(_ *wire.Job, task int) (time.Duration, bool) {
 				exits := task == 1 && !exited
@@ -28,24 +29,24 @@
 				return faultAt, exits
 			})
 		}},
-		{"its machine ends", func(cluster *simulatedCluster) {
-			cluster.runAfter(faultAt, func() { cluster.loseFirstMachine() })
+		{"the replica's machine is lost", func(cluster *simulatedCluster) {
+			cluster.runAfterDelay(faultAt, func() { cluster.loseFirstMachine() })
 		}},
-		{"its machine hangs, and goes on with it", func(cluster *simulatedCluster) {
-			cluster.runAfter(faultAt, func() { cluster.cloud.Workers()[0].Hang(40 * time.Second) })
+		{"the replica's machine hangs and then resumes", func(cluster *simulatedCluster) {
+			cluster.runAfterDelay(faultAt, func() { cluster.cloud.Workers()[0].Hang(40 * time.Second) })
 		}},
-		{"its machine has notice", func(cluster *simulatedCluster) {
-			cluster.runAfter(faultAt, func() { cluster.giveNotice(cluster.cloud.Workers()[0], 20*time.Second) })
+		{"the replica's machine gets a termination notice", func(cluster *simulatedCluster) {
+			cluster.runAfterDelay(faultAt, func() { cluster.terminateWithNotice(cluster.cloud.Workers()[0], 20*time.Second) })
 		}},
-		{"its machine fails all, and it starts there first", func(cluster *simulatedCluster) {
-			cluster.runAfter(faultAt, func() {
+		{"the replica's machine is lost and another fails all tasks", func(cluster *simulatedCluster) {
+			cluster.runAfterDelay(faultAt, func() {
 				workers := cluster.cloud.Workers()
 				workers[0].Fail(true)
 				cluster.cloud.TakeBack(workers[1].Machine.ID)
 			})
 		}},
-		{"the owner ends as it is put back", func(cluster *simulatedCluster) {
-			cluster.runAfter(faultAt, func() {
+		{"the owner crashes while the replica is being restarted", func(cluster *simulatedCluster) {
+			cluster.runAfterDelay(faultAt, func() {
 				cluster.loseFirstMachine()
 				time.Sleep(35 * time.Second)
 				cluster.restartOwner(time.Second)
@@ -56,23 +57,23 @@
 			if runInChildProcess(t) {
 				return
 			}
-			runSimulation(t, 4, func(cluster *simulatedCluster) {
+			simulateOnePartition(t, 4, func(cluster *simulatedCluster) {
 				test.setup(cluster)
-				service := serviceJob(1, 4, 6) // one replica on a machine
+				service := newServiceJob(1, 4, 6) // one replica fits on a machine
 				cluster.submit(service, 4*time.Minute)
 				time.Sleep(3 * time.Minute)
-				cluster.checkReplicas(service)
-				cluster.waitAndCheck(10 * time.Minute)
+				cluster.checkAllReplicasRunning(service)
+				cluster.waitForJobsAndCheck(10 * time.Minute)
 				if phase := cluster.finalPhases[service.ID]; phase != wire.JobCancelled {
-					cluster.t.Errorf("the service ended as %s", phase)
+					cluster.t.Errorf("final phase of the cancelled service: got %q, want that of a cancelled job", phase)
 				}
 			})
 		})
 	}
 }
 
-// runAfter runs f after the delay, beside the test, unless the simulation is over by then.
-func (cluster *simulatedCluster) runAfter(delay time.Duration, f func()) {
+// runAfterDelay runs f in a goroutine after the delay, unless the simulation has ended by then.
+func (cluster *simulatedCluster) runAfterDelay(delay time.Duration, f func()) {
 	go func() {
 		time.Sleep(delay)
 		if cluster.ctx.Err() == nil {
@@ -81,59 +82,59 @@
 	}()
 }
 
-// loseFirstMachine has the cloud take one machine away without notice.
+// loseFirstMachine makes the cloud remove the first machine without notice.
 func (cluster *simulatedCluster) loseFirstMachine() {
 	cluster.cloud.TakeBack(cluster.cloud.Workers()[0].Machine.ID)
 }
 
-// checkReplicas checks that all replicas of a service run.
-func (cluster *simulatedCluster) checkReplicas(service *wire.Job) {
+// checkAllReplicasRunning checks that all replicas of a service are running.
+func (cluster *simulatedCluster) checkAllReplicasRunning(service *wire.Job) {
 	cluster.t.Helper()
 	if n := cluster.simulation.Replicas(service.ID); n != service.Tasks {
-		cluster.t.Errorf("%d replicas of %d run", n, service.Tasks)
+		cluster.t.Errorf("running replicas of the service: got %d, want %d", n, service.Tasks)
 	}
 }
 
-// A replica that ends soon after each start is restarted with a backoff.
+// A replica that exits soon after each start must be restarted with a backoff.
 func TestReplicaRestartBacksOff(t *testing.T) {
 	if runInChildProcess(t) {
 		return
 	}
-	runSimulation(t, 6, func(cluster *simulatedCluster) {
+	simulateOnePartition(t, 6, func(cluster *simulatedCluster) {
 		cluster.simulation.SetReplicaExit(func(_ *wire.Job, task int) (time.Duration, bool) {
 			return time.Second, task == 0
 		})
-		cluster.submit(serviceJob(1, 2, 2), 5*time.Minute)
+		cluster.submit(newServiceJob(1, 2, 2), 5*time.Minute)
 		time.Sleep(4 * time.Minute)
 		if n := cluster.simulation.Starts(); n < 6 || n > 14 {
-			cluster.t.Errorf("%d starts", n)
+			cluster.t.Errorf("task starts with a replica that exits after 1 s: got %d, want 6 to 14", n)
 		}
-		cluster.waitAndCheck(10 * time.Minute)
+		cluster.waitForJobsAndCheck(10 * time.Minute)
 	})
 }
 
-// Replicas of a service that uses all of its team's limit are restarted within the limit, and a
-// service that would exceed it is refused.
+// Replicas of a service that uses all of its team's limit must be restarted within the limit, and
+// a service that would exceed the limit must be refused.
 func TestServiceAtTeamLimit(t *testing.T) {
 	if runInChildProcess(t) {
 		return
 	}
-	runSimulation(t, 4, func(cluster *simulatedCluster) {
-		service := serviceJob(1, 5, 8) // all of the team's 40 CPUs
+	simulateOnePartition(t, 4, func(cluster *simulatedCluster) {
+		service := newServiceJob(1, 5, 8) // all of the team's 40 CPUs
 		service.Team = "blue"
 		cluster.submit(service, 3*time.Minute)
 		checkServiceAboveLimitIsRefused(cluster)
-		cluster.runAfter(time.Minute, func() { cluster.cloud.Workers()[0].Hang(30 * time.Second) })
+		cluster.runAfterDelay(time.Minute, func() { cluster.cloud.Workers()[0].Hang(30 * time.Second) })
 		time.Sleep(150 * time.Second)
-		cluster.checkReplicas(service)
-		cluster.waitAndCheck(10 * time.Minute)
+		cluster.checkAllReplicasRunning(service)
+		cluster.waitForJobsAndCheck(10 * time.Minute)
 	})
 }
 
-// checkServiceAboveLimitIsRefused submits a service of more CPUs than its team's limit, and
+// checkServiceAboveLimitIsRefused submits a service that needs more CPUs than its team's limit and
 // checks that it is refused.
 func checkServiceAboveLimitIsRefused(cluster *simulatedCluster) {
-	service := serviceJob(2, 6, 8)
+	service := newServiceJob(2, 6, 8)
 	service.Team = "blue"
 	user := &emulator.User{
 		Simulation: cluster.simulation,
@@ -144,6 +145,6 @@
 	defer cancel()
 	user.Run(ctx, service) // ends before the timeout if the service is refused
 	if ctx.Err() != nil {
-		cluster.t.Error("a service above its team's limit was not refused")
+		cluster.t.Error("service above its team's limit was not refused within 20 s")
 	}
 }
