--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -4,13 +4,13 @@
 	"ambersill/internal/wire"
 )
 
-// The messages in this file travel as gob, which matches struct fields by name and drops
-// those that the other side does not know. Controllers of different versions run beside
-// each other during an upgrade, so the names of the methods and of every field below are
-// a format: they stay as they are. TestProductionMessages compares them with the version
-// in production.
+// The messages in this file are encoded as gob, which matches struct fields by name and ignores
+// fields that the receiver does not have. Controllers of different versions call each other
+// during an upgrade, so the names of the methods and of every field below are part of the
+// protocol and must not change. TestProductionMessages checks them against the version in
+// production.
 
-// The methods of the service.
+// Names under which net/rpc registers the service and finds its methods.
 const (
 	serviceName     = "Mesh"
 	methodClaimed   = serviceName + ".Claimed"
@@ -32,25 +32,26 @@
 	Job  string
 }
 
-// Query is the argument of View; without a job it asks for Contact only.
+// Query is the argument of View. If Job is empty, it asks for Contact only.
 type Query struct{ Job string }
 
 // Answer is the reply of View.
 type Answer struct {
 	Known         bool
 	Done, Running int
-	// Contact: seconds since the key-value store last served the node.
+	// Contact is the time in seconds since the node sent the last request that the key-value
+	// store served.
 	Contact float64
 }
 
 // ReportBatch is the argument of Reports.
 type ReportBatch struct{ Reports []WorkerReport }
 
-// WorkerReport is one heartbeat of a batch.
+// WorkerReport is one heartbeat in a batch.
 type WorkerReport struct {
 	Report Report
-	// Notice repeats that the heartbeat carries a spot notice: gob drops a pointer to
-	// zero, which is what a notice counts down to.
+	// Notice is true if the heartbeat contains a spot termination notice. The notice counts
+	// down to zero, and gob omits a pointer to zero, so that Report.Notice alone would be lost.
 	Notice bool
 }
 
@@ -68,7 +69,7 @@
 	Tasks   []TaskReport
 }
 
-// TaskReport is the status of one task of a heartbeat.
+// TaskReport is the status of one task in a heartbeat.
 type TaskReport struct {
 	Task    string
 	Attempt uint64
@@ -77,10 +78,10 @@
 	Saved   bool
 }
 
-// BatchReply is the reply of Reports, in the order of the batch.
+// BatchReply is the reply of Reports, with the answers in the order of the batch's heartbeats.
 type BatchReply struct{ Replies []WorkerReply }
 
-// WorkerReply answers one heartbeat of a batch.
+// WorkerReply is the answer to one heartbeat of a batch.
 type WorkerReply struct {
 	Accepted bool
 	Reply    ReportReply
@@ -92,7 +93,7 @@
 	Commands []Command
 }
 
-// Command is one command of a response.
+// Command is one command in the response to a heartbeat.
 type Command struct {
 	Op      string
 	Task    string
@@ -100,23 +101,23 @@
 	Grace   float64
 }
 
-// newWorkerReport encodes a heartbeat.
-func newWorkerReport(r *wire.Heartbeat) WorkerReport {
+// encodeHeartbeat converts a heartbeat to the message that contains it.
+func encodeHeartbeat(heartbeat *wire.Heartbeat) WorkerReport {
 	message := Report{
-		Machine: r.Machine,
-		Addr:    r.Address,
-		Type:    r.MachineType,
-		Zone:    r.Zone,
-		Spot:    r.Spot,
-		Session: r.Incarnation,
-		Seq:     r.Sequence,
-		Token:   r.FencingToken,
-		Notice:  r.TerminationNoticeS,
+		Machine: heartbeat.Machine,
+		Addr:    heartbeat.Address,
+		Type:    heartbeat.MachineType,
+		Zone:    heartbeat.Zone,
+		Spot:    heartbeat.Spot,
+		Session: heartbeat.Incarnation,
+		Seq:     heartbeat.Sequence,
+		Token:   heartbeat.FencingToken,
+		Notice:  heartbeat.TerminationNoticeS,
 	}
-	if r.Tasks != nil {
-		message.Tasks = make([]TaskReport, len(r.Tasks))
+	if heartbeat.Tasks != nil {
+		message.Tasks = make([]TaskReport, len(heartbeat.Tasks))
 	}
-	for i, t := range r.Tasks {
+	for i, t := range heartbeat.Tasks {
 		message.Tasks[i] = TaskReport{
 			Task:    t.Task,
 			Attempt: t.Attempt,
@@ -125,13 +126,14 @@
 			Saved:   t.CheckpointSaved,
 		}
 	}
-	return WorkerReport{Report: message, Notice: r.TerminationNoticeS != nil}
+	return WorkerReport{Report: message, Notice: heartbeat.TerminationNoticeS != nil}
 }
 
-// heartbeat decodes a heartbeat, and restores what the encoding loses.
-func (w *WorkerReport) heartbeat() *wire.Heartbeat {
+// decodeHeartbeat returns the heartbeat in the message, and restores a notice of zero seconds,
+// which gob omits.
+func (w *WorkerReport) decodeHeartbeat() *wire.Heartbeat {
 	message := &w.Report
-	r := &wire.Heartbeat{
+	heartbeat := &wire.Heartbeat{
 		Machine:            message.Machine,
 		Address:            message.Addr,
 		MachineType:        message.Type,
@@ -142,14 +144,14 @@
 		FencingToken:       message.Token,
 		TerminationNoticeS: message.Notice,
 	}
-	if w.Notice && r.TerminationNoticeS == nil {
-		r.TerminationNoticeS = new(float64)
+	if w.Notice && heartbeat.TerminationNoticeS == nil {
+		heartbeat.TerminationNoticeS = new(float64)
 	}
 	if message.Tasks != nil {
-		r.Tasks = make([]wire.TaskStatus, len(message.Tasks))
+		heartbeat.Tasks = make([]wire.TaskStatus, len(message.Tasks))
 	}
 	for i, t := range message.Tasks {
-		r.Tasks[i] = wire.TaskStatus{
+		heartbeat.Tasks[i] = wire.TaskStatus{
 			Task:            t.Task,
 			Attempt:         t.Attempt,
 			State:           wire.TaskState(t.State),
@@ -157,29 +159,29 @@
 			CheckpointSaved: t.Saved,
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// newReportReply encodes a response.
-func newReportReply(r wire.HeartbeatResponse) ReportReply {
-	message := ReportReply{Token: r.FencingToken}
-	if r.Commands != nil {
-		message.Commands = make([]Command, len(r.Commands))
+// encodeResponse converts the response to a heartbeat to a message.
+func encodeResponse(response wire.HeartbeatResponse) ReportReply {
+	message := ReportReply{Token: response.FencingToken}
+	if response.Commands != nil {
+		message.Commands = make([]Command, len(response.Commands))
 	}
-	for i, c := range r.Commands {
+	for i, c := range response.Commands {
 		message.Commands[i] = Command{Op: string(c.Op), Task: c.Task, Attempt: c.Attempt, Grace: c.GracePeriodS}
 	}
 	return message
 }
 
-// response decodes a response.
-func (r *ReportReply) response() wire.HeartbeatResponse {
-	out := wire.HeartbeatResponse{FencingToken: r.Token}
+// decodeResponse returns the response to a heartbeat that the message contains.
+func (r *ReportReply) decodeResponse() wire.HeartbeatResponse {
+	response := wire.HeartbeatResponse{FencingToken: r.Token}
 	if r.Commands != nil {
-		out.Commands = make([]wire.Command, len(r.Commands))
+		response.Commands = make([]wire.Command, len(r.Commands))
 	}
 	for i, c := range r.Commands {
-		out.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.Grace}
+		response.Commands[i] = wire.Command{Op: wire.Op(c.Op), Task: c.Task, Attempt: c.Attempt, GracePeriodS: c.Grace}
 	}
-	return out
+	return response
 }
