--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -75,7 +75,7 @@
 
 // leaveJobWaiting has a machine with capacity, and no controller that places the job.
 func leaveJobWaiting(cluster *simulatedCluster) {
-	cluster.cloud.Add("small", "a", true)
+	cluster.cloud.AddMachine("small", "a", true)
 	time.Sleep(30 * second)
 	cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, time.Now())
 	cluster.simulation.FaultsOver()
@@ -90,7 +90,7 @@
 func runCancelledTask(cluster *simulatedCluster) {
 	const task = checkedJobID + "/0"
 	cluster.simulation.LeaseDuration = time.Hour // before there is a machine
-	cluster.cloud.Add("small", "a", true)
+	cluster.cloud.AddMachine("small", "a", true)
 	time.Sleep(21 * second)
 	worker := cluster.cloud.Workers()[0]
 	worker.Execute(wire.Command{Op: wire.StartTask, Task: task, Attempt: 1})
--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -81,7 +81,7 @@
 		if n := len(cluster.cloud.Workers()); n == 0 {
 			cluster.t.Error("nothing rented")
 		}
-		if n := cluster.cloud.Refusals(); n > offerings {
+		if n := cluster.cloud.RefusedRentals(); n > offerings {
 			cluster.t.Errorf("%d refused calls for %d offerings", n, offerings)
 		}
 	})
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -90,7 +90,7 @@
 
 func loseSpotMachine(cluster *simulatedCluster, _ *rand.Rand, workers []*emulator.Worker) {
 	if worker := firstSpotWorker(workers); worker != nil {
-		cluster.cloud.TakeBack(worker.Machine.ID)
+		cluster.cloud.Reclaim(worker.Machine.ID)
 	}
 }
 
@@ -112,8 +112,8 @@
 
 // giveNotice has a machine be told of its end, which follows after that time.
 func (cluster *simulatedCluster) giveNotice(worker *emulator.Worker, after time.Duration) {
-	worker.GiveNotice(after)
-	time.AfterFunc(after, func() { cluster.cloud.TakeBack(worker.Machine.ID) })
+	worker.GiveTerminationNotice(after)
+	time.AfterFunc(after, func() { cluster.cloud.Reclaim(worker.Machine.ID) })
 }
 
 func cutNodeFromStore(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
@@ -182,10 +182,10 @@
 		delay := time.Duration(random.IntN(60)) * time.Second
 		return fault, delay
 	}
-	cluster.store.Faults = func(string, *wire.Txn) (emulator.RequestFault, time.Duration) {
+	cluster.store.ChooseFault = func(string, *wire.Txn) (emulator.RequestFault, time.Duration) {
 		return draw(commitFaultShare)
 	}
-	cluster.cloud.Faults = func() (emulator.RequestFault, time.Duration) {
+	cluster.cloud.ChooseFault = func() (emulator.RequestFault, time.Duration) {
 		return draw(cloudFaultShare)
 	}
 	cluster.simulation.OnHeartbeat = func(_ *wire.Heartbeat, send func(emulator.Node)) {
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -24,7 +24,7 @@
 		scenario := &scenarios[i]
 		scenario.seed = uint64(20 + i)
 		scenario.submit = submitLongJobs(8)
-		scenario.setup = func(cluster *simulatedCluster) { cluster.store.WatchesEnd = true }
+		scenario.setup = func(cluster *simulatedCluster) { cluster.store.AnswerRefusedWatches = true }
 		// No node can inform the owner, so that only the store can.
 		scenario.script = append(scenario.script, nodeFault(emulator.PeersCut, 40500*time.Millisecond, 2*second, ownerNode))
 	}
@@ -503,7 +503,7 @@
 func expectNoRecordsOfEndedJobs(t *testing.T, cluster *simulatedCluster) {
 	time.Sleep(10 * second)
 	for _, prefix := range []string{records.ChunkPrefix(0), records.CancellationPrefix(0)} {
-		if n := cluster.store.Count(prefix); n != 0 {
+		if n := cluster.store.CountKeys(prefix); n != 0 {
 			t.Errorf("%d records under %s of jobs that have ended", n, prefix)
 		}
 	}
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -170,7 +170,7 @@
 			pollAllNodes: seed%2 == 1,
 			script:       script,
 			submit:       func(cluster *simulatedCluster) { cluster.submitRandomJobs(36, 170*second) },
-			setup:        func(cluster *simulatedCluster) { cluster.store.WatchesEnd = seed%3 == 0 },
+			setup:        func(cluster *simulatedCluster) { cluster.store.AnswerRefusedWatches = seed%3 == 0 },
 		}
 		scenario.run(t)
 		logScript(t, script)
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -40,8 +40,8 @@
 		{"its machine fails all, and it starts there first", func(cluster *simulatedCluster) {
 			cluster.runAfter(faultAt, func() {
 				workers := cluster.cloud.Workers()
-				workers[0].Fail(true)
-				cluster.cloud.TakeBack(workers[1].Machine.ID)
+				workers[0].FailTasks(true)
+				cluster.cloud.Reclaim(workers[1].Machine.ID)
 			})
 		}},
 		{"the owner ends as it is put back", func(cluster *simulatedCluster) {
@@ -83,7 +83,7 @@
 
 // loseFirstMachine has the cloud take one machine away without notice.
 func (cluster *simulatedCluster) loseFirstMachine() {
-	cluster.cloud.TakeBack(cluster.cloud.Workers()[0].Machine.ID)
+	cluster.cloud.Reclaim(cluster.cloud.Workers()[0].Machine.ID)
 }
 
 // checkReplicas checks that all replicas of a service run.
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -125,7 +125,7 @@
 	}
 	cluster.simulation = cluster.newSimulation()
 	cluster.cloud = cluster.newCloud()
-	cluster.store.Changed = cluster.checkStoreChange
+	cluster.store.OnPut = cluster.checkStoreChange
 	cluster.serveHost("state", storeAddr, cluster.store.Handler())
 	cluster.serveHost("cloud", cloudAddr, cluster.cloud.Handler())
 	cluster.injector = cluster.newInjector(seed)
@@ -174,8 +174,8 @@
 func (cluster *simulatedCluster) newCloud() *emulator.Cloud {
 	cloud := &emulator.Cloud{
 		MachineTypes: testMachineTypes,
-		Lag:          4 * time.Second,
-		Boot:         cluster.simulation.StartWorker,
+		ListLag:      4 * time.Second,
+		BootWorker:  cluster.simulation.StartWorker,
 		BootTime: func(machineType wire.MachineType) time.Duration {
 			return time.Duration(machineType.BootS) * time.Second
 		},
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -164,7 +164,7 @@
 	runUpgradeSimulation(t, 3, 4, func(cluster *simulatedCluster) {
 		var refusals atomic.Int32 // how many more registrations of the last node are refused
 		lastKey := records.NodePrefix + cluster.nodes[last].Name
-		cluster.store.Faults = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
+		cluster.store.ChooseFault = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
 			if len(txn.Writes) > 0 && txn.Writes[0].Put == lastKey && refusals.Load() > 0 {
 				refusals.Add(-1)
 				return emulator.RefuseRequest, 0
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -408,21 +408,21 @@
 }
 
 // canRun reports whether a machine is usable, and allowed for a job.
-func (k *Worker) canRun(job *wire.Job) bool {
-	if k.dead || k.hung || k.faulty || k.terminationNoticeS != nil {
+func (w *Worker) canRun(job *wire.Job) bool {
+	if w.dead || w.hung || w.faulty || w.terminationNoticeS != nil {
 		return false
 	}
-	if (k.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != k.Machine.Zone) {
+	if (w.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != w.Machine.Zone) {
 		return false
 	}
-	return typeAllowed(job, k.Machine.MachineType)
+	return typeAllowed(job, w.Machine.MachineType)
 }
 
 // tasksFitting is how many of a job's tasks, up to a limit, fit on a machine beside those
 // that are there.
-func (k *Worker) tasksFitting(job *wire.Job, limit int) int {
-	cpus, gpus, memory := k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemoryGB
-	for _, t := range k.tasks {
+func (w *Worker) tasksFitting(job *wire.Job, limit int) int {
+	cpus, gpus, memory := w.machineType.CPUs, w.machineType.GPUs, w.machineType.MemoryGB
+	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 		}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -31,16 +31,16 @@
 	return c.MachineType == request.MachineType && c.Zone == request.Zone && c.Spot == request.Spot
 }
 
-// instance is a rented machine.
-type instance struct {
+// rentedMachine is a rented machine.
+type rentedMachine struct {
 	machine  wire.CloudMachine
 	rentedAt time.Time
 	worker   *Worker // nil until the machine has booted
 }
 
 // occupies reports whether the machine takes from the capacity that a request asks for.
-func (i *instance) occupies(request *wire.RentRequest) bool {
-	machine := &i.machine
+func (m *rentedMachine) occupies(request *wire.RentRequest) bool {
+	machine := &m.machine
 	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
 		machine.Spot == request.Spot && machine.State != wire.MachineFailed
 }
@@ -49,25 +49,25 @@
 type Cloud struct {
 	MachineTypes []wire.MachineType
 	Capacity     []Capacity
-	Lag          time.Duration // by which the list of machines is late
-	// Faults, if set, decides what happens to each rental and return.
-	Faults func() (RequestFault, time.Duration)
-	// Boot starts a machine's worker once it is up.
-	Boot func(m wire.CloudMachine) *Worker
+	ListLag      time.Duration // by which the list of machines is late
+	// ChooseFault, if set, decides what happens to each rental and return.
+	ChooseFault func() (RequestFault, time.Duration)
+	// BootWorker starts a machine's worker once it is up.
+	BootWorker func(m wire.CloudMachine) *Worker
 	// BootTime returns how long one machine takes to boot; 0: it never comes up.
 	BootTime func(t wire.MachineType) time.Duration
 
-	mu        sync.Mutex
-	next      int // number of the next machine
-	machines  map[string]*instance
-	rentals   map[string][]string // IDs of the machines that each request ID has rented
-	refusals  int
-	snapshots []listSnapshot
+	mu             sync.Mutex
+	nextNumber     int // number of the next machine
+	machines       map[string]*rentedMachine
+	rentals        map[string][]string // IDs of the machines that each request ID has rented
+	refusedRentals int
+	snapshots      []listSnapshot
 }
 
 // listSnapshot is the list as it was at a time; the cloud shows an old one.
 type listSnapshot struct {
-	at       time.Time
+	takenAt  time.Time
 	machines []wire.CloudMachine
 }
 
@@ -75,7 +75,7 @@
 func (c *Cloud) Handler() http.Handler {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines = map[string]*instance{}
+		c.machines = map[string]*rentedMachine{}
 		c.rentals = map[string][]string{}
 	}
 	c.mu.Unlock()
@@ -117,23 +117,23 @@
 	}
 	fault, delay := c.fault()
 	executeWithFault(w, fault, delay, func() (int, any) {
-		c.remove(request.Machines)
+		c.terminate(request.Machines)
 		return http.StatusOK, map[string]bool{}
 	})
 }
 
 func (c *Cloud) fault() (RequestFault, time.Duration) {
-	if c.Faults == nil {
+	if c.ChooseFault == nil {
 		return NoFault, 0
 	}
-	return c.Faults()
+	return c.ChooseFault()
 }
 
-// Refusals counts the rentals for which there was no capacity.
-func (c *Cloud) Refusals() int {
+// RefusedRentals counts the rentals for which there was no capacity.
+func (c *Cloud) RefusedRentals() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refusals
+	return c.refusedRentals
 }
 
 // rent rents as many of the requested machines as there is capacity for, and returns their IDs;
@@ -146,12 +146,12 @@
 	}
 	count := min(request.Count, c.freeCapacity(request))
 	if count <= 0 {
-		c.refusals++
+		c.refusedRentals++
 		return nil
 	}
 	var ids []string
 	for range count {
-		ids = append(ids, c.add(request.MachineType, request.Zone, request.Spot))
+		ids = append(ids, c.addMachine(request.MachineType, request.Zone, request.Spot))
 	}
 	c.rentals[request.RequestID] = ids
 	return ids
@@ -174,21 +174,21 @@
 	return free
 }
 
-// Add rents a machine without a request, whatever the capacity, and returns its ID. Handler
+// AddMachine rents a machine without a request, whatever the capacity, and returns its ID. Handler
 // must have been called before.
-func (c *Cloud) Add(machineType, zone string, spot bool) string {
+func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.add(machineType, zone, spot)
+	return c.addMachine(machineType, zone, spot)
 }
 
-// add rents one machine, and returns its ID. The lock must be held.
-func (c *Cloud) add(machineType, zone string, spot bool) string {
-	id := fmt.Sprintf("m-%06d", c.next)
-	added := &instance{
+// addMachine rents one machine, and returns its ID. The lock must be held.
+func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
+	id := fmt.Sprintf("m-%06d", c.nextNumber)
+	added := &rentedMachine{
 		machine: wire.CloudMachine{
 			ID:          id,
-			Address:     fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.next),
+			Address:     fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.nextNumber),
 			MachineType: machineType,
 			Zone:        zone,
 			Spot:        spot,
@@ -196,7 +196,7 @@
 		},
 		rentedAt: time.Now(),
 	}
-	c.next++
+	c.nextNumber++
 	c.machines[id] = added
 	for _, offered := range c.MachineTypes {
 		if offered.Name != machineType {
@@ -210,25 +210,25 @@
 }
 
 // boot starts a machine's worker, unless the machine has been returned meanwhile.
-func (c *Cloud) boot(booting *instance) {
+func (c *Cloud) boot(booting *rentedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machines[booting.machine.ID] != booting {
 		return
 	}
 	booting.machine.State = wire.MachineRunning
-	booting.worker = c.Boot(booting.machine)
+	booting.worker = c.BootWorker(booting.machine)
 }
 
-// remove ends machines with their workers.
-func (c *Cloud) remove(ids []string) {
-	for _, worker := range c.removeInstances(ids) {
+// terminate ends machines with their workers.
+func (c *Cloud) terminate(ids []string) {
+	for _, worker := range c.removeMachines(ids) {
 		worker.Kill()
 	}
 }
 
-// removeInstances removes machines, and returns the workers of those that had booted.
-func (c *Cloud) removeInstances(ids []string) []*Worker {
+// removeMachines removes machines, and returns the workers of those that had booted.
+func (c *Cloud) removeMachines(ids []string) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var workers []*Worker
@@ -245,8 +245,8 @@
 	return workers
 }
 
-// TakeBack removes a machine without notice, as the cloud does with spot instances.
-func (c *Cloud) TakeBack(id string) { c.remove([]string{id}) }
+// Reclaim removes a machine without notice, as the cloud does with spot instances.
+func (c *Cloud) Reclaim(id string) { c.terminate([]string{id}) }
 
 // Workers lists the workers of the machines that are up, by machine ID.
 func (c *Cloud) Workers() []*Worker {
@@ -263,7 +263,7 @@
 }
 
 func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
-	machines := c.laggingList()
+	machines := c.laggedList()
 	since := r.URL.Query().Get("since")
 	pageSize := pageSizeOf(r, maxListedMachines)
 	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // an empty list on the wire, not null
@@ -280,18 +280,18 @@
 	writeResponse(w, http.StatusOK, page)
 }
 
-// laggingList takes a snapshot of the list, and returns the newest one that is at least Lag
+// laggedList takes a snapshot of the list, and returns the newest one that is at least Lag
 // old; none yet: an empty list. Snapshots are taken on request only, so that the list can be
 // as old as its reader is slow.
-func (c *Cloud) laggingList() []wire.CloudMachine {
+func (c *Cloud) laggedList() []wire.CloudMachine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.snapshots = append(c.snapshots, listSnapshot{at: now, machines: c.currentList(now)})
+	c.snapshots = append(c.snapshots, listSnapshot{takenAt: now, machines: c.currentList(now)})
 	var shown []wire.CloudMachine
 	shownIndex := 0
 	for i, snapshot := range c.snapshots {
-		if now.Sub(snapshot.at) >= c.Lag {
+		if now.Sub(snapshot.takenAt) >= c.ListLag {
 			shown = snapshot.machines
 			shownIndex = i
 		}
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -17,7 +17,7 @@
 	return &Cloud{
 		MachineTypes: []wire.MachineType{machineType},
 		Capacity:     []Capacity{{MachineType: "small", Zone: "a", Count: 3}},
-		Lag:          4 * time.Second,
+		ListLag:      4 * time.Second,
 		BootTime:     func(wire.MachineType) time.Duration { return 0 },
 	}
 }
@@ -65,7 +65,7 @@
 
 func TestRepeatOfRentalWithLostResponseReturnsItsMachines(t *testing.T) {
 	cloud := newTestCloud()
-	cloud.Faults = func() (RequestFault, time.Duration) { return LoseResponse, 0 }
+	cloud.ChooseFault = func() (RequestFault, time.Duration) { return LoseResponse, 0 }
 	handler := cloud.Handler()
 	func() {
 		defer func() {
@@ -76,7 +76,7 @@
 		}()
 		rent(t, handler, "request-1", 2)
 	}()
-	cloud.Faults = nil
+	cloud.ChooseFault = nil
 	status, ids := rent(t, handler, "request-1", 2)
 	if status != http.StatusOK || len(ids) != 2 || len(cloud.machines) != 2 {
 		t.Errorf("the repeat answers %d with %v; %d machines are rented", status, ids, len(cloud.machines))
@@ -93,7 +93,7 @@
 	if status, _ := rent(t, handler, "request-3", 1); status != http.StatusServiceUnavailable {
 		t.Errorf("a rental without capacity answers %d", status)
 	}
-	if refusals := cloud.Refusals(); refusals != 1 {
+	if refusals := cloud.RefusedRentals(); refusals != 1 {
 		t.Errorf("%d refusals are counted, want 1", refusals)
 	}
 }
@@ -107,7 +107,7 @@
 		if listed := listMachines(t, handler); len(listed) != 0 {
 			t.Errorf("at once the list has %v", listed)
 		}
-		time.Sleep(cloud.Lag - time.Second)
+		time.Sleep(cloud.ListLag - time.Second)
 		if listed := listMachines(t, handler); len(listed) != 0 {
 			t.Errorf("before the lag is over the list has %v", listed)
 		}
@@ -120,7 +120,7 @@
 		if listed := listMachines(t, handler); !slices.Equal(listed, rented) {
 			t.Errorf("at once after a return the list has %v, want %v", listed, rented)
 		}
-		time.Sleep(cloud.Lag)
+		time.Sleep(cloud.ListLag)
 		if listed := listMachines(t, handler); len(listed) != 0 {
 			t.Errorf("after a return and the lag the list has %v", listed)
 		}
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -68,7 +68,7 @@
 // Attach has the emulated systems ask the injector what happens to commits and heartbeats. It
 // must be called before the controllers start.
 func (f *FaultInjector) Attach() {
-	f.Store.Faults = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
+	f.Store.ChooseFault = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
 		f.mu.Lock()
 		commitFault := f.commitFault
 		f.mu.Unlock()
@@ -141,7 +141,7 @@
 	case StoreOutage:
 		f.switchOn(ctx, fault, f.Store.SetDown)
 	case StoreSlow:
-		f.delay(ctx, fault, f.Store.SetDelay)
+		f.delay(ctx, fault, f.Store.SetResponseDelay)
 	case WatchesStalled:
 		f.switchOn(ctx, fault, f.Store.StallWatches)
 	case ListsRefused:
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -15,7 +15,7 @@
 func (f *FaultInjector) loseMachines(fault Fault) {
 	workers := f.targets(fault)
 	for _, worker := range workers {
-		f.Cloud.TakeBack(worker.Machine.ID)
+		f.Cloud.Reclaim(worker.Machine.ID)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
@@ -55,7 +55,7 @@
 func countLateCommands(workers []*Worker) int {
 	count := 0
 	for _, worker := range workers {
-		count += worker.LateCommands()
+		count += worker.LateCommandRequests()
 	}
 	return count
 }
@@ -80,16 +80,16 @@
 // isTarget reports whether a fault strikes the worker's machine, apart from its zone: a machine
 // with work of the fault's team, or any that is up if commands are delayed, since those that
 // start tasks are sent to idle machines above all.
-func (k *Worker) isTarget(fault Fault) bool {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	if k.dead {
+func (w *Worker) isTarget(fault Fault) bool {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	if w.dead {
 		return false
 	}
 	if fault.Kind == DelayedCommands {
 		return true
 	}
-	for _, t := range k.tasks {
+	for _, t := range w.tasks {
 		if fault.Team == "" || t.job.Team == fault.Team {
 			return true
 		}
--- a/internal/emulator/fault_store.go
+++ b/internal/emulator/fault_store.go
@@ -19,7 +19,7 @@
 	waitUntilOver(ctx, fault)
 	for _, node := range fault.Nodes {
 		name := f.Nodes[node].Name
-		f.countInjected(fault.Kind, f.Store.Refused(name))
+		f.countInjected(fault.Kind, f.Store.RefusedRequests(name))
 		f.Store.RefuseHost(name, false)
 	}
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -11,8 +11,8 @@
 	"ambersill/internal/wire"
 )
 
-// keptChanges is how many changes a watch can go back, by the protocol.
-const keptChanges = 10000
+// minRetainedChanges is how many changes a watch can go back, by the protocol.
+const minRetainedChanges = 10000
 
 // entry is a key's value with its metadata.
 type entry struct {
@@ -38,35 +38,35 @@
 // KeyValueStore emulates the key-value store. Its HTTP handlers are in kvstore_handlers.go,
 // watches in kvstore_watch.go, and the switches of its faults in kvstore_faults.go.
 type KeyValueStore struct {
-	// Faults, if set, decides what happens to each commit of a host.
-	Faults func(from string, t *wire.Txn) (RequestFault, time.Duration)
-	// WatchesEnd has a watch that times out while its host is refused answered with no
+	// ChooseFault, if set, decides what happens to each commit of a host.
+	ChooseFault func(from string, t *wire.Txn) (RequestFault, time.Duration)
+	// AnswerRefusedWatches has a watch that times out while its host is refused answered with no
 	// events, though there may be some. The protocol says only that watches stay open, so
 	// controllers must not take such an answer as proof that the store serves them.
-	WatchesEnd bool
-	// Changed, if set, is called with each key that is put, and its previous value.
-	Changed func(key string, was, now wire.Raw)
+	AnswerRefusedWatches bool
+	// OnPut, if set, is called with each key that is put, and its previous value.
+	OnPut func(key string, previous, now wire.Raw)
 
-	mu          sync.Mutex
-	revision    uint64
-	items       map[string]entry
-	leases      map[uint64]lease
-	nextLeaseID uint64
-	log         []change
-	changed     chan struct{} // closed, and replaced, at each change
-	faults      storeFaults
-	limits      *limits  // on what is written; nil: none
-	invalid     []string // why requests were answered 400
-	listed      int      // items that listings have held
+	mu             sync.Mutex
+	revision       uint64
+	entries        map[string]entry
+	leases         map[uint64]lease
+	nextLeaseID    uint64
+	history        []change
+	changed        chan struct{} // closed, and replaced, at each change
+	faults         storeFaults
+	limits         *limits  // on what is written; nil: none
+	invalidReasons []string // why requests were answered 400
+	listedItems    int      // items that listings have held
 }
 
 // NewKeyValueStore returns an empty store.
 func NewKeyValueStore() *KeyValueStore {
 	return &KeyValueStore{
-		items:   map[string]entry{},
+		entries: map[string]entry{},
 		leases:  map[uint64]lease{},
 		changed: make(chan struct{}),
-		faults:  storeFaults{refusals: map[string]int{}},
+		faults:  storeFaults{refusedRequests: map[string]int{}},
 	}
 }
 
@@ -74,22 +74,22 @@
 func (s *KeyValueStore) Value(key string) (wire.Raw, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.items[key].value, s.items[key].revision
+	return s.entries[key].value, s.entries[key].revision
 }
 
-// Listed counts the items that listings have held so far.
-func (s *KeyValueStore) Listed() int {
+// CountListedItems counts the items that listings have held so far.
+func (s *KeyValueStore) CountListedItems() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listed
+	return s.listedItems
 }
 
-// Count counts the keys with a prefix.
-func (s *KeyValueStore) Count(prefix string) int {
+// CountKeys counts the keys with a prefix.
+func (s *KeyValueStore) CountKeys(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := 0
-	for key := range s.items {
+	for key := range s.entries {
 		if strings.HasPrefix(key, prefix) {
 			count++
 		}
@@ -104,10 +104,10 @@
 	var text strings.Builder
 	for _, key := range s.sortedKeys(func(string, entry) bool { return true }) {
 		var value any
-		if err := wire.Unmarshal(s.items[key].value, &value); err != nil {
+		if err := wire.Unmarshal(s.entries[key].value, &value); err != nil {
 			value = err
 		}
-		fmt.Fprintf(&text, "%s @%d: %v\n", key, s.items[key].revision, value)
+		fmt.Fprintf(&text, "%s @%d: %v\n", key, s.entries[key].revision, value)
 	}
 	return text.String()
 }
@@ -115,7 +115,7 @@
 // sortedKeys lists the keys that match. The lock must be held.
 func (s *KeyValueStore) sortedKeys(matches func(key string, e entry) bool) []string {
 	var keys []string
-	for key, e := range s.items {
+	for key, e := range s.entries {
 		if matches(key, e) {
 			keys = append(keys, key)
 		}
@@ -146,7 +146,7 @@
 func (s *KeyValueStore) validate(txn *rawTxn) (status int, reason string) {
 	if s.limits != nil {
 		if reason := s.limits.exceeded(txn); reason != "" {
-			s.invalid = append(s.invalid, reason)
+			s.invalidReasons = append(s.invalidReasons, reason)
 			return http.StatusBadRequest, reason
 		}
 		if !s.limits.changes.AllowN(time.Now(), len(txn.Writes)) {
@@ -169,7 +169,7 @@
 func (s *KeyValueStore) failedCompares(compares []wire.Compare) []string {
 	var failed []string
 	for _, compare := range compares {
-		if s.items[compare.Key].revision != compare.Revision {
+		if s.entries[compare.Key].revision != compare.Revision {
 			failed = append(failed, compare.Key)
 		}
 	}
@@ -191,10 +191,10 @@
 
 // put sets a key at the current revision. The lock must be held.
 func (s *KeyValueStore) put(write rawWrite) {
-	if s.Changed != nil {
-		s.Changed(write.Put, s.items[write.Put].value, write.Value)
+	if s.OnPut != nil {
+		s.OnPut(write.Put, s.entries[write.Put].value, write.Value)
 	}
-	s.items[write.Put] = entry{
+	s.entries[write.Put] = entry{
 		value:    write.Value,
 		revision: s.revision,
 		leaseID:  write.LeaseID,
@@ -208,10 +208,10 @@
 
 // delete removes a key, if it exists, at the current revision. The lock must be held.
 func (s *KeyValueStore) delete(key string) {
-	if _, ok := s.items[key]; !ok {
+	if _, ok := s.entries[key]; !ok {
 		return
 	}
-	delete(s.items, key)
+	delete(s.entries, key)
 	s.appendChange(change{
 		key:      key,
 		deleted:  true,
@@ -222,9 +222,9 @@
 // appendChange adds a change to the history, and compacts it once it is twice as long as
 // watches need. The lock must be held.
 func (s *KeyValueStore) appendChange(c change) {
-	s.log = append(s.log, c)
-	if len(s.log) > 2*keptChanges {
-		s.log = append([]change(nil), s.log[len(s.log)-keptChanges:]...)
+	s.history = append(s.history, c)
+	if len(s.history) > 2*minRetainedChanges {
+		s.history = append([]change(nil), s.history[len(s.history)-minRetainedChanges:]...)
 	}
 }
 
--- a/internal/emulator/kvstore_faults.go
+++ b/internal/emulator/kvstore_faults.go
@@ -15,11 +15,11 @@
 
 // storeFaults are the faults of a key-value store that are switched on.
 type storeFaults struct {
-	down           bool           // all requests are refused, and no lease expires
-	refusals       map[string]int // requests refused of each host that is refused alone
-	responseDelay  time.Duration
-	watchesStalled bool // watches get no answer, while everything else is served
-	listsRefused   bool // listings are refused, while everything else is served
+	down            bool           // all requests are refused, and no lease expires
+	refusedRequests map[string]int // requests refused of each host that is refused alone
+	responseDelay   time.Duration
+	watchesStalled  bool // watches get no answer, while everything else is served
+	listsRefused    bool // listings are refused, while everything else is served
 }
 
 // SetDown starts or ends an outage. At its end every lease is renewed.
@@ -35,27 +35,27 @@
 }
 
 // RefuseHost refuses all requests of a host while the others are served; its leases expire.
-func (s *KeyValueStore) RefuseHost(host string, on bool) {
+func (s *KeyValueStore) RefuseHost(host string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !on {
-		delete(s.faults.refusals, host)
+	if !refuse {
+		delete(s.faults.refusedRequests, host)
 		return
 	}
 	if !s.refusesHost(host) {
-		s.faults.refusals[host] = 0
+		s.faults.refusedRequests[host] = 0
 	}
 }
 
-// Refused counts the requests of a host that have been refused since RefuseHost.
-func (s *KeyValueStore) Refused(host string) int {
+// RefusedRequests counts the requests of a host that have been refused since RefuseHost.
+func (s *KeyValueStore) RefusedRequests(host string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faults.refusals[host]
+	return s.faults.refusedRequests[host]
 }
 
-// SetDelay delays every response; requests are executed at once.
-func (s *KeyValueStore) SetDelay(d time.Duration) {
+// SetResponseDelay delays every response; requests are executed at once.
+func (s *KeyValueStore) SetResponseDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.responseDelay = d
@@ -77,7 +77,7 @@
 
 // refusesHost reports whether a host is refused alone. The lock must be held.
 func (s *KeyValueStore) refusesHost(host string) bool {
-	_, refused := s.faults.refusals[host]
+	_, refused := s.faults.refusedRequests[host]
 	return refused
 }
 
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -29,8 +29,8 @@
 	Delete  string   `cbor:"delete"`
 }
 
-// keys returns the transaction with its keys only, as much of it as faults depend on.
-func (t *rawTxn) keys() *wire.Txn {
+// withoutValues returns the transaction with its withoutValues only, as much of it as faults depend on.
+func (t *rawTxn) withoutValues() *wire.Txn {
 	txn := &wire.Txn{Compares: t.Compares}
 	for _, write := range t.Writes {
 		txn.Writes = append(txn.Writes, wire.Write{Put: write.Put, Delete: write.Delete})
@@ -69,7 +69,7 @@
 	defer s.mu.Unlock()
 	s.expireLeases()
 	if s.refusesHost(host) {
-		s.faults.refusals[host]++
+		s.faults.refusedRequests[host]++
 	}
 	return s.serves(host), s.faults.responseDelay
 }
@@ -77,7 +77,7 @@
 func (s *KeyValueStore) handleGet(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	s.mu.Lock()
-	e, ok := s.items[key]
+	e, ok := s.entries[key]
 	storeRevision := s.revision
 	s.mu.Unlock()
 	if !ok {
@@ -108,9 +108,9 @@
 		keys = keys[:pageSize]
 		page.More = true
 	}
-	s.listed += len(keys)
+	s.listedItems += len(keys)
 	for _, key := range keys {
-		page.Items = append(page.Items, keyValue(key, s.items[key]))
+		page.Items = append(page.Items, keyValue(key, s.entries[key]))
 	}
 	writeResponse(w, http.StatusOK, page)
 }
@@ -130,8 +130,8 @@
 		return
 	}
 	fault, delay := NoFault, time.Duration(0)
-	if s.Faults != nil {
-		fault, delay = s.Faults(r.RemoteAddr, txn.keys())
+	if s.ChooseFault != nil {
+		fault, delay = s.ChooseFault(r.RemoteAddr, txn.withoutValues())
 	}
 	executeWithFault(w, fault, delay, func() (int, any) { return s.apply(&txn) })
 }
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -197,7 +197,7 @@
 		if status := request(t, store.Handler(), http.MethodGet, "/store/a", nil, nil); status != http.StatusServiceUnavailable {
 			t.Errorf("a refused host is answered %d", status)
 		}
-		if refused := store.Refused(testHost); refused != 1 {
+		if refused := store.RefusedRequests(testHost); refused != 1 {
 			t.Errorf("%d refused requests are counted, want 1", refused)
 		}
 		store.RefuseHost(testHost, false)
@@ -210,16 +210,16 @@
 func TestWatchOfCompactedRevisionAnswersGone(t *testing.T) {
 	store := NewKeyValueStore()
 	var last uint64
-	for range 2*keptChanges + 1 { // the history is compacted when it is twice as long as kept
+	for range 2*minRetainedChanges + 1 { // the history is compacted when it is twice as long as kept
 		last = put(t, store, "a", last, 1, 0)
 	}
 	watch := func(since uint64) int {
 		return request(t, store.Handler(), http.MethodGet, fmt.Sprintf("/watch?prefix=a&since=%d&waitMs=0", since), nil, nil)
 	}
-	if status := watch(last - keptChanges - 1); status != http.StatusGone {
+	if status := watch(last - minRetainedChanges - 1); status != http.StatusGone {
 		t.Errorf("a watch of a compacted revision answers %d", status)
 	}
-	if status := watch(last - keptChanges); status != http.StatusOK {
+	if status := watch(last - minRetainedChanges); status != http.StatusOK {
 		t.Errorf("a watch of the oldest kept revision answers %d", status)
 	}
 }
--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// watchInterval is how often a watch looks for leases that have expired, which no request
+	// leaseCheckInterval is how often a watch looks for leases that have expired, which no request
 	// announces.
-	watchInterval = 200 * time.Millisecond
+	leaseCheckInterval = 200 * time.Millisecond
 	// cborNull is the CBOR encoding of null, the value of a deleted key.
 	cborNull = 0xf6
 )
@@ -44,17 +44,17 @@
 	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // no number: 0, an answer at once
 	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timeout.Stop()
-	over := false
+	timeoutPassed := false
 	for {
 		state := s.watchState(r.RemoteAddr, since, prefix)
 		switch {
 		case state.compacted:
 			writeError(w, http.StatusGone, "too old")
 			return
-		case !state.served && over && s.WatchesEnd:
+		case !state.served && timeoutPassed && s.AnswerRefusedWatches:
 			writeResponse(w, http.StatusOK, wire.WatchResponse{Revision: since, Events: []wire.Event{}})
 			return
-		case state.served && (over || len(state.response.Events) > 0):
+		case state.served && (timeoutPassed || len(state.response.Events) > 0):
 			writeResponse(w, http.StatusOK, state.response)
 			return
 		}
@@ -62,7 +62,7 @@
 		if err != nil {
 			return
 		}
-		over = over || timedOut
+		timeoutPassed = timeoutPassed || timedOut
 	}
 }
 
@@ -86,15 +86,15 @@
 
 // compacted reports whether a change after a revision is no longer kept. The lock must be held.
 func (s *KeyValueStore) compacted(since uint64) bool {
-	return s.revision > since && len(s.log) >= keptChanges && s.log[0].revision > since+1
+	return s.revision > since && len(s.history) >= minRetainedChanges && s.history[0].revision > since+1
 }
 
 // eventsSince returns the changes after a revision of the keys under a prefix. The lock must
 // be held.
 func (s *KeyValueStore) eventsSince(since uint64, prefix string) []wire.Event {
 	events := []wire.Event{} // an empty list on the wire, not null
-	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].revision > since })
-	for _, c := range s.log[first:] {
+	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > since })
+	for _, c := range s.history[first:] {
 		if strings.HasPrefix(c.key, prefix) {
 			events = append(events, c.event())
 		}
@@ -121,7 +121,7 @@
 // awaitChange waits for a change, the watch's timeout or, at most, the watch interval. It
 // reports whether the timeout has passed, and fails if the context ends.
 func awaitChange(ctx context.Context, changed <-chan struct{}, timeout <-chan time.Time) (timedOut bool, err error) {
-	interval := time.NewTimer(watchInterval)
+	interval := time.NewTimer(leaseCheckInterval)
 	defer interval.Stop()
 	select {
 	case <-changed:
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -18,7 +18,7 @@
 		}
 	}
 	for k := range busy {
-		k.checkLease()
+		k.expireLease()
 	}
 }
 
@@ -38,14 +38,14 @@
 		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
 	case k.faulty:
 		t.state = wire.TaskRunning
-		k.after(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
+		k.runAfter(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
 		w.joinGang(k, t)
 	case t.job.IsService():
 		w.runReplica(k, t)
 	default:
 		t.state = wire.TaskRunning
-		k.after(t, w.runTime(t.job, t.index), func() {
+		k.runAfter(t, w.runTime(t.job, t.index), func() {
 			w.completeTask(t)
 			k.exit(t, wire.ExitDone, false)
 		})
@@ -77,7 +77,7 @@
 		return
 	}
 	if d, exits := w.replicaExit(t.job, t.index); exits {
-		k.after(t, d, func() { k.exit(t, wire.ExitDone, false) })
+		k.runAfter(t, d, func() { k.exit(t, wire.ExitDone, false) })
 	}
 }
 
@@ -103,7 +103,7 @@
 
 // joinGang has a gang start once all its tasks are there, and complete together.
 func (w *Simulation) joinGang(k *Worker, t *task) {
-	k.after(t, w.GangWaitTimeout, func() {
+	k.runAfter(t, w.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
 			k.exit(t, wire.ExitGangIncomplete, false)
 		}
@@ -119,7 +119,7 @@
 	}
 	for member, worker := range members {
 		member.state = wire.TaskRunning
-		worker.after(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
+		worker.runAfter(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
 	}
 }
 
@@ -165,7 +165,7 @@
 	}
 	for member, worker := range w.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			worker.after(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
+			worker.runAfter(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -36,7 +36,7 @@
 func (s *KeyValueStore) Invalid() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.invalid...)
+	return append([]string(nil), s.invalidReasons...)
 }
 
 // exceeded names the limit of size that a transaction exceeds; "" if none.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -15,25 +15,25 @@
 	simulation  *Simulation
 	machineType wire.MachineType
 
-	tasks              map[string]*task // by task name; one attempt at a time, others are refused
-	refused            []*task
-	images             map[string]bool
-	incarnation        uint64
-	sequence           uint64
-	fencingToken       uint64
-	leaseStart         time.Time // when the last answered heartbeat was sent
-	terminationNoticeS *float64
-	dead               bool
-	hung               bool
-	resume             chan struct{}
-	faulty             bool
-	inboundCut         bool          // its heartbeats leave, but no response and no command arrives
-	outboundCut        bool          // it reaches no controller, while commands arrive
-	commandDelay       time.Duration // after which direct commands execute
-	lateCommands       int           // requests whose commands were delayed, or came while the machine hung
-	changed            chan struct{}
-	nodeIndex          int
-	cancel             context.CancelFunc
+	tasks               map[string]*task // by task name; one attempt at a time, others are refused
+	refusedStarts       []*task
+	images              map[string]bool
+	incarnation         uint64
+	sequence            uint64
+	fencingToken        uint64
+	leaseStart          time.Time // when the last answered heartbeat was sent
+	terminationNoticeS  *float64
+	dead                bool
+	hung                bool
+	resume              chan struct{}
+	faulty              bool
+	inboundCut          bool          // its heartbeats leave, but no response and no command arrives
+	outboundCut         bool          // it reaches no controller, while commands arrive
+	commandDelay        time.Duration // after which direct commands execute
+	lateCommandRequests int           // requests whose commands were delayed, or came while the machine hung
+	changed             chan struct{}
+	nodeIndex           int
+	cancel              context.CancelFunc
 }
 
 // StartWorker starts a machine's worker.
@@ -51,116 +51,116 @@
 		changed:     make(chan struct{}, 1),
 		cancel:      cancel,
 	}
-	go worker.run(ctx)
-	go worker.listen(ctx)
+	go worker.sendHeartbeats(ctx)
+	go worker.serveCommands(ctx)
 	return worker
 }
 
 // Kill ends the machine: it and all that is on it are gone.
-func (k *Worker) Kill() {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.dead = true
-	k.cancel()
-	k.dropTasks()
+func (w *Worker) Kill() {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.dead = true
+	w.cancel()
+	w.dropTasks()
 }
 
 // Hang has the machine hang for a while; it continues where it was.
-func (k *Worker) Hang(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	if k.hung || k.dead {
+func (w *Worker) Hang(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	if w.hung || w.dead {
 		return
 	}
-	k.hung = true
-	time.AfterFunc(d, k.endHang)
+	w.hung = true
+	time.AfterFunc(d, w.endHang)
 }
 
 // endHang has the machine continue. Timers that fired while it hung fire again.
-func (k *Worker) endHang() {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.hung = false
-	k.checkLease()
-	close(k.resume)
-	k.resume = make(chan struct{})
-	for _, t := range k.tasks {
+func (w *Worker) endHang() {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.hung = false
+	w.expireLease()
+	close(w.resume)
+	w.resume = make(chan struct{})
+	for _, t := range w.tasks {
 		if t.timer != nil {
 			t.timer.Reset(minTimerDelay)
 		}
 	}
 }
 
-// Fail has every task fail that starts on this machine, or no longer.
-func (k *Worker) Fail(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.faulty = on
+// FailTasks has every task fail that starts on this machine, or no longer.
+func (w *Worker) FailTasks(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.faulty = on
 }
 
 // CutInbound lets heartbeats out, but no response and no command in.
-func (k *Worker) CutInbound(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.inboundCut = on
+func (w *Worker) CutInbound(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.inboundCut = on
 }
 
 // CutOutbound keeps heartbeats from leaving, while commands arrive.
-func (k *Worker) CutOutbound(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.outboundCut = on
+func (w *Worker) CutOutbound(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.outboundCut = on
 }
 
 // DelayCommands has direct commands that arrive from now on execute after a delay, also when
 // their sender has given up; 0: at once.
-func (k *Worker) DelayCommands(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.commandDelay = d
+func (w *Worker) DelayCommands(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.commandDelay = d
 }
 
-// LateCommands counts the requests with commands that were delayed, or arrived while the
+// LateCommandRequests counts the requests with commands that were delayed, or arrived while the
 // machine hung.
-func (k *Worker) LateCommands() int {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	return k.lateCommands
+func (w *Worker) LateCommandRequests() int {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	return w.lateCommandRequests
 }
 
 // Incarnation returns the worker's current incarnation.
-func (k *Worker) Incarnation() uint64 {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	return k.incarnation
+func (w *Worker) Incarnation() uint64 {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	return w.incarnation
 }
 
-// GiveNotice gives notice that the cloud removes the machine after d.
-func (k *Worker) GiveNotice(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
+// GiveTerminationNotice gives notice that the cloud removes the machine after d.
+func (w *Worker) GiveTerminationNotice(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
 	s := d.Seconds()
-	k.terminationNoticeS = &s
-	k.notifyChange()
+	w.terminationNoticeS = &s
+	w.notifyChange()
 }
 
-func (k *Worker) notifyChange() {
+func (w *Worker) notifyChange() {
 	select {
-	case k.changed <- struct{}{}:
+	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-// checkLease ends the incarnation once the lease has run out. A hanging machine's
+// expireLease ends the incarnation once the lease has run out. A hanging machine's
 // tasks end with it too: it kills them before it does anything else.
-func (k *Worker) checkLease() {
-	if k.dead || time.Since(k.leaseStart) <= k.simulation.LeaseDuration {
+func (w *Worker) expireLease() {
+	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
 	}
-	k.simulation.removedAt = k.leaseStart.Add(k.simulation.LeaseDuration)
-	k.dropTasks()
-	k.simulation.removedAt = time.Time{}
-	k.incarnation++
-	k.leaseStart = time.Now()
-	k.notifyChange()
+	w.simulation.removedAt = w.leaseStart.Add(w.simulation.LeaseDuration)
+	w.dropTasks()
+	w.simulation.removedAt = time.Time{}
+	w.incarnation++
+	w.leaseStart = time.Now()
+	w.notifyChange()
 }
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -9,20 +9,20 @@
 	"ambersill/internal/wire"
 )
 
-// listen accepts direct commands.
-func (k *Worker) listen(ctx context.Context) {
-	listener, err := k.simulation.net(k.Machine).Listen(ctx, k.Machine.Address)
+// serveCommands accepts direct commands.
+func (w *Worker) serveCommands(ctx context.Context) {
+	listener, err := w.simulation.net(w.Machine).Listen(ctx, w.Machine.Address)
 	if err != nil {
 		return
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /orders", func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST /orders", func(rw http.ResponseWriter, r *http.Request) {
 		var request wire.CommandRequest
-		if !readRequest(w, r, &request) {
+		if !readRequest(rw, r, &request) {
 			return
 		}
-		k.simulation.waitLinkDelay(ctx)
-		k.handleCommands(ctx, w, &request)
+		w.simulation.waitLinkDelay(ctx)
+		w.handleCommands(ctx, rw, &request)
 	})
 	server := &http.Server{Handler: deferResponses(mux)}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
@@ -32,50 +32,50 @@
 
 // handleCommands executes a request's commands and responds, unless the machine can't: one
 // that hangs executes them when the hang ends.
-func (k *Worker) handleCommands(ctx context.Context, w http.ResponseWriter, request *wire.CommandRequest) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	if k.inboundCut {
+func (w *Worker) handleCommands(ctx context.Context, rw http.ResponseWriter, request *wire.CommandRequest) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	if w.inboundCut {
 		panic(http.ErrAbortHandler)
 	}
-	if len(request.Commands) > 0 && (k.hung || k.commandDelay > 0) {
-		k.lateCommands++
+	if len(request.Commands) > 0 && (w.hung || w.commandDelay > 0) {
+		w.lateCommandRequests++
 	}
-	if !k.waitUntilCommandsRun(ctx) || k.dead {
+	if !w.awaitCommandExecution(ctx) || w.dead {
 		return
 	}
-	k.checkLease()
+	w.expireLease()
 	status := http.StatusOK
-	if request.FencingToken < k.fencingToken || request.Incarnation != k.incarnation {
+	if request.FencingToken < w.fencingToken || request.Incarnation != w.incarnation {
 		status = http.StatusConflict
 	} else {
-		if request.FencingToken > k.fencingToken {
-			k.notifyChange()
+		if request.FencingToken > w.fencingToken {
+			w.notifyChange()
 		}
-		k.fencingToken = request.FencingToken
-		k.execute(request.Commands)
+		w.fencingToken = request.FencingToken
+		w.executeCommands(request.Commands)
 	}
-	writeResponse(w, status, k.heartbeat())
+	writeResponse(rw, status, w.heartbeat())
 }
 
-// waitUntilCommandsRun waits out the delay of commands, and a hang; false: the machine ended.
+// awaitCommandExecution waits out the delay of commands, and a hang; false: the machine ended.
 // The simulation's lock is held before and after, not meanwhile.
-func (k *Worker) waitUntilCommandsRun(ctx context.Context) bool {
-	if delay := k.commandDelay; delay > 0 {
-		k.simulation.mu.Unlock()
+func (w *Worker) awaitCommandExecution(ctx context.Context) bool {
+	if delay := w.commandDelay; delay > 0 {
+		w.simulation.mu.Unlock()
 		time.Sleep(delay)
-		k.simulation.mu.Lock()
+		w.simulation.mu.Lock()
 	}
-	for k.hung {
-		resume := k.resume
-		k.simulation.mu.Unlock()
+	for w.hung {
+		resume := w.resume
+		w.simulation.mu.Unlock()
 		ended := false
 		select {
 		case <-resume:
 		case <-ctx.Done():
 			ended = true
 		}
-		k.simulation.mu.Lock()
+		w.simulation.mu.Lock()
 		if ended {
 			return false
 		}
@@ -84,63 +84,63 @@
 }
 
 // Execute executes a command as if a request had brought it.
-func (k *Worker) Execute(c wire.Command) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.execute([]wire.Command{c})
+func (w *Worker) Execute(c wire.Command) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.executeCommands([]wire.Command{c})
 }
 
-// execute executes commands. The simulation's lock must be held.
-func (k *Worker) execute(commands []wire.Command) {
+// executeCommands executes commands. The simulation's lock must be held.
+func (w *Worker) executeCommands(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Op {
 		case wire.StartTask:
-			k.start(c)
+			w.start(c)
 		case wire.StopTask:
-			if t := k.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state != wire.TaskExited {
-				k.stop(t, c.GracePeriodS)
+			if t := w.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state != wire.TaskExited {
+				w.stop(t, c.GracePeriodS)
 			}
 		case wire.ForgetTask:
-			k.forget(c)
+			w.forget(c)
 		}
 	}
-	k.notifyChange()
+	w.notifyChange()
 }
 
 // forget removes an exited task, or a refused start, from the heartbeats.
-func (k *Worker) forget(c wire.Command) {
-	if t := k.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
-		delete(k.tasks, c.Task)
+func (w *Worker) forget(c wire.Command) {
+	if t := w.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
+		delete(w.tasks, c.Task)
 	}
-	if i := k.refusedStart(c); i >= 0 {
-		k.refused = slices.Delete(slices.Clone(k.refused), i, i+1)
+	if i := w.refusedStartIndex(c); i >= 0 {
+		w.refusedStarts = slices.Delete(slices.Clone(w.refusedStarts), i, i+1)
 	}
 }
 
-// refusedStart is the index of the refused start that a command names; -1 if there is none.
-func (k *Worker) refusedStart(c wire.Command) int {
-	return slices.IndexFunc(k.refused, func(t *task) bool { return t.name == c.Task && t.attempt == c.Attempt })
+// refusedStartIndex is the index of the refused start that a command names; -1 if there is none.
+func (w *Worker) refusedStartIndex(c wire.Command) int {
+	return slices.IndexFunc(w.refusedStarts, func(t *task) bool { return t.name == c.Task && t.attempt == c.Attempt })
 }
 
 // start starts a task, unless the worker has the attempt already.
-func (k *Worker) start(c wire.Command) {
-	old := k.tasks[c.Task]
-	if k.refusedStart(c) >= 0 || (old != nil && old.attempt == c.Attempt) {
+func (w *Worker) start(c wire.Command) {
+	old := w.tasks[c.Task]
+	if w.refusedStartIndex(c) >= 0 || (old != nil && old.attempt == c.Attempt) {
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	job := k.simulation.description(id)
+	job := w.simulation.description(id)
 	if job == nil || index >= job.Tasks {
-		k.refuse(c, wire.ExitTaskUnknown)
+		w.refuse(c, wire.ExitTaskUnknown)
 		return
 	}
 	if old != nil && old.state != wire.TaskExited {
-		k.refuse(c, wire.ExitTaskPresent)
+		w.refuse(c, wire.ExitTaskPresent)
 		return
 	}
-	delete(k.tasks, c.Task)
-	if !k.hasResources(job) {
-		k.refuse(c, wire.ExitInsufficientResources)
+	delete(w.tasks, c.Task)
+	if !w.hasResourcesFor(job) {
+		w.refuse(c, wire.ExitInsufficientResources)
 		return
 	}
 	t := &task{
@@ -150,16 +150,16 @@
 		attempt: c.Attempt,
 		state:   wire.TaskFetching,
 	}
-	k.tasks[c.Task] = t
-	k.after(t, k.imageFetchTime(job), func() {
-		k.images[job.Image] = true
-		k.simulation.startTask(k, t)
+	w.tasks[c.Task] = t
+	w.runAfter(t, w.imageFetchTime(job), func() {
+		w.images[job.Image] = true
+		w.simulation.startTask(w, t)
 	})
 }
 
 // refuse has the heartbeats say that a start is refused.
-func (k *Worker) refuse(c wire.Command, cause wire.ExitCause) {
-	k.refused = append(k.refused, &task{
+func (w *Worker) refuse(c wire.Command, cause wire.ExitCause) {
+	w.refusedStarts = append(w.refusedStarts, &task{
 		name:    c.Task,
 		attempt: c.Attempt,
 		state:   wire.TaskExited,
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -11,24 +11,24 @@
 )
 
 // heartbeat returns the next heartbeat. The simulation's lock must be held.
-func (k *Worker) heartbeat() wire.Heartbeat {
-	k.sequence++
+func (w *Worker) heartbeat() wire.Heartbeat {
+	w.sequence++
 	heartbeat := wire.Heartbeat{
-		Machine:            k.Machine.ID,
-		Address:            k.Machine.Address,
-		MachineType:        k.Machine.MachineType,
-		Zone:               k.Machine.Zone,
-		Spot:               k.Machine.Spot,
-		Incarnation:        k.incarnation,
-		Sequence:           k.sequence,
-		FencingToken:       k.fencingToken,
-		TerminationNoticeS: k.terminationNoticeS,
+		Machine:            w.Machine.ID,
+		Address:            w.Machine.Address,
+		MachineType:        w.Machine.MachineType,
+		Zone:               w.Machine.Zone,
+		Spot:               w.Machine.Spot,
+		Incarnation:        w.incarnation,
+		Sequence:           w.sequence,
+		FencingToken:       w.fencingToken,
+		TerminationNoticeS: w.terminationNoticeS,
 		Tasks:              []wire.TaskStatus{}, // an empty list on the wire, not null
 	}
-	for _, t := range k.tasks {
+	for _, t := range w.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
 	}
-	for _, t := range k.refused {
+	for _, t := range w.refusedStarts {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
 	}
 	sort.Slice(heartbeat.Tasks, func(a, b int) bool { return heartbeat.Tasks[a].Task < heartbeat.Tasks[b].Task })
@@ -42,30 +42,30 @@
 	retryDelay = time.Second
 	// redirectDelay is the pause before a redirect is followed.
 	redirectDelay = 100 * time.Millisecond
-	// minHeartbeatGap is the minimum time between two heartbeats.
-	minHeartbeatGap = 500 * time.Millisecond
+	// minHeartbeatInterval is the minimum time between two heartbeats.
+	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// exchange is a heartbeat and what came back.
-type exchange struct {
+// heartbeatExchange is a heartbeat and what came back.
+type heartbeatExchange struct {
 	heartbeat wire.Heartbeat
-	sent      time.Time
+	sentAt    time.Time
 	status    int // 0: no answer
 	response  wire.HeartbeatResponse
 	redirect  wire.Redirect
 }
 
-// run sends heartbeats until the machine is removed.
-func (k *Worker) run(ctx context.Context) {
-	client := k.simulation.client(k.Machine)
+// sendHeartbeats sends heartbeats until the machine is removed.
+func (w *Worker) sendHeartbeats(ctx context.Context) {
+	client := w.simulation.client(w.Machine)
 	for ctx.Err() == nil {
-		k.simulation.mu.Lock()
-		k.checkLease()
-		resume, hung := k.resume, k.hung
-		e := exchange{heartbeat: k.heartbeat(), sent: time.Now()}
-		node := k.simulation.Nodes[k.nodeIndex%len(k.simulation.Nodes)]
-		cut, onHeartbeat := k.outboundCut, k.simulation.OnHeartbeat
-		k.simulation.mu.Unlock()
+		w.simulation.mu.Lock()
+		w.expireLease()
+		resume, hung := w.resume, w.hung
+		e := heartbeatExchange{heartbeat: w.heartbeat(), sentAt: time.Now()}
+		node := w.simulation.Nodes[w.nodeIndex%len(w.simulation.Nodes)]
+		cutOff, onHeartbeat := w.outboundCut, w.simulation.OnHeartbeat
+		w.simulation.mu.Unlock()
 		if hung {
 			select {
 			case <-ctx.Done():
@@ -74,74 +74,74 @@
 			}
 			continue
 		}
-		if !cut && onHeartbeat != nil {
-			onHeartbeat(&e.heartbeat, k.sendCopy(e.heartbeat))
+		if !cutOff && onHeartbeat != nil {
+			onHeartbeat(&e.heartbeat, w.copySender(e.heartbeat))
 		}
-		if !cut {
-			e.status = k.post(ctx, client, heartbeatURL(node), e.heartbeat, &e.response, &e.redirect)
+		if !cutOff {
+			e.status = w.postHeartbeat(ctx, client, heartbeatURL(node), e.heartbeat, &e.response, &e.redirect)
 		}
-		k.pauseBeforeHeartbeat(ctx, k.handleResponse(&e))
+		w.pauseBeforeHeartbeat(ctx, w.handleResponse(&e))
 	}
 }
 
-// sendCopy returns a function that sends a copy of a heartbeat to a node.
-func (k *Worker) sendCopy(heartbeat wire.Heartbeat) func(to Node) {
+// copySender returns a function that sends a copy of a heartbeat to a node.
+func (w *Worker) copySender(heartbeat wire.Heartbeat) func(to Node) {
 	return func(to Node) {
-		client := k.simulation.client(k.Machine)
-		k.post(k.simulation.Ctx, client, heartbeatURL(to), heartbeat, &wire.HeartbeatResponse{}, &wire.Redirect{})
+		client := w.simulation.client(w.Machine)
+		w.postHeartbeat(w.simulation.Ctx, client, heartbeatURL(to), heartbeat, &wire.HeartbeatResponse{}, &wire.Redirect{})
 	}
 }
 
 func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
 
 // handleResponse acts on what a heartbeat brought, and returns the time to the next one.
-func (k *Worker) handleResponse(e *exchange) time.Duration {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	redirected := k.simulation.node(e.redirect.Node)
+func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	redirected := w.simulation.node(e.redirect.Node)
 	switch {
-	case k.inboundCut:
-		k.nodeIndex++
-	case k.hung:
+	case w.inboundCut:
+		w.nodeIndex++
+	case w.hung:
 		// The response is not read before the hang ends, and too old by then.
 	case e.status == http.StatusOK:
-		k.acceptResponse(e)
+		w.acceptResponse(e)
 		// The protocol has workers send heartbeats up to a quarter early or late.
-		return k.simulation.HeartbeatInterval * 3 / 4
-	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != k.nodeIndex%len(k.simulation.Nodes):
-		k.nodeIndex = redirected
+		return w.simulation.HeartbeatInterval * 3 / 4
+	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != w.nodeIndex%len(w.simulation.Nodes):
+		w.nodeIndex = redirected
 		return redirectDelay
 	default:
-		k.nodeIndex++
+		w.nodeIndex++
 	}
 	return retryDelay
 }
 
 // acceptResponse renews the lease and executes the commands, unless the response is of an
 // earlier incarnation, has a lower token, or is too late.
-func (k *Worker) acceptResponse(e *exchange) {
+func (w *Worker) acceptResponse(e *heartbeatExchange) {
 	token := e.response.FencingToken
-	if e.heartbeat.Incarnation != k.incarnation || token < k.fencingToken || time.Since(e.sent) > responseTimeout {
+	if e.heartbeat.Incarnation != w.incarnation || token < w.fencingToken || time.Since(e.sentAt) > responseTimeout {
 		return
 	}
-	if token > k.fencingToken {
-		k.notifyChange()
+	if token > w.fencingToken {
+		w.notifyChange()
 	}
-	k.fencingToken = token
-	k.leaseStart = e.sent
-	k.execute(e.response.Commands)
+	w.fencingToken = token
+	w.leaseStart = e.sentAt
+	w.executeCommands(e.response.Commands)
 }
 
 // pauseBeforeHeartbeat waits for the given time, or after a change for the minimum gap.
-func (k *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
+func (w *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
 	timer := time.NewTimer(next)
 	defer timer.Stop()
-	minimum := time.NewTimer(min(next, minHeartbeatGap))
+	minimum := time.NewTimer(min(next, minHeartbeatInterval))
 	defer minimum.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-k.changed:
+	case <-w.changed:
 		select {
 		case <-minimum.C:
 		case <-ctx.Done():
@@ -149,13 +149,13 @@
 	}
 }
 
-// post sends a heartbeat, decodes the response by its status, and returns the status; 0: no
+// postHeartbeat sends a heartbeat, decodes the response by its status, and returns the status; 0: no
 // answer.
-func (k *Worker) post(ctx context.Context, client *http.Client, url string, body, ok, redirect any) int {
+func (w *Worker) postHeartbeat(ctx context.Context, client *http.Client, url string, body, ok, redirect any) int {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
-	k.simulation.waitLinkDelay(ctx)
-	defer k.simulation.waitLinkDelay(ctx)
+	w.simulation.waitLinkDelay(ctx)
+	defer w.simulation.waitLinkDelay(ctx)
 	resp, err := transport.Send(ctx, client, http.MethodPost, url, body)
 	if err != nil {
 		return 0
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -33,77 +33,77 @@
 const minTimerDelay = time.Millisecond
 
 // dropTasks forgets all tasks. The simulation's lock must be held.
-func (k *Worker) dropTasks() {
-	for _, t := range k.tasks {
+func (w *Worker) dropTasks() {
+	for _, t := range w.tasks {
 		if t.timer != nil {
 			t.timer.Stop()
 		}
-		k.simulation.removeTask(k, t)
+		w.simulation.removeTask(w, t)
 	}
-	k.tasks = map[string]*task{}
-	k.refused = nil
+	w.tasks = map[string]*task{}
+	w.refusedStarts = nil
 }
 
-// hasResources reports whether another task of a job fits beside those that are here,
+// hasResourcesFor reports whether another task of a job fits beside those that are here,
 // fetching ones included.
-func (k *Worker) hasResources(job *wire.Job) bool {
+func (w *Worker) hasResourcesFor(job *wire.Job) bool {
 	cpus, gpus, memory := job.CPUs, job.GPUs, job.MemoryGB
-	for _, t := range k.tasks {
+	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus+t.job.CPUs, gpus+t.job.GPUs, memory+t.job.MemoryGB
 		}
 	}
-	machine := k.machineType
+	machine := w.machineType
 	return cpus <= machine.CPUs+rounding && gpus <= machine.GPUs+rounding && memory <= machine.MemoryGB+rounding
 }
 
 // imageFetchTime is how long a job's image takes to be there.
-func (k *Worker) imageFetchTime(job *wire.Job) time.Duration {
-	if k.images[job.Image] {
+func (w *Worker) imageFetchTime(job *wire.Job) time.Duration {
+	if w.images[job.Image] {
 		return minTimerDelay
 	}
-	return time.Duration(job.ImageGB / k.machineType.ImageFetchGBPerS * float64(time.Second))
+	return time.Duration(job.ImageGB / w.machineType.ImageFetchGBPerS * float64(time.Second))
 }
 
-// after runs f for a task after a while, unless it has exited; a hanging
+// runAfter runs f for a task runAfter a while, unless it has exited; a hanging
 // machine's timers wait until the hang ends.
-func (k *Worker) after(t *task, d time.Duration, f func()) {
+func (w *Worker) runAfter(t *task, d time.Duration, f func()) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	t.timer = time.AfterFunc(d, func() {
-		k.simulation.mu.Lock()
-		defer k.simulation.mu.Unlock()
-		if k.dead || k.hung || k.tasks[t.name] != t || t.state == wire.TaskExited {
+		w.simulation.mu.Lock()
+		defer w.simulation.mu.Unlock()
+		if w.dead || w.hung || w.tasks[t.name] != t || t.state == wire.TaskExited {
 			return
 		}
 		f()
-		k.notifyChange()
+		w.notifyChange()
 	})
 }
 
 // exit ends a task. The simulation's lock must be held.
-func (k *Worker) exit(t *task, why wire.ExitCause, saved bool) {
+func (w *Worker) exit(t *task, exitCause wire.ExitCause, saved bool) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	k.simulation.removeTask(k, t)
-	t.state, t.cause, t.saved = wire.TaskExited, why, saved
-	k.notifyChange()
+	w.simulation.removeTask(w, t)
+	t.state, t.cause, t.saved = wire.TaskExited, exitCause, saved
+	w.notifyChange()
 }
 
 // stop ends a task, after it has saved a checkpoint if the grace period suffices for that.
-func (k *Worker) stop(t *task, gracePeriodS float64) {
+func (w *Worker) stop(t *task, gracePeriodS float64) {
 	if t.savesCheckpoint(gracePeriodS) {
 		t.state = wire.TaskSaving
 		saveTime := time.Duration(t.job.CheckpointSaveS * float64(time.Second))
-		k.after(t, saveTime, func() { k.exit(t, wire.ExitStopped, true) })
+		w.runAfter(t, saveTime, func() { w.exit(t, wire.ExitStopped, true) })
 		return
 	}
 	if t.state == wire.TaskSaving && gracePeriodS > 0 {
 		return
 	}
-	k.exit(t, wire.ExitStopped, false)
+	w.exit(t, wire.ExitStopped, false)
 }
 
 // savesCheckpoint reports whether a task that is stopped saves a checkpoint first.
