--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -141,9 +141,9 @@
 			{MachineType: sampleMachineType.Name, Zone: sampleZone, Spot: true, Count: sampleCapacity},
 			{MachineType: sampleMachineType.Name, Zone: sampleZone, Count: sampleCapacity},
 		},
-		ListLag:     tuning.Seconds(sampleListLagS),
+		ListLag:    tuning.Seconds(sampleListLagS),
 		BootWorker: simulation.StartWorker,
-		BootTime:    func(machineType wire.MachineType) time.Duration { return tuning.Seconds(machineType.BootS) },
+		BootTime:   func(machineType wire.MachineType) time.Duration { return tuning.Seconds(machineType.BootS) },
 	}
 }
 
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -175,7 +175,7 @@
 	cloud := &emulator.Cloud{
 		MachineTypes: testMachineTypes,
 		ListLag:      4 * time.Second,
-		BootWorker:  cluster.simulation.StartWorker,
+		BootWorker:   cluster.simulation.StartWorker,
 		BootTime: func(machineType wire.MachineType) time.Duration {
 			return time.Duration(machineType.BootS) * time.Second
 		},
