--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -10,68 +10,72 @@
 	"ambersill/internal/wire"
 )
 
-// Limits of requests, by the protocol.
+// Limits that the cloud's API sets on requests.
 const (
-	maxRentedMachines = 50  // in one request
-	maxListedMachines = 500 // in a page of the list
+	maxRentedMachines = 50  // in one rental request
+	maxListedMachines = 500 // in one page of the list of machines
 )
 
-// firstWorkerPort is the port of the first machine's worker; the others use the next ones.
+// firstWorkerPort is the port of the first machine's worker. Each further machine uses the next
+// port.
 const firstWorkerPort = 20000
 
-// Capacity is how many machines of a kind there are.
+// Capacity is the number of machines that the cloud has of one type, in one zone, as spot or
+// regular machines.
 type Capacity struct {
 	MachineType, Zone string
 	Spot              bool
 	Count             int
 }
 
-// offers reports whether the capacity is of the kind that a request asks for.
+// offers reports whether a request asks for machines of this capacity.
 func (c *Capacity) offers(request *wire.RentRequest) bool {
 	return c.MachineType == request.MachineType && c.Zone == request.Zone && c.Spot == request.Spot
 }
 
-// rentedMachine is a rented machine.
+// rentedMachine is a machine from its rental until it is returned or reclaimed.
 type rentedMachine struct {
 	machine  wire.CloudMachine
 	rentedAt time.Time
 	worker   *Worker // nil until the machine has booted
 }
 
-// occupies reports whether the machine takes from the capacity that a request asks for.
+// occupies reports whether the machine uses up one machine of the capacity that a request asks for.
+// A failed machine does not.
 func (m *rentedMachine) occupies(request *wire.RentRequest) bool {
 	machine := &m.machine
 	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
 		machine.Spot == request.Spot && machine.State != wire.MachineFailed
 }
 
-// Cloud emulates the cloud. Its machines run Workers.
+// Cloud emulates the cloud provider. Each machine that has booted runs a Worker.
 type Cloud struct {
 	MachineTypes []wire.MachineType
 	Capacity     []Capacity
-	ListLag      time.Duration // by which the list of machines is late
-	// ChooseFault, if set, decides what happens to each rental and return.
+	ListLag      time.Duration // minimum age of the list of machines that is returned
+	// ChooseFault, if set, returns the fault of each request to rent or return machines, and the
+	// delay of ExecuteLate.
 	ChooseFault func() (RequestFault, time.Duration)
-	// BootWorker starts a machine's worker once it is up.
+	// BootWorker starts the worker of a machine that has booted. The cloud's lock is held.
 	BootWorker func(m wire.CloudMachine) *Worker
-	// BootTime returns how long one machine takes to boot; 0: it never comes up.
+	// BootTime returns how long one machine takes to boot; 0 if it never finishes booting.
 	BootTime func(t wire.MachineType) time.Duration
 
 	mu             sync.Mutex
-	nextNumber     int // number of the next machine
+	nextNumber     int // number from which the next machine's ID and port are built
 	machines       map[string]*rentedMachine
-	rentals        map[string][]string // IDs of the machines that each request ID has rented
+	rentals        map[string][]string // by request ID: IDs of the machines that the request rented
 	refusedRentals int
 	snapshots      []listSnapshot
 }
 
-// listSnapshot is the list as it was at a time; the cloud shows an old one.
+// listSnapshot is the list of machines at one time.
 type listSnapshot struct {
 	takenAt  time.Time
 	machines []wire.CloudMachine
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the cloud.
 func (c *Cloud) Handler() http.Handler {
 	c.mu.Lock()
 	if c.machines == nil {
@@ -97,7 +101,7 @@
 		return
 	}
 	if request.RequestID == "" || request.Count < 1 || request.Count > maxRentedMachines {
-		writeError(w, http.StatusBadRequest, "malformed")
+		writeError(w, http.StatusBadRequest, "request ID missing, or machine count out of range")
 		return
 	}
 	fault, delay := c.fault()
@@ -129,15 +133,16 @@
 	return c.ChooseFault()
 }
 
-// RefusedRentals counts the rentals for which there was no capacity.
+// RefusedRentals returns how many rentals were refused because there was no capacity.
 func (c *Cloud) RefusedRentals() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.refusedRentals
 }
 
-// rent rents as many of the requested machines as there is capacity for, and returns their IDs;
-// nil if there is none. A repeated request returns the machines that it has rented before.
+// rent rents as many of the requested machines as there is capacity for, and returns their IDs, or
+// nil if there is no capacity. A request ID that was used before rents nothing and returns the IDs
+// of the machines that it rented then.
 func (c *Cloud) rent(request *wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,8 +162,8 @@
 	return ids
 }
 
-// freeCapacity counts the machines of the requested kind that are not rented. The lock must be
-// held.
+// freeCapacity returns how many machines of the requested type, zone and spot setting can still be
+// rented. The lock must be held.
 func (c *Cloud) freeCapacity(request *wire.RentRequest) int {
 	free := 0
 	for _, capacity := range c.Capacity {
@@ -174,15 +179,15 @@
 	return free
 }
 
-// AddMachine rents a machine without a request, whatever the capacity, and returns its ID. Handler
-// must have been called before.
+// AddMachine rents a machine without a request and without regard to the capacity, and returns its
+// ID. Handler must have been called before.
 func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.addMachine(machineType, zone, spot)
 }
 
-// addMachine rents one machine, and returns its ID. The lock must be held.
+// addMachine rents one machine, starts to boot it, and returns its ID. The lock must be held.
 func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
 	id := fmt.Sprintf("m-%06d", c.nextNumber)
 	added := &rentedMachine{
@@ -209,7 +214,8 @@
 	return id
 }
 
-// boot starts a machine's worker, unless the machine has been returned meanwhile.
+// boot marks a machine as running and starts its worker, unless the machine was returned or
+// reclaimed while it booted.
 func (c *Cloud) boot(booting *rentedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,14 +226,15 @@
 	booting.worker = c.BootWorker(booting.machine)
 }
 
-// terminate ends machines with their workers.
+// terminate removes machines, and kills their workers.
 func (c *Cloud) terminate(ids []string) {
 	for _, worker := range c.removeMachines(ids) {
 		worker.Kill()
 	}
 }
 
-// removeMachines removes machines, and returns the workers of those that had booted.
+// removeMachines removes the machines that are rented, and returns the workers of those that had
+// booted.
 func (c *Cloud) removeMachines(ids []string) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -245,10 +252,10 @@
 	return workers
 }
 
-// Reclaim removes a machine without notice, as the cloud does with spot instances.
+// Reclaim removes a machine without a request, as the cloud does with spot machines.
 func (c *Cloud) Reclaim(id string) { c.terminate([]string{id}) }
 
-// Workers lists the workers of the machines that are up, by machine ID.
+// Workers returns the workers of all machines that have booted, sorted by machine ID.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,7 +273,7 @@
 	machines := c.laggedList()
 	since := r.URL.Query().Get("since")
 	pageSize := pageSizeOf(r, maxListedMachines)
-	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // an empty list on the wire, not null
+	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // encoded as an empty list, not as null
 	for _, machine := range machines {
 		if machine.ID <= since {
 			continue
@@ -280,9 +287,9 @@
 	writeResponse(w, http.StatusOK, page)
 }
 
-// laggedList takes a snapshot of the list, and returns the newest one that is at least Lag
-// old; none yet: an empty list. Snapshots are taken on request only, so that the list can be
-// as old as its reader is slow.
+// laggedList takes a snapshot of the machines, and returns the newest snapshot that is at least
+// ListLag old, or nil if there is none. Snapshots are taken only here, so a client that lists the
+// machines rarely gets a list that may be as old as its own interval between requests.
 func (c *Cloud) laggedList() []wire.CloudMachine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -300,7 +307,8 @@
 	return shown
 }
 
-// currentList lists the rented machines by ID. The lock must be held.
+// currentList returns the rented machines, sorted by ID, with their age at now. The lock must be
+// held.
 func (c *Cloud) currentList(now time.Time) []wire.CloudMachine {
 	var machines []wire.CloudMachine
 	for _, rented := range c.machines {
--- a/internal/emulator/cloud_test.go
+++ b/internal/emulator/cloud_test.go
@@ -11,7 +11,7 @@
 	"ambersill/internal/wire"
 )
 
-// newTestCloud returns a cloud with three machines of one kind, that never boot.
+// newTestCloud returns a cloud with capacity for three machines of one type. They never boot.
 func newTestCloud() *Cloud {
 	machineType := wire.MachineType{Name: "small", Zones: []string{"a"}}
 	return &Cloud{
@@ -22,7 +22,8 @@
 	}
 }
 
-// rent asks a cloud for machines, and returns the status and the IDs of those rented.
+// rent sends a rental request to a cloud, and returns the HTTP status and the IDs of the rented
+// machines.
 func rent(t *testing.T, handler http.Handler, requestID string, count int) (int, []string) {
 	t.Helper()
 	body := wire.RentRequest{
@@ -36,12 +37,12 @@
 	return status, response.Machines
 }
 
-// listMachines returns the IDs of the machines that a cloud lists.
+// listMachines returns the IDs of the machines in a cloud's list.
 func listMachines(t *testing.T, handler http.Handler) []string {
 	t.Helper()
 	var page wire.MachinePage
 	if status := request(t, handler, http.MethodGet, "/hosts", nil, &page); status != http.StatusOK {
-		t.Fatalf("the list of machines answers %d", status)
+		t.Fatalf("listing machines: got status %d, want 200", status)
 	}
 	ids := []string{}
 	for _, machine := range page.Machines {
@@ -56,10 +57,10 @@
 	_, first := rent(t, handler, "request-1", 2)
 	status, repeated := rent(t, handler, "request-1", 2)
 	if status != http.StatusOK || len(first) != 2 || !slices.Equal(first, repeated) {
-		t.Errorf("a rental returns %v, and repeated answers %d with %v", first, status, repeated)
+		t.Errorf("rental of 2 machines, sent twice: got %v, then status %d with %v, want 200 and the same 2 IDs", first, status, repeated)
 	}
 	if rented := len(cloud.machines); rented != 2 {
-		t.Errorf("%d machines are rented, want 2", rented)
+		t.Errorf("rented machines: got %d, want 2", rented)
 	}
 }
 
@@ -71,7 +72,7 @@
 		defer func() {
 			recovered := recover()
 			if err, ok := recovered.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
-				t.Errorf("a lost response recovers as %v", recovered)
+				t.Errorf("panic of the handler for a lost response: got %v, want http.ErrAbortHandler", recovered)
 			}
 		}()
 		rent(t, handler, "request-1", 2)
@@ -79,7 +80,7 @@
 	cloud.ChooseFault = nil
 	status, ids := rent(t, handler, "request-1", 2)
 	if status != http.StatusOK || len(ids) != 2 || len(cloud.machines) != 2 {
-		t.Errorf("the repeat answers %d with %v; %d machines are rented", status, ids, len(cloud.machines))
+		t.Errorf("repeat of a rental of 2 machines: got status %d with %v and %d rented machines, want 200 and 2 machines", status, ids, len(cloud.machines))
 	}
 }
 
@@ -88,13 +89,13 @@
 	handler := cloud.Handler()
 	rent(t, handler, "request-1", 2)
 	if status, ids := rent(t, handler, "request-2", 2); status != http.StatusOK || len(ids) != 1 {
-		t.Errorf("a rental over the capacity answers %d with %v", status, ids)
+		t.Errorf("rental of 2 machines with capacity for 1: got status %d with %v, want 200 with 1 ID", status, ids)
 	}
 	if status, _ := rent(t, handler, "request-3", 1); status != http.StatusServiceUnavailable {
-		t.Errorf("a rental without capacity answers %d", status)
+		t.Errorf("rental without capacity: got status %d, want 503", status)
 	}
 	if refusals := cloud.RefusedRentals(); refusals != 1 {
-		t.Errorf("%d refusals are counted, want 1", refusals)
+		t.Errorf("refused rentals: got %d, want 1", refusals)
 	}
 }
 
@@ -105,24 +106,24 @@
 		_, rented := rent(t, handler, "request-1", 1)
 
 		if listed := listMachines(t, handler); len(listed) != 0 {
-			t.Errorf("at once the list has %v", listed)
+			t.Errorf("list right after a rental: got %v, want none", listed)
 		}
 		time.Sleep(cloud.ListLag - time.Second)
 		if listed := listMachines(t, handler); len(listed) != 0 {
-			t.Errorf("before the lag is over the list has %v", listed)
+			t.Errorf("list 1 s before the list lag has passed: got %v, want none", listed)
 		}
 		time.Sleep(time.Second)
 		if listed := listMachines(t, handler); !slices.Equal(listed, rented) {
-			t.Errorf("after the lag the list has %v, want %v", listed, rented)
+			t.Errorf("list after the list lag: got %v, want %v", listed, rented)
 		}
 
 		request(t, handler, http.MethodPost, "/hosts/return", wire.MachineIDs{Machines: rented}, nil)
 		if listed := listMachines(t, handler); !slices.Equal(listed, rented) {
-			t.Errorf("at once after a return the list has %v, want %v", listed, rented)
+			t.Errorf("list right after a return: got %v, want %v", listed, rented)
 		}
 		time.Sleep(cloud.ListLag)
 		if listed := listMachines(t, handler); len(listed) != 0 {
-			t.Errorf("after a return and the lag the list has %v", listed)
+			t.Errorf("list after a return and the list lag: got %v, want none", listed)
 		}
 	})
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -11,17 +11,18 @@
 	"ambersill/internal/wire"
 )
 
-// minRetainedChanges is how many changes a watch can go back, by the protocol.
+// minRetainedChanges is the number of latest changes that the store always keeps. A watch may
+// start at any revision that at most this many changes have followed.
 const minRetainedChanges = 10000
 
-// entry is a key's value with its metadata.
+// entry is the value of a key, with its metadata.
 type entry struct {
 	value    wire.Raw
-	revision uint64 // of the key's last change
-	leaseID  uint64 // lease that the key depends on; 0: none
+	revision uint64 // store revision at the last change of the key
+	leaseID  uint64 // lease with which the key is deleted; 0 if none
 }
 
-// change is one put or delete in the store's history.
+// change is the put or delete of one key, as the store's history records it.
 type change struct {
 	key      string
 	value    wire.Raw
@@ -29,22 +30,25 @@
 	revision uint64
 }
 
-// lease is a granted lease. The keys that depend on it are deleted when it expires.
+// lease is a granted lease. When it expires, the keys attached to it are deleted.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
 // KeyValueStore emulates the key-value store. Its HTTP handlers are in kvstore_handlers.go,
-// watches in kvstore_watch.go, and the switches of its faults in kvstore_faults.go.
+// watches in kvstore_watch.go, and the methods that inject faults in kvstore_faults.go.
 type KeyValueStore struct {
-	// ChooseFault, if set, decides what happens to each commit of a host.
+	// ChooseFault, if set, returns the fault of each commit, and the delay of ExecuteLate. It
+	// is called with the host that sent the commit, and the transaction without its values.
 	ChooseFault func(from string, t *wire.Txn) (RequestFault, time.Duration)
-	// AnswerRefusedWatches has a watch that times out while its host is refused answered with no
-	// events, though there may be some. The protocol says only that watches stay open, so
-	// controllers must not take such an answer as proof that the store serves them.
+	// AnswerRefusedWatches makes a watch that times out while its host is refused return 200
+	// without events, even if there are events. The store's protocol says only that watches
+	// stay open, so a controller must not take such a response as proof that the store serves
+	// its requests.
 	AnswerRefusedWatches bool
-	// OnPut, if set, is called with each key that is put, and its previous value.
+	// OnPut, if set, is called for each put with the key, its previous value (nil if the key is
+	// new) and its new value. The store's lock is held.
 	OnPut func(key string, previous, now wire.Raw)
 
 	mu             sync.Mutex
@@ -53,11 +57,11 @@
 	leases         map[uint64]lease
 	nextLeaseID    uint64
 	history        []change
-	changed        chan struct{} // closed, and replaced, at each change
+	changed        chan struct{} // closed and replaced at each change
 	faults         storeFaults
-	limits         *limits  // on what is written; nil: none
-	invalidReasons []string // why requests were answered 400
-	listedItems    int      // items that listings have held
+	limits         *limits  // limits on writes; nil if there are none
+	invalidReasons []string // reasons for which transactions exceeded a limit and were answered 400
+	listedItems    int      // entries returned by all listings so far
 }
 
 // NewKeyValueStore returns an empty store.
@@ -70,21 +74,22 @@
 	}
 }
 
-// Value returns a key's value and revision, also during an outage.
+// Value returns the value and the revision of a key, even during an outage; nil and 0 if the
+// key does not exist.
 func (s *KeyValueStore) Value(key string) (wire.Raw, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries[key].value, s.entries[key].revision
 }
 
-// CountListedItems counts the items that listings have held so far.
+// CountListedItems returns how many entries all listings so far have returned.
 func (s *KeyValueStore) CountListedItems() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.listedItems
 }
 
-// CountKeys counts the keys with a prefix.
+// CountKeys returns the number of keys with a prefix.
 func (s *KeyValueStore) CountKeys(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +102,8 @@
 	return count
 }
 
-// Dump lists all keys with their values, for the output of a failing test.
+// Dump returns one line for each key with its revision and decoded value, for the output of a
+// failing test.
 func (s *KeyValueStore) Dump() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +118,7 @@
 	return text.String()
 }
 
-// sortedKeys lists the keys that match. The lock must be held.
+// sortedKeys returns the matching keys in ascending order. The lock must be held.
 func (s *KeyValueStore) sortedKeys(matches func(key string, e entry) bool) []string {
 	var keys []string
 	for key, e := range s.entries {
@@ -124,7 +130,8 @@
 	return keys
 }
 
-// apply executes a transaction, and returns the status and the body of its answer.
+// apply executes a transaction, and returns the status and the body of the response. If a compare
+// fails it writes nothing and returns StatusConflict.
 func (s *KeyValueStore) apply(txn *rawTxn) (status int, body any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +148,8 @@
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// validate returns StatusOK, or the status and the reason with which a transaction is refused
-// whatever its compares say. The lock must be held.
+// validate checks a transaction against the limits, and checks that the leases it names exist. It
+// returns StatusOK, or the status and the reason of the refusal. The lock must be held.
 func (s *KeyValueStore) validate(txn *rawTxn) (status int, reason string) {
 	if s.limits != nil {
 		if reason := s.limits.exceeded(txn); reason != "" {
@@ -150,7 +157,7 @@
 			return http.StatusBadRequest, reason
 		}
 		if !s.limits.changes.AllowN(time.Now(), len(txn.Writes)) {
-			return http.StatusTooManyRequests, "too many changes"
+			return http.StatusTooManyRequests, "write rate limit exceeded"
 		}
 	}
 	for _, write := range txn.Writes {
@@ -164,8 +171,8 @@
 	return http.StatusOK, ""
 }
 
-// failedCompares lists the keys that are at another revision than required. The lock must be
-// held.
+// failedCompares returns the keys whose revision differs from the one that their compare requires.
+// The lock must be held.
 func (s *KeyValueStore) failedCompares(compares []wire.Compare) []string {
 	var failed []string
 	for _, compare := range compares {
@@ -176,7 +183,7 @@
 	return failed
 }
 
-// write executes the writes of one transaction. The lock must be held.
+// write executes the writes of one transaction, all at one new revision. The lock must be held.
 func (s *KeyValueStore) write(writes []rawWrite) {
 	s.revision++
 	for _, write := range writes {
@@ -189,7 +196,7 @@
 	s.notifyWatches()
 }
 
-// put sets a key at the current revision. The lock must be held.
+// put sets a key, and records the change at the current revision. The lock must be held.
 func (s *KeyValueStore) put(write rawWrite) {
 	if s.OnPut != nil {
 		s.OnPut(write.Put, s.entries[write.Put].value, write.Value)
@@ -206,7 +213,8 @@
 	})
 }
 
-// delete removes a key, if it exists, at the current revision. The lock must be held.
+// delete removes a key if it exists, and records the change at the current revision. The lock must
+// be held.
 func (s *KeyValueStore) delete(key string) {
 	if _, ok := s.entries[key]; !ok {
 		return
@@ -219,8 +227,8 @@
 	})
 }
 
-// appendChange adds a change to the history, and compacts it once it is twice as long as
-// watches need. The lock must be held.
+// appendChange adds a change to the history. When the history is longer than twice
+// minRetainedChanges, it is cut to the latest minRetainedChanges. The lock must be held.
 func (s *KeyValueStore) appendChange(c change) {
 	s.history = append(s.history, c)
 	if len(s.history) > 2*minRetainedChanges {
@@ -228,7 +236,7 @@
 	}
 }
 
-// grantLease returns the ID of a new lease.
+// grantLease grants a lease that expires after ttl unless it is renewed, and returns its ID.
 func (s *KeyValueStore) grantLease(ttl time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,8 +245,8 @@
 	return s.nextLeaseID
 }
 
-// renewLease extends a lease by its time to live, and reports whether it exists. The lock must
-// be held.
+// renewLease makes a lease expire one time to live from now, and reports whether the lease exists.
+// The lock must be held.
 func (s *KeyValueStore) renewLease(id uint64) bool {
 	l, ok := s.leases[id]
 	if !ok {
@@ -249,8 +257,8 @@
 	return true
 }
 
-// expireLeases ends the leases that have expired; none expires during an outage. The lock must
-// be held.
+// expireLeases removes the leases whose time to live has passed, except during an outage, when no
+// lease expires. The lock must be held.
 func (s *KeyValueStore) expireLeases() {
 	if s.faults.down {
 		return
@@ -263,7 +271,7 @@
 	}
 }
 
-// endLease removes a lease with the keys that depend on it. The lock must be held.
+// endLease removes a lease, and deletes the keys attached to it. The lock must be held.
 func (s *KeyValueStore) endLease(id uint64) {
 	delete(s.leases, id)
 	keys := s.sortedKeys(func(_ string, e entry) bool { return e.leaseID == id })
--- a/internal/emulator/kvstore_faults.go
+++ b/internal/emulator/kvstore_faults.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// RequestFault is what happens to one request to an emulated system.
+// RequestFault is the fault with which an emulated service handles one request.
 type RequestFault int
 
-// The faults of requests.
+// Values of RequestFault.
 const (
 	NoFault       RequestFault = iota
-	LoseResponse               // executed, but not answered
-	ExecuteLate                // not answered, and executed after a delay
-	RefuseRequest              // answered 503, and not executed
+	LoseResponse               // executes the request, and closes the connection without a response
+	ExecuteLate                // closes the connection without a response, and executes the request after a delay
+	RefuseRequest              // answers 503 without executing the request
 )
 
-// storeFaults are the faults of a key-value store that are switched on.
+// storeFaults holds the faults that are active in a key-value store.
 type storeFaults struct {
-	down            bool           // all requests are refused, and no lease expires
-	refusedRequests map[string]int // requests refused of each host that is refused alone
+	down            bool           // all requests are answered 503, and no lease expires
+	refusedRequests map[string]int // by host that RefuseHost refuses: number of its requests refused
 	responseDelay   time.Duration
-	watchesStalled  bool // watches get no answer, while everything else is served
-	listsRefused    bool // listings are refused, while everything else is served
+	watchesStalled  bool // watches get no response; other requests are served
+	listsRefused    bool // listings are answered 429; other requests are served
 }
 
-// SetDown starts or ends an outage. At its end every lease is renewed.
+// SetDown starts or ends an outage, during which every request is answered 503. The end of an
+// outage renews every lease.
 func (s *KeyValueStore) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,7 +35,8 @@
 	s.faults.down = down
 }
 
-// RefuseHost refuses all requests of a host while the others are served; its leases expire.
+// RefuseHost starts or stops answering 503 to all requests of one host. Other hosts are served, and
+// the leases of the refused host expire.
 func (s *KeyValueStore) RefuseHost(host string, refuse bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,41 +49,44 @@
 	}
 }
 
-// RefusedRequests counts the requests of a host that have been refused since RefuseHost.
+// RefusedRequests returns how many requests of a host have been refused since RefuseHost began to
+// refuse it; 0 if the host is not refused.
 func (s *KeyValueStore) RefusedRequests(host string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.refusedRequests[host]
 }
 
-// SetResponseDelay delays every response; requests are executed at once.
+// SetResponseDelay delays every response from now on by d. Requests are still executed on arrival.
 func (s *KeyValueStore) SetResponseDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.responseDelay = d
 }
 
-// StallWatches keeps watches from being answered, or lets them be answered again.
+// StallWatches starts or stops withholding the responses to watches.
 func (s *KeyValueStore) StallWatches(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.watchesStalled = on
 }
 
-// RefuseLists answers listings with 429, as over a rate limit, while all else is served.
+// RefuseLists starts or stops answering listings with 429, as if they exceeded a rate limit. Other
+// requests are served.
 func (s *KeyValueStore) RefuseLists(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.listsRefused = on
 }
 
-// refusesHost reports whether a host is refused alone. The lock must be held.
+// refusesHost reports whether RefuseHost has been called to refuse this host. The lock must be held.
 func (s *KeyValueStore) refusesHost(host string) bool {
 	_, refused := s.faults.refusedRequests[host]
 	return refused
 }
 
-// serves reports whether a host's requests are served. The lock must be held.
+// serves reports whether requests of a host are served: there is no outage, and the host is not
+// refused. The lock must be held.
 func (s *KeyValueStore) serves(host string) bool {
 	return !s.faults.down && !s.refusesHost(host)
 }
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -9,19 +9,20 @@
 	"ambersill/internal/wire"
 )
 
-// maxListedKeys is how many keys a page of a listing has at most, by the protocol.
+// maxListedKeys is the store's limit on the keys in one page of a listing.
 const maxListedKeys = 1000
 
-// noSuchLease is the reason in the answers to requests that name an unknown lease.
+// noSuchLease is the error text of responses to requests that name an unknown lease.
 const noSuchLease = "no such lease"
 
-// rawTxn is a transaction whose values stay encoded.
+// rawTxn is a wire.Txn whose values are not decoded.
 type rawTxn struct {
 	Compares []wire.Compare `cbor:"when"`
 	Writes   []rawWrite     `cbor:"then"`
 }
 
-// rawWrite is a write whose value is kept as it was sent.
+// rawWrite is a wire.Write whose value is not decoded, so that reads return the bytes that were
+// sent.
 type rawWrite struct {
 	Put     string   `cbor:"put"`
 	Value   wire.Raw `cbor:"value"`
@@ -29,7 +30,8 @@
 	Delete  string   `cbor:"delete"`
 }
 
-// withoutValues returns the transaction with its withoutValues only, as much of it as faults depend on.
+// withoutValues returns the transaction without the values and leases of its writes. ChooseFault
+// needs only the keys.
 func (t *rawTxn) withoutValues() *wire.Txn {
 	txn := &wire.Txn{Compares: t.Compares}
 	for _, write := range t.Writes {
@@ -38,7 +40,7 @@
 	return txn
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the store.
 func (s *KeyValueStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.handleGet)
@@ -63,7 +65,8 @@
 	})
 }
 
-// admit reports whether a request of the host is served, and after which delay it is answered.
+// admit reports whether a request of a host is served, and returns the delay of its response. It
+// counts the request if the host is refused.
 func (s *KeyValueStore) admit(host string) (served bool, responseDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +104,7 @@
 		return strings.HasPrefix(key, prefix) && key > since
 	})
 	page := wire.KeyValuePage{
-		Items:    []wire.KeyValue{}, // an empty list on the wire, not null
+		Items:    []wire.KeyValue{}, // encoded as an empty list, not as null
 		Revision: s.revision,
 	}
 	if len(keys) > pageSize {
@@ -163,7 +166,8 @@
 	writeResponse(w, http.StatusOK, map[string]bool{})
 }
 
-// leaseIDOf returns the lease ID in a request's path; 0, which no lease has, if there is none.
+// leaseIDOf returns the lease ID in the path of a request. If the path has no valid ID, it returns 0,
+// which is never the ID of a lease.
 func leaseIDOf(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -14,11 +14,11 @@
 	"ambersill/internal/wire"
 )
 
-// testHost is the host that the requests of these tests come from.
+// testHost is the remote address of the requests that these tests send.
 const testHost = "node-1"
 
-// request sends a request to a handler, decodes the body of the response unless response is
-// nil, and returns the status.
+// request sends a request to a handler, and returns the HTTP status. It decodes the body into
+// response unless response is nil.
 func request(t *testing.T, handler http.Handler, method, target string, body, response any) int {
 	t.Helper()
 	encoded, err := wire.Marshal(body)
@@ -33,7 +33,7 @@
 		return recorder.Code
 	}
 	if err := wire.Unmarshal(recorder.Body.Bytes(), response); err != nil {
-		t.Fatalf("%s %s answers %d with a body that can't be decoded: %v", method, target, recorder.Code, err)
+		t.Fatalf("%s %s: got status %d and a body that cannot be decoded: %v", method, target, recorder.Code, err)
 	}
 	return recorder.Code
 }
@@ -46,7 +46,8 @@
 	return status, response
 }
 
-// put writes a key on the condition that it is at a revision, which must hold.
+// put writes a key that must be at the given revision, and returns the new revision. Any response but
+// 200 fails the test.
 func put(t *testing.T, store *KeyValueStore, key string, revision uint64, value any, leaseID uint64) uint64 {
 	t.Helper()
 	status, response := commit(t, store, wire.Txn{
@@ -54,28 +55,28 @@
 		Writes:   []wire.Write{{Put: key, Value: value, LeaseID: leaseID}},
 	})
 	if status != http.StatusOK {
-		t.Fatalf("putting %s answers %d", key, status)
+		t.Fatalf("put of %s: got status %d, want 200", key, status)
 	}
 	return response.Revision
 }
 
-// grantLease asks a store for a lease, and returns its ID.
+// grantLease requests a lease from a store, and returns its ID.
 func grantLease(t *testing.T, store *KeyValueStore, ttl time.Duration) uint64 {
 	t.Helper()
 	var response wire.LeaseResponse
 	status := request(t, store.Handler(), http.MethodPost, "/holds", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, &response)
 	if status != http.StatusOK || response.LeaseID == 0 {
-		t.Fatalf("asking for a lease answers %d with lease %d", status, response.LeaseID)
+		t.Fatalf("requesting a lease: got status %d and lease ID %d, want 200 and an ID other than 0", status, response.LeaseID)
 	}
 	return response.LeaseID
 }
 
-// hasKey reports whether a store answers with a key.
+// hasKey reports whether reading a key from a store returns 200, rather than 404.
 func hasKey(t *testing.T, store *KeyValueStore, key string) bool {
 	t.Helper()
 	status := request(t, store.Handler(), http.MethodGet, "/store/"+key, nil, nil)
 	if status != http.StatusOK && status != http.StatusNotFound {
-		t.Fatalf("reading %s answers %d", key, status)
+		t.Fatalf("reading %s: got status %d, want 200 or 404", key, status)
 	}
 	return status == http.StatusOK
 }
@@ -91,7 +92,7 @@
 	})
 
 	if status != http.StatusConflict || !slices.Equal(response.Failed, []string{"b"}) || response.Revision != second {
-		t.Errorf("a failed compare answers %d with %+v", status, response)
+		t.Errorf("commit with a failing compare of b: got status %d and %+v, want 409, failed key b and the current revision", status, response)
 	}
 	value, revision := store.Value("a")
 	want, err := wire.Marshal("old")
@@ -99,10 +100,10 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(value, want) || revision != first {
-		t.Errorf("after a failed commit a is %x at revision %d", value, revision)
+		t.Errorf("key a after a commit with a failed compare: got value %x at revision %d, want the value and revision before", value, revision)
 	}
 	if !hasKey(t, store, "b") {
-		t.Error("a failed commit has deleted b")
+		t.Error("key b after a commit with a failed compare: got deleted, want kept")
 	}
 }
 
@@ -114,7 +115,7 @@
 		Writes:   []wire.Write{{Put: "a", Value: "second"}},
 	})
 	if status != http.StatusConflict {
-		t.Errorf("creating an existing key answers %d", status)
+		t.Errorf("commit that requires an existing key not to exist: got status %d, want 409", status)
 	}
 }
 
@@ -129,21 +130,21 @@
 		time.Sleep(2 * time.Second)
 
 		if hasKey(t, store, "short") {
-			t.Error("a key outlives its lease")
+			t.Error("key after its lease of 1 s expired: got kept, want deleted")
 		}
 		if !hasKey(t, store, "long") || !hasKey(t, store, "kept") {
-			t.Error("the expiry of a lease deletes a key that does not depend on it")
+			t.Error("keys without a lease or with an unexpired one, after another lease expired: got at least one deleted, want both kept")
 		}
 		var response wire.WatchResponse
 		target := fmt.Sprintf("/watch?prefix=&since=%d&waitMs=1000", before)
 		if status := request(t, store.Handler(), http.MethodGet, target, nil, &response); status != http.StatusOK {
-			t.Fatalf("a watch answers %d", status)
+			t.Fatalf("watch after a lease expired: got status %d, want 200", status)
 		}
 		if len(response.Events) != 1 || response.Events[0].Delete != "short" || response.Revision != before+1 {
-			t.Errorf("after the expiry a watch answers %+v", response)
+			t.Errorf("watch after a lease expired: got %+v, want only the delete of key short, one revision later", response)
 		}
 		if status := request(t, store.Handler(), http.MethodPost, fmt.Sprintf("/holds/%d/extend", short), nil, nil); status != http.StatusNotFound {
-			t.Errorf("renewing an expired lease answers %d", status)
+			t.Errorf("renewing an expired lease: got status %d, want 404", status)
 		}
 	})
 }
@@ -156,11 +157,11 @@
 		for range 3 {
 			time.Sleep(2 * time.Second)
 			if status := request(t, store.Handler(), http.MethodPost, fmt.Sprintf("/holds/%d/extend", id), nil, nil); status != http.StatusOK {
-				t.Fatalf("renewing a lease answers %d", status)
+				t.Fatalf("renewing a lease before it expires: got status %d, want 200", status)
 			}
 		}
 		if !hasKey(t, store, "a") {
-			t.Error("a renewed lease has expired")
+			t.Error("key of a lease that is renewed in time: got deleted, want kept")
 		}
 	})
 }
@@ -173,17 +174,17 @@
 		store.SetDown(true)
 		time.Sleep(time.Minute)
 		if status := request(t, store.Handler(), http.MethodGet, "/store/a", nil, nil); status != http.StatusServiceUnavailable {
-			t.Errorf("a request during an outage answers %d", status)
+			t.Errorf("read during an outage: got status %d, want 503", status)
 		}
 		store.SetDown(false)
 
 		time.Sleep(2 * time.Second)
 		if !hasKey(t, store, "a") {
-			t.Error("a lease has expired less than its time to live after an outage")
+			t.Error("key 2 s after an outage, with a lease of 3 s: got deleted, want kept")
 		}
 		time.Sleep(2 * time.Second)
 		if hasKey(t, store, "a") {
-			t.Error("a lease outlives its time to live after an outage")
+			t.Error("key 4 s after an outage, with a lease of 3 s: got kept, want deleted")
 		}
 	})
 }
@@ -195,14 +196,14 @@
 		store.RefuseHost(testHost, true)
 		time.Sleep(2 * time.Second)
 		if status := request(t, store.Handler(), http.MethodGet, "/store/a", nil, nil); status != http.StatusServiceUnavailable {
-			t.Errorf("a refused host is answered %d", status)
+			t.Errorf("read from a refused host: got status %d, want 503", status)
 		}
 		if refused := store.RefusedRequests(testHost); refused != 1 {
-			t.Errorf("%d refused requests are counted, want 1", refused)
+			t.Errorf("refused requests: got %d, want 1", refused)
 		}
 		store.RefuseHost(testHost, false)
 		if hasKey(t, store, "a") {
-			t.Error("the lease of a refused host has not expired")
+			t.Error("key of a refused host after its lease expired: got kept, want deleted")
 		}
 	})
 }
@@ -210,17 +211,17 @@
 func TestWatchOfCompactedRevisionAnswersGone(t *testing.T) {
 	store := NewKeyValueStore()
 	var last uint64
-	for range 2*minRetainedChanges + 1 { // the history is compacted when it is twice as long as kept
+	for range 2*minRetainedChanges + 1 { // the last put makes the store compact its history
 		last = put(t, store, "a", last, 1, 0)
 	}
 	watch := func(since uint64) int {
 		return request(t, store.Handler(), http.MethodGet, fmt.Sprintf("/watch?prefix=a&since=%d&waitMs=0", since), nil, nil)
 	}
 	if status := watch(last - minRetainedChanges - 1); status != http.StatusGone {
-		t.Errorf("a watch of a compacted revision answers %d", status)
+		t.Errorf("watch since a compacted revision: got status %d, want 410", status)
 	}
 	if status := watch(last - minRetainedChanges); status != http.StatusOK {
-		t.Errorf("a watch of the oldest kept revision answers %d", status)
+		t.Errorf("watch since the oldest retained revision: got status %d, want 200", status)
 	}
 }
 
@@ -233,10 +234,10 @@
 		var response wire.WatchResponse
 		request(t, store.Handler(), http.MethodGet, "/watch?prefix=w&since=0&waitMs=10000", nil, &response)
 		if len(response.Events) != 1 || response.Events[0].Put != "watched" || response.Revision != 2 {
-			t.Errorf("a watch answers %+v", response)
+			t.Errorf("watch of prefix w: got %+v, want only the put of key watched, at revision 2", response)
 		}
 		if waited := time.Since(start); waited != 2*time.Second {
-			t.Errorf("a watch answers after %v, want 2s", waited)
+			t.Errorf("time until the watch was answered: got %v, want 2s", waited)
 		}
 	})
 }
@@ -260,14 +261,14 @@
 		page = wire.KeyValuePage{}
 		request(t, store.Handler(), http.MethodGet, "/store?prefix=a/&most=3&since="+since, nil, &page)
 		if len(page.Items) > 3 {
-			t.Fatalf("a page of 3 has %d keys", len(page.Items))
+			t.Fatalf("keys in a page of at most 3: got %d", len(page.Items))
 		}
 		for _, item := range page.Items {
 			listed = append(listed, item.Key)
 		}
 	}
 	if !slices.Equal(listed, want) {
-		t.Errorf("the pages list %v, want %v", listed, want)
+		t.Errorf("keys of all pages: got %v, want %v", listed, want)
 	}
 }
 
@@ -276,7 +277,7 @@
 	store.Limit(config.StateLimits{WriteRPS: 10, ValueKB: 1, TxnOps: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
 	if status != http.StatusBadRequest || len(store.Invalid()) != 1 {
-		t.Errorf("a value over the limit answers %d, invalid: %v", status, store.Invalid())
+		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.Invalid())
 	}
 	put(t, store, "a", 0, "short", 0)
 }
@@ -295,10 +296,10 @@
 			t.Fatal(err)
 		}
 		if size, err := JSONSize(raw); err != nil || size != c.want {
-			t.Errorf("the size of %v is %d (%v), want %d", c.value, size, err, c.want)
+			t.Errorf("JSON size of %v: got %d and error %v, want %d", c.value, size, err, c.want)
 		}
 	}
 	if _, err := JSONSize(nil); err == nil {
-		t.Error("no value has a size")
+		t.Error("JSON size of an empty encoding: got no error, want one")
 	}
 }
--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// leaseCheckInterval is how often a watch looks for leases that have expired, which no request
-	// announces.
+	// leaseCheckInterval is how often a waiting watch checks for expired leases. Expiry itself
+	// wakes no watch, because a lease is removed only when a request or a watch checks it.
 	leaseCheckInterval = 200 * time.Millisecond
-	// cborNull is the CBOR encoding of null, the value of a deleted key.
+	// cborNull is the CBOR encoding of null, which delete events have as their value.
 	cborNull = 0xf6
 )
 
-// watchState is what a watch finds when it looks at the store.
+// watchState is the state of the store for one watch at one time.
 type watchState struct {
 	response  wire.WatchResponse
 	changed   <-chan struct{} // closed at the next change
-	served    bool
-	compacted bool // changes after the watch's revision are no longer kept
+	served    bool            // the watch may be answered now
+	compacted bool            // the history lacks some changes after the watch's revision
 }
 
-// notifyWatches wakes the watches after a change. The lock must be held.
+// notifyWatches wakes all waiting watches after a change. The lock must be held.
 func (s *KeyValueStore) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -38,10 +38,10 @@
 	prefix := query.Get("prefix")
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, "since")
+		writeError(w, http.StatusBadRequest, "parameter since is not a number")
 		return
 	}
-	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // no number: 0, an answer at once
+	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // 0 if not a number: the watch is answered at once
 	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timeout.Stop()
 	timeoutPassed := false
@@ -49,7 +49,7 @@
 		state := s.watchState(r.RemoteAddr, since, prefix)
 		switch {
 		case state.compacted:
-			writeError(w, http.StatusGone, "too old")
+			writeError(w, http.StatusGone, "history after this revision is compacted")
 			return
 		case !state.served && timeoutPassed && s.AnswerRefusedWatches:
 			writeResponse(w, http.StatusOK, wire.WatchResponse{Revision: since, Events: []wire.Event{}})
@@ -66,7 +66,8 @@
 	}
 }
 
-// watchState returns what a host's watch of a prefix finds now.
+// watchState returns the current state of the store for a host's watch of a prefix: the events after
+// revision since, and whether the watch is served.
 func (s *KeyValueStore) watchState(host string, since uint64, prefix string) watchState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,15 +85,16 @@
 	}
 }
 
-// compacted reports whether a change after a revision is no longer kept. The lock must be held.
+// compacted reports whether changes after a revision are missing from the history. The lock must be
+// held.
 func (s *KeyValueStore) compacted(since uint64) bool {
 	return s.revision > since && len(s.history) >= minRetainedChanges && s.history[0].revision > since+1
 }
 
-// eventsSince returns the changes after a revision of the keys under a prefix. The lock must
-// be held.
+// eventsSince returns the events after a revision for the keys with a prefix. The lock must be
+// held.
 func (s *KeyValueStore) eventsSince(since uint64, prefix string) []wire.Event {
-	events := []wire.Event{} // an empty list on the wire, not null
+	events := []wire.Event{} // encoded as an empty list, not as null
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision > since })
 	for _, c := range s.history[first:] {
 		if strings.HasPrefix(c.key, prefix) {
@@ -102,7 +104,7 @@
 	return events
 }
 
-// event returns the change as watches are sent it.
+// event returns the change as an event of a watch response.
 func (c *change) event() wire.Event {
 	if c.deleted {
 		return wire.Event{
@@ -118,8 +120,8 @@
 	}
 }
 
-// awaitChange waits for a change, the watch's timeout or, at most, the watch interval. It
-// reports whether the timeout has passed, and fails if the context ends.
+// awaitChange waits until the store changes, the watch times out or leaseCheckInterval has passed. It
+// reports whether the watch timed out, and returns an error if the context ends first.
 func awaitChange(ctx context.Context, changed <-chan struct{}, timeout <-chan time.Time) (timedOut bool, err error) {
 	interval := time.NewTimer(leaseCheckInterval)
 	defer interval.Stop()
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -8,35 +8,36 @@
 )
 
 // Worker emulates the worker of one machine. Its heartbeats are in worker_heartbeats.go, the
-// commands that it executes in worker_commands.go, and its tasks in worker_tasks.go. All
-// workers of a simulation share its lock, which keeps gangs and the model simple.
+// commands that it executes in worker_commands.go, and its tasks in worker_tasks.go. The lock of
+// the simulation guards the state of all its workers, so that code which touches several workers,
+// such as that for gangs, needs no other lock.
 type Worker struct {
 	Machine     wire.CloudMachine
 	simulation  *Simulation
 	machineType wire.MachineType
 
-	tasks               map[string]*task // by task name; one attempt at a time, others are refused
-	refusedStarts       []*task
-	images              map[string]bool
+	tasks               map[string]*task // by task name; at most one attempt of a task
+	refusedStarts       []*task          // attempts refused at their start, reported until forgotten
+	images              map[string]bool  // images that have been fetched
 	incarnation         uint64
 	sequence            uint64
 	fencingToken        uint64
-	leaseStart          time.Time // when the last answered heartbeat was sent
-	terminationNoticeS  *float64
-	dead                bool
-	hung                bool
-	resume              chan struct{}
-	faulty              bool
-	inboundCut          bool          // its heartbeats leave, but no response and no command arrives
-	outboundCut         bool          // it reaches no controller, while commands arrive
-	commandDelay        time.Duration // after which direct commands execute
-	lateCommandRequests int           // requests whose commands were delayed, or came while the machine hung
-	changed             chan struct{}
-	nodeIndex           int
+	leaseStart          time.Time     // when the last accepted heartbeat was sent, or the incarnation began
+	terminationNoticeS  *float64      // seconds between the notice and the removal; nil without notice
+	dead                bool          // the machine has been removed
+	hung                bool          // the machine hangs: it neither sends nor executes anything
+	resume              chan struct{} // closed and replaced when a hang ends
+	faulty              bool          // every task that starts fails
+	inboundCut          bool          // heartbeats are sent, but no response or command arrives
+	outboundCut         bool          // heartbeats are not sent, but commands arrive
+	commandDelay        time.Duration // between the arrival and the execution of direct commands
+	lateCommandRequests int           // requests whose commands were delayed, or arrived while the machine hung
+	changed             chan struct{} // signals that the next heartbeat is due early
+	nodeIndex           int           // modulo the number of nodes: the node that heartbeats go to
 	cancel              context.CancelFunc
 }
 
-// StartWorker starts a machine's worker.
+// StartWorker starts the worker of a machine. It runs until Kill is called or the simulation ends.
 func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
 	ctx, cancel := context.WithCancel(w.Ctx)
 	worker := &Worker{
@@ -56,7 +57,7 @@
 	return worker
 }
 
-// Kill ends the machine: it and all that is on it are gone.
+// Kill removes the machine with all its tasks, without any further heartbeat.
 func (w *Worker) Kill() {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -65,7 +66,8 @@
 	w.dropTasks()
 }
 
-// Hang has the machine hang for a while; it continues where it was.
+// Hang freezes the machine for d. Afterwards it continues from the same state. Hang does nothing if
+// the machine already hangs or has been removed.
 func (w *Worker) Hang(d time.Duration) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -76,7 +78,8 @@
 	time.AfterFunc(d, w.endHang)
 }
 
-// endHang has the machine continue. Timers that fired while it hung fire again.
+// endHang makes the machine continue. Every task's timer is set to fire now, including those that
+// fired while the machine hung and had no effect.
 func (w *Worker) endHang() {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -91,37 +94,37 @@
 	}
 }
 
-// FailTasks has every task fail that starts on this machine, or no longer.
+// FailTasks makes every task that starts on this machine from now on fail, or stops doing so.
 func (w *Worker) FailTasks(on bool) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
 	w.faulty = on
 }
 
-// CutInbound lets heartbeats out, but no response and no command in.
+// CutInbound starts or stops dropping all responses and commands. Heartbeats are still sent.
 func (w *Worker) CutInbound(on bool) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
 	w.inboundCut = on
 }
 
-// CutOutbound keeps heartbeats from leaving, while commands arrive.
+// CutOutbound starts or stops dropping all heartbeats. Commands still arrive.
 func (w *Worker) CutOutbound(on bool) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
 	w.outboundCut = on
 }
 
-// DelayCommands has direct commands that arrive from now on execute after a delay, also when
-// their sender has given up; 0: at once.
+// DelayCommands makes direct commands that arrive from now on execute after a delay, even if the
+// sender has closed the connection by then. 0 executes them on arrival.
 func (w *Worker) DelayCommands(d time.Duration) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
 	w.commandDelay = d
 }
 
-// LateCommandRequests counts the requests with commands that were delayed, or arrived while the
-// machine hung.
+// LateCommandRequests returns the number of requests whose commands were delayed, or arrived while
+// the machine hung.
 func (w *Worker) LateCommandRequests() int {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -135,7 +138,7 @@
 	return w.incarnation
 }
 
-// GiveTerminationNotice gives notice that the cloud removes the machine after d.
+// GiveTerminationNotice makes the heartbeats report that the cloud will remove the machine after d.
 func (w *Worker) GiveTerminationNotice(d time.Duration) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -144,6 +147,7 @@
 	w.notifyChange()
 }
 
+// notifyChange makes the next heartbeat due early, since there is a change to report.
 func (w *Worker) notifyChange() {
 	select {
 	case w.changed <- struct{}{}:
@@ -151,8 +155,10 @@
 	}
 }
 
-// expireLease ends the incarnation once the lease has run out. A hanging machine's
-// tasks end with it too: it kills them before it does anything else.
+// expireLease ends the incarnation if its lease has expired: it drops all tasks, and begins a new
+// incarnation. It may do so while the machine hangs, because a machine whose lease has expired kills
+// its tasks before it does anything else. The checker counts the tasks as ended when the lease
+// expired.
 func (w *Worker) expireLease() {
 	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -9,7 +9,8 @@
 	"ambersill/internal/wire"
 )
 
-// serveCommands accepts direct commands.
+// serveCommands serves direct commands, which controllers send without waiting for a heartbeat,
+// until ctx ends.
 func (w *Worker) serveCommands(ctx context.Context) {
 	listener, err := w.simulation.net(w.Machine).Listen(ctx, w.Machine.Address)
 	if err != nil {
@@ -30,8 +31,9 @@
 	_ = server.Serve(listener)
 }
 
-// handleCommands executes a request's commands and responds, unless the machine can't: one
-// that hangs executes them when the hang ends.
+// handleCommands executes the commands of a request, and responds with a heartbeat. It responds with
+// StatusConflict and executes none if the request has a lower fencing token than the worker has seen,
+// or is for another incarnation. A machine that hangs executes the commands when the hang ends.
 func (w *Worker) handleCommands(ctx context.Context, rw http.ResponseWriter, request *wire.CommandRequest) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -58,8 +60,9 @@
 	writeResponse(rw, status, w.heartbeat())
 }
 
-// awaitCommandExecution waits out the delay of commands, and a hang; false: the machine ended.
-// The simulation's lock is held before and after, not meanwhile.
+// awaitCommandExecution waits until the command delay has passed and the machine does not hang. It
+// returns false if ctx ends during a hang. The simulation's lock must be held; it is released while
+// waiting, and held again on return.
 func (w *Worker) awaitCommandExecution(ctx context.Context) bool {
 	if delay := w.commandDelay; delay > 0 {
 		w.simulation.mu.Unlock()
@@ -83,14 +86,15 @@
 	return true
 }
 
-// Execute executes a command as if a request had brought it.
+// Execute executes a command without a request, and so without checks of fencing token and
+// incarnation.
 func (w *Worker) Execute(c wire.Command) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
 	w.executeCommands([]wire.Command{c})
 }
 
-// executeCommands executes commands. The simulation's lock must be held.
+// executeCommands executes commands in their order. The simulation's lock must be held.
 func (w *Worker) executeCommands(commands []wire.Command) {
 	for _, c := range commands {
 		switch c.Op {
@@ -107,7 +111,8 @@
 	w.notifyChange()
 }
 
-// forget removes an exited task, or a refused start, from the heartbeats.
+// forget removes the exited task or refused start that a command names, so that heartbeats no longer
+// report it.
 func (w *Worker) forget(c wire.Command) {
 	if t := w.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
 		delete(w.tasks, c.Task)
@@ -117,12 +122,15 @@
 	}
 }
 
-// refusedStartIndex is the index of the refused start that a command names; -1 if there is none.
+// refusedStartIndex returns the index in refusedStarts of the attempt that a command names; -1 if it
+// is not there.
 func (w *Worker) refusedStartIndex(c wire.Command) int {
 	return slices.IndexFunc(w.refusedStarts, func(t *task) bool { return t.name == c.Task && t.attempt == c.Attempt })
 }
 
-// start starts a task, unless the worker has the attempt already.
+// start starts the attempt that a command names. It does nothing if the worker already has or has
+// refused this attempt. It refuses an unknown task, a task of which another attempt has not exited,
+// and a task for which the machine lacks resources.
 func (w *Worker) start(c wire.Command) {
 	old := w.tasks[c.Task]
 	if w.refusedStartIndex(c) >= 0 || (old != nil && old.attempt == c.Attempt) {
@@ -157,7 +165,7 @@
 	})
 }
 
-// refuse has the heartbeats say that a start is refused.
+// refuse makes the heartbeats report that a start was refused, and for which cause.
 func (w *Worker) refuse(c wire.Command, cause wire.ExitCause) {
 	w.refusedStarts = append(w.refusedStarts, &task{
 		name:    c.Task,
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -10,7 +10,8 @@
 	"ambersill/internal/wire"
 )
 
-// heartbeat returns the next heartbeat. The simulation's lock must be held.
+// heartbeat returns the next heartbeat, with a new sequence number. The simulation's lock must be
+// held.
 func (w *Worker) heartbeat() wire.Heartbeat {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
@@ -23,7 +24,7 @@
 		Sequence:           w.sequence,
 		FencingToken:       w.fencingToken,
 		TerminationNoticeS: w.terminationNoticeS,
-		Tasks:              []wire.TaskStatus{}, // an empty list on the wire, not null
+		Tasks:              []wire.TaskStatus{}, // encoded as an empty list, not as null
 	}
 	for _, t := range w.tasks {
 		heartbeat.Tasks = append(heartbeat.Tasks, t.status())
@@ -36,26 +37,27 @@
 }
 
 const (
-	// responseTimeout is after how long a worker drops the response to a heartbeat.
+	// responseTimeout is the maximum time from sending a heartbeat to its response. Later
+	// responses are ignored.
 	responseTimeout = 4 * time.Second
-	// retryDelay is the pause before the next node is tried.
+	// retryDelay is the pause before the next node is tried, after a heartbeat that was not accepted.
 	retryDelay = time.Second
 	// redirectDelay is the pause before a redirect is followed.
 	redirectDelay = 100 * time.Millisecond
-	// minHeartbeatInterval is the minimum time between two heartbeats.
+	// minHeartbeatInterval is the minimum pause before a heartbeat that a change makes due early.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// heartbeatExchange is a heartbeat and what came back.
+// heartbeatExchange is a heartbeat with the response to it.
 type heartbeatExchange struct {
 	heartbeat wire.Heartbeat
 	sentAt    time.Time
-	status    int // 0: no answer
+	status    int // HTTP status; 0 if there was no readable response
 	response  wire.HeartbeatResponse
 	redirect  wire.Redirect
 }
 
-// sendHeartbeats sends heartbeats until the machine is removed.
+// sendHeartbeats sends heartbeats until ctx ends, which Kill brings about.
 func (w *Worker) sendHeartbeats(ctx context.Context) {
 	client := w.simulation.client(w.Machine)
 	for ctx.Err() == nil {
@@ -84,7 +86,7 @@
 	}
 }
 
-// copySender returns a function that sends a copy of a heartbeat to a node.
+// copySender returns a function that sends a copy of a heartbeat to a node, and ignores the response.
 func (w *Worker) copySender(heartbeat wire.Heartbeat) func(to Node) {
 	return func(to Node) {
 		client := w.simulation.client(w.Machine)
@@ -94,7 +96,8 @@
 
 func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
 
-// handleResponse acts on what a heartbeat brought, and returns the time to the next one.
+// handleResponse handles the result of a heartbeat, and returns the pause before the next heartbeat.
+// Unless the node accepted the heartbeat or redirected the worker, the next node is tried.
 func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -103,10 +106,11 @@
 	case w.inboundCut:
 		w.nodeIndex++
 	case w.hung:
-		// The response is not read before the hang ends, and too old by then.
+		// The response would be read when the hang ends, and be too old by then.
 	case e.status == http.StatusOK:
 		w.acceptResponse(e)
-		// The protocol has workers send heartbeats up to a quarter early or late.
+		// Workers may send heartbeats up to a quarter of the interval early or late; this is the
+		// shortest pause allowed.
 		return w.simulation.HeartbeatInterval * 3 / 4
 	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != w.nodeIndex%len(w.simulation.Nodes):
 		w.nodeIndex = redirected
@@ -117,8 +121,9 @@
 	return retryDelay
 }
 
-// acceptResponse renews the lease and executes the commands, unless the response is of an
-// earlier incarnation, has a lower token, or is too late.
+// acceptResponse renews the lease and executes the commands of a response. It ignores a response to
+// a heartbeat of an earlier incarnation, one with a lower fencing token than the worker has seen, and
+// one that arrives after responseTimeout.
 func (w *Worker) acceptResponse(e *heartbeatExchange) {
 	token := e.response.FencingToken
 	if e.heartbeat.Incarnation != w.incarnation || token < w.fencingToken || time.Since(e.sentAt) > responseTimeout {
@@ -132,7 +137,8 @@
 	w.executeCommands(e.response.Commands)
 }
 
-// pauseBeforeHeartbeat waits for the given time, or after a change for the minimum gap.
+// pauseBeforeHeartbeat waits for the given time. If there is a change to report, it returns as soon
+// as minHeartbeatInterval has passed.
 func (w *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
 	timer := time.NewTimer(next)
 	defer timer.Stop()
@@ -149,8 +155,9 @@
 	}
 }
 
-// postHeartbeat sends a heartbeat, decodes the response by its status, and returns the status; 0: no
-// answer.
+// postHeartbeat sends a heartbeat, and returns the HTTP status, or 0 if there is no response or its
+// body cannot be decoded. It decodes the body of StatusOK into ok, and that of
+// StatusMisdirectedRequest into redirect.
 func (w *Worker) postHeartbeat(ctx context.Context, client *http.Client, url string, body, ok, redirect any) int {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -6,7 +6,7 @@
 	"ambersill/internal/wire"
 )
 
-// task is an attempt at a task on a machine.
+// task is one attempt of a task on a machine.
 type task struct {
 	name    string
 	job     *wire.Job
@@ -18,7 +18,7 @@
 	timer   *time.Timer
 }
 
-// status returns the task's entry in a heartbeat.
+// status returns the entry for the task in a heartbeat.
 func (t *task) status() wire.TaskStatus {
 	return wire.TaskStatus{
 		Task:            t.name,
@@ -29,10 +29,12 @@
 	}
 }
 
-// minTimerDelay is the delay of what happens at once, but in a goroutine of its own.
+// minTimerDelay is the delay of actions without a delay of their own. A timer runs them in another
+// goroutine, because the caller holds the simulation's lock.
 const minTimerDelay = time.Millisecond
 
-// dropTasks forgets all tasks. The simulation's lock must be held.
+// dropTasks removes all tasks and refused starts, without reporting them. The simulation's lock must
+// be held.
 func (w *Worker) dropTasks() {
 	for _, t := range w.tasks {
 		if t.timer != nil {
@@ -44,8 +46,8 @@
 	w.refusedStarts = nil
 }
 
-// hasResourcesFor reports whether another task of a job fits beside those that are here,
-// fetching ones included.
+// hasResourcesFor reports whether the machine has enough free CPUs, GPUs and memory for one more
+// task of a job. All tasks that have not exited count, including those that fetch their image.
 func (w *Worker) hasResourcesFor(job *wire.Job) bool {
 	cpus, gpus, memory := job.CPUs, job.GPUs, job.MemoryGB
 	for _, t := range w.tasks {
@@ -57,7 +59,8 @@
 	return cpus <= machine.CPUs+rounding && gpus <= machine.GPUs+rounding && memory <= machine.MemoryGB+rounding
 }
 
-// imageFetchTime is how long a job's image takes to be there.
+// imageFetchTime returns how long fetching a job's image takes; minTimerDelay if the machine has
+// the image.
 func (w *Worker) imageFetchTime(job *wire.Job) time.Duration {
 	if w.images[job.Image] {
 		return minTimerDelay
@@ -65,8 +68,9 @@
 	return time.Duration(job.ImageGB / w.machineType.ImageFetchGBPerS * float64(time.Second))
 }
 
-// runAfter runs f for a task runAfter a while, unless it has exited; a hanging
-// machine's timers wait until the hang ends.
+// runAfter calls f after d with the simulation's lock held, unless the task has exited or been
+// removed by then. It replaces the task's earlier timer. A timer that fires while the machine hangs
+// has no effect then; endHang resets it.
 func (w *Worker) runAfter(t *task, d time.Duration, f func()) {
 	if t.timer != nil {
 		t.timer.Stop()
@@ -82,7 +86,8 @@
 	})
 }
 
-// exit ends a task. The simulation's lock must be held.
+// exit makes a task exit with a cause, which heartbeats report until the task is forgotten. The
+// simulation's lock must be held.
 func (w *Worker) exit(t *task, exitCause wire.ExitCause, saved bool) {
 	if t.timer != nil {
 		t.timer.Stop()
@@ -92,7 +97,9 @@
 	w.notifyChange()
 }
 
-// stop ends a task, after it has saved a checkpoint if the grace period suffices for that.
+// stop makes a task exit, after it has saved a checkpoint if the grace period is long enough. If the
+// task already saves a checkpoint, a stop with a grace period lets it finish; a grace period of 0
+// ends it at once.
 func (w *Worker) stop(t *task, gracePeriodS float64) {
 	if t.savesCheckpoint(gracePeriodS) {
 		t.state = wire.TaskSaving
@@ -106,7 +113,8 @@
 	w.exit(t, wire.ExitStopped, false)
 }
 
-// savesCheckpoint reports whether a task that is stopped saves a checkpoint first.
+// savesCheckpoint reports whether a task that is stopped saves a checkpoint first: it is running, its
+// job makes checkpoints, and saving one takes no longer than the grace period.
 func (t *task) savesCheckpoint(gracePeriodS float64) bool {
 	if t.state != wire.TaskRunning || t.job.CheckpointIntervalS <= 0 {
 		return false
