--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -119,10 +119,10 @@
 		cluster.submit(idleArrayJob(1, 20, 1, 60), 0)
 		time.Sleep(40 * time.Second)
 		cluster.crashNodes()
-		before := cluster.store.CountListedItems()
+		before := cluster.store.CountListedKeys()
 		cluster.startNodes()
 		time.Sleep(10 * time.Second)
-		if n := cluster.store.CountListedItems() - before; n == 0 || n > finished/10 {
+		if n := cluster.store.CountListedKeys() - before; n == 0 || n > finished/10 {
 			cluster.t.Errorf("%d items were read after a failover with one job under way", n)
 		}
 		cluster.waitAndCheck(10 * time.Minute)
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -409,7 +409,7 @@
 
 // canRun reports whether a machine is usable, and allowed for a job.
 func (w *Worker) canRun(job *wire.Job) bool {
-	if w.dead || w.hung || w.faulty || w.terminationNoticeS != nil {
+	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
 	}
 	if (w.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != w.Machine.Zone) {
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -28,13 +28,13 @@
 	})}
 	machine := func(id, machineType, zone string, spot bool) *Worker {
 		return &Worker{
-			Machine:     wire.CloudMachine{ID: id, MachineType: machineType, Zone: zone, Spot: spot},
-			simulation:  s.Simulation,
-			machineType: wire.MachineType{Name: machineType, CPUs: 4, MemoryGB: 16},
-			tasks:       map[string]*task{},
-			images:      map[string]bool{},
-			leaseStart:  time.Now(),
-			changed:     make(chan struct{}, 1),
+			Machine:        wire.CloudMachine{ID: id, MachineType: machineType, Zone: zone, Spot: spot},
+			simulation:     s.Simulation,
+			machineType:    wire.MachineType{Name: machineType, CPUs: 4, MemoryGB: 16},
+			tasks:          map[string]*task{},
+			fetchedImages:  map[string]bool{},
+			leaseStart:     time.Now(),
+			earlyHeartbeat: make(chan struct{}, 1),
 		}
 	}
 	s.west, s.west2 = machine("m-1", "small", "west", false), machine("m-2", "small", "west", false)
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -126,6 +126,7 @@
 	})
 }
 
+// fault returns the fault of a request, and the delay of ExecuteLate.
 func (c *Cloud) fault() (RequestFault, time.Duration) {
 	if c.ChooseFault == nil {
 		return NoFault, 0
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -11,8 +11,8 @@
 	"ambersill/internal/wire"
 )
 
-// minRetainedChanges is the number of latest changes that the store always keeps. A watch may
-// start at any revision that at most this many changes have followed.
+// minRetainedChanges is the number of latest changes that the key-value store guarantees to keep for
+// watches. A watch may start at any revision that at most this many changes have followed.
 const minRetainedChanges = 10000
 
 // entry is the value of a key, with its metadata.
@@ -42,14 +42,14 @@
 	// ChooseFault, if set, returns the fault of each commit, and the delay of ExecuteLate. It
 	// is called with the host that sent the commit, and the transaction without its values.
 	ChooseFault func(from string, t *wire.Txn) (RequestFault, time.Duration)
-	// AnswerRefusedWatches makes a watch that times out while its host is refused return 200
-	// without events, even if there are events. The store's protocol says only that watches
+	// AnswerRefusedWatches makes a watch return 200 without events if it times out while its
+	// host is refused, the store is down or watches are stalled, even if there are events. The store's protocol says only that watches
 	// stay open, so a controller must not take such a response as proof that the store serves
 	// its requests.
 	AnswerRefusedWatches bool
 	// OnPut, if set, is called for each put with the key, its previous value (nil if the key is
 	// new) and its new value. The store's lock is held.
-	OnPut func(key string, previous, now wire.Raw)
+	OnPut func(key string, previous, current wire.Raw)
 
 	mu             sync.Mutex
 	revision       uint64
@@ -61,7 +61,7 @@
 	faults         storeFaults
 	limits         *limits  // limits on writes; nil if there are none
 	invalidReasons []string // reasons for which transactions exceeded a limit and were answered 400
-	listedItems    int      // entries returned by all listings so far
+	listedKeys     int      // keys returned by all listings so far
 }
 
 // NewKeyValueStore returns an empty store.
@@ -82,11 +82,11 @@
 	return s.entries[key].value, s.entries[key].revision
 }
 
-// CountListedItems returns how many entries all listings so far have returned.
-func (s *KeyValueStore) CountListedItems() int {
+// CountListedKeys returns how many keys all listings so far have returned.
+func (s *KeyValueStore) CountListedKeys() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.listedItems
+	return s.listedKeys
 }
 
 // CountKeys returns the number of keys with a prefix.
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -111,7 +111,7 @@
 		keys = keys[:pageSize]
 		page.More = true
 	}
-	s.listedItems += len(keys)
+	s.listedKeys += len(keys)
 	for _, key := range keys {
 		page.Items = append(page.Items, keyValue(key, s.entries[key]))
 	}
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -36,7 +36,7 @@
 	switch {
 	case w.done[t.name]:
 		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
-	case k.faulty:
+	case k.failsTasks:
 		t.state = wire.TaskRunning
 		k.runAfter(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -18,7 +18,7 @@
 
 	tasks               map[string]*task // by task name; at most one attempt of a task
 	refusedStarts       []*task          // attempts refused at their start, reported until forgotten
-	images              map[string]bool  // images that have been fetched
+	fetchedImages       map[string]bool
 	incarnation         uint64
 	sequence            uint64
 	fencingToken        uint64
@@ -27,12 +27,12 @@
 	dead                bool          // the machine has been removed
 	hung                bool          // the machine hangs: it neither sends nor executes anything
 	resume              chan struct{} // closed and replaced when a hang ends
-	faulty              bool          // every task that starts fails
+	failsTasks          bool
 	inboundCut          bool          // heartbeats are sent, but no response or command arrives
 	outboundCut         bool          // heartbeats are not sent, but commands arrive
 	commandDelay        time.Duration // between the arrival and the execution of direct commands
 	lateCommandRequests int           // requests whose commands were delayed, or arrived while the machine hung
-	changed             chan struct{} // signals that the next heartbeat is due early
+	earlyHeartbeat      chan struct{} // signals that the next heartbeat is to be sent early
 	nodeIndex           int           // modulo the number of nodes: the node that heartbeats go to
 	cancel              context.CancelFunc
 }
@@ -41,16 +41,16 @@
 func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
 	ctx, cancel := context.WithCancel(w.Ctx)
 	worker := &Worker{
-		Machine:     m,
-		simulation:  w,
-		machineType: w.MachineTypes[m.MachineType],
-		tasks:       map[string]*task{},
-		images:      map[string]bool{},
-		incarnation: 1,
-		leaseStart:  time.Now(),
-		resume:      make(chan struct{}),
-		changed:     make(chan struct{}, 1),
-		cancel:      cancel,
+		Machine:        m,
+		simulation:     w,
+		machineType:    w.MachineTypes[m.MachineType],
+		tasks:          map[string]*task{},
+		fetchedImages:  map[string]bool{},
+		incarnation:    1,
+		leaseStart:     time.Now(),
+		resume:         make(chan struct{}),
+		earlyHeartbeat: make(chan struct{}, 1),
+		cancel:         cancel,
 	}
 	go worker.sendHeartbeats(ctx)
 	go worker.serveCommands(ctx)
@@ -98,7 +98,7 @@
 func (w *Worker) FailTasks(on bool) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
-	w.faulty = on
+	w.failsTasks = on
 }
 
 // CutInbound starts or stops dropping all responses and commands. Heartbeats are still sent.
@@ -144,13 +144,14 @@
 	defer w.simulation.mu.Unlock()
 	s := d.Seconds()
 	w.terminationNoticeS = &s
-	w.notifyChange()
+	w.requestEarlyHeartbeat()
 }
 
-// notifyChange makes the next heartbeat due early, since there is a change to report.
-func (w *Worker) notifyChange() {
+// requestEarlyHeartbeat makes the next heartbeat follow after minHeartbeatInterval, because there is a
+// change to report.
+func (w *Worker) requestEarlyHeartbeat() {
 	select {
-	case w.changed <- struct{}{}:
+	case w.earlyHeartbeat <- struct{}{}:
 	default:
 	}
 }
@@ -158,7 +159,7 @@
 // expireLease ends the incarnation if its lease has expired: it drops all tasks, and begins a new
 // incarnation. It may do so while the machine hangs, because a machine whose lease has expired kills
 // its tasks before it does anything else. The checker counts the tasks as ended when the lease
-// expired.
+// expired. The simulation's lock must be held.
 func (w *Worker) expireLease() {
 	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
@@ -168,5 +169,5 @@
 	w.simulation.removedAt = time.Time{}
 	w.incarnation++
 	w.leaseStart = time.Now()
-	w.notifyChange()
+	w.requestEarlyHeartbeat()
 }
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -33,7 +33,8 @@
 
 // handleCommands executes the commands of a request, and responds with a heartbeat. It responds with
 // StatusConflict and executes none if the request has a lower fencing token than the worker has seen,
-// or is for another incarnation. A machine that hangs executes the commands when the hang ends.
+// or is for another incarnation. A machine that hangs executes the commands when the hang ends. If
+// inbound traffic is cut, the connection is closed without a response.
 func (w *Worker) handleCommands(ctx context.Context, rw http.ResponseWriter, request *wire.CommandRequest) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -52,7 +53,7 @@
 		status = http.StatusConflict
 	} else {
 		if request.FencingToken > w.fencingToken {
-			w.notifyChange()
+			w.requestEarlyHeartbeat()
 		}
 		w.fencingToken = request.FencingToken
 		w.executeCommands(request.Commands)
@@ -108,7 +109,7 @@
 			w.forget(c)
 		}
 	}
-	w.notifyChange()
+	w.requestEarlyHeartbeat()
 }
 
 // forget removes the exited task or refused start that a command names, so that heartbeats no longer
@@ -160,7 +161,7 @@
 	}
 	w.tasks[c.Task] = t
 	w.runAfter(t, w.imageFetchTime(job), func() {
-		w.images[job.Image] = true
+		w.fetchedImages[job.Image] = true
 		w.simulation.startTask(w, t)
 	})
 }
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -57,7 +57,7 @@
 	redirect  wire.Redirect
 }
 
-// sendHeartbeats sends heartbeats until ctx ends, which Kill brings about.
+// sendHeartbeats sends heartbeats until ctx ends, at the latest when the machine is killed.
 func (w *Worker) sendHeartbeats(ctx context.Context) {
 	client := w.simulation.client(w.Machine)
 	for ctx.Err() == nil {
@@ -97,11 +97,12 @@
 func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
 
 // handleResponse handles the result of a heartbeat, and returns the pause before the next heartbeat.
-// Unless the node accepted the heartbeat or redirected the worker, the next node is tried.
+// If the node answered neither 200 nor with a redirect to another known node, or if inbound traffic
+// is cut, the next heartbeat goes to the next node.
 func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
-	redirected := w.simulation.node(e.redirect.Node)
+	redirectIndex := w.simulation.node(e.redirect.Node)
 	switch {
 	case w.inboundCut:
 		w.nodeIndex++
@@ -112,8 +113,8 @@
 		// Workers may send heartbeats up to a quarter of the interval early or late; this is the
 		// shortest pause allowed.
 		return w.simulation.HeartbeatInterval * 3 / 4
-	case e.status == http.StatusMisdirectedRequest && redirected >= 0 && redirected != w.nodeIndex%len(w.simulation.Nodes):
-		w.nodeIndex = redirected
+	case e.status == http.StatusMisdirectedRequest && redirectIndex >= 0 && redirectIndex != w.nodeIndex%len(w.simulation.Nodes):
+		w.nodeIndex = redirectIndex
 		return redirectDelay
 	default:
 		w.nodeIndex++
@@ -130,7 +131,7 @@
 		return
 	}
 	if token > w.fencingToken {
-		w.notifyChange()
+		w.requestEarlyHeartbeat()
 	}
 	w.fencingToken = token
 	w.leaseStart = e.sentAt
@@ -138,7 +139,7 @@
 }
 
 // pauseBeforeHeartbeat waits for the given time. If there is a change to report, it returns as soon
-// as minHeartbeatInterval has passed.
+// as minHeartbeatInterval has passed, or when the given time has passed if that is shorter.
 func (w *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
 	timer := time.NewTimer(next)
 	defer timer.Stop()
@@ -147,7 +148,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-w.changed:
+	case <-w.earlyHeartbeat:
 		select {
 		case <-minimum.C:
 		case <-ctx.Done():
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -62,7 +62,7 @@
 // imageFetchTime returns how long fetching a job's image takes; minTimerDelay if the machine has
 // the image.
 func (w *Worker) imageFetchTime(job *wire.Job) time.Duration {
-	if w.images[job.Image] {
+	if w.fetchedImages[job.Image] {
 		return minTimerDelay
 	}
 	return time.Duration(job.ImageGB / w.machineType.ImageFetchGBPerS * float64(time.Second))
@@ -82,7 +82,7 @@
 			return
 		}
 		f()
-		w.notifyChange()
+		w.requestEarlyHeartbeat()
 	})
 }
 
@@ -94,7 +94,7 @@
 	}
 	w.simulation.removeTask(w, t)
 	t.state, t.cause, t.saved = wire.TaskExited, exitCause, saved
-	w.notifyChange()
+	w.requestEarlyHeartbeat()
 }
 
 // stop makes a task exit, after it has saved a checkpoint if the grace period is long enough. If the
