--- a/internal/controller/machine_groups_test.go
+++ b/internal/controller/machine_groups_test.go
@@ -8,11 +8,11 @@
 	"ambersill/internal/wire"
 )
 
-// groupEvents returns the events of one commit that writes the given machine groups, in the
-// order of the groups.
-func groupEvents(pieces []records.MachineGroupRecord, revision uint64) []wire.Event {
+// groupEvents returns the events of one commit that writes the given machine groups, in their
+// order.
+func groupEvents(groups []records.MachineGroupRecord, revision uint64) []wire.Event {
 	var events []wire.Event
-	for _, group := range pieces {
+	for _, group := range groups {
 		_, write := newGroupWrite(group)
 		events = append(events, wire.Event{Put: write.Put, Value: must(wire.Marshal(write.Value)), Revision: revision})
 	}
@@ -21,20 +21,20 @@
 
 // While the split of a group is applied to the cache, none of its machines may be missing,
 // not even for a moment: a machine without a record counts as returned, and its tasks would be
-// started elsewhere while they still run. Neither a watch nor a listing need deliver the new
-// groups first.
+// started elsewhere while they still run. A watch or a listing may deliver the rest of the
+// split group before the new groups.
 func TestSplittingGroupRemovesNoMachine(t *testing.T) {
 	whole := records.MachineGroupRecord{Machines: map[string]records.MachineRecord{}}
 	for i := range 40 {
 		whole.Machines[fmt.Sprintf("m-%06d", i)] = records.MachineRecord{MachineType: "small", Zone: "a"}
 	}
-	const limit = 2 << 10 // bytes
-	pieces := whole.SplitBySize(limit)
+	const maxBytes = 2 << 10
+	pieces := whole.SplitBySize(maxBytes)
 	if len(pieces) < 3 {
 		t.Fatalf("group split into %d pieces, want at least 3", len(pieces))
 	}
 	for i, piece := range pieces {
-		if piece.SizeBound() > limit {
+		if piece.SizeBound() > maxBytes {
 			t.Errorf("piece %d has up to %d bytes, want at most the limit of 2 KiB", i, piece.SizeBound())
 		}
 	}
