--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -101,7 +101,7 @@
 		return
 	}
 	if request.RequestID == "" || request.Count < 1 || request.Count > maxRentedMachines {
-		writeError(w, http.StatusBadRequest, "request ID missing, or machine count out of range")
+		writeError(w, http.StatusBadRequest, "malformed")
 		return
 	}
 	fault, delay := c.fault()
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -157,7 +157,7 @@
 			return http.StatusBadRequest, reason
 		}
 		if !s.limits.changes.AllowN(time.Now(), len(txn.Writes)) {
-			return http.StatusTooManyRequests, "write rate limit exceeded"
+			return http.StatusTooManyRequests, "too many changes"
 		}
 	}
 	for _, write := range txn.Writes {
--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -38,7 +38,7 @@
 	prefix := query.Get("prefix")
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, "parameter since is not a number")
+		writeError(w, http.StatusBadRequest, "since")
 		return
 	}
 	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // 0 if not a number: the watch is answered at once
@@ -49,7 +49,7 @@
 		state := s.watchState(r.RemoteAddr, since, prefix)
 		switch {
 		case state.compacted:
-			writeError(w, http.StatusGone, "history after this revision is compacted")
+			writeError(w, http.StatusGone, "too old")
 			return
 		case !state.served && timeoutPassed && s.AnswerRefusedWatches:
 			writeResponse(w, http.StatusOK, wire.WatchResponse{Revision: since, Events: []wire.Event{}})
