--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -81,7 +81,7 @@
 		if n := len(cluster.cloud.Workers()); n == 0 {
 			cluster.t.Error("rented machines: got 0, want at least 1")
 		}
-		if n := cluster.cloud.Refusals(); n > offerings {
+		if n := cluster.cloud.RefusedRentals(); n > offerings {
 			cluster.t.Errorf("refused rental requests: got %d, want at most %d, one per offering", n, offerings)
 		}
 	})
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -26,7 +26,7 @@
 		scenario := &scenarios[i]
 		scenario.seed = uint64(20 + i)
 		scenario.submit = submitLongJobs(8)
-		scenario.setup = func(cluster *simulatedCluster) { cluster.store.WatchesEnd = true }
+		scenario.setup = func(cluster *simulatedCluster) { cluster.store.AnswerRefusedWatches = true }
 		// Cut the owner off from its peers, so that it can learn of cancellations only from the
 		// store.
 		scenario.script = append(scenario.script, nodeFault(emulator.PeersCut, 40500*time.Millisecond, 2*second, ownerNode))
@@ -516,7 +516,7 @@
 func expectNoRecordsOfFinishedJobs(t *testing.T, cluster *simulatedCluster) {
 	time.Sleep(10 * second)
 	for _, prefix := range []string{records.ChunkPrefix(0), records.CancellationPrefix(0)} {
-		if n := cluster.store.Count(prefix); n != 0 {
+		if n := cluster.store.CountKeys(prefix); n != 0 {
 			t.Errorf("records of finished jobs: got %d under %s, want 0", n, prefix)
 		}
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -167,7 +167,7 @@
 	simulateUpgrade(t, 3, 4, func(cluster *simulatedCluster) {
 		var remainingRefusals atomic.Int32 // how many more registrations of the late node will be refused
 		lateNodeKey := records.NodePrefix + cluster.nodes[lateNode].Name
-		cluster.store.Faults = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
+		cluster.store.ChooseFault = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
 			if len(txn.Writes) > 0 && txn.Writes[0].Put == lateNodeKey && remainingRefusals.Load() > 0 {
 				remainingRefusals.Add(-1)
 				return emulator.RefuseRequest, 0
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -435,21 +435,21 @@
 
 // canRun reports whether a machine is usable and a job may run on it. A machine is not usable
 // if it is dead, hung or faulty, or has notice of termination.
-func (k *Worker) canRun(job *wire.Job) bool {
-	if k.dead || k.hung || k.faulty || k.terminationNoticeS != nil {
+func (w *Worker) canRun(job *wire.Job) bool {
+	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
 	}
-	if (k.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != k.Machine.Zone) {
+	if (w.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != w.Machine.Zone) {
 		return false
 	}
-	return machineTypeAllowed(job, k.Machine.MachineType)
+	return machineTypeAllowed(job, w.Machine.MachineType)
 }
 
 // countFittingTasks returns how many of a job's tasks, up to a limit, fit on a machine in
 // addition to the tasks that it has.
-func (k *Worker) countFittingTasks(job *wire.Job, limit int) int {
-	cpus, gpus, memory := k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemoryGB
-	for _, t := range k.tasks {
+func (w *Worker) countFittingTasks(job *wire.Job, limit int) int {
+	cpus, gpus, memory := w.machineType.CPUs, w.machineType.GPUs, w.machineType.MemoryGB
+	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 		}
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -19,7 +19,7 @@
 		}
 	}
 	for worker := range workersWithTasks {
-		worker.checkLease()
+		worker.expireLease()
 	}
 }
 
@@ -37,16 +37,16 @@
 	switch {
 	case s.completedTasks[t.name]:
 		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task
-	case worker.faulty:
+	case worker.failsTasks:
 		t.state = wire.TaskRunning
-		worker.after(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
+		worker.runAfter(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
 		s.joinGang(worker, t)
 	case t.job.IsService():
 		s.runReplica(worker, t)
 	default:
 		t.state = wire.TaskRunning
-		worker.after(t, s.runTime(t.job, t.index), func() {
+		worker.runAfter(t, s.runTime(t.job, t.index), func() {
 			s.completeTask(t)
 			worker.exit(t, wire.ExitDone, false)
 		})
@@ -78,7 +78,7 @@
 		return
 	}
 	if exitDelay, exits := s.replicaExit(t.job, t.index); exits {
-		worker.after(t, exitDelay, func() { worker.exit(t, wire.ExitDone, false) })
+		worker.runAfter(t, exitDelay, func() { worker.exit(t, wire.ExitDone, false) })
 	}
 }
 
@@ -106,7 +106,7 @@
 // joinGang starts a gang once all its tasks are on machines, and schedules that they complete
 // together. If the gang has not started within GangWaitTimeout, the task exits.
 func (s *Simulation) joinGang(worker *Worker, t *task) {
-	worker.after(t, s.GangWaitTimeout, func() {
+	worker.runAfter(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
 			worker.exit(t, wire.ExitGangIncomplete, false)
 		}
@@ -122,7 +122,7 @@
 	}
 	for member, memberWorker := range members {
 		member.state = wire.TaskRunning
-		memberWorker.after(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
+		memberWorker.runAfter(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
 	}
 }
 
@@ -170,7 +170,7 @@
 	}
 	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			memberWorker.after(member, s.GangPeerTimeout, func() { memberWorker.exit(member, wire.ExitGangMemberLost, false) })
+			memberWorker.runAfter(member, s.GangPeerTimeout, func() { memberWorker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -40,7 +40,7 @@
 func (s *KeyValueStore) InvalidRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.invalid...)
+	return append([]string(nil), s.invalidReasons...)
 }
 
 // exceededLimit describes the first size limit that a transaction exceeds; "" if it exceeds none.
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -6,7 +6,7 @@
 	"ambersill/internal/wire"
 )
 
-// task is an attempt at a task on a machine.
+// task is one attempt of a task on a machine.
 type task struct {
 	name    string
 	job     *wire.Job
@@ -18,7 +18,7 @@
 	timer   *time.Timer
 }
 
-// status returns the task's entry in a heartbeat.
+// status returns the entry for the task in a heartbeat.
 func (t *task) status() wire.TaskStatus {
 	return wire.TaskStatus{
 		Task:            t.name,
@@ -29,84 +29,92 @@
 	}
 }
 
-// minTimerDelay is the delay of what happens at once, but in a goroutine of its own.
+// minTimerDelay is the delay of actions without a delay of their own. A timer runs them in another
+// goroutine, because the caller holds the simulation's lock.
 const minTimerDelay = time.Millisecond
 
-// dropTasks forgets all tasks. The simulation's lock must be held.
-func (k *Worker) dropTasks() {
-	for _, t := range k.tasks {
+// dropTasks removes all tasks and refused starts, without reporting them. The simulation's lock must
+// be held.
+func (w *Worker) dropTasks() {
+	for _, t := range w.tasks {
 		if t.timer != nil {
 			t.timer.Stop()
 		}
-		k.simulation.removeTask(k, t)
+		w.simulation.removeTask(w, t)
 	}
-	k.tasks = map[string]*task{}
-	k.refused = nil
+	w.tasks = map[string]*task{}
+	w.refusedStarts = nil
 }
 
-// hasResources reports whether another task of a job fits beside those that are here,
-// fetching ones included.
-func (k *Worker) hasResources(job *wire.Job) bool {
+// hasResourcesFor reports whether the machine has enough free CPUs, GPUs and memory for one more
+// task of a job. All tasks that have not exited count, including those that fetch their image.
+func (w *Worker) hasResourcesFor(job *wire.Job) bool {
 	cpus, gpus, memory := job.CPUs, job.GPUs, job.MemoryGB
-	for _, t := range k.tasks {
+	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus+t.job.CPUs, gpus+t.job.GPUs, memory+t.job.MemoryGB
 		}
 	}
-	machine := k.machineType
+	machine := w.machineType
 	return cpus <= machine.CPUs+roundingTolerance && gpus <= machine.GPUs+roundingTolerance && memory <= machine.MemoryGB+roundingTolerance
 }
 
-// imageFetchTime is how long a job's image takes to be there.
-func (k *Worker) imageFetchTime(job *wire.Job) time.Duration {
-	if k.images[job.Image] {
+// imageFetchTime returns how long fetching a job's image takes; minTimerDelay if the machine has
+// the image.
+func (w *Worker) imageFetchTime(job *wire.Job) time.Duration {
+	if w.fetchedImages[job.Image] {
 		return minTimerDelay
 	}
-	return time.Duration(job.ImageGB / k.machineType.ImageFetchGBPerS * float64(time.Second))
+	return time.Duration(job.ImageGB / w.machineType.ImageFetchGBPerS * float64(time.Second))
 }
 
-// after runs f for a task after a while, unless it has exited; a hanging
-// machine's timers wait until the hang ends.
-func (k *Worker) after(t *task, d time.Duration, f func()) {
+// runAfter calls f after d with the simulation's lock held, unless the task has exited or been
+// removed by then. It replaces the task's earlier timer. A timer that fires while the machine hangs
+// has no effect then; endHang resets it.
+func (w *Worker) runAfter(t *task, d time.Duration, f func()) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	t.timer = time.AfterFunc(d, func() {
-		k.simulation.mu.Lock()
-		defer k.simulation.mu.Unlock()
-		if k.dead || k.hung || k.tasks[t.name] != t || t.state == wire.TaskExited {
+		w.simulation.mu.Lock()
+		defer w.simulation.mu.Unlock()
+		if w.dead || w.hung || w.tasks[t.name] != t || t.state == wire.TaskExited {
 			return
 		}
 		f()
-		k.notifyChange()
+		w.requestEarlyHeartbeat()
 	})
 }
 
-// exit ends a task. The simulation's lock must be held.
-func (k *Worker) exit(t *task, why wire.ExitCause, saved bool) {
+// exit makes a task exit with a cause, which heartbeats report until the task is forgotten. The
+// simulation's lock must be held.
+func (w *Worker) exit(t *task, exitCause wire.ExitCause, saved bool) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	k.simulation.removeTask(k, t)
-	t.state, t.cause, t.saved = wire.TaskExited, why, saved
-	k.notifyChange()
+	w.simulation.removeTask(w, t)
+	t.state, t.cause, t.saved = wire.TaskExited, exitCause, saved
+	w.requestEarlyHeartbeat()
 }
 
-// stop ends a task, after it has saved a checkpoint if the grace period suffices for that.
-func (k *Worker) stop(t *task, gracePeriodS float64) {
+// stop makes a task exit, after it has saved a checkpoint if the grace period is long enough. If the
+// task already saves a checkpoint, a stop with a grace period lets it finish; a grace period of 0
+// ends it at once.
+func (w *Worker) stop(t *task, gracePeriodS float64) {
 	if t.savesCheckpoint(gracePeriodS) {
 		t.state = wire.TaskSaving
 		saveTime := time.Duration(t.job.CheckpointSaveS * float64(time.Second))
-		k.after(t, saveTime, func() { k.exit(t, wire.ExitStopped, true) })
+		w.runAfter(t, saveTime, func() { w.exit(t, wire.ExitStopped, true) })
 		return
 	}
 	if t.state == wire.TaskSaving && gracePeriodS > 0 {
 		return
 	}
-	k.exit(t, wire.ExitStopped, false)
+	w.exit(t, wire.ExitStopped, false)
 }
 
-// savesCheckpoint reports whether a task that is stopped saves a checkpoint first.
+// savesCheckpoint reports whether a task that is stopped saves a checkpoint first: it is running, its
+// job makes checkpoints, and saving one takes no longer than the grace period.
 func (t *task) savesCheckpoint(gracePeriodS float64) bool {
 	if t.state != wire.TaskRunning || t.job.CheckpointIntervalS <= 0 {
 		return false
