--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -140,7 +140,7 @@
 		cluster.submit(newIdlePriorityJob(10, 150, 1, 20), 0)
 		fault(cluster)
 		cluster.waitForJobsAndCheck(20 * time.Minute)
-		if invalid := cluster.store.InvalidRequests(); len(invalid) > 0 {
+		if invalid := cluster.store.InvalidReasons(); len(invalid) > 0 {
 			cluster.t.Errorf("invalid store requests: got %d, want 0; first: %s", len(invalid), invalid[0])
 		}
 	})
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -434,7 +434,7 @@
 }
 
 // canRun reports whether a machine is usable and a job may run on it. A machine is not usable
-// if it is dead, hung or faulty, or has notice of termination.
+// if it is dead or hangs, if it fails its tasks, or if it has notice of termination.
 func (w *Worker) canRun(job *wire.Job) bool {
 	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -276,8 +276,8 @@
 	store := NewKeyValueStore()
 	store.Limit(config.StateLimits{WriteRPS: 10, ValueKB: 1, TxnOps: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
-	if status != http.StatusBadRequest || len(store.InvalidRequests()) != 1 {
-		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.InvalidRequests())
+	if status != http.StatusBadRequest || len(store.InvalidReasons()) != 1 {
+		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.InvalidReasons())
 	}
 	put(t, store, "a", 0, "short", 0)
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// InvalidRequests returns, for each transaction so far that exceeded a size limit and was answered
+// InvalidReasons returns, for each transaction so far that exceeded a size limit and was answered
 // with status 400, which limit it exceeded.
-func (s *KeyValueStore) InvalidRequests() []string {
+func (s *KeyValueStore) InvalidReasons() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.invalidReasons...)
