--- a/cmd/ambersill/controller.go
+++ b/cmd/ambersill/controller.go
@@ -22,7 +22,7 @@
 // runController runs a controller until the process is interrupted or terminated.
 func runController(ctx context.Context, settings *config.Settings, tunables tuning.Tuning) error {
 	configureLogging()
-	configureGarbageCollection(settings.Cluster.Limits.RAMMB)
+	configureGarbageCollection(settings.Cluster.Limits.MemoryMiB)
 	ctx, stop := notifyOnTermination(ctx)
 	defer stop()
 	return controller.New(settings, tunables, transport.TCP{}).Run(ctx)
--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -51,10 +51,10 @@
 		Node:       nodeName(index),
 		Zone:       sampleZone,
 		PublicAddr: loopback(portPublic + index),
-		MeshAddr:   loopback(portMesh + index),
-		Outside: config.Outside{
+		PeerAddr:   loopback(portMesh + index),
+		Endpoints: config.Endpoints{
 			Cloud: loopback(portCloud),
-			State: loopback(portState),
+			Store: loopback(portState),
 		},
 		Cluster: sampleCluster(nodes),
 	}
@@ -73,31 +73,31 @@
 
 func sampleCluster(nodes int) config.Cluster {
 	return config.Cluster{
-		Count: nodes,
-		Zones: []string{sampleZone},
-		Teams: []config.Team{{Name: sampleTeam, CPUs: 8, CPUsMax: 32}},
-		Workers: config.Workers{
-			ReportS:   2,
-			LeaseS:    14,
-			GangWaitS: 35,
-			GangPeerS: 5,
-			CancelS:   44,
+		ControllerCount: nodes,
+		Zones:           []string{sampleZone},
+		Teams:           []config.Team{{Name: sampleTeam, CPUs: 8, MaxCPUs: 32}},
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatIntervalS: 2,
+			LeaseDurationS:     14,
+			GangWaitTimeoutS:   35,
+			GangPeerTimeoutS:   5,
+			CancelDeadlineS:    44,
 		},
-		State: config.State{
-			StateLimits: config.StateLimits{
-				RPS:      150,
-				WriteRPS: 50,
-				ValueKB:  8,
-				TxnOps:   12,
+		Store: config.Store{
+			StoreLimits: config.StoreLimits{
+				RequestsPerS: 150,
+				WritesPerS:   50,
+				MaxValueKiB:  8,
+				MaxTxnWrites: 12,
 			},
 		},
 		Cloud: config.Cloud{
-			RPS:      5,
-			ListLagS: sampleListLagS,
+			RequestsPerS: 5,
+			MaxListLagS:  sampleListLagS,
 		},
 		Limits: config.MachineLimits{
 			CPU:        0.1,
-			RAMMB:      100,
+			MemoryMiB:  100,
 			MaxSockets: 700,
 		},
 	}
--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -120,11 +120,11 @@
 		Ctx:               ctx,
 		Net:               transport.TCP{},
 		MachineTypes:      map[string]wire.MachineType{sampleMachineType.Name: sampleMachineType},
-		HeartbeatInterval: tuning.Seconds(cluster.Workers.ReportS),
-		LeaseDuration:     tuning.Seconds(cluster.Workers.LeaseS),
-		GangWaitTimeout:   tuning.Seconds(cluster.Workers.GangWaitS),
-		GangPeerTimeout:   tuning.Seconds(cluster.Workers.GangPeerS),
-		CancelDeadline:    tuning.Seconds(cluster.Workers.CancelS),
+		HeartbeatInterval: tuning.Seconds(cluster.WorkerTiming.HeartbeatIntervalS),
+		LeaseDuration:     tuning.Seconds(cluster.WorkerTiming.LeaseDurationS),
+		GangWaitTimeout:   tuning.Seconds(cluster.WorkerTiming.GangWaitTimeoutS),
+		GangPeerTimeout:   tuning.Seconds(cluster.WorkerTiming.GangPeerTimeoutS),
+		CancelDeadline:    tuning.Seconds(cluster.WorkerTiming.CancelDeadlineS),
 		Teams:             cluster.Teams,
 	}
 	for _, node := range settings {
--- a/cmd/ambersill/standin_test.go
+++ b/cmd/ambersill/standin_test.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.State.StateLimits != node.Cluster.State.StateLimits {
+		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.Store.StoreLimits != node.Cluster.Store.StoreLimits {
 			t.Errorf("%+v is read as %+v", node, loaded)
 		}
 	}
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -16,7 +16,7 @@
 func testSettings() *config.Settings {
 	settings := &config.Settings{}
 	settings.Cluster.Teams = []config.Team{
-		{Name: "limited", CPUsMax: 10, GPUsMax: 3},
+		{Name: "limited", MaxCPUs: 10, MaxGPUs: 3},
 		{Name: "free"},
 	}
 	return settings
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,13 +10,13 @@
 
 // Settings are what the platform configures for one controller.
 type Settings struct {
-	Node       string   `toml:"node"`
-	Zone       string   `toml:"zone"`
-	PublicAddr string   `toml:"public_addr"` // where users and workers connect
-	MeshAddr   string   `toml:"mesh_addr"`   // where the other controllers connect
-	Members    []Member `toml:"members"`
-	Outside    Outside  `toml:"outside"`
-	Cluster    Cluster  `toml:"cluster"`
+	Node       string    `toml:"node"`
+	Zone       string    `toml:"zone"`
+	PublicAddr string    `toml:"public_addr"` // where users and workers connect
+	PeerAddr   string    `toml:"mesh_addr"`   // where the other controllers connect
+	Members    []Member  `toml:"members"`
+	Endpoints  Endpoints `toml:"outside"`
+	Cluster    Cluster   `toml:"cluster"`
 }
 
 // Member is another controller.
@@ -26,68 +26,68 @@
 	Addr string `toml:"addr"` // for calls between controllers
 }
 
-// Outside has the addresses of the services that controllers depend on.
-type Outside struct {
+// Endpoints has the addresses of the services that controllers depend on.
+type Endpoints struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"` // the key-value store
+	Store string `toml:"state"` // the key-value store
 }
 
 // Cluster is what all controllers have in common.
 type Cluster struct {
-	Count        int           `toml:"count"` // number of controllers
-	Zones        []string      `toml:"zones"`
-	ClockErrorMS float64       `toml:"clock_error_ms"`
-	Teams        []Team        `toml:"teams"`
-	Workers      Workers       `toml:"workers"`
-	State        State         `toml:"state"`
-	Cloud        Cloud         `toml:"cloud"`
-	Limits       MachineLimits `toml:"machine_limits"`
+	ControllerCount int           `toml:"count"` // number of controllers
+	Zones           []string      `toml:"zones"`
+	ClockErrorMS    float64       `toml:"clock_error_ms"`
+	Teams           []Team        `toml:"teams"`
+	WorkerTiming    WorkerTiming  `toml:"workers"`
+	Store           Store         `toml:"state"`
+	Cloud           Cloud         `toml:"cloud"`
+	Limits          MachineLimits `toml:"machine_limits"`
 }
 
 // Team has a guarantee and a limit of CPUs and of GPUs; 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
-	CPUsMax float64 `toml:"cpus_max"`
+	MaxCPUs float64 `toml:"cpus_max"`
 	GPUs    float64 `toml:"gpus"`
-	GPUsMax float64 `toml:"gpus_max"`
+	MaxGPUs float64 `toml:"gpus_max"`
 }
 
-// Workers has the workers' timing, in seconds.
-type Workers struct {
-	ReportS   float64 `toml:"report_s"`    // between two heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // after the last answered heartbeat until a worker kills its tasks
-	GangWaitS float64 `toml:"gang_wait_s"` // that a gang's task waits for the rest of the gang
-	GangPeerS float64 `toml:"gang_peer_s"` // until a gang's task exits after another one was lost
-	CancelS   float64 `toml:"cancel_s"`    // within which a cancelled job's tasks have to stop
+// WorkerTiming has the workers' timing, in seconds.
+type WorkerTiming struct {
+	HeartbeatIntervalS float64 `toml:"report_s"`    // between two heartbeats
+	LeaseDurationS     float64 `toml:"lease_s"`     // after the last answered heartbeat until a worker kills its tasks
+	GangWaitTimeoutS   float64 `toml:"gang_wait_s"` // that a gang's task waits for the rest of the gang
+	GangPeerTimeoutS   float64 `toml:"gang_peer_s"` // until a gang's task exits after another one was lost
+	CancelDeadlineS    float64 `toml:"cancel_s"`    // within which a cancelled job's tasks have to stop
 }
 
-// State has the limits of the key-value store.
-type State struct {
-	StateLimits
-	// Next has the limits that will be in force at some later time; nil if none are
+// Store has the limits of the key-value store.
+type Store struct {
+	StoreLimits
+	// Announced has the limits that will be in force at some later time; nil if none are
 	// announced. A limit of 0 does not change.
-	Next *StateLimits `toml:"next"`
+	Announced *StoreLimits `toml:"next"`
 }
 
-// StateLimits are limits of the key-value store.
-type StateLimits struct {
-	RPS      float64 `toml:"rps"`       // requests per second
-	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
-	ValueKB  float64 `toml:"value_kb"`  // KiB in a value
-	TxnOps   int     `toml:"txn_ops"`   // puts and deletes in a transaction
+// StoreLimits are limits of the key-value store.
+type StoreLimits struct {
+	RequestsPerS float64 `toml:"rps"`       // requests per second
+	WritesPerS   float64 `toml:"write_rps"` // puts and deletes per second
+	MaxValueKiB  float64 `toml:"value_kb"`  // KiB in a value
+	MaxTxnWrites int     `toml:"txn_ops"`   // puts and deletes in a transaction
 }
 
 // Cloud has the limits of the cloud.
 type Cloud struct {
-	RPS      float64 `toml:"rps"`        // requests per second
-	ListLagS float64 `toml:"list_lag_s"` // seconds by which its list may lag
+	RequestsPerS float64 `toml:"rps"`        // requests per second
+	MaxListLagS  float64 `toml:"list_lag_s"` // seconds by which its list may lag
 }
 
 // MachineLimits are the limits of the machine that the controller runs on.
 type MachineLimits struct {
 	CPU        float64 `toml:"cpu"`         // cores
-	RAMMB      float64 `toml:"ram_mb"`      // MiB
+	MemoryMiB  float64 `toml:"ram_mb"`      // MiB
 	MaxSockets int     `toml:"max_sockets"` // open at the same time
 }
 
@@ -120,23 +120,23 @@
 
 // WriteLimits returns the limits that whatever is written must keep to: the present ones, or
 // the announced ones where those are lower, since they may come into force at any time.
-func (s *Settings) WriteLimits() StateLimits {
-	limits := s.Cluster.State.StateLimits
-	next := s.Cluster.State.Next
+func (s *Settings) WriteLimits() StoreLimits {
+	limits := s.Cluster.Store.StoreLimits
+	next := s.Cluster.Store.Announced
 	if next == nil {
 		return limits
 	}
-	if next.RPS > 0 {
-		limits.RPS = min(limits.RPS, next.RPS)
+	if next.RequestsPerS > 0 {
+		limits.RequestsPerS = min(limits.RequestsPerS, next.RequestsPerS)
 	}
-	if next.WriteRPS > 0 {
-		limits.WriteRPS = min(limits.WriteRPS, next.WriteRPS)
+	if next.WritesPerS > 0 {
+		limits.WritesPerS = min(limits.WritesPerS, next.WritesPerS)
 	}
-	if next.ValueKB > 0 {
-		limits.ValueKB = min(limits.ValueKB, next.ValueKB)
+	if next.MaxValueKiB > 0 {
+		limits.MaxValueKiB = min(limits.MaxValueKiB, next.MaxValueKiB)
 	}
-	if next.TxnOps > 0 {
-		limits.TxnOps = min(limits.TxnOps, next.TxnOps)
+	if next.MaxTxnWrites > 0 {
+		limits.MaxTxnWrites = min(limits.MaxTxnWrites, next.MaxTxnWrites)
 	}
 	return limits
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -97,11 +97,11 @@
 func TestWriteLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
-		want StateLimits
+		want StoreLimits
 	}{
-		{"", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 12}},
-		{"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 150, WriteRPS: 18, ValueKB: 2, TxnOps: 4}},
-		{"[cluster.state.next]\nrps = 100.0\nvalue_kb = 16.0", StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}},
+		{"", StoreLimits{RequestsPerS: 150, WritesPerS: 25, MaxValueKiB: 8, MaxTxnWrites: 12}},
+		{"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StoreLimits{RequestsPerS: 150, WritesPerS: 18, MaxValueKiB: 2, MaxTxnWrites: 4}},
+		{"[cluster.state.next]\nrps = 100.0\nvalue_kb = 16.0", StoreLimits{RequestsPerS: 100, WritesPerS: 25, MaxValueKiB: 8, MaxTxnWrites: 12}},
 	} {
 		s, err := Load(write(t, "s.toml", strings.Replace(good, "txn_ops = 12", "txn_ops = 12\n"+c.next, 1)))
 		if err != nil {
@@ -110,8 +110,8 @@
 		if got := s.WriteLimits(); got != c.want {
 			t.Errorf("%q: %+v", c.next, got)
 		}
-		if s.Cluster.State.ValueKB != 8 {
-			t.Errorf("%q: the present limit is %v", c.next, s.Cluster.State.ValueKB)
+		if s.Cluster.Store.MaxValueKiB != 8 {
+			t.Errorf("%q: the present limit is %v", c.next, s.Cluster.Store.MaxValueKiB)
 		}
 	}
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -33,7 +33,7 @@
 		s.Cluster.validateCount,
 		s.Cluster.validateTeams,
 		s.Cluster.validateAmounts,
-		s.Cluster.State.validate,
+		s.Cluster.Store.validate,
 		s.Cluster.Limits.validate,
 	} {
 		if problem := check(); problem != nil {
@@ -56,9 +56,9 @@
 func (s *Settings) validateAddresses() *Error {
 	for _, address := range []struct{ key, value string }{
 		{"public_addr", s.PublicAddr},
-		{"mesh_addr", s.MeshAddr},
-		{"outside.cloud", s.Outside.Cloud},
-		{"outside.state", s.Outside.State},
+		{"mesh_addr", s.PeerAddr},
+		{"outside.cloud", s.Endpoints.Cloud},
+		{"outside.state", s.Endpoints.Store},
 	} {
 		if address.value == "" {
 			return invalid(address.key, "missing")
@@ -92,7 +92,7 @@
 }
 
 func (c *Cluster) validateCount() *Error {
-	if c.Count < 1 {
+	if c.ControllerCount < 1 {
 		return invalid("cluster.count", "must be at least 1")
 	}
 	return nil
@@ -105,7 +105,7 @@
 			return invalid(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
 		}
 		names[team.Name] = true
-		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
+		if team.CPUs < 0 || team.MaxCPUs < 0 || team.GPUs < 0 || team.MaxGPUs < 0 {
 			return invalid(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
 		}
 	}
@@ -114,16 +114,16 @@
 
 func (c *Cluster) validateAmounts() *Error {
 	for _, amount := range []number{
-		{"cluster.workers.report_s", c.Workers.ReportS},
-		{"cluster.workers.lease_s", c.Workers.LeaseS},
-		{"cluster.workers.gang_wait_s", c.Workers.GangWaitS},
-		{"cluster.workers.gang_peer_s", c.Workers.GangPeerS},
-		{"cluster.workers.cancel_s", c.Workers.CancelS},
-		{"cluster.state.rps", c.State.RPS},
-		{"cluster.state.write_rps", c.State.WriteRPS},
-		{"cluster.state.value_kb", c.State.ValueKB},
-		{"cluster.cloud.rps", c.Cloud.RPS},
-		{"cluster.machine_limits.ram_mb", c.Limits.RAMMB},
+		{"cluster.workers.report_s", c.WorkerTiming.HeartbeatIntervalS},
+		{"cluster.workers.lease_s", c.WorkerTiming.LeaseDurationS},
+		{"cluster.workers.gang_wait_s", c.WorkerTiming.GangWaitTimeoutS},
+		{"cluster.workers.gang_peer_s", c.WorkerTiming.GangPeerTimeoutS},
+		{"cluster.workers.cancel_s", c.WorkerTiming.CancelDeadlineS},
+		{"cluster.state.rps", c.Store.RequestsPerS},
+		{"cluster.state.write_rps", c.Store.WritesPerS},
+		{"cluster.state.value_kb", c.Store.MaxValueKiB},
+		{"cluster.cloud.rps", c.Cloud.RequestsPerS},
+		{"cluster.machine_limits.ram_mb", c.Limits.MemoryMiB},
 	} {
 		// Negated, so that NaN is refused too.
 		if !(amount.value > 0) {
@@ -135,23 +135,23 @@
 
 // validate checks what validateAmounts does not. Of the announced limits, 0 stands for one
 // that does not change.
-func (s *State) validate() *Error {
-	if s.TxnOps < minTxnOps {
+func (s *Store) validate() *Error {
+	if s.MaxTxnWrites < minTxnOps {
 		return invalid("cluster.state.txn_ops", "must be at least %d", minTxnOps)
 	}
-	if s.Next == nil {
+	if s.Announced == nil {
 		return nil
 	}
 	for _, limit := range []number{
-		{"cluster.state.next.rps", s.Next.RPS},
-		{"cluster.state.next.write_rps", s.Next.WriteRPS},
-		{"cluster.state.next.value_kb", s.Next.ValueKB},
+		{"cluster.state.next.rps", s.Announced.RequestsPerS},
+		{"cluster.state.next.write_rps", s.Announced.WritesPerS},
+		{"cluster.state.next.value_kb", s.Announced.MaxValueKiB},
 	} {
 		if !(limit.value >= 0) {
 			return invalid(limit.key, "must not be below 0")
 		}
 	}
-	if s.Next.TxnOps != 0 && s.Next.TxnOps < minTxnOps {
+	if s.Announced.MaxTxnWrites != 0 && s.Announced.MaxTxnWrites < minTxnOps {
 		return invalid("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
 	}
 	return nil
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -42,9 +42,9 @@
 // ReportS between heartbeats and the margin MarginS, must not exceed the time CancelS within
 // which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
-	workers := c.settings.Cluster.Workers
-	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
-	return tuning.Seconds(workers.CancelS - leaseS - workers.ReportS - c.tuning.MarginS)
+	workers := c.settings.Cluster.WorkerTiming
+	leaseS := workers.LeaseDurationS * (1 + c.tuning.Drift)
+	return tuning.Seconds(workers.CancelDeadlineS - leaseS - workers.HeartbeatIntervalS - c.tuning.MarginS)
 }
 
 // cancellationListingAge returns the time since the latest successful listing of cancellations
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -49,8 +49,8 @@
 // execute. The shortest is the time between two heartbeats, and the longest is the duration of
 // a worker's lease.
 func (c *Controller) commandBackoffLimits() backoffLimits {
-	workers := c.settings.Cluster.Workers
-	return backoffLimits{shortest: tuning.Seconds(workers.ReportS), longest: tuning.Seconds(workers.LeaseS)}
+	workers := c.settings.Cluster.WorkerTiming
+	return backoffLimits{shortest: tuning.Seconds(workers.HeartbeatIntervalS), longest: tuning.Seconds(workers.LeaseDurationS)}
 }
 
 // sendCommandsTo sends the pending commands of a machine to its worker, and reports whether the
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -29,7 +29,7 @@
 	partitionCount int // number of partitions, the same on all nodes
 	// limits are the limits of the key-value store that this node keeps to: the lower of the
 	// present and the announced ones.
-	limits config.StateLimits
+	limits config.StoreLimits
 	// supportedFeatureLevel is the highest feature level that this node supports.
 	supportedFeatureLevel records.FeatureLevel
 
@@ -74,8 +74,8 @@
 
 		net:     network,
 		store:   newStoreClient(settings, tunables, network, limits),
-		cloud:   cloud.New(network, settings.Outside.Cloud, settings.Cluster.Cloud.RPS),
-		workers: agentclient.New(network, tuning.Seconds(settings.Cluster.Workers.ReportS)),
+		cloud:   cloud.New(network, settings.Endpoints.Cloud, settings.Cluster.Cloud.RequestsPerS),
+		workers: agentclient.New(network, tuning.Seconds(settings.Cluster.WorkerTiming.HeartbeatIntervalS)),
 
 		peers:      map[string]*peerrpc.Peer{},
 		forwarders: map[string]*forwarder{},
@@ -90,7 +90,7 @@
 		redirectStates: map[string]redirectState{},
 	}
 	if c.partitionCount == 0 {
-		c.partitionCount = settings.Cluster.Count
+		c.partitionCount = settings.Cluster.ControllerCount
 	}
 	c.createPeerClients()
 	c.cluster.onMachineChange = c.machineChanged
@@ -101,14 +101,14 @@
 }
 
 func newStoreClient(
-	settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StateLimits,
+	settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StoreLimits,
 ) *kvstore.Client {
 	return kvstore.New(kvstore.Options{
 		Net:       network,
-		Addr:      settings.Outside.State,
+		Addr:      settings.Endpoints.Store,
 		Timeout:   tuning.Seconds(tunables.StateTimeoutS),
-		ReadRate:  limits.RPS,
-		WriteRate: limits.WriteRPS,
+		ReadRate:  limits.RequestsPerS,
+		WriteRate: limits.WritesPerS,
 	})
 }
 
@@ -172,7 +172,7 @@
 }
 
 func (c *Controller) servePeers(ctx context.Context) error {
-	return peerrpc.Serve(ctx, c.net, c.settings.MeshAddr, c)
+	return peerrpc.Serve(ctx, c.net, c.settings.PeerAddr, c)
 }
 
 func (c *Controller) watchCluster(ctx context.Context) error {
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -58,7 +58,7 @@
 // maxCompares returns the maximum number of compares in a transaction besides the leader's
 // fence. In a cluster with more nodes than that, the remaining nodes' records are checked in
 // the cache only.
-func (l *leader) maxCompares() int { return comparesPerWrite*l.controller.limits.TxnOps - 1 }
+func (l *leader) maxCompares() int { return comparesPerWrite*l.controller.limits.MaxTxnWrites - 1 }
 
 // configuredNodeNames returns the names of this node and of all other members in the settings.
 func (c *Controller) configuredNodeNames() []string {
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -56,7 +56,7 @@
 		c.recordAddress(machine.ID, machine.Address)
 	}
 	l.succeeded = err == nil
-	l.notBefore = now.Add(tuning.Seconds(c.settings.Cluster.Workers.ReportS))
+	l.notBefore = now.Add(tuning.Seconds(c.settings.Cluster.WorkerTiming.HeartbeatIntervalS))
 }
 
 // fenceMachine sends the current fencing token to the worker of one machine, and reports
--- a/internal/controller/heartbeat_routing.go
+++ b/internal/controller/heartbeat_routing.go
@@ -65,7 +65,7 @@
 // shouldRedirect records a heartbeat of a worker that is assigned to another node, and
 // reports whether to redirect the worker to that node now.
 func (c *Controller) shouldRedirect(machine string, now time.Time) bool {
-	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
+	lease := tuning.Seconds(c.settings.Cluster.WorkerTiming.LeaseDurationS)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current, redirect := c.redirectStates[machine].next(now, lease)
--- a/internal/controller/heartbeat_routing_test.go
+++ b/internal/controller/heartbeat_routing_test.go
@@ -14,7 +14,7 @@
 // tasks are lost, which happened to 250 tasks at a time.
 func TestWorkersAreRedirectedAfterAGracePeriod(t *testing.T) {
 	c := isolatedController()
-	lease := tuning.Seconds(c.settings.Cluster.Workers.LeaseS)
+	lease := tuning.Seconds(c.settings.Cluster.WorkerTiming.LeaseDurationS)
 	now := time.Unix(1000, 0)
 	step := func(wait time.Duration, want bool, situation string) {
 		t.Helper()
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -239,7 +239,7 @@
 // anyQuota reports whether any team has a limit on or a guarantee of CPUs or GPUs.
 func anyQuota(teams []config.Team) bool {
 	for _, team := range teams {
-		if team.CPUs != 0 || team.CPUsMax != 0 || team.GPUs != 0 || team.GPUsMax != 0 {
+		if team.CPUs != 0 || team.MaxCPUs != 0 || team.GPUs != 0 || team.MaxGPUs != 0 {
 			return true
 		}
 	}
--- a/internal/controller/listing.go
+++ b/internal/controller/listing.go
@@ -152,7 +152,7 @@
 // machinesPerGroup returns the number of machines of an offering that fit into the record of
 // one group.
 func (l *leader) machinesPerGroup(offering autoscaler.Offering) int {
-	return records.MachinesPerGroup(l.controller.limits.ValueKB, offering.MachineType, offering.Zone)
+	return records.MachinesPerGroup(l.controller.limits.MaxValueKiB, offering.MachineType, offering.Zone)
 }
 
 // splitIntoGroups divides new machines of one offering into groups. The record of each group
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -156,9 +156,9 @@
 // announced for the future.
 func (c *Controller) maxGroupBytes() int {
 	if c.cluster.featureLevel() < records.FeatureExplicitChunks {
-		return records.MaxValueBytes(c.settings.Cluster.State.ValueKB)
+		return records.MaxValueBytes(c.settings.Cluster.Store.MaxValueKiB)
 	}
-	return records.MaxValueBytes(c.limits.ValueKB)
+	return records.MaxValueBytes(c.limits.MaxValueKiB)
 }
 
 // groupsPerTxn returns the number of groups, each of up to the given number of bytes, that may
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -67,7 +67,7 @@
 
 func (l *leader) newReturnCheck(now time.Time) returnCheck {
 	tunables := l.controller.tuning
-	listLagS := l.controller.settings.Cluster.Cloud.ListLagS
+	listLagS := l.controller.settings.Cluster.Cloud.MaxListLagS
 	check := returnCheck{
 		now:          now,
 		listings:     l.listings,
--- a/internal/controller/partition_claims_test.go
+++ b/internal/controller/partition_claims_test.go
@@ -74,7 +74,7 @@
 		store.ServeHTTP(w, r)
 	}))
 	settings := cluster.settings(0)
-	settings.Outside.State = storeProxyAddr
+	settings.Endpoints.Store = storeProxyAddr
 	test.controller = New(settings, cluster.tuning, cluster.network.Host("node-0"))
 	test.controller.machineTypes = testMachineTypes
 	return test
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -6,7 +6,7 @@
 // its share of the store's rate limits.
 func (c *Controller) updateRateLimits() {
 	share := c.rateLimitShare()
-	c.store.SetRateLimits(c.limits.RPS*share, c.limits.WriteRPS*share)
+	c.store.SetRateLimits(c.limits.RequestsPerS*share, c.limits.WritesPerS*share)
 }
 
 // rateLimitShare returns this node's share of the key-value store's rate limits, between 0 and 1.
@@ -16,7 +16,7 @@
 // rentals of a fleet that starts with no machines took 13 s on a store that accepts 25 changes
 // per second. The fraction ShareReserve is left unused.
 func (c *Controller) rateLimitShare() float64 {
-	nodes := float64(c.settings.Cluster.Count)
+	nodes := float64(c.settings.Cluster.ControllerCount)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	share := tuning.EqualRateFraction/nodes + (1-tuning.EqualRateFraction)*float64(len(c.owned))/float64(c.partitionCount)
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -111,8 +111,8 @@
 		time.Sleep(at)
 		for _, team := range cluster.settings(0).Cluster.Teams {
 			cpus, gpus := cluster.simulation.Used(team.Name)
-			belowCPUs := team.CPUsMax > 0 && cpus < team.CPUsMax
-			belowGPUs := team.GPUsMax > 0 && gpus < team.GPUsMax
+			belowCPUs := team.MaxCPUs > 0 && cpus < team.MaxCPUs
+			belowGPUs := team.MaxGPUs > 0 && gpus < team.MaxGPUs
 			if belowCPUs || belowGPUs {
 				cluster.t.Errorf("the scenario did not come about: %s uses %v CPUs and %v GPUs", team.Name, cpus, gpus)
 			}
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -69,7 +69,7 @@
 
 	noTeamLimits bool                // no team has limits or guarantees, so that jobs are partitioned
 	pollAllNodes bool                // users poll all nodes, and submit again after each response
-	nextLimits   *config.StateLimits // limits of the store that are announced
+	nextLimits   *config.StoreLimits // limits of the store that are announced
 	faultsOver   atomic.Bool         // requests are no longer lost or delayed
 	levelRaised  atomic.Bool         // the feature level has been raised
 
@@ -240,7 +240,7 @@
 		Node:       cluster.nodes[node].Name,
 		Zone:       "a",
 		PublicAddr: cluster.nodes[node].Addr,
-		MeshAddr:   meshAddr(node),
+		PeerAddr:   meshAddr(node),
 	}
 	for i, member := range cluster.nodes {
 		if i != node {
@@ -251,28 +251,28 @@
 			})
 		}
 	}
-	settings.Outside.State = storeAddr
-	settings.Outside.Cloud = cloudAddr
+	settings.Endpoints.Store = storeAddr
+	settings.Endpoints.Cloud = cloudAddr
 
 	shared := &settings.Cluster
-	shared.Count = controllerCount
+	shared.ControllerCount = controllerCount
 	shared.Zones = []string{"a", "b"}
 	shared.Teams = cluster.teams()
-	shared.Workers.ReportS = 2
-	shared.Workers.LeaseS = 14
-	shared.Workers.GangWaitS = 35
-	shared.Workers.GangPeerS = 5
-	shared.Workers.CancelS = 44
-	shared.State.RPS = 150
-	shared.State.WriteRPS = 50
-	shared.State.ValueKB = 8
-	shared.State.TxnOps = 12
+	shared.WorkerTiming.HeartbeatIntervalS = 2
+	shared.WorkerTiming.LeaseDurationS = 14
+	shared.WorkerTiming.GangWaitTimeoutS = 35
+	shared.WorkerTiming.GangPeerTimeoutS = 5
+	shared.WorkerTiming.CancelDeadlineS = 44
+	shared.Store.RequestsPerS = 150
+	shared.Store.WritesPerS = 50
+	shared.Store.MaxValueKiB = 8
+	shared.Store.MaxTxnWrites = 12
 	if !cluster.oldNodes[node] { // old versions have no setting for announced limits
-		shared.State.Next = cluster.nextLimits
+		shared.Store.Announced = cluster.nextLimits
 	}
-	shared.Cloud.RPS = 5
-	shared.Cloud.ListLagS = 4
-	shared.Limits.RAMMB = 100
+	shared.Cloud.RequestsPerS = 5
+	shared.Cloud.MaxListLagS = 4
+	shared.Limits.MemoryMiB = 100
 	shared.Limits.MaxSockets = 700
 	return settings
 }
@@ -282,8 +282,8 @@
 		return []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	}
 	return []config.Team{
-		{Name: "red", GPUs: 4, GPUsMax: 8},
-		{Name: "blue", CPUsMax: 40},
+		{Name: "red", GPUs: 4, MaxGPUs: 8},
+		{Name: "blue", MaxCPUs: 40},
 		{Name: "free"},
 	}
 }
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -64,7 +64,7 @@
 	if time.Since(o.summary.lastAttempt) < o.summary.minInterval {
 		return
 	}
-	changed := o.summary.changedRecords(o.summaryRecords(), o.controller.limits.TxnOps)
+	changed := o.summary.changedRecords(o.summaryRecords(), o.controller.limits.MaxTxnWrites)
 	if len(changed) == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 	o.mu.Lock()
 	summary := o.partition.Summary(time.Now())
 	o.mu.Unlock()
-	valueKB := o.controller.limits.ValueKB
+	valueKB := o.controller.limits.MaxValueKiB
 	values := map[string]any{}
 	digests := summary.SplitMachineDigests(valueKB)
 	for i, digest := range digests {
@@ -110,5 +110,5 @@
 // write rate, because all other writes are more urgent.
 func (c *Controller) summaryInterval(changes int) time.Duration {
 	shortest := tuning.Seconds(c.tuning.SummaryS)
-	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryWriteFraction*c.limits.WriteRPS)))
+	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryWriteFraction*c.limits.WritesPerS)))
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,7 +19,7 @@
 )
 
 // loweredLimits are limits far below those of the simulations' settings.
-var loweredLimits = config.StateLimits{WriteRPS: 36, ValueKB: 2, TxnOps: 4}
+var loweredLimits = config.StoreLimits{WritesPerS: 36, MaxValueKiB: 2, MaxTxnWrites: 4}
 
 // checkChunkFormat checks that until the feature level is raised only records that programs of
 // the first format can read are written. The store's lock is held.
@@ -68,10 +68,10 @@
 
 // lowerStoreLimits has the key-value store lower its limits.
 func (cluster *simulatedCluster) lowerStoreLimits() {
-	cluster.store.Limit(config.StateLimits{
-		WriteRPS: loweredLimits.WriteRPS,
-		ValueKB:  loweredLimits.ValueKB,
-		TxnOps:   loweredLimits.TxnOps,
+	cluster.store.Limit(config.StoreLimits{
+		WritesPerS:   loweredLimits.WritesPerS,
+		MaxValueKiB:  loweredLimits.MaxValueKiB,
+		MaxTxnWrites: loweredLimits.MaxTxnWrites,
 	})
 }
 
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -297,10 +297,10 @@
 		if limits.Name != team {
 			continue
 		}
-		if limits.CPUsMax > 0 && cpus > limits.CPUsMax+rounding {
+		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+rounding {
 			return true
 		}
-		if limits.GPUsMax > 0 && gpus > limits.GPUsMax+rounding {
+		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+rounding {
 			return true
 		}
 	}
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -20,7 +20,7 @@
 
 func newCheckerSetup() *checkerSetup {
 	s := &checkerSetup{Simulation: NewSimulation(SimulationConfig{
-		Teams:           []config.Team{{Name: "limited", CPUsMax: 2}},
+		Teams:           []config.Team{{Name: "limited", MaxCPUs: 2}},
 		LeaseDuration:   time.Hour,
 		GangWaitTimeout: time.Minute,
 		GangPeerTimeout: 5 * time.Second,
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -273,7 +273,7 @@
 
 func TestValueOverLimitIsInvalid(t *testing.T) {
 	store := NewKeyValueStore()
-	store.Limit(config.StateLimits{WriteRPS: 10, ValueKB: 1, TxnOps: 2})
+	store.Limit(config.StoreLimits{WritesPerS: 10, MaxValueKiB: 1, MaxTxnWrites: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
 	if status != http.StatusBadRequest || len(store.Invalid()) != 1 {
 		t.Errorf("a value over the limit answers %d, invalid: %v", status, store.Invalid())
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -18,17 +18,17 @@
 
 // limits are the key-value store's limits on what is written.
 type limits struct {
-	config.StateLimits
+	config.StoreLimits
 	changes *rate.Limiter
 }
 
 // Limit sets the limits on what is written from now on; what is stored stays.
-func (s *KeyValueStore) Limit(l config.StateLimits) {
+func (s *KeyValueStore) Limit(l config.StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = &limits{
-		StateLimits: l,
-		changes:     rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS)),
+		StoreLimits: l,
+		changes:     rate.NewLimiter(rate.Limit(l.WritesPerS), int(l.WritesPerS)),
 	}
 }
 
@@ -41,10 +41,10 @@
 
 // exceeded names the limit of size that a transaction exceeds; "" if none.
 func (l *limits) exceeded(txn *rawTxn) string {
-	if len(txn.Writes) > l.TxnOps {
+	if len(txn.Writes) > l.MaxTxnWrites {
 		return fmt.Sprintf("%d changes in a transaction", len(txn.Writes))
 	}
-	if len(txn.Compares) > comparesPerWrite*l.TxnOps {
+	if len(txn.Compares) > comparesPerWrite*l.MaxTxnWrites {
 		return fmt.Sprintf("%d conditions in a transaction", len(txn.Compares))
 	}
 	for _, write := range txn.Writes {
@@ -52,7 +52,7 @@
 		if err != nil {
 			continue // a delete, or no value that the store would have to measure
 		}
-		if size > int(l.ValueKB*bytesPerKiB) {
+		if size > int(l.MaxValueKiB*bytesPerKiB) {
 			return fmt.Sprintf("%d bytes in %s", size, write.Put)
 		}
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -16,7 +16,7 @@
 // addition to the resources in Allocated.
 func (t *Team) WithinLimit(request resource.Vector) bool {
 	total := t.Allocated.Add(request)
-	return withinMax(total.CPUs, t.CPUsMax) && withinMax(total.GPUs, t.GPUsMax)
+	return withinMax(total.CPUs, t.MaxCPUs) && withinMax(total.GPUs, t.MaxGPUs)
 }
 
 // withinMax reports whether amount is at most limit. A limit of 0 means no limit.
@@ -28,8 +28,8 @@
 // its limit, or resource.Unlimited if no limit applies.
 func (t *Team) RemainingTasks(request resource.Vector) int {
 	count := min(
-		tasksWithinLimit(t.CPUsMax, t.Allocated.CPUs, request.CPUs),
-		tasksWithinLimit(t.GPUsMax, t.Allocated.GPUs, request.GPUs),
+		tasksWithinLimit(t.MaxCPUs, t.Allocated.CPUs, request.CPUs),
+		tasksWithinLimit(t.MaxGPUs, t.Allocated.GPUs, request.GPUs),
 	)
 	return max(0, count)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRemainingTasksIsBoundedByLimits(t *testing.T) {
-	limited := config.Team{CPUsMax: 10, GPUsMax: 3}
+	limited := config.Team{MaxCPUs: 10, MaxGPUs: 3}
 	for _, c := range []struct {
 		name      string
 		team      config.Team
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -60,7 +60,7 @@
 // TasksPerChunk returns the number of tasks in a chunk of the initial format. Such records do not
 // contain their range of tasks, so all controllers must derive it from the same setting.
 func TasksPerChunk(settings *config.Settings) int {
-	return max(1, MaxValueBytes(settings.Cluster.State.ValueKB)/tuning.ReservedTaskBytes)
+	return max(1, MaxValueBytes(settings.Cluster.Store.MaxValueKiB)/tuning.ReservedTaskBytes)
 }
 
 // HasExplicitRange reports whether the record contains its range of tasks.
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -58,7 +58,7 @@
 // the maximum size.
 func JobFitsRecord(job *wire.Job, settings *config.Settings) bool {
 	size := ChunkOverheadBytes + JobDescriptionSizeBound(job) + tuning.ReservedTaskBytes
-	return size <= MaxValueBytes(settings.WriteLimits().ValueKB)
+	return size <= MaxValueBytes(settings.WriteLimits().MaxValueKiB)
 }
 
 // rangesSizeBound returns an upper bound of the size of flattened ranges in bytes.
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -91,7 +91,7 @@
 	builder := &batchBuilder{
 		partition: p,
 		batch:     &Batch{Txn: wire.Txn{Compares: []wire.Compare{ownership}}},
-		maxWrites: p.layout.limits.TxnOps,
+		maxWrites: p.layout.limits.MaxTxnWrites,
 	}
 	jobIDs := slices.Sorted(maps.Keys(p.jobs))
 	builder.addJobEnd(jobIDs)
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -62,7 +62,7 @@
 	builder := &batchBuilder{
 		partition: harness.Partition,
 		batch:     &Batch{},
-		maxWrites: harness.layout.limits.TxnOps,
+		maxWrites: harness.layout.limits.MaxTxnWrites,
 	}
 	builder.writeChunk(chunk, builder.maxWrites)
 	var keys []string
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -38,16 +38,16 @@
 	settings := &config.Settings{}
 	cluster := &settings.Cluster
 	cluster.Teams = []config.Team{
-		{Name: "limited", CPUsMax: 10, GPUsMax: 3},
+		{Name: "limited", MaxCPUs: 10, MaxGPUs: 3},
 		{Name: "sure", GPUs: 2},
 		{Name: "free"},
 	}
-	cluster.Workers.ReportS = 2
-	cluster.Workers.LeaseS = 14
-	cluster.Workers.CancelS = 44
-	cluster.Workers.GangPeerS = 5
-	cluster.State.ValueKB = 8
-	cluster.State.TxnOps = 12
+	cluster.WorkerTiming.HeartbeatIntervalS = 2
+	cluster.WorkerTiming.LeaseDurationS = 14
+	cluster.WorkerTiming.CancelDeadlineS = 44
+	cluster.WorkerTiming.GangPeerTimeoutS = 5
+	cluster.Store.MaxValueKiB = 8
+	cluster.Store.MaxTxnWrites = 12
 	return settings
 }
 
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -111,7 +111,7 @@
 // whole lease duration. No task is placed on its machine until the worker has acknowledged a higher
 // token, which it can learn only from a response.
 func (p *Partition) detectUnreachableWorker(machine *Machine, heartbeat *wire.Heartbeat, now time.Time) {
-	leaseDuration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS)
+	leaseDuration := tuning.Seconds(p.settings.Cluster.WorkerTiming.LeaseDurationS)
 	lease := &machine.lease
 	if lease.answeredSince.IsZero() || now.Sub(lease.lastAnsweredAt) > leaseDuration {
 		lease.answeredSince = now
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -62,7 +62,7 @@
 func newTakeoverTest(t *rapid.T) *takeoverTest {
 	owner := newPartitionHarness()
 	owner.journal.slotRevisions = make([]uint64, testJournalSlots)
-	owner.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+	owner.layout.limits.MaxTxnWrites = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 	raised := rapid.IntRange(0, 60).Draw(t, "raised")
 	test := &takeoverTest{
 		t:                t,
@@ -94,8 +94,8 @@
 		test.owner.SetLevel(records.FeatureExplicitChunks)
 	}
 	if round == test.lowerLimitsRound {
-		test.owner.layout.limits.ValueKB = test.loweredValueKB
-		test.owner.layout.limits.TxnOps = loweredTxnOps
+		test.owner.layout.limits.MaxValueKiB = test.loweredValueKB
+		test.owner.layout.limits.MaxTxnWrites = loweredTxnOps
 		test.store.resetMaxima()
 	}
 }
@@ -236,7 +236,7 @@
 
 func (test *takeoverTest) checkLimits(round int) {
 	limits := test.owner.layout.limits
-	if test.store.largestValueBytes > int(limits.ValueKB*1024) || test.store.maxWrites > limits.TxnOps {
+	if test.store.largestValueBytes > int(limits.MaxValueKiB*1024) || test.store.maxWrites > limits.MaxTxnWrites {
 		test.t.Fatalf("round %d: largest value has %d bytes and largest transaction %d writes, want both within the limits", round, test.store.largestValueBytes, test.store.maxWrites)
 	}
 }
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -19,7 +19,7 @@
 	partition     int
 	tasksPerChunk int // in numbered chunks
 	// limits are those of the key-value store for writes. ReduceWriteLimits may lower them.
-	limits       config.StateLimits
+	limits       config.StoreLimits
 	featureLevel records.FeatureLevel
 }
 
@@ -50,8 +50,8 @@
 // store has rejected a commit as invalid, because then its limits are lower than configured.
 func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
-	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
-	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
+	limits.MaxValueKiB = max(limits.MaxValueKiB/2, minValueKB)
+	limits.MaxTxnWrites = max(limits.MaxTxnWrites/2, minTxnOps)
 }
 
 // writesExplicitRanges reports whether the cluster's feature level permits records with explicit
@@ -69,7 +69,7 @@
 }
 
 // maxValueBytes returns the maximum size of a value that may be written, in bytes.
-func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
+func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.MaxValueKiB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	// The worker's clock may be slow by the tolerated drift.
-	duration := tuning.Seconds(p.settings.Cluster.Workers.LeaseS*(1+p.tuning.Drift) + p.tuning.MarginS)
+	duration := tuning.Seconds(p.settings.Cluster.WorkerTiming.LeaseDurationS*(1+p.tuning.Drift) + p.tuning.MarginS)
 	return now.Sub(machine.lease.lastAnsweredAt) > duration
 }
 
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -15,7 +15,7 @@
 // heartbeatToleranceSeconds returns the time in seconds within which a worker is expected to report a
 // change.
 func (p *Partition) heartbeatToleranceSeconds() float64 {
-	return toleratedHeartbeats * p.settings.Cluster.Workers.ReportS
+	return toleratedHeartbeats * p.settings.Cluster.WorkerTiming.HeartbeatIntervalS
 }
 
 // reserve reserves the machine's free capacity until the given time for a holder, which is a job
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -112,7 +112,7 @@
 
 // valueLimit returns the maximum size of a value in the key-value store, in bytes.
 func (h *partitionHarness) valueLimit() int {
-	return int(h.settings.Cluster.State.ValueKB * 1024)
+	return int(h.settings.Cluster.Store.MaxValueKiB * 1024)
 }
 
 // checkMachineGroupSize checks that the largest possible record of a full machine group does not
@@ -120,7 +120,7 @@
 func checkMachineGroupSize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	group := map[string]records.MachineRecord{}
-	for i := range records.MachinesPerGroup(harness.settings.Cluster.State.ValueKB, longName, longName) {
+	for i := range records.MachinesPerGroup(harness.settings.Cluster.Store.MaxValueKiB, longName, longName) {
 		group[fmt.Sprintf("m-%09d", i)] = records.MachineRecord{
 			MachineType:  longName,
 			Zone:         longName,
@@ -142,7 +142,7 @@
 // the key-value store.
 func commitWithinLimits(t *testing.T, harness *partitionHarness) {
 	t.Helper()
-	maxOps := harness.settings.Cluster.State.TxnOps
+	maxOps := harness.settings.Cluster.Store.MaxTxnWrites
 	for {
 		batch := harness.PrepareBatch()
 		if batch.Empty() {
@@ -167,7 +167,7 @@
 func checkSummarySize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	summary := harness.Summary(harness.now)
-	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
+	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.Store.MaxValueKiB) {
 		if size := encodedSize(t, digests); size > harness.valueLimit() {
 			t.Fatalf("machine digests have %d bytes, more than the value limit", size)
 		}
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -93,7 +93,7 @@
 // It is 0, which kills the task, if the grace period and the time allowed for delivery have
 // passed.
 func (p *Partition) remainingGraceSeconds(request *stopRequest, now time.Time) float64 {
-	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.Workers.ReportS + p.tuning.MarginS
+	limitS := request.gracePeriodS + stopDeliveryHeartbeats*p.settings.Cluster.WorkerTiming.HeartbeatIntervalS + p.tuning.MarginS
 	if now.Sub(request.requestedAt) > tuning.Seconds(limitS) {
 		return 0
 	}
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -93,7 +93,7 @@
 // contactFaultDigest returns the flag that describes a fault in the communication with a machine, or
 // 0 if there is none.
 func (p *Partition) contactFaultDigest(machine *Machine, now time.Time) records.MachineDigest {
-	contactTimeout := tuning.Seconds(p.settings.Cluster.Workers.LeaseS + p.heartbeatToleranceSeconds())
+	contactTimeout := tuning.Seconds(p.settings.Cluster.WorkerTiming.LeaseDurationS + p.heartbeatToleranceSeconds())
 	assignedBeforeTimeout := now.Sub(machine.assignedAt) > contactTimeout
 	token := &machine.token
 	switch {
