--- a/cmd/ambersill/controller.go
+++ b/cmd/ambersill/controller.go
@@ -14,12 +14,13 @@
 	"ambersill/internal/tuning"
 )
 
-// logLevelVariable is the environment variable that sets the log level.
+// logLevelVariable is the environment variable that sets the log level: error, warn, info or debug.
+// The level is info if the variable is empty or invalid.
 const logLevelVariable = "LOG_LEVEL"
 
 const bytesPerMiB = 1 << 20
 
-// runController runs a controller until the process is interrupted or terminated.
+// runController runs a controller until the process receives SIGINT or SIGTERM.
 func runController(ctx context.Context, settings *config.Settings, tunables tuning.Tuning) error {
 	configureLogging()
 	configureGarbageCollection(settings.Cluster.Limits.MemoryMiB)
@@ -41,9 +42,10 @@
 	slog.SetDefault(slog.New(handler))
 }
 
-// configureGarbageCollection lets the heap grow more than by default, since processor time is
-// scarcer than memory, and collects more often before the machine's memory is used up. The
-// rest of the memory is for what the runtime does not account for.
+// configureGarbageCollection sets the heap growth target above the default, because CPU time is
+// scarcer than memory. It also sets a memory limit, so that the garbage collector runs more often
+// before the machine's memory is exhausted. The fraction of memory above the limit is for memory
+// that the Go runtime does not account for.
 func configureGarbageCollection(machineMemoryMiB float64) {
 	debug.SetGCPercent(tuning.GCPercent)
 	debug.SetMemoryLimit(int64(machineMemoryMiB * tuning.MemoryLimitFraction * bytesPerMiB))
--- a/cmd/ambersill/main.go
+++ b/cmd/ambersill/main.go
@@ -13,17 +13,18 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's version.
+// version is printed by the version command.
 const version = "0.1.0"
 
-// Exit codes of the program.
+// Exit codes other than 0.
 const (
 	exitFailure       = 1
-	exitInvalidConfig = 2 // settings, policy or flags are invalid, so that a restart is useless
+	exitInvalidConfig = 2 // settings, policy or flags are invalid, so a restart fails again
 )
 
-// errInvalidConfig reports invalid settings, an invalid policy or invalid flags.
-var errInvalidConfig = errors.New("settings")
+// errInvalidConfig is wrapped by errors of invalid settings, an invalid policy script or invalid
+// flags.
+var errInvalidConfig = errors.New("invalid configuration")
 
 func main() {
 	err := rootCommand().Execute()
@@ -37,13 +38,14 @@
 	os.Exit(exitFailure)
 }
 
-// configFlags are the flags that name the configuration.
+// configFlags holds the values of the flags that name the configuration files.
 type configFlags struct {
 	settings string
 	policy   string
 }
 
-// load reads the settings, and the tunables with the policy applied.
+// load reads the settings file and returns it with the tunables, to which the policy script is
+// applied if one is given.
 func (f *configFlags) load() (*config.Settings, tuning.Tuning, error) {
 	tunables := tuning.Default()
 	if f.settings == "" {
@@ -81,7 +83,7 @@
 			return runController(cmd.Context(), settings, tunables)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&flags.settings, "config", "", "settings `file` of the platform (TOML)")
+	cmd.PersistentFlags().StringVar(&flags.settings, "config", "", "settings `file` provided by the platform (TOML)")
 	cmd.PersistentFlags().StringVar(&flags.policy, "policy", "", "policy script `file` that overrides tunables (Starlark)")
 	cmd.AddCommand(checkCommand(flags), versionCommand(), standinCommand())
 	return cmd
@@ -116,7 +118,8 @@
 	}
 }
 
-// printf prints for the user; a failure to print does not change what the command does.
+// printf writes output for the user and ignores write errors, which must not make the command
+// fail.
 func printf(out io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(out, format, args...)
 }
--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -8,7 +8,8 @@
 	"ambersill/internal/wire"
 )
 
-// Ports of the emulators and controllers on loopback; workers use those from 20000 on.
+// Ports of the emulators and the controllers on the loopback interface. Emulated workers use ports
+// from 20000 upwards.
 const (
 	portStore  = 19001
 	portCloud  = 19002
@@ -19,12 +20,13 @@
 const (
 	sampleZone = "a"
 	sampleTeam = "red"
-	// sampleMachineCapacity is the number of machines that can be rented as spot instances, and of
-	// those on demand.
+	// sampleMachineCapacity is the number of machines that can be rented as spot instances, and
+	// also the number that can be rented on demand.
 	sampleMachineCapacity = 4
-	// sampleListLagS is by how many seconds the cloud's list lags.
+	// sampleListLagS is the delay of the emulated cloud's machine list, in seconds.
 	sampleListLagS = 1
-	// sampleServiceCancelDelay is the time after which users cancel sample services.
+	// sampleServiceCancelDelay is the time after submission at which users cancel sample
+	// services.
 	sampleServiceCancelDelay = 15 * time.Second
 )
 
@@ -44,8 +46,8 @@
 
 func nodeName(index int) string { return fmt.Sprintf("node-%d", index) }
 
-// sampleSettings returns the settings of one of several controllers, as the platform would
-// configure it.
+// sampleSettings returns the settings of the controller with the given index in a cluster of the
+// given number of nodes.
 func sampleSettings(index, nodes int) config.Settings {
 	settings := config.Settings{
 		Node:       nodeName(index),
@@ -103,8 +105,9 @@
 	}
 }
 
-// sampleJob returns a job, and the time after which its user cancels it; 0 means never. Of
-// five jobs in a row, three are arrays, one is a gang and one is a service.
+// sampleJob returns the sample job with the given index and the time after which its user cancels
+// it, or 0 if the user does not cancel it. Of each five consecutive jobs, three are arrays, one is
+// a gang and one is a service.
 func sampleJob(index int) (*wire.Job, time.Duration) {
 	job := &wire.Job{
 		ID:            fmt.Sprintf("req-%06d", index+1),
--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -20,7 +20,7 @@
 	"github.com/spf13/cobra"
 )
 
-// Bounds and defaults of the flags.
+// Limits and defaults of the flags.
 const (
 	maxStandinNodes     = 9
 	maxStandinJobs      = 1000
@@ -28,16 +28,16 @@
 	defaultStandinJobs  = 5
 )
 
-// Permissions of the settings files, which hold no secrets, and of their directory.
+// Permissions of the settings files and their directory. The files contain no secrets.
 const (
 	directoryMode = 0o755
 	fileMode      = 0o644
 )
 
-// readHeaderTimeout keeps slow clients from occupying the emulators' connections.
+// readHeaderTimeout limits how long a slow client can occupy a connection of an emulator.
 const readHeaderTimeout = 10 * time.Second
 
-// standinOptions are the flags of the standin command.
+// standinOptions holds the flags of the standin command.
 type standinOptions struct {
 	directory string
 	nodes     int
@@ -81,7 +81,8 @@
 	return cmd
 }
 
-// runEmulators runs the emulators until the context ends.
+// runEmulators runs the emulators until the context is cancelled, then prints the violations of the
+// protocol that the simulation found.
 func runEmulators(ctx context.Context, out io.Writer, options *standinOptions) error {
 	settings := make([]config.Settings, options.nodes)
 	for i := range settings {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// newSampleSimulation returns a simulation of the workers and users of the configured controllers.
+// newSampleSimulation returns a simulation of the workers and users of the given controllers.
 func newSampleSimulation(ctx context.Context, settings []config.Settings) *emulator.Simulation {
 	cluster := &settings[0].Cluster
 	simulationConfig := emulator.SimulationConfig{
@@ -147,7 +148,8 @@
 	}
 }
 
-// serveOnLoopback serves until the returned server is closed.
+// serveOnLoopback starts an HTTP server on a loopback port and returns it. It serves until it is
+// closed.
 func serveOnLoopback(ctx context.Context, port int, handler http.Handler) (*http.Server, error) {
 	listener, err := transport.TCP{}.Listen(ctx, loopback(port))
 	if err != nil {
@@ -157,7 +159,7 @@
 		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 	}
-	go func() { _ = server.Serve(listener) }() // ends with ErrServerClosed
+	go func() { _ = server.Serve(listener) }() // returns ErrServerClosed when the server is closed
 	return server, nil
 }
 
@@ -169,7 +171,7 @@
 	for _, node := range settings {
 		text, err := toml.Marshal(node)
 		if err != nil {
-			return fmt.Errorf("encoding the settings of %s: %w", node.Node, err)
+			return fmt.Errorf("encoding settings of %s: %w", node.Node, err)
 		}
 		path := filepath.Join(directory, node.Node+".toml")
 		if err := os.WriteFile(path, text, fileMode); err != nil {
@@ -180,7 +182,8 @@
 	return nil
 }
 
-// submitSampleJob submits a job as a user, and follows it until it has ended.
+// submitSampleJob submits a sample job as a user, waits until the job reaches a final phase, and
+// prints that phase.
 func submitSampleJob(ctx context.Context, out io.Writer, simulation *emulator.Simulation, index int) {
 	job, cancelAfter := sampleJob(index)
 	user := &emulator.User{
@@ -191,7 +194,7 @@
 	}
 	outcome := string(user.Run(ctx, job))
 	if outcome == "" {
-		outcome = "not finished" // the emulators were stopped, or no controller accepted it
+		outcome = "not finished" // the emulators were stopped before the job ended, or no controller accepted it
 	}
 	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, outcome)
 }
--- a/cmd/ambersill/standin_test.go
+++ b/cmd/ambersill/standin_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.Store.StoreLimits != node.Cluster.Store.StoreLimits {
-			t.Errorf("%+v is read as %+v", node, loaded)
+			t.Errorf("settings %+v written to a file and loaded: got %+v", node, loaded)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		cmd := rootCommand()
 		cmd.SetArgs(arguments)
 		if err := cmd.Execute(); !errors.Is(err, errInvalidConfig) {
-			t.Errorf("%q: %v", arguments, err)
+			t.Errorf("arguments %q: got error %v, want errInvalidConfig", arguments, err)
 		}
 	}
 }
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs checks that the documents name what the code has.
+// Package docs checks that the names and log messages in the documents exist in the code.
 package docs
 
 import (
@@ -18,16 +18,17 @@
 // moduleRoot is the repository's moduleRoot.
 const moduleRoot = "../.."
 
-// sourceIndex is what the documents may name.
+// sourceIndex is the set of names and log messages in the code that documents may mention.
 type sourceIndex struct {
-	packages      map[string]bool // by directory, as internal/scheduler
+	packages      map[string]bool // directories, such as internal/scheduler
 	identifiers   map[string]bool // package.Name, package.Type.Method and package.Type.Field
-	logMessages   map[string]bool // of log lines of level info and error
-	debugMessages map[string]bool // messages of log lines of level debug
-	tests         map[string]bool // tests and benchmarks
+	logMessages   map[string]bool // log messages of levels info and error
+	debugMessages map[string]bool // log messages of level debug
+	tests         map[string]bool // names of tests and benchmarks
 }
 
-// indexSource parses all Go files but tests.
+// indexSource parses all Go files and returns the names and log messages that they declare. Of test
+// files, it indexes only the names of tests and benchmarks.
 func indexSource(t *testing.T) *sourceIndex {
 	t.Helper()
 	s := &sourceIndex{
@@ -67,7 +68,7 @@
 	return s
 }
 
-// addTests notes a file's tests and benchmarks.
+// addTests adds the names of the tests and benchmarks in a file.
 func (s *sourceIndex) addTests(file *ast.File) {
 	for _, declaration := range file.Decls {
 		if function, ok := declaration.(*ast.FuncDecl); ok && testName.MatchString(function.Name.Name) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// addDeclarations notes a file's package-level names, methods and fields.
+// addDeclarations adds the names of the package-level identifiers, methods and fields in a file.
 func (s *sourceIndex) addDeclarations(file *ast.File) {
 	prefix := file.Name.Name + "."
 	for _, declaration := range file.Decls {
@@ -115,7 +116,7 @@
 	}
 }
 
-// receiverType is the name of a method's type.
+// receiverType returns the name of the receiver type of a method, or "" if it has another form.
 func receiverType(declaration *ast.FuncDecl) string {
 	expression := declaration.Recv.List[0].Type
 	if pointer, ok := expression.(*ast.StarExpr); ok {
@@ -127,7 +128,7 @@
 	return ""
 }
 
-// addLogMessages notes the messages that a file logs with slog.Info, slog.Error and slog.Debug.
+// addLogMessages adds the messages that a file logs with slog.Info, slog.Error and slog.Debug.
 func (s *sourceIndex) addLogMessages(file *ast.File) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
@@ -156,8 +157,8 @@
 	})
 }
 
-// messagesLoggedBy returns the set of messages that a function of package slog logs, nil for one
-// that logs none.
+// messagesLoggedBy returns the set to which the messages of a function of package slog belong, or
+// nil if the function is not one of Info, Error and Debug.
 func (s *sourceIndex) messagesLoggedBy(function string) map[string]bool {
 	switch function {
 	case "Info", "Error":
@@ -188,10 +189,10 @@
 	storedKey      = regexp.MustCompile(`^[a-z]/`)
 )
 
-// A page that names what is gone misleads whoever is paged and searches for it.
+// A document that mentions a removed name misleads operators who search the code for it.
 func TestDocumentedNamesExist(t *testing.T) {
 	s := indexSource(t)
-	names := map[string]bool{} // of packages, without their directories
+	names := map[string]bool{} // names of packages, without their parent directories
 	for directory := range s.packages {
 		names[filepath.Base(directory)] = true
 	}
@@ -203,15 +204,15 @@
 			switch {
 			case fileName.MatchString(name):
 				if _, err := os.Stat(filepath.Join(moduleRoot, name)); err != nil {
-					t.Errorf("%s names a file that is gone: %s", document, name)
+					t.Errorf("%s: got file %s, want one that exists", document, name)
 				}
 			case directoryName.MatchString(name):
 				if !s.packages[strings.TrimSuffix(name, "/")] {
-					t.Errorf("%s names a package that is gone: %s", document, name)
+					t.Errorf("%s: got package %s, want one that exists", document, name)
 				}
 			case identifierName.MatchString(name) && names[packageName]:
 				if !s.identifiers[name] {
-					t.Errorf("%s names what is gone: %s", document, name)
+					t.Errorf("%s: got identifier %s, want one that exists", document, name)
 				}
 			default:
 				continue
@@ -220,16 +221,16 @@
 		}
 		for _, name := range testName.FindAllString(readDocument(t, document), -1) {
 			if !s.tests[name] {
-				t.Errorf("%s names a test that is gone: %s", document, name)
+				t.Errorf("%s: got test %s, want one that exists", document, name)
 			}
 		}
 		if checked == 0 {
-			t.Errorf("%s names nothing that could be checked", document)
+			t.Errorf("%s: got no name that can be checked, want at least one", document)
 		}
 	}
 }
 
-// Operators look tunables up in the documents, and set them by those names.
+// Operators look up tunables in the documents and set them by these names in policy scripts.
 func TestDocumentedTunablesExist(t *testing.T) {
 	s := indexSource(t)
 	for _, document := range []string{"architecture.md", "design.md", "operations.md", "performance.md"} {
@@ -241,16 +242,16 @@
 			}
 			checked++
 			if !s.identifiers["tuning."+name] && !s.identifiers["tuning.Tuning."+name] {
-				t.Errorf("%s names a tunable that is gone: %s", document, name)
+				t.Errorf("%s: got tunable %s, want one that exists", document, name)
 			}
 		}
 		if checked == 0 {
-			t.Errorf("%s names no tunable", document)
+			t.Errorf("%s: got no tunable, want at least one", document)
 		}
 	}
 }
 
-// The table of stored state has every kind of key that internal/records defines.
+// The table of stored keys in architecture.md must have every key that internal/records defines.
 func TestStoredKeysAreDocumented(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(moduleRoot, "internal/records/keys.go"), nil, 0)
 	if err != nil {
@@ -269,52 +270,52 @@
 		}
 		checked++
 		if !strings.Contains(text, "`"+key) {
-			t.Errorf("architecture.md lacks the stored key %s", key)
+			t.Errorf("architecture.md: stored key %s is missing", key)
 		}
 		return true
 	})
 	if checked == 0 {
-		t.Error("internal/records/keys.go has no key")
+		t.Error("internal/records/keys.go: got no key, want at least one")
 	}
 }
 
-// Whoever reads the log looks a line up in operations.md: each one of level info or error
-// stands there, and none that is gone.
+// Operators look up log messages in operations.md. It must list every message of level info or
+// error and no message that is no longer logged.
 func TestLogMessagesAreDocumented(t *testing.T) {
 	s := indexSource(t)
 	text := readDocument(t, "operations.md")
 	documented := documentedMessages(text, "## Log lines of level", 1)
 	if len(documented) == 0 || len(s.logMessages) == 0 {
-		t.Fatalf("%d messages documented, %d logged", len(documented), len(s.logMessages))
+		t.Fatalf("log messages: got %d documented and %d logged, want at least one of each", len(documented), len(s.logMessages))
 	}
 	for message := range s.logMessages {
 		if !slices.Contains(documented, message) {
-			t.Errorf("logged but not in operations.md: %q", message)
+			t.Errorf("message %q is logged but not listed in operations.md", message)
 		}
 	}
 	for _, message := range documented {
 		if !s.logMessages[message] {
-			t.Errorf("in operations.md but not logged: %q", message)
+			t.Errorf("message %q is listed in operations.md but not logged", message)
 		}
 	}
 }
 
-// Lines of level debug need not be documented, but those that are must exist.
+// Messages of level debug need not be documented, but documented ones must be logged.
 func TestDocumentedDebugMessagesAreLogged(t *testing.T) {
 	s := indexSource(t)
 	documented := documentedMessages(readDocument(t, "operations.md"), "## Lines of level debug", 2)
 	if len(documented) == 0 {
-		t.Fatal("no line of level debug is documented")
+		t.Fatal("documented messages of level debug: got none, want at least one")
 	}
 	for _, message := range documented {
 		if !s.debugMessages[message] {
-			t.Errorf("in operations.md but not logged at level debug: %q", message)
+			t.Errorf("message %q is listed in operations.md but not logged at level debug", message)
 		}
 	}
 }
 
-// documentedMessages lists the code spans in one column of the tables in the sections whose
-// heading begins as given; the first column is 1.
+// documentedMessages returns the code spans in one column of the tables in sections whose heading
+// starts with the given prefix. Columns are counted from 1.
 func documentedMessages(text, heading string, column int) []string {
 	var messages []string
 	inSection := false
