--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -115,7 +115,7 @@
 		Team:          sampleTeam,
 		Shape:         wire.ArrayJob,
 		Priority:      wire.PriorityStandard,
-		Tasks:         1 + index%4,
+		TaskCount:     1 + index%4,
 		CPUs:          2,
 		MemoryGB:      4,
 		Image:         "img",
@@ -126,10 +126,10 @@
 	switch index % 5 {
 	case 2:
 		job.Shape = wire.GangJob
-		job.Tasks = 2
+		job.TaskCount = 2
 	case 4:
 		job.Shape = wire.ServiceJob
-		job.Tasks = 2
+		job.TaskCount = 2
 		job.EstimatedRunS = 0
 		return job, sampleServiceCancelDelay
 	}
--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -196,5 +196,5 @@
 	if outcome == "" {
 		outcome = "not finished" // the emulators were stopped before the job ended, or no controller accepted it
 	}
-	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.Tasks, outcome)
+	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.TaskCount, outcome)
 }
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -92,12 +92,12 @@
 func concurrentRequest(job *wire.Job) resource.Vector {
 	request := resource.TaskRequest(job)
 	if job.IsGang() || job.IsService() {
-		return request.Scale(job.Tasks)
+		return request.Scale(job.TaskCount)
 	}
 	return request
 }
 
 // mustSpread reports whether the job's tasks must run in different zones at the same time.
 func mustSpread(job *wire.Job) bool {
-	return job.SpreadZones && job.IsGang() && job.Tasks > 1
+	return job.SpreadZones && job.IsGang() && job.TaskCount > 1
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -49,14 +49,14 @@
 		job  wire.Job
 		want error
 	}{
-		{"array", wire.Job{Team: "free", Tasks: 9, CPUs: 1}, nil},
-		{"unknown team", wire.Job{Team: "none", Tasks: 1, CPUs: 1}, ErrUnknownTeam},
-		{"too large", wire.Job{Team: "free", Tasks: 1, CPUs: 17}, ErrNoMachineTypeFits},
-		{"unknown type", wire.Job{Team: "free", Tasks: 1, CPUs: 1, MachineTypes: []string{"x"}}, ErrNoMachineTypeFits},
-		{"unknown zone", wire.Job{Team: "free", Tasks: 1, CPUs: 1, Zone: "x"}, ErrNoMachineTypeFits},
-		{"array that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.ArrayJob, Tasks: 9, CPUs: 5}, nil},
-		{"gang that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.GangJob, Tasks: 3, CPUs: 5}, ErrTeamLimitExceeded},
-		{"spread gang restricted to one zone", wire.Job{Team: "free", Shape: wire.GangJob, Tasks: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
+		{"array", wire.Job{Team: "free", TaskCount: 9, CPUs: 1}, nil},
+		{"unknown team", wire.Job{Team: "none", TaskCount: 1, CPUs: 1}, ErrUnknownTeam},
+		{"too large", wire.Job{Team: "free", TaskCount: 1, CPUs: 17}, ErrNoMachineTypeFits},
+		{"unknown type", wire.Job{Team: "free", TaskCount: 1, CPUs: 1, MachineTypes: []string{"x"}}, ErrNoMachineTypeFits},
+		{"unknown zone", wire.Job{Team: "free", TaskCount: 1, CPUs: 1, Zone: "x"}, ErrNoMachineTypeFits},
+		{"array that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.ArrayJob, TaskCount: 9, CPUs: 5}, nil},
+		{"gang that exceeds the limit in total", wire.Job{Team: "limited", Shape: wire.GangJob, TaskCount: 3, CPUs: 5}, ErrTeamLimitExceeded},
+		{"spread gang restricted to one zone", wire.Job{Team: "free", Shape: wire.GangJob, TaskCount: 2, CPUs: 1, SpreadZones: true, Zone: "a"}, ErrGangCannotBeSpread},
 	} {
 		if err := Check(&c.job, settings, testTypes); !errors.Is(err, c.want) {
 			t.Errorf("%s: Check: got error %v, want %v", c.name, err, c.want)
@@ -69,14 +69,14 @@
 	settings := testSettings()
 	for replicas, want := range map[int]error{2: nil, 3: ErrTeamLimitExceeded} {
 		job := wire.Job{
-			ID:       "req-1",
-			Team:     "limited",
-			Shape:    wire.ServiceJob,
-			Priority: "production",
-			Tasks:    replicas,
-			CPUs:     4,
-			MemoryGB: 1,
-			Image:    "i",
+			ID:        "req-1",
+			Team:      "limited",
+			Shape:     wire.ServiceJob,
+			Priority:  "production",
+			TaskCount: replicas,
+			CPUs:      4,
+			MemoryGB:  1,
+			Image:     "i",
 		}
 		if err := Check(&job, settings, testTypes); !errors.Is(err, want) {
 			t.Errorf("Check of %d replicas of 4 CPUs with a limit of 10: got error %v, want %v", replicas, err, want)
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -39,7 +39,7 @@
 // answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
 // as heartbeats are answered, and then until the end of the lease that the last answered
 // heartbeat has renewed, counted from when that heartbeat was sent. The sum, plus the interval
-// ReportS between heartbeats and the margin MarginS, must not exceed the time CancelS within
+// HeartbeatIntervalS and the margin MarginS, must not exceed the time CancelDeadlineS within
 // which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.WorkerTiming
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -34,7 +34,7 @@
 	if !record.Phase.IsFinal() {
 		return
 	}
-	record.Job = &wire.Job{ID: record.Job.ID, Tasks: record.Job.Tasks}
+	record.Job = &wire.Job{ID: record.Job.ID, TaskCount: record.Job.TaskCount}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.jobs) >= f.limit {
--- a/internal/controller/final_jobs_test.go
+++ b/internal/controller/final_jobs_test.go
@@ -17,9 +17,9 @@
 	}
 	for i := range 2 * limit {
 		id := fmt.Sprint("done-", i)
-		cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: id, Tasks: i + 1}, Phase: wire.JobDone})
+		cache.addIfFinal(records.JobRecord{Job: &wire.Job{ID: id, TaskCount: i + 1}, Phase: wire.JobDone})
 		record, ok := cache.get(id)
-		if !ok || record.Phase != wire.JobDone || record.Job.Tasks != i+1 {
+		if !ok || record.Phase != wire.JobDone || record.Job.TaskCount != i+1 {
 			t.Errorf("get(%s) = ok %v, record %+v, want a done job with all its tasks", id, ok, record)
 		}
 		if want := min(i+1, limit); cache.size() != want {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -174,7 +174,7 @@
 func jobStatus(record records.JobRecord) wire.JobStatus {
 	status := wire.JobStatus{ID: record.Job.ID, Phase: record.Phase}
 	if record.Phase == wire.JobDone {
-		status.Done = record.Job.Tasks
+		status.Done = record.Job.TaskCount
 	}
 	return status
 }
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -75,7 +75,7 @@
 		bootS:        map[string]float64{},
 		bootPatience: tunables.BootPatience,
 		listLagS:     listLagS,
-		// Each listing may be outdated by up to ListLagS, and may even be older than the
+		// Each listing may be outdated by up to MaxListLagS, and may even be older than the
 		// previous one. A machine that exists can therefore be missing from all listings
 		// within that time.
 		goneAfterListings: missedListingsUntilGone + int(listLagS/tunables.ListS),
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -89,8 +89,8 @@
 // checkReplicas checks that all replicas of a service run.
 func (cluster *simulatedCluster) checkReplicas(service *wire.Job) {
 	cluster.t.Helper()
-	if n := cluster.simulation.Replicas(service.ID); n != service.Tasks {
-		cluster.t.Errorf("%d replicas of %d run", n, service.Tasks)
+	if n := cluster.simulation.Replicas(service.ID); n != service.TaskCount {
+		cluster.t.Errorf("%d replicas of %d run", n, service.TaskCount)
 	}
 }
 
--- a/internal/controller/simulated_jobs_test.go
+++ b/internal/controller/simulated_jobs_test.go
@@ -26,7 +26,7 @@
 		Team:          "free",
 		Shape:         wire.ArrayJob,
 		Priority:      "standard",
-		Tasks:         tasks,
+		TaskCount:     tasks,
 		CPUs:          cpus,
 		MemoryGB:      4,
 		Image:         "img",
@@ -116,7 +116,7 @@
 		Team:          teams[random.IntN(len(teams))],
 		Shape:         wire.ArrayJob,
 		Priority:      priorities[random.IntN(len(priorities))],
-		Tasks:         1 + random.IntN(12),
+		TaskCount:     1 + random.IntN(12),
 		CPUs:          1 + float64(random.IntN(4)),
 		MemoryGB:      4,
 		Image:         fmt.Sprintf("img-%d", random.IntN(4)),
@@ -129,11 +129,11 @@
 	}
 	if job.Team == "red" || random.IntN(4) == 0 {
 		job.GPUs = 1
-		job.Tasks = min(job.Tasks, 6)
+		job.TaskCount = min(job.TaskCount, 6)
 	}
 	if random.IntN(3) == 0 {
 		job.Shape = wire.GangJob
-		job.Tasks = 1 + random.IntN(4)
+		job.TaskCount = 1 + random.IntN(4)
 		job.SingleZone = random.IntN(2) == 0
 	}
 	if !job.SingleZone && random.IntN(5) == 0 {
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// moduleRoot is the repository's moduleRoot.
+// moduleRoot is the path of the repository's root directory, relative to this package.
 const moduleRoot = "../.."
 
 // sourceIndex is the set of names and log messages in the code that documents may mention.
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -158,7 +158,7 @@
 	if phase != wire.JobDone {
 		return
 	}
-	for i := range state.job.Tasks {
+	for i := range state.job.TaskCount {
 		if !w.done[wire.TaskName(state.job.ID, i)] {
 			w.violation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
 			return
@@ -268,7 +268,7 @@
 		w.violation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
 	}
 	inZone := 1
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		for other := range w.running[wire.TaskName(job.ID, i)] {
 			switch {
 			case other.Machine.Zone == machine.Zone:
@@ -278,7 +278,7 @@
 			}
 		}
 	}
-	if job.SpreadZones && inZone > (job.Tasks+1)/2 {
+	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
 		w.violation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
 	}
 }
@@ -353,7 +353,7 @@
 func (w *Simulation) waitsBesideCapacity(state *jobState, placed int, up []*Worker) bool {
 	enough := 1
 	if state.job.IsService() {
-		enough = state.job.Tasks // each replica has to be there
+		enough = state.job.TaskCount // each replica has to be there
 	}
 	return placed < enough && !state.reportedPhase.IsFinal() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
 }
@@ -366,7 +366,7 @@
 	}
 	tasks := 1
 	if job.IsGang() {
-		tasks = job.Tasks
+		tasks = job.TaskCount
 	}
 	cpus, gpus := usageWith(job, tasks, up)
 	return !w.overLimit(job.Team, cpus, gpus) && machinesFit(job, tasks, up)
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -45,7 +45,7 @@
 
 // submit uploads a job that runs on small machines, after a change, and has it accepted.
 func (s *checkerSetup) submit(change func(job *wire.Job)) *wire.Job {
-	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, Tasks: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
+	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, TaskCount: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
 	if change != nil {
 		change(job)
 	}
@@ -80,7 +80,7 @@
 		says   string // in one of the reports
 	}{
 		{"nothing is broken", "", func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.Tasks = 1 })
+			job := s.submit(func(job *wire.Job) { job.TaskCount = 1 })
 			s.start(s.west, job, 0)
 			time.Sleep(101 * time.Second)
 			s.PhaseReported(job.ID, wire.JobDone, time.Now())
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -91,7 +91,7 @@
 // gangMembers lists the tasks of the same gang attempt, with their machines.
 func (w *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
-	for i := range t.job.Tasks {
+	for i := range t.job.TaskCount {
 		for k, other := range w.running[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
 				members[other] = k
@@ -109,7 +109,7 @@
 		}
 	})
 	members := w.gangMembers(t)
-	if len(members) < t.job.Tasks {
+	if len(members) < t.job.TaskCount {
 		return
 	}
 	for member := range members {
@@ -142,7 +142,7 @@
 }
 
 func (w *Simulation) allDone(job *wire.Job) bool {
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		if !w.done[wire.TaskName(job.ID, i)] {
 			return false
 		}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -164,7 +164,7 @@
 		return 0
 	}
 	n := 0
-	for i := range state.job.Tasks {
+	for i := range state.job.TaskCount {
 		n += len(w.running[wire.TaskName(id, i)])
 	}
 	return n
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -130,7 +130,7 @@
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
 	job := k.simulation.description(id)
-	if job == nil || index >= job.Tasks {
+	if job == nil || index >= job.TaskCount {
 		k.refuse(c, wire.ExitTaskUnknown)
 		return
 	}
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -52,7 +52,7 @@
 func NewFirstChunk(record *JobRecord, level FeatureLevel, settings *config.Settings) ChunkRecord {
 	chunk := ChunkRecord{Job: record.Job, SubmittedAtMS: record.SubmittedAtMS}
 	if level >= FeatureExplicitChunks {
-		chunk.To = min(TasksPerChunk(settings), record.Job.Tasks)
+		chunk.To = min(TasksPerChunk(settings), record.Job.TaskCount)
 	}
 	return chunk
 }
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -127,7 +127,7 @@
 
 // hasUncommittedEnd reports whether all tasks are done, but this is not committed yet.
 func (j *Job) hasUncommittedEnd() bool {
-	return !j.finalized && !j.Cancelled && j.doneTasks >= j.Tasks
+	return !j.finalized && !j.Cancelled && j.doneTasks >= j.TaskCount
 }
 
 // putJobEnd adds the writes for a job's end. They set the final state that users read, and delete
--- a/internal/scheduler/binpacking.go
+++ b/internal/scheduler/binpacking.go
@@ -28,7 +28,7 @@
 
 // maxTasksPerZone returns the maximum number of tasks in one zone for a job that is spread over
 // zones.
-func (j *Job) maxTasksPerZone() int { return (j.Tasks + 1) / 2 }
+func (j *Job) maxTasksPerZone() int { return (j.TaskCount + 1) / 2 }
 
 // tasksByZone returns the number of the job's placements in each zone.
 func (j *Job) tasksByZone() map[string]int {
--- a/internal/scheduler/consolidate.go
+++ b/internal/scheduler/consolidate.go
@@ -136,7 +136,7 @@
 	if placement.stopRequest != nil || placement.gangDone || !p.settled(placement, now) {
 		return false
 	}
-	isMultiTaskGang := job.IsGang() && job.Tasks > 1
+	isMultiTaskGang := job.IsGang() && job.TaskCount > 1
 	return !isMultiTaskGang && !job.SingleZone && !job.SpreadZones
 }
 
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -137,14 +137,14 @@
 	freeCapacity := machine.freeCapacity()
 	var slots []futureSlot
 	addSlots := func(availableInS float64) {
-		for freeCapacity.Contains(request) && len(slots) < job.Tasks {
+		for freeCapacity.Contains(request) && len(slots) < job.TaskCount {
 			freeCapacity = freeCapacity.Sub(request)
 			slots = append(slots, futureSlot{machine: machine, availableInS: availableInS})
 		}
 	}
 	addSlots(0)
 	for _, end := range p.taskEnds(machine, now) {
-		if len(slots) == job.Tasks {
+		if len(slots) == job.TaskCount {
 			break
 		}
 		freeCapacity = freeCapacity.Add(end.request)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -187,7 +187,7 @@
 		Team:          "free",
 		Shape:         wire.ArrayJob,
 		Priority:      "standard",
-		Tasks:         tasks,
+		TaskCount:     tasks,
 		CPUs:          cpus,
 		MemoryGB:      1,
 		Image:         "i",
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -71,8 +71,8 @@
 		Job:                 description,
 		SubmittedAt:         submittedAt,
 		Revision:            revision,
-		taskStates:          make([]taskState, description.Tasks),
-		waitingTasks:        description.Tasks,
+		taskStates:          make([]taskState, description.TaskCount),
+		waitingTasks:        description.TaskCount,
 		placements:          map[int]*Placement{},
 		failedSearchVersion: noFailedSearch,
 	}
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -180,7 +180,7 @@
 	for id, job := range test.owner.jobs {
 		restored := successor.jobs[id]
 		if restored == nil {
-			if job.doneTasks < job.Tasks {
+			if job.doneTasks < job.TaskCount {
 				test.t.Fatalf("round %d: unfinished job %s is unknown to a new owner", round, id)
 			}
 			continue
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -83,8 +83,8 @@
 // together with the job's record at the given revision.
 func (l *chunkLayout) newChunks(job *Job, revision uint64) []*chunk {
 	var chunks []*chunk
-	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
-		to := min(from+l.tasksPerChunk, job.Tasks)
+	for from := 0; from < job.TaskCount; from += l.tasksPerChunk {
+		to := min(from+l.tasksPerChunk, job.TaskCount)
 		chunks = append(chunks, newChunk(job, l.chunkIndex(from), from, to, l.formatForNewChunks()))
 	}
 	chunks[0].revision = revision
@@ -102,16 +102,16 @@
 // record contains none.
 func (l *chunkLayout) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.HasExplicitRange() {
-		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
+		from, to := loaded.Record.From, min(loaded.Record.To, job.TaskCount)
 		return extent{from: from, to: to, loaded: loaded}, from >= 0 && from < to
 	}
 	index, err := strconv.Atoi(loaded.Name)
-	chunkCount := (job.Tasks + l.tasksPerChunk - 1) / l.tasksPerChunk
+	chunkCount := (job.TaskCount + l.tasksPerChunk - 1) / l.tasksPerChunk
 	if err != nil || index < 0 || index >= chunkCount {
 		return extent{}, false
 	}
 	from := index * l.tasksPerChunk
-	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
+	return extent{from: from, to: min(from+l.tasksPerChunk, job.TaskCount), loaded: loaded}, true
 }
 
 // extents divides a job's tasks into ranges by the records that contain them. If two records
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -137,7 +137,7 @@
 	case job.DeadlineS > 0:
 		return job.SubmittedAt.Add(tuning.Seconds(job.DeadlineS - job.EstimatedRunS))
 	}
-	remainingS := float64(job.Tasks-job.doneTasks)*job.EstimatedRunS + job.cycle.imageFetchS
+	remainingS := float64(job.TaskCount-job.doneTasks)*job.EstimatedRunS + job.cycle.imageFetchS
 	work := remainingS * max(job.CPUs, 1)
 	return job.SubmittedAt.Add(tuning.Seconds(p.tuning.WorkWeight * work))
 }
@@ -167,7 +167,7 @@
 func (p *Partition) unfinishedJobsByTeam() map[string][]*Job {
 	byTeam := map[string][]*Job{}
 	for _, job := range p.jobs {
-		if !job.Cancelled && job.doneTasks < job.Tasks {
+		if !job.Cancelled && job.doneTasks < job.TaskCount {
 			byTeam[job.Team] = append(byTeam[job.Team], job)
 		}
 	}
@@ -188,7 +188,7 @@
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
 	var unfinishedTotal resource.Vector
 	for _, job := range jobs {
-		unfinished := resource.TaskRequest(job.Job).Scale(job.Tasks - job.doneTasks)
+		unfinished := resource.TaskRequest(job.Job).Scale(job.TaskCount - job.doneTasks)
 		unfinishedTotal = unfinishedTotal.Add(unfinished)
 		job.cycle.withinGuarantee = team.WithinGuarantee(unfinishedTotal)
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -114,7 +114,7 @@
 // stateToUpdate returns the state of a task's chunk, or nil if the chunk's own record already
 // includes the journal record with the given sequence.
 func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
-	if task < 0 || task >= job.Tasks {
+	if task < 0 || task >= job.TaskCount {
 		return nil
 	}
 	chunk := job.chunkOf(task)
@@ -211,6 +211,6 @@
 		// because a gang is placed as a whole.
 		p.markGangDone(job)
 	}
-	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
+	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.TaskCount
 	job.gangBroken = job.IsGang() && job.doneTasks == 0 && partlyPlaced
 }
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -108,10 +108,10 @@
 	}
 	remaining := team.RemainingTasks(resource.TaskRequest(job.Job))
 	if job.IsGang() {
-		if job.waitingTasks < job.Tasks || remaining < job.Tasks {
+		if job.waitingTasks < job.TaskCount || remaining < job.TaskCount {
 			return 0
 		}
-		return job.Tasks
+		return job.TaskCount
 	}
 	if job.cycle.startOverdue {
 		count = min(count, maxOverdueTasksPerTurn)
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -120,8 +120,8 @@
 		t.Fatalf("single-zone job %s has tasks in several zones: %v", job.ID, zones)
 	}
 	for zone, tasks := range zones {
-		if job.SpreadZones && tasks > (job.Tasks+1)/2 {
-			t.Fatalf("job %s, which is spread over zones, has %d of %d tasks in zone %s, want at most half, rounded up", job.ID, tasks, job.Tasks, zone)
+		if job.SpreadZones && tasks > (job.TaskCount+1)/2 {
+			t.Fatalf("job %s, which is spread over zones, has %d of %d tasks in zone %s, want at most half, rounded up", job.ID, tasks, job.TaskCount, zone)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 func checkGangAllOrNone(t *rapid.T, job *Job) {
 	t.Helper()
 	placed := len(job.placements)
-	if job.IsGang() && placed != 0 && placed != job.Tasks {
-		t.Fatalf("gang %s has %d of %d tasks placed, want all or none", job.ID, placed, job.Tasks)
+	if job.IsGang() && placed != 0 && placed != job.TaskCount {
+		t.Fatalf("gang %s has %d of %d tasks placed, want all or none", job.ID, placed, job.TaskCount)
 	}
 }
 
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -11,14 +11,14 @@
 
 func newServiceJob(id string, replicas int, cpus float64) wire.Job {
 	return wire.Job{
-		ID:       id,
-		Team:     "free",
-		Shape:    wire.ServiceJob,
-		Priority: "production",
-		Tasks:    replicas,
-		CPUs:     cpus,
-		MemoryGB: 1,
-		Image:    "i",
+		ID:        id,
+		Team:      "free",
+		Shape:     wire.ServiceJob,
+		Priority:  "production",
+		TaskCount: replicas,
+		CPUs:      cpus,
+		MemoryGB:  1,
+		Image:     "i",
 	}
 }
 
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -185,7 +185,7 @@
 		return 0 // the preempted tasks are about to free capacity for this job
 	}
 	count := min(job.placeableTasks(now), team.RemainingTasks(resource.TaskRequest(job.Job)))
-	if job.IsGang() && count < job.Tasks {
+	if job.IsGang() && count < job.TaskCount {
 		return 0
 	}
 	return count
--- a/internal/wire/fieldnames_test.go
+++ b/internal/wire/fieldnames_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A name that no message has any more would make the check above pass without effect.
+// A name that no message has any more would make the test above pass without effect.
 func TestProtocolFieldNamesExist(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
@@ -96,7 +96,8 @@
 	return found
 }
 
-// stringLiterals returns the string stringLiterals of a file, and the names in its CBOR field tags.
+// stringLiterals returns the sorted string literals of a Go file, including the names in its CBOR
+// field tags.
 func stringLiterals(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -66,7 +66,7 @@
 	Team                string   `cbor:"crew"` // team whose quota the job uses
 	Shape               JobShape `cbor:"shape"`
 	Priority            Priority `cbor:"rank"`
-	Tasks               int      `cbor:"pieces"`           // number of tasks
+	TaskCount           int      `cbor:"pieces"`           // number of tasks
 	CPUs                float64  `cbor:"cores"`            // CPU cores per task
 	GPUs                float64  `cbor:"gpus"`             // GPUs per task
 	MemoryGB            float64  `cbor:"ramGb"`            // memory per task, in GB
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -35,7 +35,7 @@
 	Team                *string   `cbor:"crew"`
 	Shape               *JobShape `cbor:"shape"`
 	Priority            *Priority `cbor:"rank"`
-	Tasks               *int64    `cbor:"pieces"`
+	TaskCount           *int64    `cbor:"pieces"`
 	CPUs                *float64  `cbor:"cores"`
 	GPUs                *float64  `cbor:"gpus"`
 	MemoryGB            *float64  `cbor:"ramGb"`
@@ -93,7 +93,7 @@
 		{"crew", s.Team == nil},
 		{"shape", s.Shape == nil},
 		{"rank", s.Priority == nil},
-		{"pieces", s.Tasks == nil},
+		{"pieces", s.TaskCount == nil},
 		{"cores", s.CPUs == nil},
 		{"gpus", s.GPUs == nil},
 		{"ramGb", s.MemoryGB == nil},
@@ -121,7 +121,7 @@
 }
 
 func (s *submission) checkTasks() error {
-	if *s.Tasks < 1 || *s.Tasks > maxTasks {
+	if *s.TaskCount < 1 || *s.TaskCount > maxTasks {
 		return newValidationError("pieces", "must be from 1 to %d", maxTasks)
 	}
 	return nil
@@ -230,7 +230,7 @@
 		Team:                *s.Team,
 		Shape:               *s.Shape,
 		Priority:            *s.Priority,
-		Tasks:               int(*s.Tasks),
+		TaskCount:           int(*s.TaskCount),
 		CPUs:                *s.CPUs,
 		GPUs:                *s.GPUs,
 		MemoryGB:            *s.MemoryGB,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -125,7 +125,7 @@
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		j, err := ParseJob(b)
-		if err == nil && (!ValidJobID(j.ID) || j.Tasks < 1 || j.Tasks > maxTasks || j.Priority.Value() < 0) {
+		if err == nil && (!ValidJobID(j.ID) || j.TaskCount < 1 || j.TaskCount > maxTasks || j.Priority.Value() < 0) {
 			t.Fatalf("parsing returned an invalid job: %+v", j)
 		}
 	})
