--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ParseJob(b); (err == nil) != strings.HasPrefix(name, "good") {
-			t.Errorf("parsing a job, case %q: got error %v, want one only if the case is invalid", name, err)
+			t.Errorf("parsing a job, case %q: got error %v, want one unless the name starts with good", name, err)
 		}
 	}
 	for _, b := range [][]byte{nil, {0xff}, []byte("{}"), {0x80}, {0x01}} {
