--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -142,9 +142,9 @@
 			{MachineType: sampleMachineType.Name, Zone: sampleZone, Spot: true, Count: sampleMachineCapacity},
 			{MachineType: sampleMachineType.Name, Zone: sampleZone, Count: sampleMachineCapacity},
 		},
-		Lag:      tuning.Seconds(sampleListLagS),
-		Boot:     simulation.StartWorker,
-		BootTime: func(machineType wire.MachineType) time.Duration { return tuning.Seconds(machineType.BootS) },
+		ListLag:    tuning.Seconds(sampleListLagS),
+		BootWorker: simulation.StartWorker,
+		BootTime:   func(machineType wire.MachineType) time.Duration { return tuning.Seconds(machineType.BootS) },
 	}
 }
 
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -91,7 +91,7 @@
 
 func loseSpotMachine(cluster *simulatedCluster, _ *rand.Rand, workers []*emulator.Worker) {
 	if worker := firstSpotWorker(workers); worker != nil {
-		cluster.cloud.TakeBack(worker.Machine.ID)
+		cluster.cloud.Reclaim(worker.Machine.ID)
 	}
 }
 
@@ -114,8 +114,8 @@
 // terminateWithNotice gives a machine a termination notice and makes the cloud remove it after the
 // given time.
 func (cluster *simulatedCluster) terminateWithNotice(worker *emulator.Worker, after time.Duration) {
-	worker.GiveNotice(after)
-	time.AfterFunc(after, func() { cluster.cloud.TakeBack(worker.Machine.ID) })
+	worker.GiveTerminationNotice(after)
+	time.AfterFunc(after, func() { cluster.cloud.Reclaim(worker.Machine.ID) })
 }
 
 func cutNodeFromStore(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
@@ -186,10 +186,10 @@
 		delay := time.Duration(random.IntN(60)) * time.Second
 		return fault, delay
 	}
-	cluster.store.Faults = func(string, *wire.Txn) (emulator.RequestFault, time.Duration) {
+	cluster.store.ChooseFault = func(string, *wire.Txn) (emulator.RequestFault, time.Duration) {
 		return drawFault(commitFaultProbability)
 	}
-	cluster.cloud.Faults = func() (emulator.RequestFault, time.Duration) {
+	cluster.cloud.ChooseFault = func() (emulator.RequestFault, time.Duration) {
 		return drawFault(cloudFaultProbability)
 	}
 	cluster.simulation.OnHeartbeat = func(_ *wire.Heartbeat, send func(emulator.Node)) {
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -120,10 +120,10 @@
 		cluster.submit(newIdlePriorityJob(1, 20, 1, 60), 0)
 		time.Sleep(40 * time.Second)
 		cluster.crashNodes()
-		before := cluster.store.Listed()
+		before := cluster.store.CountListedKeys()
 		cluster.startNodes()
 		time.Sleep(10 * time.Second)
-		if n := cluster.store.Listed() - before; n == 0 || n > finishedJobs/10 {
+		if n := cluster.store.CountListedKeys() - before; n == 0 || n > finishedJobs/10 {
 			cluster.t.Errorf("store items read in a failover with one running job: got %d, want 1 to 1000", n)
 		}
 		cluster.waitForJobsAndCheck(10 * time.Minute)
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -41,8 +41,8 @@
 		{"the replica's machine is lost and another fails all tasks", func(cluster *simulatedCluster) {
 			cluster.runAfterDelay(faultAt, func() {
 				workers := cluster.cloud.Workers()
-				workers[0].Fail(true)
-				cluster.cloud.TakeBack(workers[1].Machine.ID)
+				workers[0].FailTasks(true)
+				cluster.cloud.Reclaim(workers[1].Machine.ID)
 			})
 		}},
 		{"the owner crashes while the replica is being restarted", func(cluster *simulatedCluster) {
@@ -84,7 +84,7 @@
 
 // loseFirstMachine makes the cloud remove the first machine without notice.
 func (cluster *simulatedCluster) loseFirstMachine() {
-	cluster.cloud.TakeBack(cluster.cloud.Workers()[0].Machine.ID)
+	cluster.cloud.Reclaim(cluster.cloud.Workers()[0].Machine.ID)
 }
 
 // checkAllReplicasRunning checks that all replicas of a service are running.
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -10,72 +10,76 @@
 	"ambersill/internal/wire"
 )
 
-// Limits of requests, by the protocol.
+// Limits that the cloud's API sets on requests.
 const (
-	maxRentedMachines = 50  // in one request
-	maxListedMachines = 500 // in a page of the list
+	maxRentedMachines = 50  // in one rental request
+	maxListedMachines = 500 // in one page of the list of machines
 )
 
-// firstWorkerPort is the port of the first machine's worker; the others use the next ones.
+// firstWorkerPort is the port of the first machine's worker. Each further machine uses the next
+// port.
 const firstWorkerPort = 20000
 
-// Capacity is how many machines of a kind there are.
+// Capacity is the number of machines that the cloud has of one type, in one zone, as spot or
+// regular machines.
 type Capacity struct {
 	MachineType, Zone string
 	Spot              bool
 	Count             int
 }
 
-// offers reports whether the capacity is of the kind that a request asks for.
+// offers reports whether a request asks for machines of this capacity.
 func (c *Capacity) offers(request *wire.RentRequest) bool {
 	return c.MachineType == request.MachineType && c.Zone == request.Zone && c.Spot == request.Spot
 }
 
-// instance is a rented machine.
-type instance struct {
+// rentedMachine is a machine from its rental until it is returned or reclaimed.
+type rentedMachine struct {
 	machine  wire.CloudMachine
 	rentedAt time.Time
 	worker   *Worker // nil until the machine has booted
 }
 
-// occupies reports whether the machine takes from the capacity that a request asks for.
-func (i *instance) occupies(request *wire.RentRequest) bool {
-	machine := &i.machine
+// occupies reports whether the machine uses up one machine of the capacity that a request asks for.
+// A failed machine does not.
+func (m *rentedMachine) occupies(request *wire.RentRequest) bool {
+	machine := &m.machine
 	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
 		machine.Spot == request.Spot && machine.State != wire.MachineFailed
 }
 
-// Cloud emulates the cloud. Its machines run Workers.
+// Cloud emulates the cloud provider. Each machine that has booted runs a Worker.
 type Cloud struct {
 	MachineTypes []wire.MachineType
 	Capacity     []Capacity
-	Lag          time.Duration // by which the list of machines is late
-	// Faults, if set, decides what happens to each rental and return.
-	Faults func() (RequestFault, time.Duration)
-	// Boot starts a machine's worker once it is up.
-	Boot func(m wire.CloudMachine) *Worker
-	// BootTime returns how long one machine takes to boot; 0: it never comes up.
+	ListLag      time.Duration // minimum age of the list of machines that is returned
+	// ChooseFault, if set, returns the fault of each request to rent or return machines, and the
+	// delay of ExecuteLate.
+	ChooseFault func() (RequestFault, time.Duration)
+	// BootWorker starts the worker of a machine that has booted. The cloud's lock is held.
+	BootWorker func(m wire.CloudMachine) *Worker
+	// BootTime returns how long one machine takes to boot; 0 if it never finishes booting.
 	BootTime func(t wire.MachineType) time.Duration
 
-	mu        sync.Mutex
-	next      int // number of the next machine
-	machines  map[string]*instance
-	rentals   map[string][]string // IDs of the machines that each request ID has rented
-	refusals  int
-	snapshots []listSnapshot
+	mu             sync.Mutex
+	nextNumber     int // number from which the next machine's ID and port are built
+	machines       map[string]*rentedMachine
+	rentals        map[string][]string // by request ID: IDs of the machines that the request rented
+	refusedRentals int
+	snapshots      []listSnapshot
 }
 
-// listSnapshot is the list as it was at a time; the cloud shows an old one.
+// listSnapshot is the list of machines at one time.
 type listSnapshot struct {
-	at       time.Time
+	takenAt  time.Time
 	machines []wire.CloudMachine
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the cloud.
 func (c *Cloud) Handler() http.Handler {
 	c.mu.Lock()
 	if c.machines == nil {
-		c.machines = map[string]*instance{}
+		c.machines = map[string]*rentedMachine{}
 		c.rentals = map[string][]string{}
 	}
 	c.mu.Unlock()
@@ -117,27 +121,29 @@
 	}
 	fault, delay := c.fault()
 	executeWithFault(w, fault, delay, func() (int, any) {
-		c.remove(request.Machines)
+		c.terminate(request.Machines)
 		return http.StatusOK, map[string]bool{}
 	})
 }
 
+// fault returns the fault of a request, and the delay of ExecuteLate.
 func (c *Cloud) fault() (RequestFault, time.Duration) {
-	if c.Faults == nil {
+	if c.ChooseFault == nil {
 		return NoFault, 0
 	}
-	return c.Faults()
+	return c.ChooseFault()
 }
 
-// Refusals counts the rentals for which there was no capacity.
-func (c *Cloud) Refusals() int {
+// RefusedRentals returns how many rentals were refused because there was no capacity.
+func (c *Cloud) RefusedRentals() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.refusals
+	return c.refusedRentals
 }
 
-// rent rents as many of the requested machines as there is capacity for, and returns their IDs;
-// nil if there is none. A repeated request returns the machines that it has rented before.
+// rent rents as many of the requested machines as there is capacity for, and returns their IDs, or
+// nil if there is no capacity. A request ID that was used before rents nothing and returns the IDs
+// of the machines that it rented then.
 func (c *Cloud) rent(request *wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,19 +152,19 @@
 	}
 	count := min(request.Count, c.freeCapacity(request))
 	if count <= 0 {
-		c.refusals++
+		c.refusedRentals++
 		return nil
 	}
 	var ids []string
 	for range count {
-		ids = append(ids, c.add(request.MachineType, request.Zone, request.Spot))
+		ids = append(ids, c.addMachine(request.MachineType, request.Zone, request.Spot))
 	}
 	c.rentals[request.RequestID] = ids
 	return ids
 }
 
-// freeCapacity counts the machines of the requested kind that are not rented. The lock must be
-// held.
+// freeCapacity returns how many machines of the requested type, zone and spot setting can still be
+// rented. The lock must be held.
 func (c *Cloud) freeCapacity(request *wire.RentRequest) int {
 	free := 0
 	for _, capacity := range c.Capacity {
@@ -174,21 +180,21 @@
 	return free
 }
 
-// Add rents a machine without a request, whatever the capacity, and returns its ID. Handler
-// must have been called before.
-func (c *Cloud) Add(machineType, zone string, spot bool) string {
+// AddMachine rents a machine without a request and without regard to the capacity, and returns its
+// ID. Handler must have been called before.
+func (c *Cloud) AddMachine(machineType, zone string, spot bool) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.add(machineType, zone, spot)
+	return c.addMachine(machineType, zone, spot)
 }
 
-// add rents one machine, and returns its ID. The lock must be held.
-func (c *Cloud) add(machineType, zone string, spot bool) string {
-	id := fmt.Sprintf("m-%06d", c.next)
-	added := &instance{
+// addMachine rents one machine, starts to boot it, and returns its ID. The lock must be held.
+func (c *Cloud) addMachine(machineType, zone string, spot bool) string {
+	id := fmt.Sprintf("m-%06d", c.nextNumber)
+	added := &rentedMachine{
 		machine: wire.CloudMachine{
 			ID:          id,
-			Address:     fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.next),
+			Address:     fmt.Sprintf("127.0.0.1:%d", firstWorkerPort+c.nextNumber),
 			MachineType: machineType,
 			Zone:        zone,
 			Spot:        spot,
@@ -196,7 +202,7 @@
 		},
 		rentedAt: time.Now(),
 	}
-	c.next++
+	c.nextNumber++
 	c.machines[id] = added
 	for _, offered := range c.MachineTypes {
 		if offered.Name != machineType {
@@ -209,26 +215,28 @@
 	return id
 }
 
-// boot starts a machine's worker, unless the machine has been returned meanwhile.
-func (c *Cloud) boot(booting *instance) {
+// boot marks a machine as running and starts its worker, unless the machine was returned or
+// reclaimed while it booted.
+func (c *Cloud) boot(booting *rentedMachine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machines[booting.machine.ID] != booting {
 		return
 	}
 	booting.machine.State = wire.MachineRunning
-	booting.worker = c.Boot(booting.machine)
+	booting.worker = c.BootWorker(booting.machine)
 }
 
-// remove ends machines with their workers.
-func (c *Cloud) remove(ids []string) {
-	for _, worker := range c.removeInstances(ids) {
+// terminate removes machines, and kills their workers.
+func (c *Cloud) terminate(ids []string) {
+	for _, worker := range c.removeMachines(ids) {
 		worker.Kill()
 	}
 }
 
-// removeInstances removes machines, and returns the workers of those that had booted.
-func (c *Cloud) removeInstances(ids []string) []*Worker {
+// removeMachines removes the machines that are rented, and returns the workers of those that had
+// booted.
+func (c *Cloud) removeMachines(ids []string) []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var workers []*Worker
@@ -245,10 +253,10 @@
 	return workers
 }
 
-// TakeBack removes a machine without notice, as the cloud does with spot instances.
-func (c *Cloud) TakeBack(id string) { c.remove([]string{id}) }
+// Reclaim removes a machine without a request, as the cloud does with spot machines.
+func (c *Cloud) Reclaim(id string) { c.terminate([]string{id}) }
 
-// Workers lists the workers of the machines that are up, by machine ID.
+// Workers returns the workers of all machines that have booted, sorted by machine ID.
 func (c *Cloud) Workers() []*Worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -263,10 +271,10 @@
 }
 
 func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
-	machines := c.laggingList()
+	machines := c.laggedList()
 	since := r.URL.Query().Get("since")
 	pageSize := pageSizeOf(r, maxListedMachines)
-	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // an empty list on the wire, not null
+	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // encoded as an empty list, not as null
 	for _, machine := range machines {
 		if machine.ID <= since {
 			continue
@@ -280,18 +288,18 @@
 	writeResponse(w, http.StatusOK, page)
 }
 
-// laggingList takes a snapshot of the list, and returns the newest one that is at least Lag
-// old; none yet: an empty list. Snapshots are taken on request only, so that the list can be
-// as old as its reader is slow.
-func (c *Cloud) laggingList() []wire.CloudMachine {
+// laggedList takes a snapshot of the machines, and returns the newest snapshot that is at least
+// ListLag old, or nil if there is none. Snapshots are taken only here, so a client that lists the
+// machines rarely gets a list that may be as old as its own interval between requests.
+func (c *Cloud) laggedList() []wire.CloudMachine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.snapshots = append(c.snapshots, listSnapshot{at: now, machines: c.currentList(now)})
+	c.snapshots = append(c.snapshots, listSnapshot{takenAt: now, machines: c.currentList(now)})
 	var shown []wire.CloudMachine
 	shownIndex := 0
 	for i, snapshot := range c.snapshots {
-		if now.Sub(snapshot.at) >= c.Lag {
+		if now.Sub(snapshot.takenAt) >= c.ListLag {
 			shown = snapshot.machines
 			shownIndex = i
 		}
@@ -300,7 +308,8 @@
 	return shown
 }
 
-// currentList lists the rented machines by ID. The lock must be held.
+// currentList returns the rented machines, sorted by ID, with their age at now. The lock must be
+// held.
 func (c *Cloud) currentList(now time.Time) []wire.CloudMachine {
 	var machines []wire.CloudMachine
 	for _, rented := range c.machines {
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -9,19 +9,20 @@
 	"ambersill/internal/wire"
 )
 
-// maxListedKeys is how many keys a page of a listing has at most, by the protocol.
+// maxListedKeys is the store's limit on the keys in one page of a listing.
 const maxListedKeys = 1000
 
-// noSuchLease is the reason in the answers to requests that name an unknown lease.
+// noSuchLease is the error text of responses to requests that name an unknown lease.
 const noSuchLease = "no such lease"
 
-// rawTxn is a transaction whose values stay encoded.
+// rawTxn is a wire.Txn whose values are not decoded.
 type rawTxn struct {
 	Compares []wire.Compare `cbor:"when"`
 	Writes   []rawWrite     `cbor:"then"`
 }
 
-// rawWrite is a write whose value is kept as it was sent.
+// rawWrite is a wire.Write whose value is not decoded, so that reads return the bytes that were
+// sent.
 type rawWrite struct {
 	Put     string   `cbor:"put"`
 	Value   wire.Raw `cbor:"value"`
@@ -29,8 +30,9 @@
 	Delete  string   `cbor:"delete"`
 }
 
-// keys returns the transaction with its keys only, as much of it as faults depend on.
-func (t *rawTxn) keys() *wire.Txn {
+// withoutValues returns the transaction without the values and leases of its writes. ChooseFault
+// needs only the keys.
+func (t *rawTxn) withoutValues() *wire.Txn {
 	txn := &wire.Txn{Compares: t.Compares}
 	for _, write := range t.Writes {
 		txn.Writes = append(txn.Writes, wire.Write{Put: write.Put, Delete: write.Delete})
@@ -38,7 +40,7 @@
 	return txn
 }
 
-// Handler serves the protocol.
+// Handler returns the HTTP handler of the store.
 func (s *KeyValueStore) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.handleGet)
@@ -63,13 +65,14 @@
 	})
 }
 
-// admit reports whether a request of the host is served, and after which delay it is answered.
+// admit reports whether a request of a host is served, and returns the delay of its response. It
+// counts the request if the host is refused.
 func (s *KeyValueStore) admit(host string) (served bool, responseDelay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
 	if s.refusesHost(host) {
-		s.faults.refusals[host]++
+		s.faults.refusedRequests[host]++
 	}
 	return s.serves(host), s.faults.responseDelay
 }
@@ -77,7 +80,7 @@
 func (s *KeyValueStore) handleGet(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	s.mu.Lock()
-	e, ok := s.items[key]
+	e, ok := s.entries[key]
 	storeRevision := s.revision
 	s.mu.Unlock()
 	if !ok {
@@ -101,16 +104,16 @@
 		return strings.HasPrefix(key, prefix) && key > since
 	})
 	page := wire.KeyValuePage{
-		Items:    []wire.KeyValue{}, // an empty list on the wire, not null
+		Items:    []wire.KeyValue{}, // encoded as an empty list, not as null
 		Revision: s.revision,
 	}
 	if len(keys) > pageSize {
 		keys = keys[:pageSize]
 		page.HasMore = true
 	}
-	s.listed += len(keys)
+	s.listedKeys += len(keys)
 	for _, key := range keys {
-		page.Items = append(page.Items, keyValue(key, s.items[key]))
+		page.Items = append(page.Items, keyValue(key, s.entries[key]))
 	}
 	writeResponse(w, http.StatusOK, page)
 }
@@ -130,8 +133,8 @@
 		return
 	}
 	fault, delay := NoFault, time.Duration(0)
-	if s.Faults != nil {
-		fault, delay = s.Faults(r.RemoteAddr, txn.keys())
+	if s.ChooseFault != nil {
+		fault, delay = s.ChooseFault(r.RemoteAddr, txn.withoutValues())
 	}
 	executeWithFault(w, fault, delay, func() (int, any) { return s.apply(&txn) })
 }
@@ -163,7 +166,8 @@
 	writeResponse(w, http.StatusOK, map[string]bool{})
 }
 
-// leaseIDOf returns the lease ID in a request's path; 0, which no lease has, if there is none.
+// leaseIDOf returns the lease ID in the path of a request. If the path has no valid ID, it returns 0,
+// which is never the ID of a lease.
 func leaseIDOf(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -8,159 +8,166 @@
 )
 
 // Worker emulates the worker of one machine. Its heartbeats are in worker_heartbeats.go, the
-// commands that it executes in worker_commands.go, and its tasks in worker_tasks.go. All
-// workers of a simulation share its lock, which keeps gangs and the model simple.
+// commands that it executes in worker_commands.go, and its tasks in worker_tasks.go. The lock of
+// the simulation guards the state of all its workers, so that code which touches several workers,
+// such as that for gangs, needs no other lock.
 type Worker struct {
 	Machine     wire.CloudMachine
 	simulation  *Simulation
 	machineType wire.MachineType
 
-	tasks              map[string]*task // by task name; one attempt at a time, others are refused
-	refused            []*task
-	images             map[string]bool
-	incarnation        uint64
-	sequence           uint64
-	fencingToken       uint64
-	leaseStart         time.Time // when the last answered heartbeat was sent
-	terminationNoticeS *float64
-	dead               bool
-	hung               bool
-	resume             chan struct{}
-	faulty             bool
-	inboundCut         bool          // its heartbeats leave, but no response and no command arrives
-	outboundCut        bool          // it reaches no controller, while commands arrive
-	commandDelay       time.Duration // after which direct commands execute
-	lateCommands       int           // requests whose commands were delayed, or came while the machine hung
-	changed            chan struct{}
-	nodeIndex          int
-	cancel             context.CancelFunc
+	tasks               map[string]*task // by task name; at most one attempt of a task
+	refusedStarts       []*task          // attempts refused at their start, reported until forgotten
+	fetchedImages       map[string]bool
+	incarnation         uint64
+	sequence            uint64
+	fencingToken        uint64
+	leaseStart          time.Time     // when the last accepted heartbeat was sent, or the incarnation began
+	terminationNoticeS  *float64      // seconds between the notice and the removal; nil without notice
+	dead                bool          // the machine has been removed
+	hung                bool          // the machine hangs: it neither sends nor executes anything
+	resume              chan struct{} // closed and replaced when a hang ends
+	failsTasks          bool
+	inboundCut          bool          // heartbeats are sent, but no response or command arrives
+	outboundCut         bool          // heartbeats are not sent, but commands arrive
+	commandDelay        time.Duration // between the arrival and the execution of direct commands
+	lateCommandRequests int           // requests whose commands were delayed, or arrived while the machine hung
+	earlyHeartbeat      chan struct{} // signals that the next heartbeat is to be sent early
+	nodeIndex           int           // modulo the number of nodes: the node that heartbeats go to
+	cancel              context.CancelFunc
 }
 
-// StartWorker starts a machine's worker.
+// StartWorker starts the worker of a machine. It runs until Kill is called or the simulation ends.
 func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
 	ctx, cancel := context.WithCancel(w.Ctx)
 	worker := &Worker{
-		Machine:     m,
-		simulation:  w,
-		machineType: w.MachineTypes[m.MachineType],
-		tasks:       map[string]*task{},
-		images:      map[string]bool{},
-		incarnation: 1,
-		leaseStart:  time.Now(),
-		resume:      make(chan struct{}),
-		changed:     make(chan struct{}, 1),
-		cancel:      cancel,
+		Machine:        m,
+		simulation:     w,
+		machineType:    w.MachineTypes[m.MachineType],
+		tasks:          map[string]*task{},
+		fetchedImages:  map[string]bool{},
+		incarnation:    1,
+		leaseStart:     time.Now(),
+		resume:         make(chan struct{}),
+		earlyHeartbeat: make(chan struct{}, 1),
+		cancel:         cancel,
 	}
-	go worker.run(ctx)
-	go worker.listen(ctx)
+	go worker.sendHeartbeats(ctx)
+	go worker.serveCommands(ctx)
 	return worker
 }
 
-// Kill ends the machine: it and all that is on it are gone.
-func (k *Worker) Kill() {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.dead = true
-	k.cancel()
-	k.dropTasks()
+// Kill removes the machine with all its tasks, without any further heartbeat.
+func (w *Worker) Kill() {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.dead = true
+	w.cancel()
+	w.dropTasks()
 }
 
-// Hang has the machine hang for a while; it continues where it was.
-func (k *Worker) Hang(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	if k.hung || k.dead {
+// Hang freezes the machine for d. Afterwards it continues from the same state. Hang does nothing if
+// the machine already hangs or has been removed.
+func (w *Worker) Hang(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	if w.hung || w.dead {
 		return
 	}
-	k.hung = true
-	time.AfterFunc(d, k.endHang)
+	w.hung = true
+	time.AfterFunc(d, w.endHang)
 }
 
-// endHang has the machine continue. Timers that fired while it hung fire again.
-func (k *Worker) endHang() {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.hung = false
-	k.checkLease()
-	close(k.resume)
-	k.resume = make(chan struct{})
-	for _, t := range k.tasks {
+// endHang makes the machine continue. Every task's timer is set to fire now, including those that
+// fired while the machine hung and had no effect.
+func (w *Worker) endHang() {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.hung = false
+	w.expireLease()
+	close(w.resume)
+	w.resume = make(chan struct{})
+	for _, t := range w.tasks {
 		if t.timer != nil {
 			t.timer.Reset(minTimerDelay)
 		}
 	}
 }
 
-// Fail has every task fail that starts on this machine, or no longer.
-func (k *Worker) Fail(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.faulty = on
+// FailTasks makes every task that starts on this machine from now on fail, or stops doing so.
+func (w *Worker) FailTasks(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.failsTasks = on
 }
 
-// CutInbound lets heartbeats out, but no response and no command in.
-func (k *Worker) CutInbound(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.inboundCut = on
+// CutInbound starts or stops dropping all responses and commands. Heartbeats are still sent.
+func (w *Worker) CutInbound(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.inboundCut = on
 }
 
-// CutOutbound keeps heartbeats from leaving, while commands arrive.
-func (k *Worker) CutOutbound(on bool) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.outboundCut = on
+// CutOutbound starts or stops dropping all heartbeats. Commands still arrive.
+func (w *Worker) CutOutbound(on bool) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.outboundCut = on
 }
 
-// DelayCommands has direct commands that arrive from now on execute after a delay, also when
-// their sender has given up; 0: at once.
-func (k *Worker) DelayCommands(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	k.commandDelay = d
+// DelayCommands makes direct commands that arrive from now on execute after a delay, even if the
+// sender has closed the connection by then. 0 executes them on arrival.
+func (w *Worker) DelayCommands(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	w.commandDelay = d
 }
 
-// LateCommands counts the requests with commands that were delayed, or arrived while the
-// machine hung.
-func (k *Worker) LateCommands() int {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	return k.lateCommands
+// LateCommandRequests returns the number of requests whose commands were delayed, or arrived while
+// the machine hung.
+func (w *Worker) LateCommandRequests() int {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	return w.lateCommandRequests
 }
 
 // Incarnation returns the worker's current incarnation.
-func (k *Worker) Incarnation() uint64 {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	return k.incarnation
+func (w *Worker) Incarnation() uint64 {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	return w.incarnation
 }
 
-// GiveNotice gives notice that the cloud removes the machine after d.
-func (k *Worker) GiveNotice(d time.Duration) {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
+// GiveTerminationNotice makes the heartbeats report that the cloud will remove the machine after d.
+func (w *Worker) GiveTerminationNotice(d time.Duration) {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
 	s := d.Seconds()
-	k.terminationNoticeS = &s
-	k.notifyChange()
+	w.terminationNoticeS = &s
+	w.requestEarlyHeartbeat()
 }
 
-func (k *Worker) notifyChange() {
+// requestEarlyHeartbeat makes the next heartbeat follow after minHeartbeatInterval, because there is a
+// change to report.
+func (w *Worker) requestEarlyHeartbeat() {
 	select {
-	case k.changed <- struct{}{}:
+	case w.earlyHeartbeat <- struct{}{}:
 	default:
 	}
 }
 
-// checkLease ends the incarnation once the lease has run out. A hanging machine's
-// tasks end with it too: it kills them before it does anything else.
-func (k *Worker) checkLease() {
-	if k.dead || time.Since(k.leaseStart) <= k.simulation.LeaseDuration {
+// expireLease ends the incarnation if its lease has expired: it drops all tasks, and begins a new
+// incarnation. It may do so while the machine hangs, because a machine whose lease has expired kills
+// its tasks before it does anything else. The checker counts the tasks as ended when the lease
+// expired. The simulation's lock must be held.
+func (w *Worker) expireLease() {
+	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
 	}
-	k.simulation.removedAt = k.leaseStart.Add(k.simulation.LeaseDuration)
-	k.dropTasks()
-	k.simulation.removedAt = time.Time{}
-	k.incarnation++
-	k.leaseStart = time.Now()
-	k.notifyChange()
+	w.simulation.removedAt = w.leaseStart.Add(w.simulation.LeaseDuration)
+	w.dropTasks()
+	w.simulation.removedAt = time.Time{}
+	w.incarnation++
+	w.leaseStart = time.Now()
+	w.requestEarlyHeartbeat()
 }
