--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// minTxnOps is the fewest writes that a transaction must allow: the end of a job or of
-	// a rental takes two, and a third lets another change go with it.
-	minTxnOps = 3
-	// minSockets is the fewest sockets that a controller can do its work with.
+	// minTxnWrites is the smallest supported limit on the writes of a transaction. Completing a
+	// job or a rental takes two writes, and a third allows another change in the same
+	// transaction.
+	minTxnWrites = 3
+	// minSockets is the smallest number of sockets with which a controller can operate.
 	minSockets = 50
 )
 
-// number is the value of a key.
-type number struct {
+// keyedNumber is a key of the settings file and its numeric value.
+type keyedNumber struct {
 	key   string
 	value float64
 }
 
-// invalid returns an error without a file, which Load adds.
-func invalid(key, format string, args ...any) *Error {
+// newError returns an Error without the file, which Load and LoadPolicy add.
+func newError(key, format string, args ...any) *Error {
 	return &Error{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate returns the first problem, in the order of the file's sections, or nil.
+// validate returns the first problem found, in the order of the sections of the file, or nil if the
+// settings are valid.
 func (s *Settings) validate() *Error {
 	for _, check := range []func() *Error{
 		s.validateNode,
@@ -33,7 +35,7 @@
 		s.Cluster.validateCount,
 		s.Cluster.validateTeams,
 		s.Cluster.validateAmounts,
-		s.Cluster.State.validate,
+		s.Cluster.Store.validate,
 		s.Cluster.Limits.validate,
 	} {
 		if problem := check(); problem != nil {
@@ -45,10 +47,10 @@
 
 func (s *Settings) validateNode() *Error {
 	if s.Node == "" {
-		return invalid("node", "missing")
+		return newError("node", "missing")
 	}
 	if s.Zone == "" {
-		return invalid("zone", "missing")
+		return newError("zone", "missing")
 	}
 	return nil
 }
@@ -56,12 +58,12 @@
 func (s *Settings) validateAddresses() *Error {
 	for _, address := range []struct{ key, value string }{
 		{"public_addr", s.PublicAddr},
-		{"mesh_addr", s.MeshAddr},
-		{"outside.cloud", s.Outside.Cloud},
-		{"outside.state", s.Outside.State},
+		{"mesh_addr", s.PeerAddr},
+		{"outside.cloud", s.Endpoints.Cloud},
+		{"outside.state", s.Endpoints.Store},
 	} {
 		if address.value == "" {
-			return invalid(address.key, "missing")
+			return newError(address.key, "missing")
 		}
 		if problem := validateAddress(address.key, address.value); problem != nil {
 			return problem
@@ -72,7 +74,7 @@
 
 func validateAddress(key, address string) *Error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return invalid(key, "%q is not of the form host:port", address)
+		return newError(key, "got %q, must be of the form host:port", address)
 	}
 	return nil
 }
@@ -81,7 +83,7 @@
 	nodes := map[string]bool{s.Node: true}
 	for i, member := range s.Members {
 		if member.Node == "" || nodes[member.Node] {
-			return invalid(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
+			return newError(fmt.Sprintf("members[%d].node", i), "must be present and unique")
 		}
 		nodes[member.Node] = true
 		if problem := validateAddress(fmt.Sprintf("members[%d].addr", i), member.Addr); problem != nil {
@@ -92,8 +94,8 @@
 }
 
 func (c *Cluster) validateCount() *Error {
-	if c.Count < 1 {
-		return invalid("cluster.count", "must be at least 1")
+	if c.ControllerCount < 1 {
+		return newError("cluster.count", "must be at least 1")
 	}
 	return nil
 }
@@ -102,64 +104,64 @@
 	names := map[string]bool{}
 	for i, team := range c.Teams {
 		if team.Name == "" || names[team.Name] {
-			return invalid(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
+			return newError(fmt.Sprintf("cluster.teams[%d].name", i), "must be present and unique")
 		}
 		names[team.Name] = true
-		if team.CPUs < 0 || team.CPUsMax < 0 || team.GPUs < 0 || team.GPUsMax < 0 {
-			return invalid(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
+		if team.CPUs < 0 || team.MaxCPUs < 0 || team.GPUs < 0 || team.MaxGPUs < 0 {
+			return newError(fmt.Sprintf("cluster.teams[%d]", i), "amounts of CPUs and GPUs must not be negative")
 		}
 	}
 	return nil
 }
 
 func (c *Cluster) validateAmounts() *Error {
-	for _, amount := range []number{
-		{"cluster.workers.report_s", c.Workers.ReportS},
-		{"cluster.workers.lease_s", c.Workers.LeaseS},
-		{"cluster.workers.gang_wait_s", c.Workers.GangWaitS},
-		{"cluster.workers.gang_peer_s", c.Workers.GangPeerS},
-		{"cluster.workers.cancel_s", c.Workers.CancelS},
-		{"cluster.state.rps", c.State.RPS},
-		{"cluster.state.write_rps", c.State.WriteRPS},
-		{"cluster.state.value_kb", c.State.ValueKB},
-		{"cluster.cloud.rps", c.Cloud.RPS},
-		{"cluster.machine_limits.ram_mb", c.Limits.RAMMB},
+	for _, amount := range []keyedNumber{
+		{"cluster.workers.report_s", c.WorkerTiming.HeartbeatIntervalS},
+		{"cluster.workers.lease_s", c.WorkerTiming.LeaseDurationS},
+		{"cluster.workers.gang_wait_s", c.WorkerTiming.GangWaitTimeoutS},
+		{"cluster.workers.gang_peer_s", c.WorkerTiming.GangPeerTimeoutS},
+		{"cluster.workers.cancel_s", c.WorkerTiming.CancelDeadlineS},
+		{"cluster.state.rps", c.Store.RequestsPerS},
+		{"cluster.state.write_rps", c.Store.WritesPerS},
+		{"cluster.state.value_kb", c.Store.MaxValueKiB},
+		{"cluster.cloud.rps", c.Cloud.RequestsPerS},
+		{"cluster.machine_limits.ram_mb", c.Limits.MemoryMiB},
 	} {
-		// Negated, so that NaN is refused too.
+		// The condition is negated so that it also rejects NaN.
 		if !(amount.value > 0) {
-			return invalid(amount.key, "must be above 0")
+			return newError(amount.key, "must be above 0")
 		}
 	}
 	return nil
 }
 
-// validate checks what validateAmounts does not. Of the announced limits, 0 stands for one
-// that does not change.
-func (s *State) validate() *Error {
-	if s.TxnOps < minTxnOps {
-		return invalid("cluster.state.txn_ops", "must be at least %d", minTxnOps)
+// validate checks the limits of the key-value store that validateAmounts does not check. An
+// announced limit may be 0, which means that the limit does not change.
+func (s *Store) validate() *Error {
+	if s.MaxTxnWrites < minTxnWrites {
+		return newError("cluster.state.txn_ops", "must be at least %d", minTxnWrites)
 	}
-	if s.Next == nil {
+	if s.Announced == nil {
 		return nil
 	}
-	for _, limit := range []number{
-		{"cluster.state.next.rps", s.Next.RPS},
-		{"cluster.state.next.write_rps", s.Next.WriteRPS},
-		{"cluster.state.next.value_kb", s.Next.ValueKB},
+	for _, limit := range []keyedNumber{
+		{"cluster.state.next.rps", s.Announced.RequestsPerS},
+		{"cluster.state.next.write_rps", s.Announced.WritesPerS},
+		{"cluster.state.next.value_kb", s.Announced.MaxValueKiB},
 	} {
 		if !(limit.value >= 0) {
-			return invalid(limit.key, "must not be below 0")
+			return newError(limit.key, "must not be negative")
 		}
 	}
-	if s.Next.TxnOps != 0 && s.Next.TxnOps < minTxnOps {
-		return invalid("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
+	if s.Announced.MaxTxnWrites != 0 && s.Announced.MaxTxnWrites < minTxnWrites {
+		return newError("cluster.state.next.txn_ops", "must be at least %d", minTxnWrites)
 	}
 	return nil
 }
 
 func (l *MachineLimits) validate() *Error {
 	if l.MaxSockets < minSockets {
-		return invalid("cluster.machine_limits.max_sockets", "must be at least %d", minSockets)
+		return newError("cluster.machine_limits.max_sockets", "must be at least %d", minSockets)
 	}
 	return nil
 }
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -90,8 +90,8 @@
 // checkAllReplicasRunning checks that all replicas of a service are running.
 func (cluster *simulatedCluster) checkAllReplicasRunning(service *wire.Job) {
 	cluster.t.Helper()
-	if n := cluster.simulation.ReplicaCount(service.ID); n != service.Tasks {
-		cluster.t.Errorf("running replicas of the service: got %d, want %d", n, service.Tasks)
+	if n := cluster.simulation.ReplicaCount(service.ID); n != service.TaskCount {
+		cluster.t.Errorf("running replicas of the service: got %d, want %d", n, service.TaskCount)
 	}
 }
 
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -126,14 +126,14 @@
 	}
 	now := time.Now()
 	state.lastAnswerAt = now
-	if state.reportedPhase.Final() && state.reportedPhase != phase {
+	if state.reportedPhase.IsFinal() && state.reportedPhase != phase {
 		s.checkWentBack(state, phase, sent)
 		return
 	}
 	if state.acceptedAt.IsZero() {
 		state.acceptedAt = now
 	}
-	if phase.Final() && !state.reportedPhase.Final() {
+	if phase.IsFinal() && !state.reportedPhase.IsFinal() {
 		state.finalAt = now
 	}
 	s.checkCancelRequested(state, phase)
@@ -148,7 +148,7 @@
 // reported in the other of these phases, or in an earlier phase in answer to a request that was
 // sent after the final phase was known.
 func (s *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
-	if phase.Final() || sent.After(state.finalAt) {
+	if phase.IsFinal() || sent.After(state.finalAt) {
 		s.recordViolation(ruleWentBack, "job %s was reported as %s, then as %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
@@ -167,7 +167,7 @@
 	if phase != wire.JobDone {
 		return
 	}
-	for i := range state.job.Tasks {
+	for i := range state.job.TaskCount {
 		if !s.completedTasks[wire.TaskName(state.job.ID, i)] {
 			s.recordViolation(ruleNotDone, "job %s was reported as done before its task %d completed", state.job.ID, i)
 			return
@@ -286,7 +286,7 @@
 		s.recordViolation(ruleWrongPlace, "a task of job %s started on machine %s, whose type, zone or spot status the job does not allow", job.ID, machine.ID)
 	}
 	inZone := 1
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		for other := range s.tasksOnMachines[wire.TaskName(job.ID, i)] {
 			switch {
 			case other.Machine.Zone == machine.Zone:
@@ -296,7 +296,7 @@
 			}
 		}
 	}
-	if job.SpreadZones && inZone > (job.Tasks+1)/2 {
+	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
 		s.recordViolation(ruleWrongPlace, "job %s must be spread over zones, but has %d tasks in one zone", job.ID, inZone)
 	}
 }
@@ -316,10 +316,10 @@
 		if limits.Name != team {
 			continue
 		}
-		if limits.CPUsMax > 0 && cpus > limits.CPUsMax+roundingTolerance {
+		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+roundingTolerance {
 			return true
 		}
-		if limits.GPUsMax > 0 && gpus > limits.GPUsMax+roundingTolerance {
+		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+roundingTolerance {
 			return true
 		}
 	}
@@ -376,9 +376,9 @@
 func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, workers []*Worker) bool {
 	needed := 1
 	if state.job.IsService() {
-		needed = state.job.Tasks // each replica must be placed
+		needed = state.job.TaskCount // each replica must be placed
 	}
-	return placed < needed && !state.reportedPhase.Final() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, workers)
+	return placed < needed && !state.reportedPhase.IsFinal() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, workers)
 }
 
 // hasCapacityFor reports whether the machines have free capacity for a job's first start, and
@@ -391,7 +391,7 @@
 	}
 	tasks := 1
 	if job.IsGang() {
-		tasks = job.Tasks
+		tasks = job.TaskCount
 	}
 	cpus, gpus := teamUsageWith(job, tasks, workers)
 	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, workers)
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -20,7 +20,7 @@
 
 func newCheckerSetup() *checkerSetup {
 	s := &checkerSetup{Simulation: NewSimulation(SimulationConfig{
-		Teams:           []config.Team{{Name: "limited", CPUsMax: 2}},
+		Teams:           []config.Team{{Name: "limited", MaxCPUs: 2}},
 		LeaseDuration:   time.Hour,
 		GangWaitTimeout: time.Minute,
 		GangPeerTimeout: 5 * time.Second,
@@ -46,7 +46,7 @@
 // submitAccepted registers a job of four tasks that may run on small machines only, and reports it
 // as queued to its user. If change is not nil, it is applied to the job first.
 func (s *checkerSetup) submitAccepted(change func(job *wire.Job)) *wire.Job {
-	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, Tasks: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
+	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, TaskCount: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
 	if change != nil {
 		change(job)
 	}
@@ -81,7 +81,7 @@
 		wantText string // must occur in one of the reports
 	}{
 		{"no violation", "", func(s *checkerSetup) {
-			job := s.submitAccepted(func(job *wire.Job) { job.Tasks = 1 })
+			job := s.submitAccepted(func(job *wire.Job) { job.TaskCount = 1 })
 			s.startTaskOn(s.west, job, 0)
 			time.Sleep(101 * time.Second)
 			s.RecordPhaseAnswer(job.ID, wire.JobDone, time.Now())
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -93,7 +93,7 @@
 // included, each with its machine.
 func (s *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
-	for i := range t.job.Tasks {
+	for i := range t.job.TaskCount {
 		for worker, other := range s.tasksOnMachines[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
 				members[other] = worker
@@ -112,7 +112,7 @@
 		}
 	})
 	members := s.gangMembers(t)
-	if len(members) < t.job.Tasks {
+	if len(members) < t.job.TaskCount {
 		return
 	}
 	for member := range members {
@@ -146,7 +146,7 @@
 }
 
 func (s *Simulation) allTasksDone(job *wire.Job) bool {
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		if !s.completedTasks[wire.TaskName(job.ID, i)] {
 			return false
 		}
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -12,7 +12,7 @@
 
 const (
 	// comparesPerWrite is how many compares a transaction may have for each write that the limit
-	// TxnOps allows. The protocol states this ratio.
+	// MaxTxnWrites allows. The protocol states this ratio.
 	comparesPerWrite = 4
 	bytesPerKiB      = 1024
 )
@@ -20,18 +20,18 @@
 // limits are the key-value store's limits on transactions: on their size and on the rate of
 // writes.
 type limits struct {
-	config.StateLimits
+	config.StoreLimits
 	writeLimiter *rate.Limiter
 }
 
 // Limit sets the limits for future transactions. Stored values are kept, even if they are over
 // the new limits.
-func (s *KeyValueStore) Limit(newLimits config.StateLimits) {
+func (s *KeyValueStore) Limit(newLimits config.StoreLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = &limits{
-		StateLimits:  newLimits,
-		writeLimiter: rate.NewLimiter(rate.Limit(newLimits.WriteRPS), int(newLimits.WriteRPS)),
+		StoreLimits:  newLimits,
+		writeLimiter: rate.NewLimiter(rate.Limit(newLimits.WritesPerS), int(newLimits.WritesPerS)),
 	}
 }
 
@@ -45,10 +45,10 @@
 
 // exceededLimit describes the first size limit that a transaction exceeds; "" if it exceeds none.
 func (l *limits) exceededLimit(txn *rawTxn) string {
-	if len(txn.Writes) > l.TxnOps {
+	if len(txn.Writes) > l.MaxTxnWrites {
 		return fmt.Sprintf("%d changes in a transaction", len(txn.Writes))
 	}
-	if len(txn.Compares) > comparesPerWrite*l.TxnOps {
+	if len(txn.Compares) > comparesPerWrite*l.MaxTxnWrites {
 		return fmt.Sprintf("%d conditions in a transaction", len(txn.Compares))
 	}
 	for _, write := range txn.Writes {
@@ -56,7 +56,7 @@
 		if err != nil {
 			continue // a delete, or a value that cannot be converted to JSON
 		}
-		if size > int(l.ValueKB*bytesPerKiB) {
+		if size > int(l.MaxValueKiB*bytesPerKiB) {
 			return fmt.Sprintf("%d bytes in %s", size, write.Put)
 		}
 	}
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -170,7 +170,7 @@
 		return 0
 	}
 	count := 0
-	for i := range state.job.Tasks {
+	for i := range state.job.TaskCount {
 		count += len(s.tasksOnMachines[wire.TaskName(id, i)])
 	}
 	return count
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -82,7 +82,7 @@
 			transport.Pause(ctx, submitRetryDelay)
 			continue
 		}
-		if phase := s.poll(ctx); phase.Final() {
+		if phase := s.poll(ctx); phase.IsFinal() {
 			return phase
 		}
 		s.waitForPoll(ctx)
@@ -133,7 +133,7 @@
 	if status != http.StatusOK {
 		return ""
 	}
-	if answer.Phase.Final() {
+	if answer.Phase.IsFinal() {
 		s.pollAllNodes(ctx, s.job.ID, s.submission)
 	}
 	if s.CancelWhenDone && answer.Phase == wire.JobDone {
