--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -58,7 +58,7 @@
 func ParseJob(body []byte) (*Job, error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
-		return nil, fmt.Errorf("decoding job: %w", err)
+		return nil, fmt.Errorf("not a job: %w", err)
 	}
 	if err := s.checkRequired(); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 
 func (s *submission) checkID() error {
 	if !ValidJobID(*s.ID) {
-		return newValidationError("uid", "must be req- followed by 1 to 18 digits")
+		return newValidationError("uid", "not a job ID")
 	}
 	return nil
 }
@@ -132,12 +132,12 @@
 	case ArrayJob, GangJob, ServiceJob:
 		return nil
 	}
-	return newValidationError("shape", "unknown job shape")
+	return newValidationError("shape", "unknown")
 }
 
 func (s *submission) checkPriority() error {
 	if s.Priority.Value() == unknownPriority {
-		return newValidationError("rank", "unknown priority")
+		return newValidationError("rank", "unknown")
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 
 func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameBytes {
-		return newValidationError(field, "must have from 1 to %d bytes", maxNameBytes)
+		return newValidationError(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	return nil
 }
@@ -185,7 +185,7 @@
 
 func (s *submission) checkRunTime() error {
 	if *s.Shape == ServiceJob && *s.EstimatedRunS != 0 {
-		return newValidationError("guessS", "must be 0 for a service because it runs until it is cancelled")
+		return newValidationError("guessS", "must be 0 for a service, which runs until it is cancelled")
 	}
 	return nil
 }
@@ -196,13 +196,13 @@
 	}
 	names := *s.MachineTypes
 	if len(names) == 0 || len(names) > maxMachineTypes {
-		return newValidationError("breeds", "must have from 1 to %d entries or be omitted", maxMachineTypes)
+		return newValidationError("breeds", "must have 1 to %d entries, or be left out", maxMachineTypes)
 	}
 	total := 0
 	for _, name := range names {
 		total += len(name)
 		if name == "" || total > maxMachineTypeNamesBytes {
-			return newValidationError("breeds", "names must not be empty and must have at most %d bytes in total", maxMachineTypeNamesBytes)
+			return newValidationError("breeds", "must not have empty names, nor over %d bytes together", maxMachineTypeNamesBytes)
 		}
 	}
 	return nil
@@ -217,7 +217,7 @@
 
 func (s *submission) checkDeadline() error {
 	if s.DeadlineS != nil && !(*s.DeadlineS > 0 && *s.DeadlineS <= maxAmount) {
-		return newValidationError("dueS", "must be above 0 and at most %g, or be omitted", maxAmount)
+		return newValidationError("dueS", "must be above 0 and at most %g, or be left out", maxAmount)
 	}
 	return nil
 }
