--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -113,7 +113,7 @@
 }
 
 func TestErrorResponses(t *testing.T) {
-	final := &StatusError{Status: http.StatusNotFound, Reason: "no such job"}
+	permanent := &StatusError{Status: http.StatusNotFound, Reason: "no such job"}
 	tests := []struct {
 		name       string
 		err        error
@@ -121,8 +121,8 @@
 		text       string
 		retryAfter string
 	}{
-		{"permanent", final, http.StatusNotFound, "no such job", ""},
-		{"permanent, wrapped", fmt.Errorf("query: %w", final), http.StatusNotFound, "no such job", ""},
+		{"permanent", permanent, http.StatusNotFound, "no such job", ""},
+		{"permanent, wrapped", fmt.Errorf("query: %w", permanent), http.StatusNotFound, "no such job", ""},
 		{"temporary", errors.New("no answer"), http.StatusServiceUnavailable, "come back later", "7"},
 	}
 	for _, test := range tests {
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -192,9 +192,9 @@
 // A document that mentions a removed name misleads operators who search the code for it.
 func TestDocumentedNamesExist(t *testing.T) {
 	s := indexSource(t)
-	names := map[string]bool{} // names of packages, without their parent directories
+	packageNames := map[string]bool{} // names of packages, without their parent directories
 	for directory := range s.packages {
-		names[filepath.Base(directory)] = true
+		packageNames[filepath.Base(directory)] = true
 	}
 	for _, document := range []string{"architecture.md", "design.md"} {
 		checked := 0
@@ -210,7 +210,7 @@
 				if !s.packages[strings.TrimSuffix(name, "/")] {
 					t.Errorf("%s: got package %s, want one that exists", document, name)
 				}
-			case identifierName.MatchString(name) && names[packageName]:
+			case identifierName.MatchString(name) && packageNames[packageName]:
 				if !s.identifiers[name] {
 					t.Errorf("%s: got identifier %s, want one that exists", document, name)
 				}
