--- a/cmd/ambersill/main.go
+++ b/cmd/ambersill/main.go
@@ -22,8 +22,8 @@
 	exitInvalidConfig = 2 // settings, policy or flags are invalid, so a restart fails again
 )
 
-// errInvalidConfig is wrapped by errors of invalid settings, an invalid policy script or invalid
-// flags.
+// errInvalidConfig is wrapped by errors that report invalid settings, an invalid policy script or
+// invalid flags.
 var errInvalidConfig = errors.New("invalid configuration")
 
 func main() {
--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -81,8 +81,8 @@
 	return cmd
 }
 
-// runEmulators runs the emulators until the context is cancelled, then prints the violations of the
-// protocol that the simulation found.
+// runEmulators runs the emulators until the context is cancelled, then prints the protocol
+// violations that the simulation found.
 func runEmulators(ctx context.Context, out io.Writer, options *standinOptions) error {
 	settings := make([]config.Settings, options.nodes)
 	for i := range settings {
--- a/cmd/ambersill/standin_test.go
+++ b/cmd/ambersill/standin_test.go
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.Store.StoreLimits != node.Cluster.Store.StoreLimits {
-			t.Errorf("settings %+v written to a file and loaded: got %+v", node, loaded)
+			t.Errorf("loading the written settings %+v: got %+v, want the same node and store limits and one member", node, loaded)
 		}
 	}
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -47,7 +47,7 @@
 
 // HeartbeatResult is the result of processing a heartbeat.
 type HeartbeatResult struct {
-	// Accepted reports whether the heartbeat was accepted, so that Response is sent.
+	// Accepted reports whether the heartbeat was accepted. Response is sent only in that case.
 	Accepted bool
 	Response wire.HeartbeatResponse
 	// RedirectTo names the node to which the worker should send its next heartbeat. It is
--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -116,7 +116,8 @@
 	}
 }
 
-// receiverType returns the name of the receiver type of a method, or "" if it has another form.
+// receiverType returns the name of the receiver type of a method. It returns "" if the receiver is
+// neither of a type with a plain name nor a pointer to one, for example if the type is generic.
 func receiverType(declaration *ast.FuncDecl) string {
 	expression := declaration.Recv.List[0].Type
 	if pointer, ok := expression.(*ast.StarExpr); ok {
--- a/internal/wire/fieldnames_test.go
+++ b/internal/wire/fieldnames_test.go
@@ -27,8 +27,8 @@
 }
 
 // emulatorFieldNames lists the field names that package emulator may also use, because it submits
-// invalid jobs that wire.Job cannot express and decodes transactions without decoding their
-// values.
+// invalid jobs that wire.Job cannot express, and decodes transactions but leaves their values
+// encoded.
 var emulatorFieldNames = []string{"breeds", "crew", "dueS", "hold", "pieces"}
 
 func TestOnlyWireUsesProtocolFieldNames(t *testing.T) {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A name that no message has any more would make the test above pass without effect.
+// If no message has a listed field name any more, the test above checks nothing for that name.
 func TestProtocolFieldNamesExist(t *testing.T) {
 	paths, err := filepath.Glob("*.go")
 	if err != nil {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -25,7 +25,7 @@
 	PriorityIdle       Priority = "idle"
 )
 
-// unknownPriority is the value returned for a priority that the protocol does not define.
+// unknownPriority is the result of Priority.Value for a priority that the protocol does not define.
 const unknownPriority = -1
 
 // Value returns a number that orders priorities; a higher number is more urgent. It returns a
--- a/internal/wire/keyvalue.go
+++ b/internal/wire/keyvalue.go
@@ -15,7 +15,7 @@
 	Revision uint64     `cbor:"ledgerMark"` // revision of the store at the time of the listing
 }
 
-// Compare is a condition of a transaction. It holds if the last change of the key is at Revision.
+// Compare is a condition of a transaction. It holds if the last change of the key was at Revision.
 // A revision of 0 requires that the key does not exist.
 type Compare struct {
 	Key      string `cbor:"key"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -54,7 +54,7 @@
 
 // ParseJob decodes and validates a submitted job. It returns a *ValidationError if a field is
 // missing or invalid, or a decoding error. Both are caused by the request, so retrying it
-// unchanged fails again.
+// unchanged fails again. The error texts are sent to users in the response to the submission.
 func ParseJob(body []byte) (*Job, error) {
 	var s submission
 	if err := Unmarshal(body, &s); err != nil {
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -48,7 +48,7 @@
 	MachineType        string       `cbor:"breed"`
 	Zone               string       `cbor:"field"`
 	Spot               bool         `cbor:"windfall"`
-	Incarnation        uint64       `cbor:"tenure"`   // incarnation of the worker; its tasks do not outlive it
+	Incarnation        uint64       `cbor:"tenure"`   // incarnation of the worker; tasks end with the incarnation that started them
 	Sequence           uint64       `cbor:"tally"`    // sequence number, which rises by one with each heartbeat
 	FencingToken       uint64       `cbor:"mandate"`  // highest fencing token that the worker has seen
 	TerminationNoticeS *float64     `cbor:"warningS"` // seconds until the spot instance is terminated; nil without notice
