--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -157,9 +157,9 @@
 }
 
 // postHeartbeat sends a heartbeat, and returns the HTTP status, or 0 if there is no response or its
-// body cannot be decoded. It decodes the body of StatusOK into ok, and that of
+// body cannot be decoded. It decodes the body of StatusOK into response, and that of
 // StatusMisdirectedRequest into redirect.
-func (w *Worker) postHeartbeat(ctx context.Context, client *http.Client, url string, body, ok, redirect any) int {
+func (w *Worker) postHeartbeat(ctx context.Context, client *http.Client, url string, body, response, redirect any) int {
 	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	w.simulation.waitLinkDelay(ctx)
@@ -171,7 +171,7 @@
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
-		err = wire.ReadResponse(resp.Body, ok)
+		err = wire.ReadResponse(resp.Body, response)
 	case http.StatusMisdirectedRequest:
 		err = wire.ReadResponse(resp.Body, redirect)
 	}
