--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -40,8 +40,8 @@
 	worker   *Worker // nil until the machine has booted
 }
 
-// occupies reports whether the machine uses up one machine of the capacity that a request asks for.
-// A failed machine does not.
+// occupies reports whether the machine counts against the capacity that a request asks for. A failed
+// machine does not.
 func (m *rentedMachine) occupies(request *wire.RentRequest) bool {
 	machine := &m.machine
 	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
@@ -142,8 +142,8 @@
 }
 
 // rent rents as many of the requested machines as there is capacity for, and returns their IDs, or
-// nil if there is no capacity. A request ID that was used before rents nothing and returns the IDs
-// of the machines that it rented then.
+// nil if there is no capacity. If machines have already been rented with the same request ID, it
+// rents none and returns the IDs of those machines.
 func (c *Cloud) rent(request *wire.RentRequest) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -253,7 +253,8 @@
 	return workers
 }
 
-// Reclaim removes a machine without a request, as the cloud does with spot machines.
+// Reclaim removes a machine without a request, as the cloud does with spot machines. It gives the
+// machine no termination notice.
 func (c *Cloud) Reclaim(id string) { c.terminate([]string{id}) }
 
 // Workers returns the workers of all machines that have booted, sorted by machine ID.
@@ -289,8 +290,8 @@
 }
 
 // laggedList takes a snapshot of the machines, and returns the newest snapshot that is at least
-// ListLag old, or nil if there is none. Snapshots are taken only here, so a client that lists the
-// machines rarely gets a list that may be as old as its own interval between requests.
+// ListLag old, or nil if there is none. Snapshots are taken only here, so if the time between two
+// requests for the list is longer than ListLag, the returned list may be as old as that time.
 func (c *Cloud) laggedList() []wire.CloudMachine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -12,14 +12,14 @@
 )
 
 // minRetainedChanges is the number of latest changes that the key-value store guarantees to keep for
-// watches. A watch may start at any revision that at most this many changes have followed.
+// watches. A watch may start at any revision that is followed by at most this many changes.
 const minRetainedChanges = 10000
 
 // entry is the value of a key, with its metadata.
 type entry struct {
 	value    wire.Raw
 	revision uint64 // store revision at the last change of the key
-	leaseID  uint64 // lease with which the key is deleted; 0 if none
+	leaseID  uint64 // lease that the key is attached to; 0 if none
 }
 
 // change is the put or delete of one key, as the store's history records it.
@@ -43,9 +43,9 @@
 	// is called with the host that sent the commit, and the transaction without its values.
 	ChooseFault func(from string, t *wire.Txn) (RequestFault, time.Duration)
 	// AnswerRefusedWatches makes a watch return 200 without events if it times out while its
-	// host is refused, the store is down or watches are stalled, even if there are events. The store's protocol says only that watches
-	// stay open, so a controller must not take such a response as proof that the store serves
-	// its requests.
+	// host is refused, the store is down or watches are stalled, even if there are events. The
+	// store's protocol says only that watches stay open, so a controller must not take such a
+	// response as proof that the store serves its requests.
 	AnswerRefusedWatches bool
 	// OnPut, if set, is called for each put with the key, its previous value (nil if the key is
 	// new) and its new value. The store's lock is held.
@@ -59,8 +59,8 @@
 	history        []change
 	changed        chan struct{} // closed and replaced at each change
 	faults         storeFaults
-	limits         *limits  // limits on writes; nil if there are none
-	invalidReasons []string // reasons for which transactions exceeded a limit and were answered 400
+	limits         *limits  // limits on transactions; nil if there are none
+	invalidReasons []string // the exceeded limit of each transaction that was answered 400 for its size
 	listedKeys     int      // keys returned by all listings so far
 }
 
@@ -149,7 +149,8 @@
 }
 
 // validate checks a transaction against the limits, and checks that the leases it names exist. It
-// returns StatusOK, or the status and the reason of the refusal. The lock must be held.
+// returns StatusOK, or the status and the reason of the refusal. It does not evaluate the compares.
+// The lock must be held.
 func (s *KeyValueStore) validate(txn *rawTxn) (status int, reason string) {
 	if s.limits != nil {
 		if reason := s.limits.exceededLimit(txn); reason != "" {
@@ -245,8 +246,8 @@
 	return s.nextLeaseID
 }
 
-// renewLease makes a lease expire one time to live from now, and reports whether the lease exists.
-// The lock must be held.
+// renewLease restarts the time to live of a lease, and reports whether the lease exists. The lock
+// must be held.
 func (s *KeyValueStore) renewLease(id uint64) bool {
 	l, ok := s.leases[id]
 	if !ok {
--- a/internal/emulator/kvstore_faults.go
+++ b/internal/emulator/kvstore_faults.go
@@ -16,7 +16,7 @@
 // storeFaults holds the faults that are active in a key-value store.
 type storeFaults struct {
 	down            bool           // all requests are answered 503, and no lease expires
-	refusedRequests map[string]int // by host that RefuseHost refuses: number of its requests refused
+	refusedRequests map[string]int // number of refused requests, by host; has only hosts that are refused now
 	responseDelay   time.Duration
 	watchesStalled  bool // watches get no response; other requests are served
 	listsRefused    bool // listings are answered 429; other requests are served
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(value, want) || revision != first {
-		t.Errorf("key a after a commit with a failed compare: got value %x at revision %d, want the value and revision before", value, revision)
+		t.Errorf("key a after a commit with a failed compare: got value %x at revision %d, want the value and revision from before the commit", value, revision)
 	}
 	if !hasKey(t, store, "b") {
 		t.Error("key b after a commit with a failed compare: got deleted, want kept")
@@ -221,7 +221,7 @@
 		t.Errorf("watch since a compacted revision: got status %d, want 410", status)
 	}
 	if status := watch(last - minRetainedChanges); status != http.StatusOK {
-		t.Errorf("watch since the oldest retained revision: got status %d, want 200", status)
+		t.Errorf("watch since the oldest revision that is not compacted: got status %d, want 200", status)
 	}
 }
 
@@ -261,7 +261,7 @@
 		page = wire.KeyValuePage{}
 		request(t, store.Handler(), http.MethodGet, "/store?prefix=a/&most=3&since="+since, nil, &page)
 		if len(page.Items) > 3 {
-			t.Fatalf("keys in a page of at most 3: got %d", len(page.Items))
+			t.Fatalf("number of keys in a page: got %d, want at most 3", len(page.Items))
 		}
 		for _, item := range page.Items {
 			listed = append(listed, item.Key)
@@ -277,7 +277,7 @@
 	store.Limit(config.StoreLimits{WritesPerS: 10, MaxValueKiB: 1, MaxTxnWrites: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
 	if status != http.StatusBadRequest || len(store.InvalidReasons()) != 1 {
-		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.InvalidReasons())
+		t.Errorf("commit of a value over the limit of 1 KiB: got status %d and recorded reasons %v, want 400 and one reason", status, store.InvalidReasons())
 	}
 	put(t, store, "a", 0, "short", 0)
 }
@@ -296,7 +296,7 @@
 			t.Fatal(err)
 		}
 		if size, err := JSONSize(raw); err != nil || size != c.want {
-			t.Errorf("JSON size of %v: got %d and error %v, want %d", c.value, size, err, c.want)
+			t.Errorf("JSON size of %v: got %d and error %v, want %d and no error", c.value, size, err, c.want)
 		}
 	}
 	if _, err := JSONSize(nil); err == nil {
--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -41,7 +41,7 @@
 		writeError(w, http.StatusBadRequest, "since")
 		return
 	}
-	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // 0 if not a number: the watch is answered at once
+	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // 0 if it is not a number; the watch then times out at once
 	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timeout.Stop()
 	timeoutPassed := false
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -33,7 +33,7 @@
 	commandDelay        time.Duration // between the arrival and the execution of direct commands
 	lateCommandRequests int           // requests whose commands were delayed, or arrived while the machine hung
 	earlyHeartbeat      chan struct{} // signals that the next heartbeat is to be sent early
-	nodeIndex           int           // modulo the number of nodes: the node that heartbeats go to
+	nodeIndex           int           // index of the node that heartbeats go to, modulo the number of nodes
 	cancel              context.CancelFunc
 }
 
@@ -78,8 +78,8 @@
 	time.AfterFunc(d, w.endHang)
 }
 
-// endHang makes the machine continue. Every task's timer is set to fire now, including those that
-// fired while the machine hung and had no effect.
+// endHang makes the machine continue. It sets the timers of all tasks to fire after minTimerDelay,
+// including those that fired without effect while the machine hung.
 func (w *Worker) endHang() {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -98,8 +98,8 @@
 }
 
 // stop makes a task exit, after it has saved a checkpoint if the grace period is long enough. If the
-// task already saves a checkpoint, a stop with a grace period lets it finish; a grace period of 0
-// ends it at once.
+// task is already saving a checkpoint, a stop with a grace period lets it finish; a grace period
+// of 0 ends it at once.
 func (w *Worker) stop(t *task, gracePeriodS float64) {
 	if t.savesCheckpoint(gracePeriodS) {
 		t.state = wire.TaskSaving
