--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -33,11 +33,11 @@
 
 // New returns a client that waits for the response to a request for at most timeout. It gives up
 // connecting after tuning.FencingTimeout if that is shorter.
-func New(n transport.Net, timeout time.Duration) *Client {
+func New(network transport.Net, timeout time.Duration) *Client {
 	connectTimeout := min(timeout, tuning.FencingTimeout)
 	return &Client{
 		timeout: timeout,
-		http:    transport.Client(n, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
+		http:    transport.Client(network, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
 	}
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -65,10 +65,10 @@
 }
 
 // New returns a client for a cloud whose rate limit is requestsPerSecond.
-func New(n transport.Net, addr string, requestsPerSecond float64) *Client {
+func New(network transport.Net, addr string, requestsPerSecond float64) *Client {
 	return &Client{
 		baseURL: "http://" + addr,
-		http:    transport.Client(n, maxConns, maxConns, connectTimeout),
+		http:    transport.Client(network, maxConns, maxConns, connectTimeout),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*usedRateFraction), max(1, int(requestsPerSecond))),
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,11 +104,11 @@
 	settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StateLimits,
 ) *kvstore.Client {
 	return kvstore.New(kvstore.Options{
-		Net:       network,
-		Addr:      settings.Outside.State,
-		Timeout:   tuning.Seconds(tunables.StateTimeoutS),
-		ReadRate:  limits.RPS,
-		WriteRate: limits.WriteRPS,
+		Net:         network,
+		Addr:        settings.Outside.State,
+		Timeout:     tuning.Seconds(tunables.StateTimeoutS),
+		RequestRate: limits.RPS,
+		WriteRate:   limits.WriteRPS,
 	})
 }
 
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -134,11 +134,11 @@
 func writeFinishedJobs(cluster *simulatedCluster, count int) {
 	const jobsPerTxn = 20
 	store := kvstore.New(kvstore.Options{
-		Net:       cluster.network.Host("history"),
-		Addr:      storeAddr,
-		Timeout:   2 * time.Second,
-		ReadRate:  1e6,
-		WriteRate: 1e6,
+		Net:         cluster.network.Host("history"),
+		Addr:        storeAddr,
+		Timeout:     2 * time.Second,
+		RequestRate: 1e6,
+		WriteRate:   1e6,
 	})
 	for n := 0; n < count; {
 		var txn wire.Txn
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -31,9 +31,9 @@
 	Net     transport.Net
 	Addr    string
 	Timeout time.Duration // of one request; a watch may take this long beyond its waiting time
-	// ReadRate and WriteRate are this node's portion of the store's rate limits, in requests
+	// RequestRate and WriteRate are this node's portion of the store's rate limits, in requests
 	// per second and in writes per second.
-	ReadRate, WriteRate float64
+	RequestRate, WriteRate float64
 }
 
 // Client sends requests to the key-value store, and limits the rates of requests and writes.
@@ -42,8 +42,8 @@
 	timeout         time.Duration
 	requestHTTP     *http.Client
 	watchHTTP       *http.Client
-	reads           *rate.Limiter
-	writes          *rate.Limiter
+	requestLimiter  *rate.Limiter
+	writeLimiter    *rate.Limiter
 	unthrottled     *rate.Limiter
 	requestCounters requestCounters
 
@@ -55,14 +55,14 @@
 // New returns a client for the store at o.Addr. It connects when the first request is sent.
 func New(o Options) *Client {
 	return &Client{
-		baseURL:     "http://" + o.Addr,
-		timeout:     o.Timeout,
-		requestHTTP: transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
-		watchHTTP:   transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
-		reads:       rate.NewLimiter(rate.Limit(o.ReadRate), readBurst(o.ReadRate)),
-		writes:      rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
-		unthrottled: rate.NewLimiter(rate.Inf, 0),
-		startTime:   time.Now(),
+		baseURL:        "http://" + o.Addr,
+		timeout:        o.Timeout,
+		requestHTTP:    transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
+		watchHTTP:      transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
+		requestLimiter: rate.NewLimiter(rate.Limit(o.RequestRate), requestBurst(o.RequestRate)),
+		writeLimiter:   rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
+		unthrottled:    rate.NewLimiter(rate.Inf, 0),
+		startTime:      time.Now(),
 	}
 }
 
@@ -75,7 +75,7 @@
 		path:      "/store/" + key,
 	}
 	var item wire.KeyValue
-	if err := c.throttle(ctx, c.reads, 1, req); err != nil {
+	if err := c.throttle(ctx, c.requestLimiter, 1, req); err != nil {
 		return item, err
 	}
 	err := c.call(ctx, req, &item)
@@ -85,7 +85,7 @@
 // List reads all keys with a prefix. It returns the revision of the first page, so that a
 // watch that starts there reports every change that the other pages may lack.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
-	return c.list(ctx, prefix, c.reads)
+	return c.list(ctx, prefix, c.requestLimiter)
 }
 
 // ListUnthrottled is List without the rate limit, for the few reads that must not wait behind
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -19,11 +19,11 @@
 func newTestClient(t *testing.T, status int, message any) *Client {
 	t.Helper()
 	client := New(Options{
-		Net:       transport.TCP{},
-		Addr:      servertest.Start(t, status, message),
-		Timeout:   time.Second,
-		ReadRate:  100,
-		WriteRate: 100,
+		Net:         transport.TCP{},
+		Addr:        servertest.Start(t, status, message),
+		Timeout:     time.Second,
+		RequestRate: 100,
+		WriteRate:   100,
 	})
 	t.Cleanup(client.requestHTTP.CloseIdleConnections)
 	return client
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -16,17 +16,17 @@
 // limiter refills the tokens taken in advance. The store allows bursts of one second's writes.
 const maxTokenDebt = time.Second
 
-// readBurst returns the number of requests that half a second allows, at least 1.
-func readBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
+// requestBurst returns the number of requests that half a second allows, at least 1.
+func requestBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
 
 // writeBurst returns the number of writes that one second allows, at least minWriteBurst.
 func writeBurst(perSecond float64) int { return max(minWriteBurst, int(perSecond)) }
 
 // SetRateLimits changes this node's portion of the store's rate limits, in requests per second
 // and in writes per second.
-func (c *Client) SetRateLimits(reads, writes float64) {
-	setLimit(c.reads, rate.Limit(reads))
-	setLimit(c.writes, rate.Limit(writes))
+func (c *Client) SetRateLimits(requestsPerSecond, writesPerSecond float64) {
+	setLimit(c.requestLimiter, rate.Limit(requestsPerSecond))
+	setLimit(c.writeLimiter, rate.Limit(writesPerSecond))
 }
 
 func setLimit(limiter *rate.Limiter, limit rate.Limit) {
@@ -47,7 +47,7 @@
 // reserveUrgentWrites takes n tokens for writes without waiting for them. If the limiter would
 // need more than maxTokenDebt to refill, it takes none and returns false.
 func (c *Client) reserveUrgentWrites(n int) bool {
-	reservation := c.writes.ReserveN(time.Now(), n)
+	reservation := c.writeLimiter.ReserveN(time.Now(), n)
 	if !reservation.OK() || reservation.Delay() > maxTokenDebt {
 		reservation.Cancel()
 		return false
