--- a/internal/agentclient/client.go
+++ b/internal/agentclient/client.go
@@ -18,7 +18,7 @@
 // ErrNotSent is returned if there was no connection to the agent, so that no command was sent.
 var ErrNotSent = errors.New("commands not sent")
 
-// connsPerAgent is the number of connections, and therefore of sockets, that a machine which
+// connsPerAgent limits the connections to one agent, and thereby the sockets that a machine which
 // does not respond can occupy.
 const connsPerAgent = 1
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -30,21 +30,23 @@
 type Options struct {
 	Net     transport.Net
 	Addr    string
-	Timeout time.Duration // of one request; a watch may take this long beyond its waiting time
+	Timeout time.Duration // of one request; a watch may take its maximum wait and this long in addition
 	// RequestRate and WriteRate are this node's portion of the store's rate limits, in requests
 	// per second and in writes per second.
 	RequestRate, WriteRate float64
 }
 
 // Client sends requests to the key-value store, and limits the rates of requests and writes.
+// ListUnthrottled and the requests for leases are exempt from both limits, and CommitUrgent may
+// exceed them.
 type Client struct {
 	baseURL         string
 	timeout         time.Duration
 	requestHTTP     *http.Client
 	watchHTTP       *http.Client
-	requestLimiter  *rate.Limiter
-	writeLimiter    *rate.Limiter
-	unthrottled     *rate.Limiter
+	requests        *rate.Limiter // limits gets, lists, watches and commits
+	writes          *rate.Limiter // limits the puts and deletes in transactions
+	unthrottled     *rate.Limiter // has no limit; for ListUnthrottled
 	requestCounters requestCounters
 
 	startTime       time.Time
@@ -55,14 +57,14 @@
 // New returns a client for the store at o.Addr. It connects when the first request is sent.
 func New(o Options) *Client {
 	return &Client{
-		baseURL:        "http://" + o.Addr,
-		timeout:        o.Timeout,
-		requestHTTP:    transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
-		watchHTTP:      transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
-		requestLimiter: rate.NewLimiter(rate.Limit(o.RequestRate), requestBurst(o.RequestRate)),
-		writeLimiter:   rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
-		unthrottled:    rate.NewLimiter(rate.Inf, 0),
-		startTime:      time.Now(),
+		baseURL:     "http://" + o.Addr,
+		timeout:     o.Timeout,
+		requestHTTP: transport.Client(o.Net, maxRequestConns, maxRequestConns, o.Timeout),
+		watchHTTP:   transport.Client(o.Net, maxWatchConns, maxWatchConns, o.Timeout),
+		requests:    rate.NewLimiter(rate.Limit(o.RequestRate), requestBurst(o.RequestRate)),
+		writes:      rate.NewLimiter(rate.Limit(o.WriteRate), writeBurst(o.WriteRate)),
+		unthrottled: rate.NewLimiter(rate.Inf, 0),
+		startTime:   time.Now(),
 	}
 }
 
@@ -75,7 +77,7 @@
 		path:      "/store/" + key,
 	}
 	var item wire.KeyValue
-	if err := c.throttle(ctx, c.requestLimiter, 1, req); err != nil {
+	if err := c.throttle(ctx, c.requests, 1, req); err != nil {
 		return item, err
 	}
 	err := c.call(ctx, req, &item)
@@ -85,7 +87,7 @@
 // List reads all keys with a prefix. It returns the revision of the first page, so that a
 // watch that starts there reports every change that the other pages may lack.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error) {
-	return c.list(ctx, prefix, c.requestLimiter)
+	return c.list(ctx, prefix, c.requests)
 }
 
 // ListUnthrottled is List without the rate limit, for the few reads that must not wait behind
--- a/internal/kvstore/contact.go
+++ b/internal/kvstore/contact.go
@@ -16,10 +16,11 @@
 	return int(c.requestCounters.served.Load()), int(c.requestCounters.refused.Load()), int(c.requestCounters.unanswered.Load())
 }
 
-// SinceContact returns the time since the most recently sent request that was served. It counts
-// from when the request was sent, because the response does not prove that the store was
-// reachable after it had executed the request. Watches are ignored, because the store keeps
-// them open through an outage and may complete them during it.
+// SinceContact returns the time since the most recently sent request that was served. If none
+// was served yet, it returns the time since the client was created. It counts from when the
+// request was sent, because the response proves only that the store was reachable at some moment
+// after that. Watches are ignored, because the store keeps them open through an outage and may
+// complete them during it.
 func (c *Client) SinceContact() time.Duration {
 	return time.Since(c.startTime) - time.Duration(c.lastServedNanos.Load())
 }
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -24,9 +24,9 @@
 
 // SetRateLimits changes this node's portion of the store's rate limits, in requests per second
 // and in writes per second.
-func (c *Client) SetRateLimits(requestsPerSecond, writesPerSecond float64) {
-	setLimit(c.requestLimiter, rate.Limit(requestsPerSecond))
-	setLimit(c.writeLimiter, rate.Limit(writesPerSecond))
+func (c *Client) SetRateLimits(requests, writes float64) {
+	setLimit(c.requests, rate.Limit(requests))
+	setLimit(c.writes, rate.Limit(writes))
 }
 
 func setLimit(limiter *rate.Limiter, limit rate.Limit) {
@@ -44,10 +44,11 @@
 	return nil
 }
 
-// reserveUrgentWrites takes n tokens for writes without waiting for them. If the limiter would
-// need more than maxTokenDebt to refill, it takes none and returns false.
+// reserveUrgentWrites takes n tokens for writes without waiting for them. It takes none and
+// returns false if the limiter would need more than maxTokenDebt to refill, or if n exceeds the
+// burst.
 func (c *Client) reserveUrgentWrites(n int) bool {
-	reservation := c.writeLimiter.ReserveN(time.Now(), n)
+	reservation := c.writes.ReserveN(time.Now(), n)
 	if !reservation.OK() || reservation.Delay() > maxTokenDebt {
 		reservation.Cancel()
 		return false
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -55,7 +55,8 @@
 }
 
 // send sends a request and counts its outcome. It returns ErrOutcomeUnknown if no response
-// arrived, and ErrRefused for status 429 or 503. The caller closes the body of the response.
+// arrived, and ErrRefused for status 429 or 503. A response with any other status shows that the
+// store served this node. The caller closes the body of the response.
 func (c *Client) send(ctx context.Context, client *http.Client, req request) (*http.Response, error) {
 	resp, err := transport.Send(ctx, client, req.method, c.baseURL+req.path, req.body)
 	if err != nil {
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -12,11 +12,11 @@
 // transaction may have taken effect or may still do so.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (uint64, error) {
 	req := commitRequest(txn)
-	if err := c.throttle(ctx, c.requestLimiter, 1, req); err != nil {
+	if err := c.throttle(ctx, c.requests, 1, req); err != nil {
 		return 0, err
 	}
 	if n := len(txn.Writes); n > 0 {
-		if err := c.throttle(ctx, c.writeLimiter, n, req); err != nil {
+		if err := c.throttle(ctx, c.writes, n, req); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -21,7 +21,7 @@
 		path:      "/watch?" + query,
 	}
 	var response wire.WatchResponse
-	if err := c.throttle(ctx, c.requestLimiter, 1, req); err != nil {
+	if err := c.throttle(ctx, c.requests, 1, req); err != nil {
 		return response, err
 	}
 	// The store keeps watches open through an outage, and a connection may be lost without
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -16,8 +16,8 @@
 )
 
 // unresponsiveTimeout is how long a connection may go without any answer before a call that times
-// out closes it, and how long a write on it may block. Calls to a busy peer may time out sooner,
-// and a new connection for each of them would only add to its load.
+// out closes it. It also limits how long a write may block. With a shorter time, calls that a busy
+// peer answers late would close the connection, and connecting again would only add to its load.
 const unresponsiveTimeout = 2 * time.Second
 
 // errTimeout is returned if the peer did not answer within the caller's timeout.
--- a/internal/peerrpc/exchange_test.go
+++ b/internal/peerrpc/exchange_test.go
@@ -18,8 +18,8 @@
 	return []any{&Claim{}, &Cancellation{}, &Query{}, &Answer{}, &ReportBatch{}, &BatchReply{}}
 }
 
-// setDistinctValues sets every field in v, also in nested values, to a value that is not zero. Fields
-// of the same type get different values, except booleans. counter increases with each value.
+// setDistinctValues sets every field in v, also in nested values, to a value that is not zero.
+// Fields of the same type get different values, except booleans. Each call increases counter.
 func setDistinctValues(t *testing.T, v reflect.Value, counter *int) {
 	*counter++
 	switch v.Kind() {
--- a/internal/peerrpc/messages.go
+++ b/internal/peerrpc/messages.go
@@ -19,14 +19,14 @@
 	methodReports   = serviceName + ".Reports"
 )
 
-// Claim is the argument of Claimed.
+// Claim is the argument of Claimed, and encodes an OwnershipClaim. Stamp is its revision.
 type Claim struct {
 	Part  int
 	Stamp uint64
 	Node  string
 }
 
-// Cancellation is the argument of Cancelled.
+// Cancellation is the argument of Cancelled, and encodes a JobCancellation.
 type Cancellation struct {
 	Part int
 	Job  string
@@ -101,7 +101,7 @@
 	Grace   float64
 }
 
-// encodeHeartbeat converts a heartbeat to the message that contains it.
+// encodeHeartbeat returns the message that contains a heartbeat.
 func encodeHeartbeat(heartbeat *wire.Heartbeat) WorkerReport {
 	message := Report{
 		Machine: heartbeat.Machine,
@@ -162,7 +162,7 @@
 	return heartbeat
 }
 
-// encodeResponse converts the response to a heartbeat to a message.
+// encodeResponse returns the message that contains a heartbeat's response.
 func encodeResponse(response wire.HeartbeatResponse) ReportReply {
 	message := ReportReply{Token: response.FencingToken}
 	if response.Commands != nil {
@@ -174,7 +174,7 @@
 	return message
 }
 
-// decodeResponse returns the response to a heartbeat that the message contains.
+// decodeResponse returns the heartbeat's response in the message.
 func (r *ReportReply) decodeResponse() wire.HeartbeatResponse {
 	response := wire.HeartbeatResponse{FencingToken: r.Token}
 	if r.Commands != nil {
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -69,13 +69,13 @@
 	return nil
 }
 
-// Cancelled receives the announcement of a node that has confirmed a cancellation to a user.
+// Cancelled receives the announcement of a node that has committed the cancellation of a job.
 func (s *Service) Cancelled(c Cancellation, _ *struct{}) error {
 	s.handler.HandleCancellation(JobCancellation{Partition: c.Part, JobID: c.Job})
 	return nil
 }
 
-// View returns a job's counts and the time since the last contact with the key-value store, or
+// View returns a job's task counts and the time since the last contact with the key-value store, or
 // only the latter if the query names no job.
 func (s *Service) View(query Query, answer *Answer) error {
 	if query.Job != "" {
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -8,8 +8,8 @@
 )
 
 // Main runs a package's tests and returns the exit code. It sets the seed of package rapid to 1
-// and turns off rapid's files of failed cases, unless the command line sets these flags;
-// -rapid.seed=0 selects a random seed.
+// and stops rapid from saving failed cases in files, unless the command line sets these flags.
+// The flag -rapid.seed=0 selects a random seed.
 func Main(m *testing.M) int {
 	defaults := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"}
 	flag.Parse()
--- a/internal/transport/http.go
+++ b/internal/transport/http.go
@@ -20,7 +20,8 @@
 // connection open. Opening a new connection costs less than reading more.
 const maxDiscardBytes = 4096
 
-// StatusError describes a response whose status has no error value of its own.
+// StatusError is the error for a response with a status other than success. It may be wrapped in
+// an error that states the consequence for the caller.
 type StatusError struct {
 	Code   int
 	Reason string // from the body; empty if the body states none
@@ -28,9 +29,9 @@
 
 func (e *StatusError) Error() string {
 	if e.Reason == "" {
-		return fmt.Sprintf("unexpected status %d", e.Code)
+		return fmt.Sprintf("HTTP status %d", e.Code)
 	}
-	return fmt.Sprintf("unexpected status %d: %s", e.Code, e.Reason)
+	return fmt.Sprintf("HTTP status %d: %s", e.Code, e.Reason)
 }
 
 // Client returns an HTTP client that opens at most connsPerHost connections to a host, and
@@ -90,8 +91,8 @@
 	return refusal.Error
 }
 
-// Discard reads and ignores up to maxDiscardBytes of a body. The connection of a body that
-// ends within them can be reused.
+// Discard reads and ignores up to maxDiscardBytes of a response's body. The connection can be
+// reused if the body is not longer than that.
 func Discard(resp *http.Response) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscardBytes))
 }
