--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -76,7 +76,7 @@
 
 // leaveJobWaiting provides a machine with capacity for the job, while no controller places it.
 func leaveJobWaiting(cluster *simulatedCluster) {
-	cluster.cloud.Add("small", "a", true)
+	cluster.cloud.AddMachine("small", "a", true)
 	time.Sleep(30 * second)
 	cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, time.Now())
 	cluster.simulation.FaultsOver()
@@ -91,7 +91,7 @@
 func runCancelledTask(cluster *simulatedCluster) {
 	const task = checkedJobID + "/0"
 	cluster.simulation.LeaseDuration = time.Hour // must be set before a machine is added
-	cluster.cloud.Add("small", "a", true)
+	cluster.cloud.AddMachine("small", "a", true)
 	time.Sleep(21 * second)
 	worker := cluster.cloud.Workers()[0]
 	worker.Execute(wire.Command{Op: wire.StartTask, Task: task, Attempt: 1})
