--- a/cmd/ambersill/standin_test.go
+++ b/cmd/ambersill/standin_test.go
@@ -9,7 +9,7 @@
 	"ambersill/internal/config"
 )
 
-func TestWrittenSettingsCanBeLoaded(t *testing.T) {
+func TestLoadWrittenSettings(t *testing.T) {
 	directory := t.TempDir()
 	settings := []config.Settings{sampleSettings(0, 2), sampleSettings(1, 2)}
 	if err := writeSettings(io.Discard, directory, settings); err != nil {
@@ -20,13 +20,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.State.StateLimits != node.Cluster.State.StateLimits {
-			t.Errorf("%+v is read as %+v", node, loaded)
+		if loaded.Node != node.Node || len(loaded.Members) != 1 || loaded.Cluster.Store.StoreLimits != node.Cluster.Store.StoreLimits {
+			t.Errorf("settings %+v written to a file and loaded: got %+v", node, loaded)
 		}
 	}
 }
 
-func TestInvalidFlagsAreSettingsErrors(t *testing.T) {
+func TestInvalidFlagsAreConfigErrors(t *testing.T) {
 	for _, arguments := range [][]string{
 		{},
 		{"check"},
@@ -39,8 +39,8 @@
 	} {
 		cmd := rootCommand()
 		cmd.SetArgs(arguments)
-		if err := cmd.Execute(); !errors.Is(err, errSettings) {
-			t.Errorf("%q: %v", arguments, err)
+		if err := cmd.Execute(); !errors.Is(err, errInvalidConfig) {
+			t.Errorf("arguments %q: got error %v, want errInvalidConfig", arguments, err)
 		}
 	}
 }
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -39,12 +39,12 @@
 // answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
 // as heartbeats are answered, and then until the end of the lease that the last answered
 // heartbeat has renewed, counted from when that heartbeat was sent. The sum, plus the interval
-// ReportS between heartbeats and the margin MarginS, must not exceed the time CancelS within
+// HeartbeatIntervalS and the margin MarginS, must not exceed the time CancelDeadlineS within
 // which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
-	workers := c.settings.Cluster.Workers
-	leaseS := workers.LeaseS * (1 + c.tuning.Drift)
-	return tuning.Seconds(workers.CancelS - leaseS - workers.ReportS - c.tuning.MarginS)
+	workers := c.settings.Cluster.WorkerTiming
+	leaseS := workers.LeaseDurationS * (1 + c.tuning.Drift)
+	return tuning.Seconds(workers.CancelDeadlineS - leaseS - workers.HeartbeatIntervalS - c.tuning.MarginS)
 }
 
 // cancellationListingAge returns the time since the latest successful listing of cancellations
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -19,7 +19,7 @@
 )
 
 // loweredLimits are store limits far below those in the settings of the simulations.
-var loweredLimits = config.StateLimits{WriteRPS: 36, ValueKB: 2, TxnOps: 4}
+var loweredLimits = config.StoreLimits{WritesPerS: 36, MaxValueKiB: 2, MaxTxnWrites: 4}
 
 // checkChunkFormat checks that, until the feature level is raised, only records that old versions
 // can read are written. It is called with the store's lock held.
@@ -70,10 +70,10 @@
 
 // lowerStoreLimits makes the key-value store enforce loweredLimits.
 func (cluster *simulatedCluster) lowerStoreLimits() {
-	cluster.store.Limit(config.StateLimits{
-		WriteRPS: loweredLimits.WriteRPS,
-		ValueKB:  loweredLimits.ValueKB,
-		TxnOps:   loweredLimits.TxnOps,
+	cluster.store.Limit(config.StoreLimits{
+		WritesPerS:   loweredLimits.WritesPerS,
+		MaxValueKiB:  loweredLimits.MaxValueKiB,
+		MaxTxnWrites: loweredLimits.MaxTxnWrites,
 	})
 }
 
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -109,7 +109,7 @@
 	}
 	if len(keys) > pageSize {
 		keys = keys[:pageSize]
-		page.More = true
+		page.HasMore = true
 	}
 	s.listedKeys += len(keys)
 	for _, key := range keys {
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -252,8 +252,8 @@
 	}
 	put(t, store, "b/0", 0, 0, 0)
 	var listed []string
-	page := wire.KeyValuePage{More: true}
-	for page.More {
+	page := wire.KeyValuePage{HasMore: true}
+	for page.HasMore {
 		since := ""
 		if len(listed) > 0 {
 			since = listed[len(listed)-1]
@@ -274,7 +274,7 @@
 
 func TestValueOverLimitIsInvalid(t *testing.T) {
 	store := NewKeyValueStore()
-	store.Limit(config.StateLimits{WriteRPS: 10, ValueKB: 1, TxnOps: 2})
+	store.Limit(config.StoreLimits{WritesPerS: 10, MaxValueKiB: 1, MaxTxnWrites: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
 	if status != http.StatusBadRequest || len(store.Invalid()) != 1 {
 		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.Invalid())
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -116,7 +116,7 @@
 // It returns nil if the chunk's own record already includes the journal record, or if the job has no
 // such task.
 func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
-	if task < 0 || task >= job.Tasks {
+	if task < 0 || task >= job.TaskCount {
 		return nil
 	}
 	chunk := job.chunkOf(task)
@@ -213,6 +213,6 @@
 		// because a gang is placed as a whole.
 		p.markGangDone(job)
 	}
-	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.Tasks
+	partlyPlaced := len(job.placements) > 0 && len(job.placements) < job.TaskCount
 	job.gangBroken = job.IsGang() && job.doneTasks == 0 && partlyPlaced
 }
