--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -21,39 +21,39 @@
 		violate func(cluster *simulatedCluster)
 	}{
 		{"went_back", func(cluster *simulatedCluster) { // queued, in response to a query sent after the response "cancelled"
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, now())
-			cluster.simulation.CancelRequested(checkedJobID)
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobCancelled, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
+			cluster.simulation.RecordCancelRequest(checkedJobID)
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, now())
 			time.Sleep(time.Millisecond)
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
 		}},
 		{"went_back", func(cluster *simulatedCluster) { // cancelled, although no cancellation was requested
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobCancelled, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, now())
 		}},
 		{"not_done", func(cluster *simulatedCluster) {
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobDone, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobDone, now())
 		}},
 		{"invented", func(cluster *simulatedCluster) {
-			cluster.simulation.PhaseReported("req-000009", wire.JobQueued, now())
+			cluster.simulation.RecordPhaseAnswer("req-000009", wire.JobQueued, now())
 		}},
 		{"forgotten", func(cluster *simulatedCluster) {
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
 			time.Sleep(time.Millisecond)
-			cluster.simulation.ReportedUnknown(checkedJobID, 404, now())
+			cluster.simulation.RecordUnknownJobAnswer(checkedJobID, 404, now())
 		}},
 		{"forgotten", func(cluster *simulatedCluster) {
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, now())
-			cluster.simulation.FaultsOver()
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
+			cluster.simulation.RecordFaultsOver()
 			time.Sleep(80 * second)
-			cluster.simulation.PollFailed(checkedJobID)
+			cluster.simulation.RecordUnansweredPoll(checkedJobID)
 		}},
-		{"accepted", func(cluster *simulatedCluster) { cluster.simulation.AcceptedInvalid("req-000009", 201) }},
+		{"accepted", func(cluster *simulatedCluster) { cluster.simulation.RecordInvalidJobAccepted("req-000009", 201) }},
 		{"left_waiting", leaveJobWaiting},
 		{"ran_cancelled", runCancelledTask},
 	} {
 		t.Run(test.rule, func(t *testing.T) {
 			simulate(t, 1, func(_ *testing.T, cluster *simulatedCluster) {
-				cluster.simulation.JobSubmitted(newSmallMachineJob(1, 1, 2, 300))
+				cluster.simulation.RegisterJob(newSmallMachineJob(1, 1, 2, 300))
 				test.violate(cluster)
 				cluster.checkViolationReported(test.rule)
 			})
@@ -61,12 +61,12 @@
 	}
 	t.Run("response to an earlier query may report an older phase", func(t *testing.T) {
 		simulate(t, 1, func(t *testing.T, cluster *simulatedCluster) {
-			cluster.simulation.JobSubmitted(newSmallMachineJob(1, 1, 2, 300))
+			cluster.simulation.RegisterJob(newSmallMachineJob(1, 1, 2, 300))
 			queriedAt := now()
-			cluster.simulation.CancelRequested(checkedJobID)
+			cluster.simulation.RecordCancelRequest(checkedJobID)
 			time.Sleep(time.Millisecond)
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobCancelled, now())
-			cluster.simulation.PhaseReported(checkedJobID, wire.JobRunning, queriedAt)
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, now())
+			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobRunning, queriedAt)
 			if violations := cluster.simulation.Violations(); len(violations) != 0 {
 				t.Errorf("violations reported for a late response: got %v, want none", violations)
 			}
@@ -78,10 +78,10 @@
 func leaveJobWaiting(cluster *simulatedCluster) {
 	cluster.cloud.AddMachine("small", "a", true)
 	time.Sleep(30 * second)
-	cluster.simulation.PhaseReported(checkedJobID, wire.JobQueued, time.Now())
-	cluster.simulation.FaultsOver()
+	cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, time.Now())
+	cluster.simulation.RecordFaultsOver()
 	for range 30 {
-		cluster.simulation.CheckWaiting(cluster.cloud.Workers())
+		cluster.simulation.CheckWaitingJobs(cluster.cloud.Workers())
 		time.Sleep(5 * second)
 	}
 }
@@ -96,8 +96,8 @@
 	worker := cluster.cloud.Workers()[0]
 	worker.Execute(wire.Command{Op: wire.StartTask, Task: task, Attempt: 1})
 	time.Sleep(5 * second)
-	cluster.simulation.CancelRequested(checkedJobID)
-	cluster.simulation.PhaseReported(checkedJobID, wire.JobCancelled, time.Now())
+	cluster.simulation.RecordCancelRequest(checkedJobID)
+	cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, time.Now())
 	time.Sleep(50 * second)
 	worker.Execute(wire.Command{Op: wire.StopTask, Task: task, Attempt: 1})
 }
--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -201,7 +201,7 @@
 			time.Sleep(2500 * time.Millisecond)
 		}
 		for id, at := range submittedAt {
-			first, started := cluster.simulation.FirstStart(id)
+			first, started := cluster.simulation.FirstStartTime(id)
 			if !started || first.Sub(at) > maxStartDelay {
 				cluster.t.Errorf("start of large job %s: got started %v after %v, want started within 4m0s", id, started, first.Sub(at))
 			}
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -207,5 +207,5 @@
 // must make progress.
 func (cluster *simulatedCluster) endFaults() {
 	cluster.faultsOver.Store(true)
-	cluster.simulation.FaultsOver()
+	cluster.simulation.RecordFaultsOver()
 }
--- a/internal/controller/simulated_checks_test.go
+++ b/internal/controller/simulated_checks_test.go
@@ -39,7 +39,7 @@
 	for _, violation := range cluster.simulation.Violations() {
 		cluster.t.Errorf("broken rule: %s", violation)
 	}
-	if cluster.simulation.Starts() == 0 {
+	if cluster.simulation.StartCount() == 0 {
 		cluster.t.Error("number of task starts: got 0, want at least 1")
 	}
 	cluster.mu.Lock()
@@ -64,7 +64,7 @@
 			return
 		case <-time.After(checkInterval):
 		}
-		cluster.simulation.CheckWaiting(cluster.cloud.Workers())
+		cluster.simulation.CheckWaitingJobs(cluster.cloud.Workers())
 		if !time.Now().Before(deadline) {
 			cluster.t.Errorf("some jobs have not ended within %v; contents of the key-value store:\n%s", timeout, cluster.store.Dump())
 			return
@@ -76,7 +76,7 @@
 // that some tasks were restarted unnecessarily.
 func (cluster *simulatedCluster) checkTaskStarts(want int) {
 	cluster.t.Helper()
-	if got := cluster.simulation.Starts(); got != want {
+	if got := cluster.simulation.StartCount(); got != want {
 		cluster.t.Errorf("number of task starts: got %d, want %d", got, want)
 	}
 }
@@ -84,7 +84,7 @@
 // requireTaskStarts checks the total number of task starts and stops the test if it differs.
 func (cluster *simulatedCluster) requireTaskStarts(want int) {
 	cluster.t.Helper()
-	if got := cluster.simulation.Starts(); got != want {
+	if got := cluster.simulation.StartCount(); got != want {
 		cluster.t.Fatalf("number of task starts: got %d, want %d", got, want)
 	}
 }
--- a/internal/controller/simulated_jobs_test.go
+++ b/internal/controller/simulated_jobs_test.go
@@ -167,13 +167,13 @@
 	cluster.cancelFuncs[job.ID] = sync.OnceFunc(func() { close(cancel) })
 	cluster.mu.Unlock()
 	user := &emulator.User{
-		Simulation:    cluster.simulation,
-		Net:           cluster.network.Host("user-" + job.ID),
-		CancelAfter:   cancelAfter,
-		Cancel:        cancel,
-		PollsAllNodes: cluster.pollAllNodes,
-		CancelDone:    cluster.pollAllNodes,
-		Pick:          func() emulator.Node { return cluster.nodes[random.IntN(len(cluster.nodes))] },
+		Simulation:     cluster.simulation,
+		Net:            cluster.network.Host("user-" + job.ID),
+		CancelAfter:    cancelAfter,
+		CancelSignal:   cancel,
+		PollAllNodes:   cluster.pollAllNodes,
+		CancelWhenDone: cluster.pollAllNodes,
+		PickNode:       func() emulator.Node { return cluster.nodes[random.IntN(len(cluster.nodes))] },
 	}
 	cluster.background.Go(func() {
 		phase := user.Run(cluster.ctx, job)
@@ -200,7 +200,7 @@
 		if _, ended := cluster.finalPhases[id]; ended {
 			continue
 		}
-		if _, started := cluster.simulation.FirstStart(id); started && (limit == 0 || cancelled < limit) {
+		if _, started := cluster.simulation.FirstStartTime(id); started && (limit == 0 || cancelled < limit) {
 			cluster.cancelFuncs[id]()
 			delete(cluster.cancelFuncs, id)
 			cancelled++
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -8,121 +8,126 @@
 	"ambersill/internal/wire"
 )
 
-// The rules that the protocol states have one function each, named after the rule.
+// Each rule of the protocol is checked by functions of its own.
 
-// rule is a rule's name, as the protocol has it where it names one.
+// rule is the name of a rule as it appears in violation reports. Where the protocol names the
+// rule, this is the protocol's name.
 type rule string
 
 const (
-	ruleRanTwice     rule = "ran_twice"
-	ruleQuota        rule = "quota"
-	ruleWrongPlace   rule = "wrong_place"
-	ruleRanCancelled rule = "ran_cancelled"
-	ruleForgotten    rule = "forgotten"
-	ruleInvented     rule = "invented"
-	ruleNotDone      rule = "not_done"
-	ruleWentBack     rule = "went_back"
-	ruleLeftWaiting  rule = "left_waiting" // a job waits beside capacity
-	ruleAccepted     rule = "accepted"     // a job is accepted that can't run or lacks a field
+	ruleRanTwice        rule = "ran_twice"     // a task is on two machines at the same time
+	ruleQuota           rule = "quota"         // a team uses more than its limit
+	ruleWrongPlace      rule = "wrong_place"   // a task starts on a machine that its job does not allow
+	ruleRanCancelled    rule = "ran_cancelled" // a task is on a machine too long after its job was cancelled
+	ruleForgotten       rule = "forgotten"     // an accepted job is reported as unknown, or requests about it get no answer
+	ruleInvented        rule = "invented"      // a phase is reported for a job that was never submitted
+	ruleNotDone         rule = "not_done"      // a job is reported as done before all its tasks have completed
+	ruleWentBack        rule = "went_back"     // a final phase changes, or a job is cancelled without a request
+	ruleLeftWaiting     rule = "left_waiting"  // a job waits although machines have free capacity for it
+	ruleAcceptedInvalid rule = "accepted"      // a job is accepted that cannot run or lacks a field
 )
 
 const (
-	// maxUnanswered is how long, all faults being over, no question about an accepted job
-	// may go without an answer, however others fare.
-	maxUnanswered = 75 * time.Second
-	// maxIdle is how long, all faults being over, a job may wait while a machine that fits
-	// has capacity and its team is under its limit.
-	maxIdle = 90 * time.Second
-	// rounding absorbs what adding amounts up loses.
-	rounding = 1e-6
+	// maxTimeWithoutAnswer is the longest time after the end of all faults for which status
+	// requests about one accepted job may all fail, even if requests about other jobs succeed.
+	maxTimeWithoutAnswer = 75 * time.Second
+	// maxWaitDespiteCapacity is the longest time after the end of all faults for which a job
+	// may wait although suitable machines have free capacity and its team is under its limit.
+	maxWaitDespiteCapacity = 90 * time.Second
+	// roundingTolerance absorbs floating-point rounding errors in sums of CPUs, GPUs and memory.
+	roundingTolerance = 1e-6
 )
 
-// jobState is what is known of one job, by its user and by its tasks. Times are zero as long
-// as the event has not happened.
+// jobState is what the simulation knows about one job from its user's requests and from its
+// tasks. A time is zero until the event has happened.
 type jobState struct {
 	job             *wire.Job
-	reportedPhase   wire.JobPhase // what a user was answered last, or finally
-	acceptedAt      time.Time     // when a user was first answered that the job is known
-	finalAt         time.Time     // when a user was first answered done or cancelled
+	reportedPhase   wire.JobPhase // the last phase reported to a user; once final, it does not change
+	acceptedAt      time.Time     // when a user was first told that the job is known
+	finalAt         time.Time     // when a user was first told that the job is done or cancelled
 	cancelRequested bool
-	cancelledAt     time.Time // when a user was first answered cancelled
-	lastAnswered    time.Time // when a question about the job was last answered
-	firstStart      time.Time // when its first task started
-	idleSince       time.Time // since when the job has waited beside capacity
+	cancelledAt     time.Time // when a user was first told that the job is cancelled
+	lastAnswerAt    time.Time // when a request about the job was last answered
+	firstStartAt    time.Time // when the job's first task started
+	waitingSince    time.Time // when the job began to wait despite free capacity
 }
 
-// violation records that a rule is broken.
-func (w *Simulation) violation(broken rule, format string, args ...any) {
+// recordViolation records a violation of a rule, with the current time.
+func (s *Simulation) recordViolation(violated rule, format string, args ...any) {
 	at := time.Now().Format("15:04:05.000 ")
-	w.violations = append(w.violations, at+string(broken)+": "+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, at+string(violated)+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations lists how rules were broken so far.
-func (w *Simulation) Violations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.checkCancelled()
-	return slices.Clone(w.violations)
+// Violations returns a description of each violation so far, after it has checked the tasks
+// that are on machines.
+func (s *Simulation) Violations() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.checkRunningAfterCancellation()
+	return slices.Clone(s.violations)
 }
 
-// FaultsOver notes that all faults are over.
-func (w *Simulation) FaultsOver() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faultsOverAt = time.Now()
+// RecordFaultsOver records that all injected faults have ended. Time limits on answers and on
+// waiting jobs apply from now on.
+func (s *Simulation) RecordFaultsOver() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faultsOverAt = time.Now()
 }
 
-// JobSubmitted uploads a job's description, which users do before they submit it.
-func (w *Simulation) JobSubmitted(job *wire.Job) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if state := w.jobs[job.ID]; state != nil {
+// RegisterJob stores a job's description, or replaces the one stored under the same job ID.
+// Users call it before they submit the job.
+func (s *Simulation) RegisterJob(job *wire.Job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if state := s.jobs[job.ID]; state != nil {
 		state.job = job
 		return
 	}
-	w.jobs[job.ID] = &jobState{job: job}
+	s.jobs[job.ID] = &jobState{job: job}
 }
 
-// description is a job's description as its user uploaded it; nil if there is none.
-func (w *Simulation) description(id string) *wire.Job {
-	if state := w.jobs[id]; state != nil {
+// jobDescription returns the job that RegisterJob stored under the ID, or nil if there is none.
+func (s *Simulation) jobDescription(id string) *wire.Job {
+	if state := s.jobs[id]; state != nil {
 		return state.job
 	}
 	return nil
 }
 
-// CancelRequested notes that a user asks for a cancellation.
-func (w *Simulation) CancelRequested(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if state := w.jobs[id]; state != nil {
+// RecordCancelRequest records that a user requests the cancellation of a job.
+func (s *Simulation) RecordCancelRequest(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if state := s.jobs[id]; state != nil {
 		state.cancelRequested = true
 	}
 }
 
-// isCancelRequested reports whether a user has asked for a cancellation.
-func (w *Simulation) isCancelRequested(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+// isCancelRequested reports whether a user has requested the cancellation of a job.
+func (s *Simulation) isCancelRequested(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	return state != nil && state.cancelRequested
 }
 
-// PhaseReported checks what a user was answered about a job. sent is when the question was
-// sent: an answer is older than another only if its question was sent after the other had
-// arrived.
-func (w *Simulation) PhaseReported(id string, phase wire.JobPhase, sent time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+// RecordPhaseAnswer records and checks the phase that a controller reported to a user. sent is
+// when the user sent the request. An answer contradicts an earlier one only if its request was
+// sent after the earlier answer had arrived, since answers to concurrent requests may arrive in
+// any order.
+func (s *Simulation) RecordPhaseAnswer(id string, phase wire.JobPhase, sent time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	if state == nil {
-		w.violation(ruleInvented, "%s is called %s", id, phase)
+		s.recordViolation(ruleInvented, "job %s was reported as %s, but was never submitted", id, phase)
 		return
 	}
 	now := time.Now()
-	state.lastAnswered = now
+	state.lastAnswerAt = now
 	if state.reportedPhase.IsFinal() && state.reportedPhase != phase {
-		w.checkWentBack(state, phase, sent)
+		s.checkWentBack(state, phase, sent)
 		return
 	}
 	if state.acceptedAt.IsZero() {
@@ -131,215 +136,232 @@
 	if phase.IsFinal() && !state.reportedPhase.IsFinal() {
 		state.finalAt = now
 	}
-	w.checkCancelWasRequested(state, phase)
-	w.checkNotDone(state, phase)
+	s.checkCancelRequested(state, phase)
+	s.checkNotDone(state, phase)
 	if phase == wire.JobCancelled && state.reportedPhase != phase {
 		state.cancelledAt = now
 	}
 	state.reportedPhase = phase
 }
 
-// checkWentBack: a job once called done or cancelled is called something else.
-func (w *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
+// checkWentBack records a violation if a job that was reported as done or cancelled is now
+// reported in the other of these phases, or in an earlier phase in answer to a request that was
+// sent after the final phase was known.
+func (s *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
 	if phase.IsFinal() || sent.After(state.finalAt) {
-		w.violation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
+		s.recordViolation(ruleWentBack, "job %s was reported as %s, then as %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
 
-// checkCancelWasRequested: a job its user didn't cancel is called cancelled.
-func (w *Simulation) checkCancelWasRequested(state *jobState, phase wire.JobPhase) {
+// checkCancelRequested records a violation if a job is reported as cancelled although no user
+// requested that.
+func (s *Simulation) checkCancelRequested(state *jobState, phase wire.JobPhase) {
 	if phase == wire.JobCancelled && !state.cancelRequested {
-		w.violation(ruleWentBack, "%s is called cancelled, but nobody asked", state.job.ID)
+		s.recordViolation(ruleWentBack, "job %s was reported as cancelled, but no user requested a cancellation", state.job.ID)
 	}
 }
 
-// checkNotDone: a job is called done before all of its tasks are.
-func (w *Simulation) checkNotDone(state *jobState, phase wire.JobPhase) {
+// checkNotDone records a violation if a job is reported as done before all its tasks have
+// completed.
+func (s *Simulation) checkNotDone(state *jobState, phase wire.JobPhase) {
 	if phase != wire.JobDone {
 		return
 	}
 	for i := range state.job.TaskCount {
-		if !w.done[wire.TaskName(state.job.ID, i)] {
-			w.violation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
+		if !s.completedTasks[wire.TaskName(state.job.ID, i)] {
+			s.recordViolation(ruleNotDone, "job %s was reported as done before its task %d completed", state.job.ID, i)
 			return
 		}
 	}
 }
 
-// PollFailed notes that a question about an accepted job was not answered, which after a
-// while counts as forgotten.
-func (w *Simulation) PollFailed(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faultsOverAt.IsZero() {
+// RecordUnansweredPoll records that a request about a job was not answered. It is a violation
+// if no request about the job has been answered for more than maxTimeWithoutAnswer since the
+// faults ended.
+func (s *Simulation) RecordUnansweredPoll(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faultsOverAt.IsZero() {
 		return
 	}
-	last := w.faultsOverAt
-	if state := w.jobs[id]; state != nil && state.lastAnswered.After(last) {
-		last = state.lastAnswered
+	unansweredSince := s.faultsOverAt
+	if state := s.jobs[id]; state != nil && state.lastAnswerAt.After(unansweredSince) {
+		unansweredSince = state.lastAnswerAt
 	}
-	if time.Since(last) > maxUnanswered {
-		w.violation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(last))
+	if time.Since(unansweredSince) > maxTimeWithoutAnswer {
+		s.recordViolation(ruleForgotten, "no request about job %s was answered for %v", id, time.Since(unansweredSince))
 	}
 }
 
-// ReportedUnknown checks an answer as if the job were not known, to a question sent at that
-// time: an accepted job is forgotten.
-func (w *Simulation) ReportedUnknown(id string, status int, sent time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+// RecordUnknownJobAnswer records an answer, with an HTTP status, that treats a job as unknown. It
+// is a violation if the request was sent after the job had been accepted.
+func (s *Simulation) RecordUnknownJobAnswer(id string, status int, sent time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	if state != nil && !state.acceptedAt.IsZero() && sent.After(state.acceptedAt) {
-		w.violation(ruleForgotten, "%s was accepted and is answered %d", id, status)
+		s.recordViolation(ruleForgotten, "job %s was accepted, but a later request about it was answered with HTTP status %d", id, status)
 	}
 }
 
-// AcceptedInvalid notes that a job was accepted that can't run or lacks a field.
-func (w *Simulation) AcceptedInvalid(id string, status int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violation(ruleAccepted, "%s can't run or lacks a field, and is answered %d", id, status)
+// RecordInvalidJobAccepted records a violation: a submission of a job that cannot run or lacks a
+// field, or a later request about that job, was answered with an HTTP status of success.
+func (s *Simulation) RecordInvalidJobAccepted(id string, status int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.recordViolation(ruleAcceptedInvalid, "job %s cannot run or lacks a field, but a request for it was answered with HTTP status %d", id, status)
 }
 
-// checkStart checks a start before the task is on its machine.
-func (w *Simulation) checkStart(k *Worker, t *task) {
-	w.checkRanTwice(k, t)
-	w.checkStartCancelled(t)
-	w.checkWrongPlace(k, t.job)
+// checkStart checks the rules for the start of a task. It must be called before the task is
+// added to tasksOnMachines.
+func (s *Simulation) checkStart(worker *Worker, t *task) {
+	s.checkRanTwice(worker, t)
+	s.checkStartAfterCancellation(t)
+	s.checkWrongPlace(worker, t.job)
 }
 
-// checkRanTwice: a task starts on one machine while it is on another.
-func (w *Simulation) checkRanTwice(k *Worker, t *task) {
-	if len(w.running[t.name]) > 0 {
-		w.violation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, k.Machine.ID)
+// checkRanTwice records a violation if a task starts on one machine while it is on another.
+func (s *Simulation) checkRanTwice(worker *Worker, t *task) {
+	if len(s.tasksOnMachines[t.name]) > 0 {
+		s.recordViolation(ruleRanTwice, "task %s, attempt %d, started on machine %s while the task was on another machine", t.name, t.attempt, worker.Machine.ID)
 	}
 }
 
-// sinceCancelled is how long before the given time a user was answered that the job is
-// cancelled.
-func (w *Simulation) sinceCancelled(jobID string, at time.Time) (time.Duration, bool) {
-	state := w.jobs[jobID]
+// timeSinceCancellation returns the time from the first answer that reported the job as
+// cancelled until the given time; false if there was no such answer.
+func (s *Simulation) timeSinceCancellation(jobID string, at time.Time) (time.Duration, bool) {
+	state := s.jobs[jobID]
 	if state == nil || state.cancelledAt.IsZero() {
 		return 0, false
 	}
 	return at.Sub(state.cancelledAt), true
 }
 
-// checkStartCancelled: a task starts too long after its job was cancelled.
-func (w *Simulation) checkStartCancelled(t *task) {
-	if since, cancelled := w.sinceCancelled(t.job.ID, time.Now()); cancelled && since > w.CancelDeadline {
-		w.violation(ruleRanCancelled, "%s starts %v after its cancellation", t.name, since)
+// checkStartAfterCancellation records a violation if a task starts more than CancelDeadline
+// after its job was reported as cancelled.
+func (s *Simulation) checkStartAfterCancellation(t *task) {
+	if since, cancelled := s.timeSinceCancellation(t.job.ID, time.Now()); cancelled && since > s.CancelDeadline {
+		s.recordViolation(ruleRanCancelled, "task %s started %v after its job was reported as cancelled", t.name, since)
 	}
 }
 
-// checkCancelled: a task is on a machine too long after its job was cancelled.
-func (w *Simulation) checkCancelled() {
-	w.expireLeases()
+// checkRunningAfterCancellation records a violation for each task that is still on a machine
+// more than CancelDeadline after its job was reported as cancelled.
+func (s *Simulation) checkRunningAfterCancellation() {
+	s.expireLeases()
 	now := time.Now()
-	for name := range w.running {
+	for name := range s.tasksOnMachines {
 		id, _, _ := wire.ParseTaskName(name)
-		if since, cancelled := w.sinceCancelled(id, now); cancelled && since > w.CancelDeadline {
-			w.violation(ruleRanCancelled, "%s is on a machine %v after its cancellation", name, since)
+		if since, cancelled := s.timeSinceCancellation(id, now); cancelled && since > s.CancelDeadline {
+			s.recordViolation(ruleRanCancelled, "task %s is still on a machine %v after its job was reported as cancelled", name, since)
 		}
 	}
 }
 
-// checkRemoval: a task leaves its machine too long after its job was cancelled.
-func (w *Simulation) checkRemoval(t *task) {
-	removedAt := time.Now()
-	if !w.removedAt.IsZero() {
-		removedAt = w.removedAt
+// checkRemovalAfterCancellation records a violation if a task leaves its machine more than
+// CancelDeadline after its job was reported as cancelled.
+func (s *Simulation) checkRemovalAfterCancellation(t *task) {
+	removalTime := time.Now()
+	if !s.removalTime.IsZero() {
+		removalTime = s.removalTime
 	}
-	if since, cancelled := w.sinceCancelled(t.job.ID, removedAt); cancelled && since > w.CancelDeadline {
-		w.violation(ruleRanCancelled, "%s leaves its machine %v after its cancellation", t.name, since)
+	if since, cancelled := s.timeSinceCancellation(t.job.ID, removalTime); cancelled && since > s.CancelDeadline {
+		s.recordViolation(ruleRanCancelled, "task %s left its machine %v after its job was reported as cancelled", t.name, since)
 	}
 }
 
-// typeAllowed reports whether a job may use a machine's type.
-func typeAllowed(job *wire.Job, machineType string) bool {
+// machineTypeAllowed reports whether a job may run on machines of a type. A job that lists no
+// types may run on all.
+func machineTypeAllowed(job *wire.Job, machineType string) bool {
 	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
 }
 
-// checkWrongPlace: given the job's tasks on machines, a task starts on a type, in a zone or
-// on a spot machine that its job doesn't allow.
-func (w *Simulation) checkWrongPlace(k *Worker, job *wire.Job) {
-	machine := k.Machine
-	if !typeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
-		w.violation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
+// checkWrongPlace records a violation if a task starts on a machine whose type, zone or spot
+// status its job does not allow, or if, together with the job's tasks that are already on
+// machines, it breaks the job's rule on zones. A job with SingleZone must have all tasks in one
+// zone, and one with SpreadZones at most half of them, rounded up, in any zone.
+func (s *Simulation) checkWrongPlace(worker *Worker, job *wire.Job) {
+	machine := worker.Machine
+	if !machineTypeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
+		s.recordViolation(ruleWrongPlace, "a task of job %s started on machine %s, whose type, zone or spot status the job does not allow", job.ID, machine.ID)
 	}
 	inZone := 1
 	for i := range job.TaskCount {
-		for other := range w.running[wire.TaskName(job.ID, i)] {
+		for other := range s.tasksOnMachines[wire.TaskName(job.ID, i)] {
 			switch {
 			case other.Machine.Zone == machine.Zone:
 				inZone++
 			case job.SingleZone:
-				w.violation(ruleWrongPlace, "%s has tasks in two zones", job.ID)
+				s.recordViolation(ruleWrongPlace, "job %s requires a single zone, but has tasks in two", job.ID)
 			}
 		}
 	}
 	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
-		w.violation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
+		s.recordViolation(ruleWrongPlace, "job %s must be spread over zones, but has %d tasks in one zone", job.ID, inZone)
 	}
 }
 
-// checkQuota: a team's tasks use more than its limit.
-func (w *Simulation) checkQuota(team string) {
-	cpus, gpus := w.used(team)
-	if w.overLimit(team, cpus, gpus) {
-		w.violation(ruleQuota, "%s uses %v CPUs and %v GPUs", team, cpus, gpus)
+// checkQuota records a violation if a team's tasks use more than the team's limit.
+func (s *Simulation) checkQuota(team string) {
+	cpus, gpus := s.teamUsage(team)
+	if s.overLimit(team, cpus, gpus) {
+		s.recordViolation(ruleQuota, "team %s is over its limit: its tasks use %v CPUs and %v GPUs", team, cpus, gpus)
 	}
 }
 
-// overLimit reports whether amounts are over a team's limit.
-func (w *Simulation) overLimit(team string, cpus, gpus float64) bool {
-	for _, limits := range w.Teams {
+// overLimit reports whether the numbers of CPUs or GPUs are over a team's limit. A limit of 0
+// means none.
+func (s *Simulation) overLimit(team string, cpus, gpus float64) bool {
+	for _, limits := range s.Teams {
 		if limits.Name != team {
 			continue
 		}
-		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+rounding {
+		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+roundingTolerance {
 			return true
 		}
-		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+rounding {
+		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+roundingTolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// CheckWaiting looks for jobs that have waited for too long beside capacity on the machines
-// given. It is to be called every few seconds.
-func (w *Simulation) CheckWaiting(up []*Worker) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faultsOverAt.IsZero() {
+// CheckWaitingJobs records a violation for each job that has waited for more than
+// maxWaitDespiteCapacity although the given machines have free capacity for it. It does nothing
+// until RecordFaultsOver is called. Callers must call it every few seconds, because it measures
+// the wait from the first call that finds the job waiting.
+func (s *Simulation) CheckWaitingJobs(workers []*Worker) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faultsOverAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	placed := placedTasks(up)
-	for id, state := range w.jobs {
+	placed := countPlacedTasks(workers)
+	for id, state := range s.jobs {
 		if state.acceptedAt.IsZero() {
 			continue
 		}
-		if !w.waitsBesideCapacity(state, placed[id], up) {
-			state.idleSince = time.Time{}
+		if !s.waitsDespiteCapacity(state, placed[id], workers) {
+			state.waitingSince = time.Time{}
 			continue
 		}
-		if state.idleSince.IsZero() {
-			state.idleSince = now
+		if state.waitingSince.IsZero() {
+			state.waitingSince = now
 		}
-		if d := now.Sub(state.idleSince); d > maxIdle {
-			w.violation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, d)
-			state.idleSince = now
+		if waited := now.Sub(state.waitingSince); waited > maxWaitDespiteCapacity {
+			s.recordViolation(ruleLeftWaiting, "job %s has waited for %v although machines have free capacity for it", id, waited)
+			state.waitingSince = now
 		}
 	}
 }
 
-// placedTasks counts the tasks on machines, fetching ones included, by job.
-func placedTasks(up []*Worker) map[string]int {
+// countPlacedTasks returns how many tasks each job has on the machines, by job ID. It includes
+// tasks whose image is still being fetched, but not tasks that have exited.
+func countPlacedTasks(workers []*Worker) map[string]int {
 	placed := map[string]int{}
-	for _, k := range up {
-		for _, t := range k.tasks {
+	for _, worker := range workers {
+		for _, t := range worker.tasks {
 			if t.state != wire.TaskExited {
 				placed[t.job.ID]++
 			}
@@ -348,19 +370,22 @@
 	return placed
 }
 
-// waitsBesideCapacity reports whether none of a job's tasks is placed - of a service, not
-// all - although its first start would find capacity.
-func (w *Simulation) waitsBesideCapacity(state *jobState, placed int, up []*Worker) bool {
-	enough := 1
+// waitsDespiteCapacity reports whether a job waits although the machines have capacity for its
+// first start. A service waits until all its replicas are placed, another job until its first
+// task is. placed is the number of the job's tasks that are on machines.
+func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, workers []*Worker) bool {
+	needed := 1
 	if state.job.IsService() {
-		enough = state.job.TaskCount // each replica has to be there
+		needed = state.job.TaskCount // each replica must be placed
 	}
-	return placed < enough && !state.reportedPhase.IsFinal() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
+	return placed < needed && !state.reportedPhase.IsFinal() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, workers)
 }
 
-// hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
-// all of a gang (one that must be spread is left out).
-func (w *Simulation) hasCapacityFor(job *wire.Job, up []*Worker) bool {
+// hasCapacityFor reports whether the machines have free capacity for a job's first start, and
+// the start would not exceed the team's limit. The first start of a gang places all its tasks,
+// that of another job one task. Gangs that must be spread over zones are not checked; for them
+// the result is always false.
+func (s *Simulation) hasCapacityFor(job *wire.Job, workers []*Worker) bool {
 	if job.IsGang() && job.SpreadZones {
 		return false
 	}
@@ -368,16 +393,17 @@
 	if job.IsGang() {
 		tasks = job.TaskCount
 	}
-	cpus, gpus := usageWith(job, tasks, up)
-	return !w.overLimit(job.Team, cpus, gpus) && machinesFit(job, tasks, up)
+	cpus, gpus := teamUsageWith(job, tasks, workers)
+	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, workers)
 }
 
-// usageWith returns what a job's team would use with that many more of the job's tasks.
-func usageWith(job *wire.Job, tasks int, up []*Worker) (cpus, gpus float64) {
+// teamUsageWith returns the numbers of CPUs and GPUs that a job's team would use on the machines
+// if the given number of the job's tasks were added.
+func teamUsageWith(job *wire.Job, tasks int, workers []*Worker) (cpus, gpus float64) {
 	cpus = job.CPUs * float64(tasks)
 	gpus = job.GPUs * float64(tasks)
-	for _, k := range up {
-		for _, t := range k.tasks {
+	for _, worker := range workers {
+		for _, t := range worker.tasks {
 			if t.job.Team == job.Team && t.state != wire.TaskExited {
 				cpus += t.job.CPUs
 				gpus += t.job.GPUs
@@ -387,19 +413,19 @@
 	return cpus, gpus
 }
 
-// machinesFit reports whether that many of a job's tasks fit on machines, of a single zone if
-// the job asks for that.
-func machinesFit(job *wire.Job, tasks int, up []*Worker) bool {
-	fitting := map[string]int{} // tasks that fit, by zone where all must be in one
-	for _, k := range up {
-		if !k.canRun(job) {
+// tasksFitOnMachines reports whether the given number of a job's tasks fit on the machines. If
+// the job requires a single zone, they must fit on the machines of one zone.
+func tasksFitOnMachines(job *wire.Job, tasks int, workers []*Worker) bool {
+	fitting := map[string]int{} // tasks that fit, by zone; all under "" unless the job requires a single zone
+	for _, worker := range workers {
+		if !worker.canRun(job) {
 			continue
 		}
 		zone := ""
 		if job.SingleZone {
-			zone = k.Machine.Zone
+			zone = worker.Machine.Zone
 		}
-		fitting[zone] += k.tasksFitting(job, tasks-fitting[zone])
+		fitting[zone] += worker.countFittingTasks(job, tasks-fitting[zone])
 		if fitting[zone] >= tasks {
 			return true
 		}
@@ -407,7 +433,8 @@
 	return false
 }
 
-// canRun reports whether a machine is usable, and allowed for a job.
+// canRun reports whether a machine is usable and a job may run on it. A machine is not usable
+// if it is dead or hangs, if it fails its tasks, or if it has notice of termination.
 func (w *Worker) canRun(job *wire.Job) bool {
 	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
@@ -415,22 +442,22 @@
 	if (w.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != w.Machine.Zone) {
 		return false
 	}
-	return typeAllowed(job, w.Machine.MachineType)
+	return machineTypeAllowed(job, w.Machine.MachineType)
 }
 
-// tasksFitting is how many of a job's tasks, up to a limit, fit on a machine beside those
-// that are there.
-func (w *Worker) tasksFitting(job *wire.Job, limit int) int {
+// countFittingTasks returns how many of a job's tasks, up to a limit, fit on a machine in
+// addition to the tasks that it has.
+func (w *Worker) countFittingTasks(job *wire.Job, limit int) int {
 	cpus, gpus, memory := w.machineType.CPUs, w.machineType.GPUs, w.machineType.MemoryGB
 	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 		}
 	}
-	n := 0
-	for cpus >= job.CPUs && gpus >= job.GPUs && memory >= job.MemoryGB && n < limit {
+	count := 0
+	for cpus >= job.CPUs && gpus >= job.GPUs && memory >= job.MemoryGB && count < limit {
 		cpus, gpus, memory = cpus-job.CPUs, gpus-job.GPUs, memory-job.MemoryGB
-		n++
+		count++
 	}
-	return n
+	return count
 }
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -152,11 +152,11 @@
 // returns StatusOK, or the status and the reason of the refusal. The lock must be held.
 func (s *KeyValueStore) validate(txn *rawTxn) (status int, reason string) {
 	if s.limits != nil {
-		if reason := s.limits.exceeded(txn); reason != "" {
+		if reason := s.limits.exceededLimit(txn); reason != "" {
 			s.invalidReasons = append(s.invalidReasons, reason)
 			return http.StatusBadRequest, reason
 		}
-		if !s.limits.changes.AllowN(time.Now(), len(txn.Writes)) {
+		if !s.limits.writeLimiter.AllowN(time.Now(), len(txn.Writes)) {
 			return http.StatusTooManyRequests, "too many changes"
 		}
 	}
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -6,109 +6,112 @@
 	"ambersill/internal/wire"
 )
 
-// failureDelay is how long tasks run on a machine that fails them.
+// failureDelay is how long a task runs on a faulty machine before it fails.
 const failureDelay = time.Second
 
-// expireLeases ends the incarnations of machines that hang beyond their leases.
-func (w *Simulation) expireLeases() {
-	busy := map[*Worker]bool{}
-	for _, workers := range w.running {
-		for k := range workers {
-			busy[k] = true
+// expireLeases ends the incarnation of each machine that has tasks and whose lease has expired,
+// for example because the machine hangs.
+func (s *Simulation) expireLeases() {
+	workersWithTasks := map[*Worker]bool{}
+	for _, workers := range s.tasksOnMachines {
+		for worker := range workers {
+			workersWithTasks[worker] = true
 		}
 	}
-	for k := range busy {
-		k.expireLease()
+	for worker := range workersWithTasks {
+		worker.expireLease()
 	}
 }
 
-// startTask starts a task on its machine once its image has been fetched.
-func (w *Simulation) startTask(k *Worker, t *task) {
-	w.checkCancelled()
-	w.countStart(t)
-	w.checkStart(k, t)
-	if w.running[t.name] == nil {
-		w.running[t.name] = map[*Worker]*task{}
-	}
-	w.running[t.name][k] = t
+// startTask starts a task on a machine. It must be called once the image has been fetched.
+func (s *Simulation) startTask(worker *Worker, t *task) {
+	s.checkRunningAfterCancellation()
+	s.recordStart(t)
+	s.checkStart(worker, t)
+	if s.tasksOnMachines[t.name] == nil {
+		s.tasksOnMachines[t.name] = map[*Worker]*task{}
+	}
+	s.tasksOnMachines[t.name][worker] = t
 	t.state = wire.TaskWaitingForGang
-	w.checkQuota(t.job.Team)
+	s.checkQuota(t.job.Team)
 	switch {
-	case w.done[t.name]:
-		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
-	case k.failsTasks:
+	case s.completedTasks[t.name]:
+		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task
+	case worker.failsTasks:
 		t.state = wire.TaskRunning
-		k.runAfter(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
+		worker.runAfter(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
-		w.joinGang(k, t)
+		s.joinGang(worker, t)
 	case t.job.IsService():
-		w.runReplica(k, t)
+		s.runReplica(worker, t)
 	default:
 		t.state = wire.TaskRunning
-		k.runAfter(t, w.runTime(t.job, t.index), func() {
-			w.completeTask(t)
-			k.exit(t, wire.ExitDone, false)
+		worker.runAfter(t, s.runTime(t.job, t.index), func() {
+			s.completeTask(t)
+			worker.exit(t, wire.ExitDone, false)
 		})
 	}
 }
 
-// countStart counts a start, and records when the job's first task started.
-func (w *Simulation) countStart(t *task) {
-	w.starts++
+// recordStart counts the start of a task, and records the start time of the job's first task.
+func (s *Simulation) recordStart(t *task) {
+	s.startCount++
 	attempt := taskAttempt{t.name, t.attempt}
-	if w.attempts[attempt] {
-		w.repeatedAttempts++
+	if s.startedAttempts[attempt] {
+		s.repeatedAttemptCount++
 	}
-	w.attempts[attempt] = true
-	state := w.jobs[t.job.ID]
+	s.startedAttempts[attempt] = true
+	state := s.jobs[t.job.ID]
 	if !state.cancelledAt.IsZero() {
-		w.startsAfterCancel++
+		s.startsAfterCancelCount++
 	}
-	if state.firstStart.IsZero() {
-		state.firstStart = time.Now()
+	if state.firstStartAt.IsZero() {
+		state.firstStartAt = time.Now()
 	}
 }
 
-// runReplica runs a service's replica until it is stopped, or exits by itself.
-func (w *Simulation) runReplica(k *Worker, t *task) {
+// runReplica runs a replica of a service until it is stopped or exits by itself.
+func (s *Simulation) runReplica(worker *Worker, t *task) {
 	t.state = wire.TaskRunning
-	t.timer = nil // the fetch's, which must not fire again when a hang ends
-	if w.replicaExit == nil {
+	t.timer = nil // the timer of the image fetch must not fire again when a hang of the machine ends
+	if s.replicaExit == nil {
 		return
 	}
-	if d, exits := w.replicaExit(t.job, t.index); exits {
-		k.runAfter(t, d, func() { k.exit(t, wire.ExitDone, false) })
+	if exitDelay, exits := s.replicaExit(t.job, t.index); exits {
+		worker.runAfter(t, exitDelay, func() { worker.exit(t, wire.ExitDone, false) })
 	}
 }
 
-func (w *Simulation) runTime(job *wire.Job, task int) time.Duration {
-	if w.RunTime != nil {
-		return w.RunTime(job, task)
+func (s *Simulation) runTime(job *wire.Job, task int) time.Duration {
+	if s.RunTime != nil {
+		return s.RunTime(job, task)
 	}
 	return time.Duration(job.EstimatedRunS * float64(time.Second))
 }
 
-// gangMembers lists the tasks of the same gang attempt, with their machines.
-func (w *Simulation) gangMembers(t *task) map[*task]*Worker {
+// gangMembers returns the tasks on machines that belong to the same attempt of a gang as t, t
+// included, each with its machine.
+func (s *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
 	for i := range t.job.TaskCount {
-		for k, other := range w.running[wire.TaskName(t.job.ID, i)] {
+		for worker, other := range s.tasksOnMachines[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
-				members[other] = k
+				members[other] = worker
 			}
 		}
 	}
 	return members
 }
 
-// joinGang has a gang start once all its tasks are there, and complete together.
-func (w *Simulation) joinGang(k *Worker, t *task) {
-	k.runAfter(t, w.GangWaitTimeout, func() {
+// joinGang starts a gang once all its tasks are on machines, and schedules that they complete
+// together. If the gang has not started within GangWaitTimeout, the task exits.
+func (s *Simulation) joinGang(worker *Worker, t *task) {
+	worker.runAfter(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
-			k.exit(t, wire.ExitGangIncomplete, false)
+			worker.exit(t, wire.ExitGangIncomplete, false)
 		}
 	})
-	members := w.gangMembers(t)
+	members := s.gangMembers(t)
 	if len(members) < t.job.TaskCount {
 		return
 	}
@@ -117,55 +120,57 @@
 			return
 		}
 	}
-	for member, worker := range members {
+	for member, memberWorker := range members {
 		member.state = wire.TaskRunning
-		worker.runAfter(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
+		memberWorker.runAfter(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
 	}
 }
 
-// completeGang ends all running tasks of a gang attempt.
-func (w *Simulation) completeGang(t *task) {
-	for member, worker := range w.gangMembers(t) {
+// completeGang completes all running tasks of an attempt of a gang.
+func (s *Simulation) completeGang(t *task) {
+	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			w.completeTask(member)
-			worker.exit(member, wire.ExitDone, false)
+			s.completeTask(member)
+			memberWorker.exit(member, wire.ExitDone, false)
 		}
 	}
 }
 
-// completeTask notes that a task has completed.
-func (w *Simulation) completeTask(t *task) {
-	w.done[t.name] = true
-	if w.OnJobDone != nil && w.allDone(t.job) {
-		w.OnJobDone(t.job.ID)
+// completeTask records that a task has completed, and calls OnJobDone if all tasks of its job
+// have.
+func (s *Simulation) completeTask(t *task) {
+	s.completedTasks[t.name] = true
+	if s.OnJobDone != nil && s.allTasksDone(t.job) {
+		s.OnJobDone(t.job.ID)
 	}
 }
 
-func (w *Simulation) allDone(job *wire.Job) bool {
+func (s *Simulation) allTasksDone(job *wire.Job) bool {
 	for i := range job.TaskCount {
-		if !w.done[wire.TaskName(job.ID, i)] {
+		if !s.completedTasks[wire.TaskName(job.ID, i)] {
 			return false
 		}
 	}
 	return true
 }
 
-// removeTask takes a task from its machine; the rest of a running gang notices.
-func (w *Simulation) removeTask(k *Worker, t *task) {
-	if w.running[t.name][k] != t {
+// removeTask removes a task from its machine. If the task belongs to a gang that was running and
+// has not completed, the other members exit after GangPeerTimeout.
+func (s *Simulation) removeTask(worker *Worker, t *task) {
+	if s.tasksOnMachines[t.name][worker] != t {
 		return
 	}
-	w.checkRemoval(t)
-	delete(w.running[t.name], k)
-	if len(w.running[t.name]) == 0 {
-		delete(w.running, t.name)
+	s.checkRemovalAfterCancellation(t)
+	delete(s.tasksOnMachines[t.name], worker)
+	if len(s.tasksOnMachines[t.name]) == 0 {
+		delete(s.tasksOnMachines, t.name)
 	}
-	if !t.job.IsGang() || w.done[t.name] || t.state == wire.TaskWaitingForGang {
+	if !t.job.IsGang() || s.completedTasks[t.name] || t.state == wire.TaskWaitingForGang {
 		return
 	}
-	for member, worker := range w.gangMembers(t) {
+	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			worker.runAfter(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
+			memberWorker.runAfter(member, s.GangPeerTimeout, func() { memberWorker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -38,12 +38,12 @@
 }
 
 // StartWorker starts the worker of a machine. It runs until Kill is called or the simulation ends.
-func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
-	ctx, cancel := context.WithCancel(w.Ctx)
+func (s *Simulation) StartWorker(m wire.CloudMachine) *Worker {
+	ctx, cancel := context.WithCancel(s.Ctx)
 	worker := &Worker{
 		Machine:        m,
-		simulation:     w,
-		machineType:    w.MachineTypes[m.MachineType],
+		simulation:     s,
+		machineType:    s.MachineTypes[m.MachineType],
 		tasks:          map[string]*task{},
 		fetchedImages:  map[string]bool{},
 		incarnation:    1,
@@ -164,9 +164,9 @@
 	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
 	}
-	w.simulation.removedAt = w.leaseStart.Add(w.simulation.LeaseDuration)
+	w.simulation.removalTime = w.leaseStart.Add(w.simulation.LeaseDuration)
 	w.dropTasks()
-	w.simulation.removedAt = time.Time{}
+	w.simulation.removalTime = time.Time{}
 	w.incarnation++
 	w.leaseStart = time.Now()
 	w.requestEarlyHeartbeat()
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -12,7 +12,7 @@
 // serveCommands serves direct commands, which controllers send without waiting for a heartbeat,
 // until ctx ends.
 func (w *Worker) serveCommands(ctx context.Context) {
-	listener, err := w.simulation.net(w.Machine).Listen(ctx, w.Machine.Address)
+	listener, err := w.simulation.zoneNet(w.Machine).Listen(ctx, w.Machine.Address)
 	if err != nil {
 		return
 	}
@@ -25,7 +25,7 @@
 		w.simulation.waitLinkDelay(ctx)
 		w.handleCommands(ctx, rw, &request)
 	})
-	server := &http.Server{Handler: deferResponses(mux)}
+	server := &http.Server{Handler: bufferResponses(mux)}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	_ = server.Serve(listener)
@@ -138,7 +138,7 @@
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	job := w.simulation.description(id)
+	job := w.simulation.jobDescription(id)
 	if job == nil || index >= job.TaskCount {
 		w.refuse(c, wire.ExitTaskUnknown)
 		return
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -102,7 +102,7 @@
 func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
-	redirectIndex := w.simulation.node(e.redirect.Node)
+	redirectIndex := w.simulation.indexOfNode(e.redirect.Node)
 	switch {
 	case w.inboundCut:
 		w.nodeIndex++
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -56,7 +56,7 @@
 		}
 	}
 	machine := w.machineType
-	return cpus <= machine.CPUs+rounding && gpus <= machine.GPUs+rounding && memory <= machine.MemoryGB+rounding
+	return cpus <= machine.CPUs+roundingTolerance && gpus <= machine.GPUs+roundingTolerance && memory <= machine.MemoryGB+roundingTolerance
 }
 
 // imageFetchTime returns how long fetching a job's image takes; minTimerDelay if the machine has
