--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -119,17 +119,17 @@
 }
 
 func cutNodeFromStore(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
-	node := cluster.nodes[random.IntN(controllerCount)].Name
-	cluster.network.Cut(node, "state", true)
+	nodeName := cluster.nodes[random.IntN(controllerCount)].Name
+	cluster.network.Cut(nodeName, "state", true)
 	time.Sleep(time.Duration(4+random.IntN(40)) * time.Second)
-	cluster.network.Cut(node, "state", false)
+	cluster.network.Cut(nodeName, "state", false)
 }
 
 func cutNodeFromWorkers(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
-	node := cluster.nodes[random.IntN(controllerCount)].Name
-	cluster.setWorkersCut(node, true)
+	nodeName := cluster.nodes[random.IntN(controllerCount)].Name
+	cluster.setWorkersCut(nodeName, true)
 	time.Sleep(time.Duration(4+random.IntN(20)) * time.Second)
-	cluster.setWorkersCut(node, false)
+	cluster.setWorkersCut(nodeName, false)
 }
 
 // isolateOneNode leaves a random controller in contact with only its workers and users for a
@@ -157,9 +157,9 @@
 }
 
 // setWorkersCut cuts a controller off from all workers, or restores these links.
-func (cluster *simulatedCluster) setWorkersCut(node string, cut bool) {
+func (cluster *simulatedCluster) setWorkersCut(nodeName string, cut bool) {
 	for zone := range cluster.simulation.ZoneNets {
-		cluster.network.Cut(node, "workers-"+zone, cut)
+		cluster.network.Cut(nodeName, "workers-"+zone, cut)
 	}
 }
 
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -273,11 +273,11 @@
 }
 
 func lateHeartbeatScenarios() []faultScenario {
-	late := func(at, length time.Duration, share float64, delay time.Duration) emulator.Fault {
-		return emulator.Fault{At: at, For: length, Kind: emulator.LateHeartbeats, Share: share, Wait: delay}
+	late := func(at, duration time.Duration, share float64, delay time.Duration) emulator.Fault {
+		return emulator.Fault{At: at, For: duration, Kind: emulator.LateHeartbeats, Share: share, Wait: delay}
 	}
-	forNextOwner := func(at, length, delay time.Duration) emulator.Fault {
-		return emulator.Fault{At: at, For: length, Kind: emulator.HeartbeatsForNextOwner, Wait: delay}
+	forNextOwner := func(at, duration, delay time.Duration) emulator.Fault {
+		return emulator.Fault{At: at, For: duration, Kind: emulator.HeartbeatsForNextOwner, Wait: delay}
 	}
 	return []faultScenario{
 		// The next owner receives each machine's first heartbeat, which lists no task. The
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -107,7 +107,7 @@
 			}
 		}},
 	} {
-		t.Run(test.name, func(t *testing.T) { runLoweredLimits(t, test.fault) })
+		t.Run(test.name, func(t *testing.T) { runLoweredLimitsScenario(t, test.fault) })
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-func runLoweredLimits(t *testing.T, fault func(cluster *simulatedCluster)) {
+func runLoweredLimitsScenario(t *testing.T, fault func(cluster *simulatedCluster)) {
 	if runInChildProcess(t) {
 		return
 	}
@@ -236,14 +236,14 @@
 // submitDuringUpgrade submits services and random jobs while the new version is rolled out and the
 // store limits are then lowered.
 func submitDuringUpgrade(cluster *simulatedCluster, random *rand.Rand) {
-	afterRollout := time.Duration(random.IntN(60)) * second
-	afterLevel := time.Duration(10+random.IntN(20)) * second
+	delayAfterRollout := time.Duration(random.IntN(60)) * second
+	delayAfterLevel := time.Duration(10+random.IntN(20)) * second
 	go func() {
 		time.Sleep(20 * second)
 		cluster.rollOutNewVersion(10 * second)
-		time.Sleep(afterRollout)
+		time.Sleep(delayAfterRollout)
 		cluster.waitForFeatureLevel()
-		time.Sleep(afterLevel)
+		time.Sleep(delayAfterLevel)
 		cluster.lowerStoreLimits()
 	}()
 	for n := range 4 {
