--- a/internal/controller/child_process_test.go
+++ b/internal/controller/child_process_test.go
@@ -50,8 +50,7 @@
 	return true
 }
 
-// childArguments returns the command-line arguments that make the test binary run only the test
-// t.
+// childArguments returns the command-line arguments that make the test binary run only test t.
 func childArguments(t *testing.T) []string {
 	elements := strings.Split(t.Name(), "/")
 	for i, element := range elements {
--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -187,7 +187,7 @@
 		cluster.simulation.SetLinkDelay(linkDelay)
 		smallJobs := 240
 		if linkDelay > 0 {
-			smallJobs = 180 // 450 s, which is four minutes beyond the last large job
+			smallJobs = 180 // submitted over 450 s, until four minutes after the last large job
 		}
 		submittedAt := map[string]time.Time{} // by ID of a large job
 		for n := range smallJobs {            // more load than the 16 small machines can handle
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -477,7 +477,7 @@
 			},
 		},
 		{
-			name:   "four one-task jobs per second, a quarter cancelled",
+			name:   "four one-task jobs per second, one in five cancelled",
 			seed:   83,
 			submit: submitJobStream(480, 1, 2, 250*time.Millisecond, 5),
 			check:  expectNoRecordsOfFinishedJobs,
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -124,7 +124,7 @@
 		cluster.startNodes()
 		time.Sleep(10 * time.Second)
 		if n := cluster.store.CountListedKeys() - before; n == 0 || n > finishedJobs/10 {
-			cluster.t.Errorf("store items read in a failover with one running job: got %d, want 1 to 1000", n)
+			cluster.t.Errorf("store keys listed in a failover with one running job: got %d, want 1 to 1000", n)
 		}
 		cluster.waitForJobsAndCheck(10 * time.Minute)
 	})
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// randomFaultPairs returns a random script for the time window, in which every 10 to 29 s a pair
-// of faults begins within three seconds.
+// randomFaultPairs returns a random script for the time window. Every 10 to 29 s, two faults begin
+// within three seconds of each other.
 func randomFaultPairs(random *rand.Rand, window time.Duration) []emulator.Fault {
 	var script []emulator.Fault
 	for at := 15 * second; at < window; at += time.Duration(10+random.IntN(20)) * second {
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// submitJobStream returns a function that submits one job per interval and cancels every fourth
-// within seconds.
+// submitJobStream returns a function that submits one job per interval and cancels one in five of
+// them, 1 to 4 s after its submission.
 func submitJobStream(
 	jobs, tasks int,
 	cpus float64,
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -22,7 +22,7 @@
 type faultScenario struct {
 	name         string
 	seed         uint64
-	pollAllNodes bool // users poll all nodes within milliseconds of each other
+	pollAllNodes bool // after each new phase, users poll all nodes and submit again within milliseconds
 
 	setup   func(cluster *simulatedCluster) // runs before the controllers start
 	submit  func(cluster *simulatedCluster) // submits jobs; runs concurrently with the script
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -13,7 +13,8 @@
 )
 
 // A replica that exits, or whose machine is lost, hangs or fails all tasks, must be restarted. The
-// user must never be told that the service is done, and the service must end once it is cancelled.
+// user must never be told that the service is done, and all replicas must end once the service is
+// cancelled.
 func TestReplicasAreRestarted(t *testing.T) {
 	t.Parallel()
 	const faultAt = 45 * time.Second
@@ -65,7 +66,7 @@
 				cluster.checkAllReplicasRunning(service)
 				cluster.waitForJobsAndCheck(10 * time.Minute)
 				if phase := cluster.finalPhases[service.ID]; phase != wire.JobCancelled {
-					cluster.t.Errorf("final phase of the cancelled service: got %q, want that of a cancelled job", phase)
+					cluster.t.Errorf("final phase of the cancelled service: got %q, want \"aborted\"", phase)
 				}
 			})
 		})
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -71,7 +71,7 @@
 	injector   *emulator.FaultInjector
 
 	noTeamLimits         bool                // no team has limits or guarantees, so jobs are spread over the partitions
-	pollAllNodes         bool                // users poll all nodes and submit again after each response
+	pollAllNodes         bool                // users poll all nodes and submit again after each new phase, and cancel done jobs
 	announcedStoreLimits *config.StateLimits // future store limits announced in the settings
 	faultsOver           atomic.Bool         // set when requests are no longer lost or delayed
 	featureLevelRaised   atomic.Bool         // set when the feature level has been raised
@@ -80,7 +80,7 @@
 
 	mu              sync.Mutex
 	crashFuncs      map[int]func()           // by index of a running node; kills its controller
-	oldVersionNodes map[int]bool             // by index of a node that does not support the newest feature level
+	oldVersionNodes map[int]bool             // by node index; true if the node does not support the newest feature level
 	cancelFuncs     map[string]func()        // by job ID; makes the job's user cancel it
 	finalPhases     map[string]wire.JobPhase // by job ID; the phase in which the job's user saw it end
 }
@@ -292,7 +292,7 @@
 }
 
 // startNode starts a node's controller, which runs until crashNode kills it or the simulation
-// ends. It does nothing if the controller is already running.
+// ends. It does nothing if the controller is already running or the simulation has ended.
 func (cluster *simulatedCluster) startNode(node int) {
 	cluster.mu.Lock()
 	defer cluster.mu.Unlock()
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -47,8 +47,8 @@
 	cluster.oldVersionNodes = map[int]bool{0: true, 1: true, 2: true}
 }
 
-// rollOutNewVersion restarts the nodes one after another with the new version, each after the
-// interval.
+// rollOutNewVersion restarts the nodes one after another with the new version and waits for the
+// interval before each restart.
 func (cluster *simulatedCluster) rollOutNewVersion(interval time.Duration) {
 	for node := range cluster.nodes {
 		time.Sleep(interval)
@@ -77,7 +77,7 @@
 	})
 }
 
-// simulateUpgrade runs a simulation whose nodes are of the old version. It does not start the
+// simulateUpgrade runs a simulation whose nodes run the old version. It does not start the
 // controllers.
 func simulateUpgrade(t *testing.T, seed uint64, machinesPerOffering int, run func(cluster *simulatedCluster)) {
 	simulate(t, seed, func(_ *testing.T, cluster *simulatedCluster) {
@@ -225,7 +225,8 @@
 	})
 }
 
-// exitReplicasAtRandom makes a replica exit by itself with a probability of 1/4, after 5 to 104 s.
+// exitReplicasAtRandom makes each replica, whenever it is started, exit by itself after 5 to 104 s
+// with a probability of 1/4.
 func (cluster *simulatedCluster) exitReplicasAtRandom(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, replicaExitStream)) // used only with the simulation's lock held
 	cluster.simulation.SetReplicaExit(func(*wire.Job, int) (time.Duration, bool) {
@@ -309,9 +310,9 @@
 		cache.applyChange(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
 	}
 	if conditions, ready := cache.readyForLevel(records.CurrentFeatureLevel, names); !ready || len(conditions) != len(names) {
-		t.Errorf("feature level with 40 registered nodes: got ready %v and %d conditions, want ready and 40 conditions", ready, len(conditions))
+		t.Errorf("readiness for the feature level with 40 registered nodes: got ready %v and %d conditions, want ready and 40 conditions", ready, len(conditions))
 	}
 	if _, ready := cache.readyForLevel(records.CurrentFeatureLevel, append(names, "away")); ready {
-		t.Error("feature level is ready although a node is not registered")
+		t.Error("nodes are ready for the feature level although one is not registered")
 	}
 }
