--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"ambersill/internal/tuning"
 )
 
-const good = `
+const validSettings = `
 node = "n0"
 zone = "a"
 public_addr = "127.0.0.1:1"
@@ -39,7 +39,7 @@
 max_sockets = 700
 `
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -48,9 +48,9 @@
 	return p
 }
 
-// Unknown fields are ignored; what is missing or impossible is named.
+// Unknown keys are ignored. Missing and invalid keys give an error that names the key.
 func TestLoad(t *testing.T) {
-	if _, err := Load(write(t, "s.toml", good)); err != nil {
+	if _, err := Load(writeFile(t, "s.toml", validSettings)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, names string }{
@@ -64,69 +64,69 @@
 		{`count = 1`, `count = "x"`, "count"},
 		{`node = "n0"`, `node = `, ""},
 	} {
-		_, err := Load(write(t, "s.toml", strings.Replace(good, c.from, c.to, 1)))
+		_, err := Load(writeFile(t, "s.toml", strings.Replace(validSettings, c.from, c.to, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s: %v", c.to, err)
+			t.Errorf("loading settings with %q: got error %v, want one that names the key", c.to, err)
 		}
 	}
 	if _, err := Load("/nowhere/at/all"); err == nil {
-		t.Error("a file that is not there is read")
+		t.Error("loading a missing settings file: got no error, want one")
 	}
 }
 
-func TestErrorsNameFileAndKey(t *testing.T) {
-	settingsPath := write(t, "s.toml", strings.Replace(good, "rps = 5.0", "rps = nan", 1))
+func TestErrorsNameTheFileAndKey(t *testing.T) {
+	settingsPath := writeFile(t, "s.toml", strings.Replace(validSettings, "rps = 5.0", "rps = nan", 1))
 	_, err := Load(settingsPath)
-	requireError(t, err, settingsPath, "cluster.cloud.rps")
+	checkErrorNames(t, err, settingsPath, "cluster.cloud.rps")
 
-	policyPath := write(t, "p.star", "RoundS = 'x'")
+	policyPath := writeFile(t, "p.star", "RoundS = 'x'")
 	tunables := tuning.Default()
-	requireError(t, LoadPolicy(policyPath, &tunables), policyPath, "RoundS")
+	checkErrorNames(t, LoadPolicy(policyPath, &tunables), policyPath, "RoundS")
 }
 
-func requireError(t *testing.T, err error, file, key string) {
+func checkErrorNames(t *testing.T, err error, file, key string) {
 	t.Helper()
 	var settingsError *Error
 	if !errors.As(err, &settingsError) || settingsError.File != file || settingsError.Key != key || settingsError.Problem == "" {
-		t.Errorf("%v does not name %s and %s", err, file, key)
+		t.Errorf("got error %v, want one that names file %s and key %s", err, file, key)
 	}
 }
 
-// What is written keeps to the lower of the present and the announced limits, each for
-// itself; one that is not announced stays.
+// Each write limit is the lower of the current and the announced limit. A limit without an
+// announcement does not change.
 func TestWriteLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
-		want StateLimits
+		want StoreLimits
 	}{
-		{"", StateLimits{RPS: 150, WriteRPS: 25, ValueKB: 8, TxnOps: 12}},
-		{"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StateLimits{RPS: 150, WriteRPS: 18, ValueKB: 2, TxnOps: 4}},
-		{"[cluster.state.next]\nrps = 100.0\nvalue_kb = 16.0", StateLimits{RPS: 100, WriteRPS: 25, ValueKB: 8, TxnOps: 12}},
+		{"", StoreLimits{RequestsPerS: 150, WritesPerS: 25, MaxValueKiB: 8, MaxTxnWrites: 12}},
+		{"[cluster.state.next]\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4", StoreLimits{RequestsPerS: 150, WritesPerS: 18, MaxValueKiB: 2, MaxTxnWrites: 4}},
+		{"[cluster.state.next]\nrps = 100.0\nvalue_kb = 16.0", StoreLimits{RequestsPerS: 100, WritesPerS: 25, MaxValueKiB: 8, MaxTxnWrites: 12}},
 	} {
-		s, err := Load(write(t, "s.toml", strings.Replace(good, "txn_ops = 12", "txn_ops = 12\n"+c.next, 1)))
+		s, err := Load(writeFile(t, "s.toml", strings.Replace(validSettings, "txn_ops = 12", "txn_ops = 12\n"+c.next, 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if got := s.WriteLimits(); got != c.want {
-			t.Errorf("%q: %+v", c.next, got)
+			t.Errorf("write limits with announcement %q: got %+v, want the lower of both", c.next, got)
 		}
-		if s.Cluster.State.ValueKB != 8 {
-			t.Errorf("%q: the present limit is %v", c.next, s.Cluster.State.ValueKB)
+		if s.Cluster.Store.MaxValueKiB != 8 {
+			t.Errorf("current value limit with announcement %q: got %v, want 8", c.next, s.Cluster.Store.MaxValueKiB)
 		}
 	}
 }
 
 func TestLoadPolicy(t *testing.T) {
 	v := tuning.Default()
-	if err := LoadPolicy(write(t, "p.star", "_min = 60\ndef twice(x):\n    return 2 * x\nGiveBackS = twice(_min)\nParts = 2\n"), &v); err != nil {
+	if err := LoadPolicy(writeFile(t, "p.star", "_min = 60\ndef twice(x):\n    return 2 * x\nGiveBackS = twice(_min)\nParts = 2\n"), &v); err != nil {
 		t.Fatal(err)
 	}
 	if v.GiveBackS != 120 || v.Parts != 2 {
-		t.Fatalf("%+v", v)
+		t.Fatalf("tunables after the policy: got %+v, want GiveBackS 120 and Parts 2", v)
 	}
 	for _, bad := range []string{"Nonsense = 1", "GiveBackS = -1", "GiveBackS = 'x'", "Parts = 1.5", "RoundS = 0", "while True: pass", "x ="} {
-		if err := LoadPolicy(write(t, "p.star", bad), &v); err == nil {
-			t.Errorf("%q is taken", bad)
+		if err := LoadPolicy(writeFile(t, "p.star", bad), &v); err == nil {
+			t.Errorf("loading policy %q: got no error, want one", bad)
 		}
 	}
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -91,7 +91,7 @@
 	})
 	switch {
 	case err == nil:
-		return api.Submission{Job: jobStatus(record), Created: true}, nil
+		return api.Submission{Job: jobStatus(record), IsNew: true}, nil
 	case needsReread(err):
 		return c.existingJob(ctx, job.ID)
 	default:
@@ -124,7 +124,7 @@
 		return wire.JobStatus{}, err
 	}
 	status := jobStatus(record)
-	if record.Phase.Final() {
+	if record.Phase.IsFinal() {
 		return status, nil
 	}
 	counts := c.jobCounts(id, record.Partition)
@@ -174,7 +174,7 @@
 func jobStatus(record records.JobRecord) wire.JobStatus {
 	status := wire.JobStatus{ID: record.Job.ID, Phase: record.Phase}
 	if record.Phase == wire.JobDone {
-		status.Done = record.Job.Tasks
+		status.Done = record.Job.TaskCount
 	}
 	return status
 }
@@ -239,7 +239,7 @@
 // anyQuota reports whether any team has a limit on or a guarantee of CPUs or GPUs.
 func anyQuota(teams []config.Team) bool {
 	for _, team := range teams {
-		if team.CPUs != 0 || team.CPUsMax != 0 || team.GPUs != 0 || team.GPUsMax != 0 {
+		if team.CPUs != 0 || team.MaxCPUs != 0 || team.GPUs != 0 || team.MaxGPUs != 0 {
 			return true
 		}
 	}
--- a/internal/controller/simulated_checks_test.go
+++ b/internal/controller/simulated_checks_test.go
@@ -27,7 +27,7 @@
 	if wire.Unmarshal(before, &oldRecord) != nil || wire.Unmarshal(after, &newRecord) != nil {
 		return
 	}
-	if oldRecord.Phase.Final() && newRecord.Phase != oldRecord.Phase {
+	if oldRecord.Phase.IsFinal() && newRecord.Phase != oldRecord.Phase {
 		cluster.t.Errorf("broken rule: final phase in record %s changed from %s to %s", key, oldRecord.Phase, newRecord.Phase)
 	}
 }
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -72,7 +72,7 @@
 
 	noTeamLimits         bool                // no team has limits or guarantees, so jobs are spread over the partitions
 	pollAllNodes         bool                // users poll all nodes and submit again after each new phase, and cancel done jobs
-	announcedStoreLimits *config.StateLimits // future store limits announced in the settings
+	announcedStoreLimits *config.StoreLimits // future store limits announced in the settings
 	faultsOver           atomic.Bool         // set when requests are no longer lost or delayed
 	featureLevelRaised   atomic.Bool         // set when the feature level has been raised
 
@@ -243,7 +243,7 @@
 		Node:       cluster.nodes[node].Name,
 		Zone:       "a",
 		PublicAddr: cluster.nodes[node].Addr,
-		MeshAddr:   meshAddr(node),
+		PeerAddr:   meshAddr(node),
 	}
 	for i, member := range cluster.nodes {
 		if i != node {
@@ -254,28 +254,28 @@
 			})
 		}
 	}
-	settings.Outside.State = storeAddr
-	settings.Outside.Cloud = cloudAddr
+	settings.Endpoints.Store = storeAddr
+	settings.Endpoints.Cloud = cloudAddr
 
 	clusterSettings := &settings.Cluster
-	clusterSettings.Count = controllerCount
+	clusterSettings.ControllerCount = controllerCount
 	clusterSettings.Zones = []string{"a", "b"}
 	clusterSettings.Teams = cluster.teams()
-	clusterSettings.Workers.ReportS = 2
-	clusterSettings.Workers.LeaseS = 14
-	clusterSettings.Workers.GangWaitS = 35
-	clusterSettings.Workers.GangPeerS = 5
-	clusterSettings.Workers.CancelS = 44
-	clusterSettings.State.RPS = 150
-	clusterSettings.State.WriteRPS = 50
-	clusterSettings.State.ValueKB = 8
-	clusterSettings.State.TxnOps = 12
+	clusterSettings.WorkerTiming.HeartbeatIntervalS = 2
+	clusterSettings.WorkerTiming.LeaseDurationS = 14
+	clusterSettings.WorkerTiming.GangWaitTimeoutS = 35
+	clusterSettings.WorkerTiming.GangPeerTimeoutS = 5
+	clusterSettings.WorkerTiming.CancelDeadlineS = 44
+	clusterSettings.Store.RequestsPerS = 150
+	clusterSettings.Store.WritesPerS = 50
+	clusterSettings.Store.MaxValueKiB = 8
+	clusterSettings.Store.MaxTxnWrites = 12
 	if !cluster.oldVersionNodes[node] { // old versions have no setting for announced limits
-		clusterSettings.State.Next = cluster.announcedStoreLimits
+		clusterSettings.Store.Announced = cluster.announcedStoreLimits
 	}
-	clusterSettings.Cloud.RPS = 5
-	clusterSettings.Cloud.ListLagS = 4
-	clusterSettings.Limits.RAMMB = 100
+	clusterSettings.Cloud.RequestsPerS = 5
+	clusterSettings.Cloud.MaxListLagS = 4
+	clusterSettings.Limits.MemoryMiB = 100
 	clusterSettings.Limits.MaxSockets = 700
 	return settings
 }
@@ -285,8 +285,8 @@
 		return []config.Team{{Name: "red"}, {Name: "blue"}, {Name: "free"}}
 	}
 	return []config.Team{
-		{Name: "red", GPUs: 4, GPUsMax: 8},
-		{Name: "blue", CPUsMax: 40},
+		{Name: "red", GPUs: 4, MaxGPUs: 8},
+		{Name: "blue", MaxCPUs: 40},
 		{Name: "free"},
 	}
 }
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -139,7 +139,7 @@
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
 	job := w.simulation.description(id)
-	if job == nil || index >= job.Tasks {
+	if job == nil || index >= job.TaskCount {
 		w.refuse(c, wire.ExitTaskUnknown)
 		return
 	}
--- a/internal/peerrpc/production_test.go
+++ b/internal/peerrpc/production_test.go
@@ -29,6 +29,6 @@
 	peer, _ := serveAndConnect(t, &stubHandler{})
 	newFile, productionFile := filepath.Join(t.TempDir(), "ours"), filepath.Join(t.TempDir(), "theirs")
 	writeMessages(t, newFile)
-	production.Test(t, directory, "TestMessages", "MESSAGES_IN="+newFile, "MESSAGES_OUT="+productionFile, "NEW_ADDR="+peer.Addr)
+	production.RunTest(t, directory, "TestMessages", "MESSAGES_IN="+newFile, "MESSAGES_OUT="+productionFile, "NEW_ADDR="+peer.Addr)
 	checkMessages(t, productionFile)
 }
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -91,7 +91,7 @@
 	builder := &batchBuilder{
 		partition: p,
 		batch:     &Batch{Txn: wire.Txn{Compares: []wire.Compare{ownership}}},
-		maxWrites: p.layout.limits.TxnOps,
+		maxWrites: p.layout.limits.MaxTxnWrites,
 	}
 	jobIDs := slices.Sorted(maps.Keys(p.jobs))
 	builder.addJobEnd(jobIDs)
@@ -128,7 +128,7 @@
 // hasUncommittedEnd reports whether all tasks of a job that is not cancelled are done, and this is not
 // committed yet.
 func (j *Job) hasUncommittedEnd() bool {
-	return !j.finalized && !j.Cancelled && j.doneTasks >= j.Tasks
+	return !j.finalized && !j.Cancelled && j.doneTasks >= j.TaskCount
 }
 
 // putJobEnd adds the writes for a job's end. They set the final state that users read, and delete
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -19,7 +19,7 @@
 	partition     int
 	tasksPerChunk int // in numbered chunks
 	// limits are the key-value store's limits for writes. ReduceWriteLimits may lower them.
-	limits       config.StateLimits
+	limits       config.StoreLimits
 	featureLevel records.FeatureLevel
 }
 
@@ -50,8 +50,8 @@
 // store has rejected a commit as invalid, because then its limits are lower than configured.
 func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
-	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
-	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
+	limits.MaxValueKiB = max(limits.MaxValueKiB/2, minValueKB)
+	limits.MaxTxnWrites = max(limits.MaxTxnWrites/2, minTxnOps)
 }
 
 // writesExplicitRanges reports whether the cluster's feature level permits records with explicit
@@ -69,7 +69,7 @@
 }
 
 // maxValueBytes returns the maximum size of a value that may be written, in bytes.
-func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
+func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.MaxValueKiB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
@@ -83,8 +83,8 @@
 // together with the job's record at the given revision.
 func (l *chunkLayout) newChunks(job *Job, revision uint64) []*chunk {
 	var chunks []*chunk
-	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
-		to := min(from+l.tasksPerChunk, job.Tasks)
+	for from := 0; from < job.TaskCount; from += l.tasksPerChunk {
+		to := min(from+l.tasksPerChunk, job.TaskCount)
 		chunks = append(chunks, newChunk(job, l.chunkIndex(from), from, to, l.formatForNewChunks()))
 	}
 	chunks[0].revision = revision
@@ -102,16 +102,16 @@
 // record contains none.
 func (l *chunkLayout) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.HasExplicitRange() {
-		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
+		from, to := loaded.Record.From, min(loaded.Record.To, job.TaskCount)
 		return extent{from: from, to: to, loaded: loaded}, from >= 0 && from < to
 	}
 	index, err := strconv.Atoi(loaded.Name)
-	chunkCount := (job.Tasks + l.tasksPerChunk - 1) / l.tasksPerChunk
+	chunkCount := (job.TaskCount + l.tasksPerChunk - 1) / l.tasksPerChunk
 	if err != nil || index < 0 || index >= chunkCount {
 		return extent{}, false
 	}
 	from := index * l.tasksPerChunk
-	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
+	return extent{from: from, to: min(from+l.tasksPerChunk, job.TaskCount), loaded: loaded}, true
 }
 
 // extents divides a job's tasks into ranges by the records that contain them. If two records
--- a/internal/wire/fieldnames_test.go
+++ b/internal/wire/fieldnames_test.go
@@ -14,11 +14,11 @@
 	"testing"
 )
 
-// moduleRoot is the repository's root, relative to this package.
+// moduleRoot is the path of the repository's root directory, relative to this package.
 const moduleRoot = "../.."
 
-// protocolFieldNames are the protocol's field names that are not ordinary words of the code.
-// Other packages use the names of this package's Go fields in their place.
+// protocolFieldNames lists the field names of the protocol that do not occur as ordinary words in
+// the code. Other packages use the names of the Go fields declared in this package instead.
 var protocolFieldNames = []string{
 	"answerTo", "bankS", "bids", "breed", "breeds", "crew", "dueS", "guessS", "hearth", "hearths",
 	"hire", "hold", "lane", "ledgerMark", "lifeMs", "localGb", "mandate", "marketPrice", "mercyS",
@@ -26,12 +26,13 @@
 	"warningS", "windfall",
 }
 
-// emulatorFieldNames are those that package emulator may use: it submits jobs with faults
-// that wire.Job cannot express, and keeps the values of transactions encoded.
+// emulatorFieldNames lists the field names that package emulator may also use, because it submits
+// invalid jobs that wire.Job cannot express and decodes transactions without decoding their
+// values.
 var emulatorFieldNames = []string{"breeds", "crew", "dueS", "hold", "pieces"}
 
-func TestProtocolFieldNamesAreUsedHereOnly(t *testing.T) {
-	for path, names := range literalsOutsideWire(t) {
+func TestOnlyWireUsesProtocolFieldNames(t *testing.T) {
+	for path, names := range stringLiteralsOutsideWire(t) {
 		for _, name := range names {
 			if !slices.Contains(protocolFieldNames, name) {
 				continue
@@ -39,32 +40,33 @@
 			if strings.HasPrefix(path, "internal/emulator/") && slices.Contains(emulatorFieldNames, name) {
 				continue
 			}
-			t.Errorf("%s: %q is a field name of the protocol, which only package wire may know", path, name)
+			t.Errorf("%s: got protocol field name %q, want it in package wire only", path, name)
 		}
 	}
 }
 
-// The list is useless for a name that no message has.
+// A name that no message has any more would make the test above pass without effect.
 func TestProtocolFieldNamesExist(t *testing.T) {
-	packages, err := filepath.Glob("*.go")
+	paths, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var names []string
-	for _, path := range packages {
+	for _, path := range paths {
 		if !strings.HasSuffix(path, "_test.go") {
-			names = append(names, literals(t, path)...)
+			names = append(names, stringLiterals(t, path)...)
 		}
 	}
 	for _, name := range protocolFieldNames {
 		if !slices.Contains(names, name) {
-			t.Errorf("no message has a field %q", name)
+			t.Errorf("protocolFieldNames has %q: got no message with this field, want one", name)
 		}
 	}
 }
 
-// literalsOutsideWire returns the string literals of each Go file but this package's.
-func literalsOutsideWire(t *testing.T) map[string][]string {
+// stringLiteralsOutsideWire returns the string literals of each Go file outside this package, by the
+// path of the file.
+func stringLiteralsOutsideWire(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
 	for _, root := range []string{"cmd", "internal"} {
@@ -80,7 +82,7 @@
 				return filepath.SkipDir
 			}
 			if !entry.IsDir() && filepath.Ext(path) == ".go" {
-				found[filepath.ToSlash(name)] = literals(t, path)
+				found[filepath.ToSlash(name)] = stringLiterals(t, path)
 			}
 			return nil
 		})
@@ -89,13 +91,14 @@
 		}
 	}
 	if len(found) == 0 {
-		t.Fatal("no Go files found")
+		t.Fatal("Go files outside package wire: got none, want at least one")
 	}
 	return found
 }
 
-// literals returns the string literals of a file, and the names in its CBOR field tags.
-func literals(t *testing.T, path string) []string {
+// stringLiterals returns the sorted string literals of a Go file, including the names in its CBOR
+// field tags.
+func stringLiterals(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
