--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -235,7 +235,7 @@
 	go func() { _ = server.Serve(listener) }()
 }
 
-func meshAddr(node int) string { return fmt.Sprintf("10.0.0.%d:8081", node+1) }
+func peerAddr(node int) string { return fmt.Sprintf("10.0.0.%d:8081", node+1) }
 
 // settings returns the settings of the node with the given index.
 func (cluster *simulatedCluster) settings(node int) *config.Settings {
@@ -243,14 +243,14 @@
 		Node:       cluster.nodes[node].Name,
 		Zone:       "a",
 		PublicAddr: cluster.nodes[node].Addr,
-		PeerAddr:   meshAddr(node),
+		PeerAddr:   peerAddr(node),
 	}
 	for i, member := range cluster.nodes {
 		if i != node {
 			settings.Members = append(settings.Members, config.Member{
 				Node: member.Name,
 				Zone: "a",
-				Addr: meshAddr(i),
+				Addr: peerAddr(i),
 			})
 		}
 	}
