--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -47,8 +47,8 @@
 	cluster.oldVersionNodes = map[int]bool{0: true, 1: true, 2: true}
 }
 
-// rollOutNewVersion restarts the nodes one after another with the new version, each after the
-// interval.
+// rollOutNewVersion restarts the nodes one after another with the new version and waits for the
+// interval before each restart.
 func (cluster *simulatedCluster) rollOutNewVersion(interval time.Duration) {
 	for node := range cluster.nodes {
 		time.Sleep(interval)
@@ -77,7 +77,7 @@
 	})
 }
 
-// simulateUpgrade runs a simulation whose nodes are of the old version. It does not start the
+// simulateUpgrade runs a simulation whose nodes run the old version. It does not start the
 // controllers.
 func simulateUpgrade(t *testing.T, seed uint64, machinesPerOffering int, run func(cluster *simulatedCluster)) {
 	simulate(t, seed, func(_ *testing.T, cluster *simulatedCluster) {
@@ -107,7 +107,7 @@
 			}
 		}},
 	} {
-		t.Run(test.name, func(t *testing.T) { runLoweredLimits(t, test.fault) })
+		t.Run(test.name, func(t *testing.T) { runLoweredLimitsScenario(t, test.fault) })
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-func runLoweredLimits(t *testing.T, fault func(cluster *simulatedCluster)) {
+func runLoweredLimitsScenario(t *testing.T, fault func(cluster *simulatedCluster)) {
 	if runInChildProcess(t) {
 		return
 	}
@@ -225,7 +225,8 @@
 	})
 }
 
-// exitReplicasAtRandom makes a replica exit by itself with a probability of 1/4, after 5 to 104 s.
+// exitReplicasAtRandom makes each replica, whenever it is started, exit by itself after 5 to 104 s
+// with a probability of 1/4.
 func (cluster *simulatedCluster) exitReplicasAtRandom(seed uint64) {
 	random := rand.New(rand.NewPCG(seed, replicaExitStream)) // used only with the simulation's lock held
 	cluster.simulation.SetReplicaExit(func(*wire.Job, int) (time.Duration, bool) {
@@ -236,14 +237,14 @@
 // submitDuringUpgrade submits services and random jobs while the new version is rolled out and the
 // store limits are then lowered.
 func submitDuringUpgrade(cluster *simulatedCluster, random *rand.Rand) {
-	afterRollout := time.Duration(random.IntN(60)) * second
-	afterLevel := time.Duration(10+random.IntN(20)) * second
+	delayAfterRollout := time.Duration(random.IntN(60)) * second
+	delayAfterLevel := time.Duration(10+random.IntN(20)) * second
 	go func() {
 		time.Sleep(20 * second)
 		cluster.rollOutNewVersion(10 * second)
-		time.Sleep(afterRollout)
+		time.Sleep(delayAfterRollout)
 		cluster.waitForFeatureLevel()
-		time.Sleep(afterLevel)
+		time.Sleep(delayAfterLevel)
 		cluster.lowerStoreLimits()
 	}()
 	for n := range 4 {
@@ -309,9 +310,9 @@
 		cache.applyChange(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
 	}
 	if conditions, ready := cache.readyForLevel(records.CurrentFeatureLevel, names); !ready || len(conditions) != len(names) {
-		t.Errorf("feature level with 40 registered nodes: got ready %v and %d conditions, want ready and 40 conditions", ready, len(conditions))
+		t.Errorf("readiness for the feature level with 40 registered nodes: got ready %v and %d conditions, want ready and 40 conditions", ready, len(conditions))
 	}
 	if _, ready := cache.readyForLevel(records.CurrentFeatureLevel, append(names, "away")); ready {
-		t.Error("feature level is ready although a node is not registered")
+		t.Error("nodes are ready for the feature level although one is not registered")
 	}
 }
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -16,16 +16,16 @@
 // limiter refills the tokens taken in advance. The store allows bursts of one second's writes.
 const maxTokenDebt = time.Second
 
-// readBurst returns the number of requests that half a second allows, at least 1.
-func readBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
+// requestBurst returns the number of requests that half a second allows, at least 1.
+func requestBurst(perSecond float64) int { return max(1, int(perSecond/2)) }
 
 // writeBurst returns the number of writes that one second allows, at least minWriteBurst.
 func writeBurst(perSecond float64) int { return max(minWriteBurst, int(perSecond)) }
 
 // SetRateLimits changes this node's portion of the store's rate limits, in requests per second
 // and in writes per second.
-func (c *Client) SetRateLimits(reads, writes float64) {
-	setLimit(c.reads, rate.Limit(reads))
+func (c *Client) SetRateLimits(requests, writes float64) {
+	setLimit(c.requests, rate.Limit(requests))
 	setLimit(c.writes, rate.Limit(writes))
 }
 
@@ -44,8 +44,9 @@
 	return nil
 }
 
-// reserveUrgentWrites takes n tokens for writes without waiting for them. If the limiter would
-// need more than maxTokenDebt to refill, it takes none and returns false.
+// reserveUrgentWrites takes n tokens for writes without waiting for them. It takes none and
+// returns false if the limiter would need more than maxTokenDebt to refill, or if n exceeds the
+// burst.
 func (c *Client) reserveUrgentWrites(n int) bool {
 	reservation := c.writes.ReserveN(time.Now(), n)
 	if !reservation.OK() || reservation.Delay() > maxTokenDebt {
