--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -140,10 +140,10 @@
 
 // pauseBeforeHeartbeat waits for the given time. If there is a change to report, it returns as soon
 // as minHeartbeatInterval has passed, or when the given time has passed if that is shorter.
-func (w *Worker) pauseBeforeHeartbeat(ctx context.Context, next time.Duration) {
-	timer := time.NewTimer(next)
+func (w *Worker) pauseBeforeHeartbeat(ctx context.Context, pause time.Duration) {
+	timer := time.NewTimer(pause)
 	defer timer.Stop()
-	minimum := time.NewTimer(min(next, minHeartbeatInterval))
+	minimum := time.NewTimer(min(pause, minHeartbeatInterval))
 	defer minimum.Stop()
 	select {
 	case <-ctx.Done():
