--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -118,9 +118,9 @@
 
 func cutNodeFromStore(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
 	node := cluster.nodes[random.IntN(controllerCount)].Name
-	cluster.network.Cut(node, "state", true)
+	cluster.network.SetLinkCut(node, "state", true)
 	time.Sleep(time.Duration(4+random.IntN(40)) * time.Second)
-	cluster.network.Cut(node, "state", false)
+	cluster.network.SetLinkCut(node, "state", false)
 }
 
 func cutNodeFromWorkers(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
@@ -149,14 +149,14 @@
 	}
 	random.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	for _, host := range hosts {
-		cluster.network.Cut(cluster.nodes[node].Name, host, cut)
+		cluster.network.SetLinkCut(cluster.nodes[node].Name, host, cut)
 	}
 }
 
 // setWorkersCut cuts a controller off from all workers, or joins it again.
 func (cluster *simulatedCluster) setWorkersCut(node string, cut bool) {
 	for zone := range cluster.simulation.ZoneNets {
-		cluster.network.Cut(node, "workers-"+zone, cut)
+		cluster.network.SetLinkCut(node, "workers-"+zone, cut)
 	}
 }
 
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -50,16 +50,16 @@
 // randomFault draws a fault of any kind.
 func randomFault(random *rand.Rand) emulator.Fault {
 	fault := emulator.Fault{
-		For:   randomDuration(random, 3, 30),
-		Count: 1 + random.IntN(5),
-		Zone:  []string{"a", "b"}[random.IntN(2)],
-		Wait:  randomDuration(random, 1, 12),
-		Share: 0.1 + 0.4*random.Float64(),
+		Duration:    randomDuration(random, 3, 30),
+		MaxTargets:  1 + random.IntN(5),
+		Zone:        []string{"a", "b"}[random.IntN(2)],
+		Delay:       randomDuration(random, 1, 12),
+		Probability: 0.1 + 0.4*random.Float64(),
 	}
 	nodes := [][]int{
-		{emulator.Owner},
-		{emulator.Owner},
-		{emulator.Others},
+		{emulator.OwnerNode},
+		{emulator.OwnerNode},
+		{emulator.NonOwnerNodes},
 		{random.IntN(controllerCount)},
 		{0, 1, 2},
 	}
@@ -78,13 +78,13 @@
 			randomDuration(random, 1, 5),
 			randomDuration(random, 5, 20),
 		}
-		fault.Wait = waits[random.IntN(len(waits))]
+		fault.Delay = waits[random.IntN(len(waits))]
 	case emulator.StoreSlow, emulator.SlowLinks:
-		fault.Wait = time.Duration(10+random.IntN(400)) * time.Millisecond
+		fault.Delay = time.Duration(10+random.IntN(400)) * time.Millisecond
 	case emulator.SlowProcessor:
-		fault.Wait = time.Duration(5+random.IntN(60)) * time.Millisecond
+		fault.Delay = time.Duration(5+random.IntN(60)) * time.Millisecond
 	case emulator.StoreOutage, emulator.StoreRefusesNode, emulator.NodeIsolated, emulator.NodeFrozen:
-		fault.For = randomDuration(random, 3, 25) // users give a submission up after a minute
+		fault.Duration = randomDuration(random, 3, 25) // users give a submission up after a minute
 	case emulator.MachineLost, emulator.MachineHang, emulator.MachineInboundCut,
 		emulator.MachineOutboundCut, emulator.DelayedCommands:
 		if random.IntN(2) == 0 {
@@ -101,7 +101,7 @@
 	for at := 15 * second; at < over; at += time.Duration(10+random.IntN(20)) * second {
 		for range 2 {
 			fault := randomFault(random)
-			fault.At = at + time.Duration(random.IntN(3000))*time.Millisecond
+			fault.Start = at + time.Duration(random.IntN(3000))*time.Millisecond
 			script = append(script, fault)
 		}
 	}
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -10,8 +10,8 @@
 
 // The nodes that a fault may affect.
 var (
-	ownerNode  = []int{emulator.Owner}
-	otherNodes = []int{emulator.Others}
+	ownerNode  = []int{emulator.OwnerNode}
+	otherNodes = []int{emulator.NonOwnerNodes}
 	allNodes   = []int{0, 1, 2}
 )
 
@@ -19,27 +19,27 @@
 const allOfThem = 0
 
 func crashFault(at time.Duration, nodes []int, downtime time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.ControllerCrash, Nodes: nodes, Wait: downtime}
+	return emulator.Fault{Start: at, Kind: emulator.ControllerCrash, Nodes: nodes, Delay: downtime}
 }
 
 func cancelFault(at time.Duration, jobs int) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.CancelRunningJobs, Count: jobs}
+	return emulator.Fault{Start: at, Kind: emulator.CancelRunningJobs, MaxTargets: jobs}
 }
 
 func outageFault(at, length time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.StoreOutage}
+	return emulator.Fault{Start: at, Duration: length, Kind: emulator.StoreOutage}
 }
 
 func slowStoreFault(at, length, delay time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.StoreSlow, Wait: delay}
+	return emulator.Fault{Start: at, Duration: length, Kind: emulator.StoreSlow, Delay: delay}
 }
 
 func nodeFault(kind emulator.FaultKind, at, length time.Duration, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: kind, Nodes: nodes}
+	return emulator.Fault{Start: at, Duration: length, Kind: kind, Nodes: nodes}
 }
 
 func machineFault(kind emulator.FaultKind, at, length time.Duration, machines int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: kind, Count: machines}
+	return emulator.Fault{Start: at, Duration: length, Kind: kind, MaxTargets: machines}
 }
 
 // ofTeam restricts a fault of machines to those with tasks of the team.
@@ -50,12 +50,12 @@
 
 // zoneCutFault cuts a zone's workers off, and the nodes with them.
 func zoneCutFault(at, length time.Duration, zone string, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: length, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
+	return emulator.Fault{Start: at, Duration: length, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
 }
 
 // lostMachinesFault has the cloud take machines of a zone, or of any zone if it is "".
 func lostMachinesFault(at time.Duration, machines int, zone string) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.MachineLost, Count: machines, Zone: zone}
+	return emulator.Fault{Start: at, Kind: emulator.MachineLost, MaxTargets: machines, Zone: zone}
 }
 
 // submitLongJobs submits jobs that run until after the last check of a scenario.
@@ -129,7 +129,7 @@
 	submitLongJobs(2)(cluster)
 	user := &emulator.User{
 		Simulation: cluster.simulation,
-		Net:        cluster.network.Host("odd"),
+		Net:        cluster.network.AddHost("odd"),
 		Pick:       func() emulator.Node { return cluster.nodes[cluster.random.IntN(controllerCount)] },
 	}
 	for n := range 10 {
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -63,7 +63,7 @@
 func (scenario *faultScenario) checkInjected(t *testing.T, cluster *simulatedCluster) {
 	t.Helper()
 	for kind, least := range scenario.minInjected {
-		if n := cluster.injector.Injected(kind); n < least {
+		if n := cluster.injector.InjectedCount(kind); n < least {
 			t.Errorf("the scenario did not come about: %s %d times, not %d", kind, n, least)
 		}
 	}
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -165,7 +165,7 @@
 		CancelDeadline:    44 * time.Second,
 	})
 	for _, zone := range settings.Zones {
-		simulation.ZoneNets[zone] = cluster.network.Host("workers-" + zone)
+		simulation.ZoneNets[zone] = cluster.network.AddHost("workers-" + zone)
 	}
 	return simulation
 }
@@ -197,16 +197,16 @@
 
 func (cluster *simulatedCluster) newInjector(seed uint64) *emulator.FaultInjector {
 	return &emulator.FaultInjector{
-		Network:    cluster.network,
-		Store:      cluster.store,
-		Cloud:      cluster.cloud,
-		Simulation: cluster.simulation,
-		Nodes:      cluster.nodes,
-		Rand:       rand.New(rand.NewPCG(seed, injectorStream)),
-		Start:      cluster.startNode,
-		Crash:      cluster.crashNode,
-		Owner:      cluster.partitionOwner,
-		Cancel:     cluster.cancelRunningJobs,
+		Network:             cluster.network,
+		Store:               cluster.store,
+		Cloud:               cluster.cloud,
+		Simulation:          cluster.simulation,
+		Nodes:               cluster.nodes,
+		Rand:                rand.New(rand.NewPCG(seed, injectorStream)),
+		StartController:     cluster.startNode,
+		CrashController:     cluster.crashNode,
+		FirstPartitionOwner: cluster.partitionOwner,
+		CancelJobs:          cluster.cancelRunningJobs,
 	}
 }
 
@@ -219,7 +219,7 @@
 
 // serveHost serves an emulated system from a host of its own.
 func (cluster *simulatedCluster) serveHost(name, addr string, handler http.Handler) {
-	host := cluster.network.Host(name)
+	host := cluster.network.AddHost(name)
 	listener, err := host.Listen(cluster.ctx, addr)
 	if err != nil {
 		cluster.t.Fatal(err)
@@ -296,7 +296,7 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(cluster.ctx)
-	host := cluster.network.Host(cluster.nodes[node].Name)
+	host := cluster.network.AddHost(cluster.nodes[node].Name)
 	controller := New(cluster.settings(node), cluster.tuning, host)
 	if cluster.oldNodes[node] {
 		controller.supportedFeatureLevel = records.FeatureInitialFormat
--- a/internal/controller/slow_controllers_test.go
+++ b/internal/controller/slow_controllers_test.go
@@ -74,7 +74,7 @@
 func TestSlowControllers(t *testing.T) {
 	slow := func(cost time.Duration, nodes []int) emulator.Fault {
 		fault := nodeFault(emulator.SlowProcessor, 30*second, 80*second, nodes)
-		fault.Wait = cost
+		fault.Delay = cost
 		return fault
 	}
 	crash := crashFault(60*second, ownerNode, 2*second)
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// maxBuffered is how many writes a connection's buffer has capacity for.
-	maxBuffered = 1024
-	// flushLimit is how long a closed connection's buffer may take to be read.
-	flushLimit = 5 * time.Second
+	// maxBufferedWrites is how many writes a connection's buffer has capacity for.
+	maxBufferedWrites = 1024
+	// flushTimeout is how long a closed connection's buffer may take to be read.
+	flushTimeout = 5 * time.Second
 )
 
 // connection is one end of a connection. Writes wait in a buffer, as in a kernel's, so that
@@ -19,36 +19,36 @@
 type connection struct {
 	net.Conn
 	dialer, acceptor *Host // the hosts of both ends
-	local            *Host // the host of this end
+	localHost        *Host // the host of this end
 	outgoing         chan []byte
 	closed           chan struct{}
-	once             sync.Once // closes closed
+	closeOnce        sync.Once // closes closed
 }
 
 // newConnection returns the end at the local host, which is the dialer or the acceptor.
 func newConnection(pipe net.Conn, dialer, acceptor, local *Host) *connection {
 	c := &connection{
-		Conn:     pipe,
-		dialer:   dialer,
-		acceptor: acceptor,
-		local:    local,
-		outgoing: make(chan []byte, maxBuffered),
-		closed:   make(chan struct{}),
+		Conn:      pipe,
+		dialer:    dialer,
+		acceptor:  acceptor,
+		localHost: local,
+		outgoing:  make(chan []byte, maxBufferedWrites),
+		closed:    make(chan struct{}),
 	}
-	go c.deliver()
+	go c.sendBuffered()
 	return c
 }
 
-// deliver sends what is written, and after Close what is left of it. Sending takes the
+// sendBuffered sends what is written, and after Close what is left of it. Sending takes the
 // processor of the host.
-func (c *connection) deliver() {
+func (c *connection) sendBuffered() {
 	defer func() { _ = c.Conn.Close() }()
 	closed := c.closed
 	isClosed := false
 	for !isClosed || len(c.outgoing) > 0 {
 		select {
 		case message := <-c.outgoing:
-			c.local.useProcessor()
+			c.localHost.useProcessor()
 			if _, err := c.Conn.Write(message); err != nil {
 				return
 			}
@@ -62,7 +62,7 @@
 // Read receives a message, which takes the processor of the host.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.local.useProcessor()
+	c.localHost.useProcessor()
 	return n, err
 }
 
@@ -83,7 +83,7 @@
 
 // RemoteAddr names the host at the other end.
 func (c *connection) RemoteAddr() net.Addr {
-	if c.local == c.dialer {
+	if c.localHost == c.dialer {
 		return memoryAddr(c.acceptor.name)
 	}
 	return memoryAddr(c.dialer.name)
@@ -95,9 +95,9 @@
 	delete(c.dialer.connections, c)
 	delete(c.acceptor.connections, c)
 	c.dialer.network.mu.Unlock()
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
-		time.AfterFunc(flushLimit, func() { _ = c.Conn.Close() })
+		time.AfterFunc(flushTimeout, func() { _ = c.Conn.Close() })
 	})
 	return nil
 }
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -26,36 +26,36 @@
 	Simulation *Simulation
 	Nodes      []Node
 	Rand       *rand.Rand
-	// Start and Crash begin and kill a controller.
-	Start, Crash func(node int)
-	// Owner returns the node that owns the first partition by the store's record, and that
+	// StartController and CrashController begin and kill a controller.
+	StartController, CrashController func(node int)
+	// FirstPartitionOwner returns the node that owns the first partition by the store's record, and that
 	// record's revision.
-	Owner func() (node int, revision uint64)
-	// Cancel has the users of up to n running jobs (0: all) cancel them.
-	Cancel func(n int) int
-
-	mu          sync.Mutex
-	injected    map[FaultKind]int
-	commitFault commitFaultFunc // nil while commits are served
-	onHeartbeat heartbeatFunc   // nil while no heartbeats are copied
-	wg          sync.WaitGroup
+	FirstPartitionOwner func() (node int, revision uint64)
+	// CancelJobs has the users of up to n running jobs (0: all) cancel them.
+	CancelJobs func(maxJobs int) int
+
+	mu             sync.Mutex
+	injectedCounts map[FaultKind]int
+	commitFault    commitFaultFunc // nil while commits are served
+	onHeartbeat    heartbeatFunc   // nil while no heartbeats are copied
+	wg             sync.WaitGroup
 }
 
-// Injected counts how often a kind of fault took effect: requests refused, commits late or
+// InjectedCount counts how often a kind of fault took effect: requests refused, commits late or
 // unanswered, copies delivered, commands late, machines and nodes struck.
-func (f *FaultInjector) Injected(kind FaultKind) int {
+func (f *FaultInjector) InjectedCount(kind FaultKind) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.injected[kind]
+	return f.injectedCounts[kind]
 }
 
 func (f *FaultInjector) countInjected(kind FaultKind, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.injected == nil {
-		f.injected = map[FaultKind]int{}
+	if f.injectedCounts == nil {
+		f.injectedCounts = map[FaultKind]int{}
 	}
-	f.injected[kind] += n
+	f.injectedCounts[kind] += n
 }
 
 // randomFloat returns a random number from 0 up to 1.
@@ -93,7 +93,7 @@
 	for _, fault := range script {
 		f.wg.Go(func() {
 			select {
-			case <-time.After(fault.At):
+			case <-time.After(fault.Start):
 				f.inject(ctx, fault)
 			case <-ctx.Done():
 			}
@@ -119,17 +119,17 @@
 	case NodeFrozen:
 		f.freezeNodes(ctx, fault)
 	case LateHeartbeats:
-		f.copyHeartbeatsLate(ctx, fault)
+		f.sendLateHeartbeatCopies(ctx, fault)
 	case HeartbeatsForNextOwner:
-		f.replayToNextOwner(ctx, fault)
+		f.replayHeartbeatsToNextOwner(ctx, fault)
 	case SlowLinks:
-		f.delay(ctx, fault, f.Simulation.SetLinkDelay)
+		f.setDelayDuringFault(ctx, fault, f.Simulation.SetLinkDelay)
 	case NodeIsolated, PeersCut, WorkersCut, CloudCut, ZoneCut:
 		f.cutLinks(ctx, fault)
 	case CancelRunningJobs:
-		f.countInjected(fault.Kind, f.Cancel(fault.Count))
+		f.countInjected(fault.Kind, f.CancelJobs(fault.MaxTargets))
 	default:
-		panic(unknownFault(fault.Kind))
+		panic(unknownFaultMessage(fault.Kind))
 	}
 }
 
@@ -137,21 +137,21 @@
 func (f *FaultInjector) injectStoreFault(ctx context.Context, fault Fault) {
 	switch fault.Kind {
 	case StoreRefusesNode:
-		f.refuseNodes(ctx, fault)
+		f.refuseNodeRequests(ctx, fault)
 	case StoreOutage:
-		f.switchOn(ctx, fault, f.Store.SetDown)
+		f.enableDuringFault(ctx, fault, f.Store.SetDown)
 	case StoreSlow:
-		f.delay(ctx, fault, f.Store.SetDelay)
+		f.setDelayDuringFault(ctx, fault, f.Store.SetDelay)
 	case WatchesStalled:
-		f.switchOn(ctx, fault, f.Store.StallWatches)
+		f.enableDuringFault(ctx, fault, f.Store.StallWatches)
 	case ListsRefused:
-		f.switchOn(ctx, fault, f.Store.RefuseLists)
+		f.enableDuringFault(ctx, fault, f.Store.RefuseLists)
 	case LateCommits:
-		f.executeCommitsLate(ctx, fault)
+		f.delayCommits(ctx, fault)
 	case LostResponses:
-		f.loseResponses(ctx, fault)
+		f.loseCommitResponses(ctx, fault)
 	default:
-		panic(unknownFault(fault.Kind))
+		panic(unknownFaultMessage(fault.Kind))
 	}
 }
 
@@ -169,23 +169,25 @@
 	case MachineLost:
 		f.loseMachines(fault)
 	default:
-		panic(unknownFault(fault.Kind))
+		panic(unknownFaultMessage(fault.Kind))
 	}
 }
 
-// unknownFault is what an injector panics with: the kinds are constants of this package.
-func unknownFault(kind FaultKind) string { return fmt.Sprintf("emulator: no fault is called %q", kind) }
+// unknownFaultMessage is what an injector panics with: the kinds are constants of this package.
+func unknownFaultMessage(kind FaultKind) string {
+	return fmt.Sprintf("emulator: no fault is called %q", kind)
+}
 
-// resolveNodes returns the nodes that a fault names, with Owner and Others resolved.
-func (f *FaultInjector) resolveNodes(named []int) []int {
+// resolveNodes returns the nodes that a fault names, with OwnerNode and NonOwnerNodes resolved.
+func (f *FaultInjector) resolveNodes(references []int) []int {
 	var nodes []int
-	for _, node := range named {
+	for _, node := range references {
 		selected := node
-		if node == Owner || node == Others {
-			selected, _ = f.Owner()
+		if node == OwnerNode || node == NonOwnerNodes {
+			selected, _ = f.FirstPartitionOwner()
 		}
 		for i := range f.Nodes {
-			if (i == selected) != (node == Others) {
+			if (i == selected) != (node == NonOwnerNodes) {
 				nodes = append(nodes, i)
 			}
 		}
@@ -193,26 +195,26 @@
 	return nodes
 }
 
-// switchOn switches a fault on for as long as it lasts.
-func (f *FaultInjector) switchOn(ctx context.Context, fault Fault, set func(on bool)) {
+// enableDuringFault switches a fault on for as long as it lasts.
+func (f *FaultInjector) enableDuringFault(ctx context.Context, fault Fault, setEnabled func(on bool)) {
 	f.countInjected(fault.Kind, 1)
-	set(true)
+	setEnabled(true)
 	waitUntilOver(ctx, fault)
-	set(false)
+	setEnabled(false)
 }
 
-// delay sets a delay of the fault's Wait for as long as the fault lasts.
-func (f *FaultInjector) delay(ctx context.Context, fault Fault, set func(delay time.Duration)) {
+// setDelayDuringFault sets a setDelayDuringFault of the fault's Wait for as long as the fault lasts.
+func (f *FaultInjector) setDelayDuringFault(ctx context.Context, fault Fault, setDelay func(delay time.Duration)) {
 	f.countInjected(fault.Kind, 1)
-	set(fault.Wait)
+	setDelay(fault.Delay)
 	waitUntilOver(ctx, fault)
-	set(0)
+	setDelay(0)
 }
 
 // waitUntilOver waits until the fault is over, or the context ends.
 func waitUntilOver(ctx context.Context, fault Fault) {
 	select {
-	case <-time.After(fault.For):
+	case <-time.After(fault.Duration):
 	case <-ctx.Done():
 	}
 }
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -4,16 +4,16 @@
 
 // hangMachines has machines hang for as long as the fault lasts, and does not wait for that.
 func (f *FaultInjector) hangMachines(fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		worker.Hang(fault.For)
+		worker.Hang(fault.Duration)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
 
 // loseMachines removes machines without notice.
 func (f *FaultInjector) loseMachines(fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
 		f.Cloud.TakeBack(worker.Machine.ID)
 	}
@@ -21,10 +21,10 @@
 }
 
 // cutMachines cuts machines off in one direction.
-func (f *FaultInjector) cutMachines(ctx context.Context, fault Fault, cut func(worker *Worker, on bool)) {
-	workers := f.targets(fault)
+func (f *FaultInjector) cutMachines(ctx context.Context, fault Fault, setCut func(worker *Worker, on bool)) {
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		cut(worker, true)
+		setCut(worker, true)
 	}
 	f.countInjected(fault.Kind, len(workers))
 	waitUntilOver(ctx, fault)
@@ -33,10 +33,10 @@
 
 // delayCommands delays the commands that are sent directly to machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	before := countLateCommands(workers)
 	for _, worker := range workers {
-		worker.DelayCommands(fault.Wait)
+		worker.DelayCommands(fault.Delay)
 	}
 	waitUntilOver(ctx, fault)
 	f.countInjected(fault.Kind, countLateCommands(workers)-before)
@@ -60,11 +60,11 @@
 	return count
 }
 
-// targets lists the workers of the machines that a fault strikes, by machine ID.
-func (f *FaultInjector) targets(fault Fault) []*Worker {
+// targetWorkers lists the workers of the machines that a fault strikes, by machine ID.
+func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
 	var targets []*Worker
 	for _, worker := range f.Cloud.Workers() {
-		if fault.Count > 0 && len(targets) == fault.Count {
+		if fault.MaxTargets > 0 && len(targets) == fault.MaxTargets {
 			break
 		}
 		if fault.Zone != "" && worker.Machine.Zone != fault.Zone {
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -18,11 +18,11 @@
 func (f *FaultInjector) crashControllers(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.countInjected(fault.Kind, 1)
-		f.Crash(node)
+		f.CrashController(node)
 		f.wg.Go(func() {
 			select {
-			case <-time.After(fault.Wait):
-				f.Start(node)
+			case <-time.After(fault.Delay):
+				f.StartController(node)
 			case <-ctx.Done():
 			}
 		})
@@ -31,8 +31,8 @@
 
 // slowProcessors has each message that the nodes send or receive take the fault's Wait.
 func (f *FaultInjector) slowProcessors(ctx context.Context, fault Fault) {
-	f.strikeNodes(fault, func(name string) {
-		f.Network.SlowDown(name, fault.Wait)
+	f.applyToNodes(fault, func(name string) {
+		f.Network.SlowDown(name, fault.Delay)
 		waitUntilOver(ctx, fault)
 		f.Network.SlowDown(name, 0)
 	})
@@ -40,19 +40,19 @@
 
 // freezeNodes has the nodes send and receive nothing.
 func (f *FaultInjector) freezeNodes(ctx context.Context, fault Fault) {
-	f.strikeNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.For) })
+	f.applyToNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.Duration) })
 }
 
-// strikeNodes calls a function for each of the fault's nodes at the same time, and returns when
+// applyToNodes calls a function for each of the fault's nodes at the same time, and returns when
 // all calls have returned.
-func (f *FaultInjector) strikeNodes(fault Fault, strike func(name string)) {
-	var struck sync.WaitGroup
+func (f *FaultInjector) applyToNodes(fault Fault, apply func(name string)) {
+	var calls sync.WaitGroup
 	for _, node := range fault.Nodes {
 		name := f.Nodes[node].Name
 		f.countInjected(fault.Kind, 1)
-		struck.Go(func() { strike(name) })
+		calls.Go(func() { apply(name) })
 	}
-	struck.Wait()
+	calls.Wait()
 }
 
 // cutLinks cuts links for as long as the fault lasts.
@@ -65,36 +65,36 @@
 
 // setLinksCut cuts the links that a fault concerns, or restores them.
 func (f *FaultInjector) setLinksCut(fault Fault, cut bool) {
-	inside := f.nodeNames(fault.Nodes)
-	for name := range inside {
-		for _, host := range f.hostsCutFrom(name, inside, fault) {
-			f.Network.Cut(name, host, cut)
+	faultNodes := f.nodeNames(fault.Nodes)
+	for name := range faultNodes {
+		for _, host := range f.hostsCutFrom(name, faultNodes, fault) {
+			f.Network.SetLinkCut(name, host, cut)
 		}
 	}
 	if fault.Kind != ZoneCut {
 		return
 	}
-	for _, host := range f.nodesOutside(inside) {
-		f.Network.Cut(workersHostPrefix+fault.Zone, host, cut)
+	for _, host := range f.nodeNamesExcept(faultNodes) {
+		f.Network.SetLinkCut(workersHostPrefix+fault.Zone, host, cut)
 	}
 }
 
 // hostsCutFrom lists the hosts that a fault cuts a node off from. inside are all nodes that the
 // fault names.
-func (f *FaultInjector) hostsCutFrom(name string, inside map[string]bool, fault Fault) []string {
-	others := f.nodesOutside(map[string]bool{name: true})
+func (f *FaultInjector) hostsCutFrom(name string, faultNodes map[string]bool, fault Fault) []string {
+	others := f.nodeNamesExcept(map[string]bool{name: true})
 	switch fault.Kind {
 	case NodeIsolated:
 		return append([]string{storeHost}, others...)
 	case PeersCut:
 		return others
 	case WorkersCut:
-		return f.workersOutside("")
+		return f.workerHostsExcept("")
 	case CloudCut:
 		return []string{cloudHost}
 	case ZoneCut:
-		hosts := append([]string{storeHost, cloudHost}, f.workersOutside(fault.Zone)...)
-		return append(hosts, f.nodesOutside(inside)...)
+		hosts := append([]string{storeHost, cloudHost}, f.workerHostsExcept(fault.Zone)...)
+		return append(hosts, f.nodeNamesExcept(faultNodes)...)
 	default:
 		panic(fmt.Sprintf("emulator: %q cuts no links", fault.Kind))
 	}
@@ -109,23 +109,23 @@
 	return names
 }
 
-// nodesOutside lists the nodes that are not in a set, by name.
-func (f *FaultInjector) nodesOutside(inside map[string]bool) []string {
+// nodeNamesExcept lists the nodes that are not in a set, by name.
+func (f *FaultInjector) nodeNamesExcept(excluded map[string]bool) []string {
 	var names []string
 	for _, node := range f.Nodes {
-		if !inside[node.Name] {
+		if !excluded[node.Name] {
 			names = append(names, node.Name)
 		}
 	}
 	return names
 }
 
-// workersOutside lists the workers' hosts of all zones but one; "" leaves out none.
-func (f *FaultInjector) workersOutside(zone string) []string {
+// workerHostsExcept lists the workers' hosts of all zones but one; "" leaves out none.
+func (f *FaultInjector) workerHostsExcept(excluded string) []string {
 	var hosts []string
-	for other := range f.Simulation.ZoneNets {
-		if other != zone {
-			hosts = append(hosts, workersHostPrefix+other)
+	for zone := range f.Simulation.ZoneNets {
+		if zone != excluded {
+			hosts = append(hosts, workersHostPrefix+zone)
 		}
 	}
 	return hosts
--- a/internal/emulator/fault_store.go
+++ b/internal/emulator/fault_store.go
@@ -7,12 +7,12 @@
 
 // After how many seconds late commits are executed, at least, and by how many that varies.
 const (
-	minLateCommitS   = 2
-	lateCommitRangeS = 10
+	minLateCommitDelayS   = 2
+	lateCommitDelayRangeS = 10
 )
 
-// refuseNodes has the key-value store refuse all requests of the nodes.
-func (f *FaultInjector) refuseNodes(ctx context.Context, fault Fault) {
+// refuseNodeRequests has the key-value store refuse all requests of the nodes.
+func (f *FaultInjector) refuseNodeRequests(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.Store.RefuseHost(f.Nodes[node].Name, true)
 	}
@@ -24,34 +24,34 @@
 	}
 }
 
-// executeCommitsLate has commits executed late, and not answered.
-func (f *FaultInjector) executeCommitsLate(ctx context.Context, fault Fault) {
-	f.disturbCommits(ctx, fault, func() (RequestFault, time.Duration) {
-		delayS := minLateCommitS + lateCommitRangeS*f.randomFloat()
+// delayCommits has commits executed late, and not answered.
+func (f *FaultInjector) delayCommits(ctx context.Context, fault Fault) {
+	f.injectCommitFault(ctx, fault, func() (RequestFault, time.Duration) {
+		delayS := minLateCommitDelayS + lateCommitDelayRangeS*f.randomFloat()
 		return ExecuteLate, time.Duration(delayS * float64(time.Second))
 	})
 }
 
-// loseResponses has commits executed at once, and not answered.
-func (f *FaultInjector) loseResponses(ctx context.Context, fault Fault) {
-	f.disturbCommits(ctx, fault, func() (RequestFault, time.Duration) {
+// loseCommitResponses has commits executed at once, and not answered.
+func (f *FaultInjector) loseCommitResponses(ctx context.Context, fault Fault) {
+	f.injectCommitFault(ctx, fault, func() (RequestFault, time.Duration) {
 		return LoseResponse, 0
 	})
 }
 
-// disturbCommits has a share of the commits of the fault's nodes, or of all nodes if it names
+// injectCommitFault has a share of the commits of the fault's nodes, or of all nodes if it names
 // none, fail in a way, for as long as the fault lasts.
-func (f *FaultInjector) disturbCommits(ctx context.Context, fault Fault, fail func() (RequestFault, time.Duration)) {
-	named := f.nodeNames(fault.Nodes)
+func (f *FaultInjector) injectCommitFault(ctx context.Context, fault Fault, drawFault func() (RequestFault, time.Duration)) {
+	affected := f.nodeNames(fault.Nodes)
 	f.setCommitFault(func(from string) (RequestFault, time.Duration) {
-		if len(named) > 0 && !named[from] {
+		if len(affected) > 0 && !affected[from] {
 			return NoFault, 0
 		}
-		if f.randomFloat() >= fault.Share {
+		if f.randomFloat() >= fault.Probability {
 			return NoFault, 0
 		}
 		f.countInjected(fault.Kind, 1)
-		return fail()
+		return drawFault()
 	})
 	waitUntilOver(ctx, fault)
 	f.setCommitFault(nil)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -83,20 +83,20 @@
 
 // Values in Fault.Nodes that stand for nodes which are known only when the fault begins.
 const (
-	Owner  = -1 // the node that owns the first partition
-	Others = -2 // all nodes but that one
+	OwnerNode     = -1 // the node that owns the first partition
+	NonOwnerNodes = -2 // all nodes but that one
 )
 
 // Fault is one line of a script. Which of the parameters after Nodes a fault has is said at
 // its kind.
 type Fault struct {
-	At    time.Duration // when the fault begins
-	For   time.Duration // how long it lasts, if its kind does
-	Kind  FaultKind
-	Nodes []int // indexes in FaultInjector.Nodes, Owner or Others
-	Count int
-	Share float64
-	Wait  time.Duration
-	Zone  string
-	Team  string
+	Start       time.Duration // when the fault begins
+	Duration    time.Duration // how long it lasts, if its kind does
+	Kind        FaultKind
+	Nodes       []int // indexes in FaultInjector.Nodes, OwnerNode or NonOwnerNodes
+	MaxTargets  int
+	Probability float64
+	Delay       time.Duration
+	Zone        string
+	Team        string
 }
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -14,30 +14,30 @@
 var (
 	errRefused      = errors.New("connection refused")
 	errAddressInUse = errors.New("address in use")
-	// errCut is returned for a link that is cut, and not passed on to dialers.
-	errCut = errors.New("link is cut")
+	// errLinkCut is returned for a link that is cut, and not passed on to dialers.
+	errLinkCut = errors.New("link is cut")
 )
 
 // Network is a network in memory. Hosts on it can be switched off, and pairs of them cut off
 // from each other.
 type Network struct {
 	mu        sync.Mutex
-	listeners map[string]*listener // by address
-	hosts     map[string]*Host     // by name
-	cuts      map[link]bool        // both directions of each pair
+	listeners map[string]*listener  // by address
+	hosts     map[string]*Host      // by name
+	cutLinks  map[directedLink]bool // both directions of each pair
 	// messageCost is the processor time that a message takes on a host, by name.
 	messageCost map[string]time.Duration
 }
 
-// link is one direction between two hosts.
-type link struct{ from, to string }
+// directedLink is one direction between two hosts.
+type directedLink struct{ from, to string }
 
 // NewNetwork returns an empty network.
 func NewNetwork() *Network {
 	return &Network{
 		listeners:   map[string]*listener{},
 		hosts:       map[string]*Host{},
-		cuts:        map[link]bool{},
+		cutLinks:    map[directedLink]bool{},
 		messageCost: map[string]time.Duration{},
 	}
 }
@@ -46,14 +46,14 @@
 type Host struct {
 	network     *Network
 	name        string
-	off         bool
+	isShutDown  bool
 	connections map[*connection]bool // their ends here and at the other host
 	// processor is full while the host's processor works on a message.
 	processor chan struct{}
 }
 
-// Host adds a machine to the network. It replaces one of the same name.
-func (n *Network) Host(name string) *Host {
+// AddHost adds a machine to the network. It replaces one of the same name.
+func (n *Network) AddHost(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	host := &Host{
@@ -66,20 +66,20 @@
 	return host
 }
 
-// Cut cuts two hosts off from each other, or restores their link. Their connections are reset,
+// SetLinkCut cuts two hosts off from each other, or restores their link. Their connections are reset,
 // and new ones hang until the dialer gives up.
-func (n *Network) Cut(a, b string, cut bool) {
-	for _, c := range n.setCut(a, b, cut) {
+func (n *Network) SetLinkCut(a, b string, cut bool) {
+	for _, c := range n.updateCutLinks(a, b, cut) {
 		c.reset()
 	}
 }
 
-// setCut cuts or restores a link, and returns the connections that are to be reset.
-func (n *Network) setCut(a, b string, cut bool) []*connection {
+// updateCutLinks cuts or restores a link, and returns the connections that are to be reset.
+func (n *Network) updateCutLinks(a, b string, cut bool) []*connection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[link{from: a, to: b}] = cut
-	n.cuts[link{from: b, to: a}] = cut
+	n.cutLinks[directedLink{from: a, to: b}] = cut
+	n.cutLinks[directedLink{from: b, to: a}] = cut
 	host := n.hosts[a]
 	if !cut || host == nil {
 		return nil
@@ -95,16 +95,16 @@
 
 // Shutdown resets all of the host's connections. It accepts and dials no more.
 func (h *Host) Shutdown() {
-	for _, c := range h.switchOff() {
+	for _, c := range h.refuseConnections() {
 		c.reset()
 	}
 }
 
-// switchOff closes the host's listeners, and returns the connections that are to be reset.
-func (h *Host) switchOff() []*connection {
+// refuseConnections closes the host's listeners, and returns the connections that are to be reset.
+func (h *Host) refuseConnections() []*connection {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	h.off = true
+	h.isShutDown = true
 	var connections []*connection
 	for c := range h.connections {
 		connections = append(connections, c)
@@ -128,7 +128,7 @@
 		return nil, ctx.Err()
 	}
 	dialed, err := h.connect(address)
-	if errors.Is(err, errCut) {
+	if errors.Is(err, errLinkCut) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -146,25 +146,25 @@
 	return nil, errRefused
 }
 
-// dialedConnection is a connection that is not accepted yet.
-type dialedConnection struct {
+// pendingConnection is a connection that is not accepted yet.
+type pendingConnection struct {
 	listener               *listener
 	dialerEnd, acceptorEnd *connection
 }
 
 // connect makes a connection to the listener at an address, unless the link to its host is cut.
-func (h *Host) connect(address string) (*dialedConnection, error) {
+func (h *Host) connect(address string) (*pendingConnection, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
 	l := h.network.listeners[address]
-	if h.off || l == nil {
+	if h.isShutDown || l == nil {
 		return nil, errRefused
 	}
-	if h.network.cuts[link{from: h.name, to: l.host.name}] {
-		return nil, errCut
+	if h.network.cutLinks[directedLink{from: h.name, to: l.host.name}] {
+		return nil, errLinkCut
 	}
 	dialerPipe, acceptorPipe := net.Pipe()
-	dialed := &dialedConnection{
+	dialed := &pendingConnection{
 		listener:    l,
 		dialerEnd:   newConnection(dialerPipe, h, l.host, h),
 		acceptorEnd: newConnection(acceptorPipe, h, l.host, l.host),
@@ -180,7 +180,7 @@
 func (h *Host) Listen(_ context.Context, address string) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
-	if h.off {
+	if h.isShutDown {
 		return nil, errRefused
 	}
 	if h.network.listeners[address] != nil {
@@ -198,11 +198,11 @@
 
 // listener accepts the connections that are dialed to an address.
 type listener struct {
-	host     *Host
-	address  string
-	incoming chan net.Conn
-	done     chan struct{} // closed when no more connections are accepted
-	once     sync.Once     // closes done
+	host      *Host
+	address   string
+	incoming  chan net.Conn
+	done      chan struct{} // closed when no more connections are accepted
+	closeOnce sync.Once     // closes done
 }
 
 // Accept returns the next connection.
@@ -228,7 +228,7 @@
 }
 
 func (l *listener) stopAccepting() {
-	l.once.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.done) })
 }
 
 // Addr returns the address that the listener accepts connections at.
