--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -152,7 +152,7 @@
 
 // requestStatus sends a node a request, and returns the response's status.
 func (cluster *simulatedCluster) requestStatus(node int, path string) int {
-	client := transport.Client(cluster.network.AddHost("asker"), 1, 1, time.Second)
+	client := transport.Client(cluster.network.Host("asker"), 1, 1, time.Second)
 	defer client.CloseIdleConnections()
 	url := "http://" + cluster.nodes[node].Addr + path
 	response, err := transport.Send(cluster.ctx, client, http.MethodGet, url, nil)
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -104,8 +104,8 @@
 // cancelledWhileUninformed are the scenarios in which the owner has contact with the store all
 // the time, and does not learn of cancellations.
 func cancelledWhileUninformed() []faultScenario {
-	stalled := emulator.Fault{Start: 40 * second, Duration: 80 * second, Kind: emulator.WatchesStalled}
-	listsRefused := emulator.Fault{Start: 40 * second, Duration: 80 * second, Kind: emulator.ListsRefused}
+	stalled := emulator.Fault{Start: 40 * second, ActiveFor: 80 * second, Kind: emulator.WatchesStalled}
+	listsRefused := emulator.Fault{Start: 40 * second, ActiveFor: 80 * second, Kind: emulator.ListsRefused}
 	cancels := cancelFault(41*second, 5)
 	return []faultScenario{
 		{
@@ -266,10 +266,10 @@
 
 func lateHeartbeats() []faultScenario {
 	late := func(at, length time.Duration, share float64, delay time.Duration) emulator.Fault {
-		return emulator.Fault{Start: at, Duration: length, Kind: emulator.LateHeartbeats, Probability: share, Delay: delay}
+		return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.LateHeartbeats, Probability: share, Delay: delay}
 	}
 	forNextOwner := func(at, length, delay time.Duration) emulator.Fault {
-		return emulator.Fault{Start: at, Duration: length, Kind: emulator.HeartbeatsForNextOwner, Delay: delay}
+		return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.HeartbeatsForNextOwner, Delay: delay}
 	}
 	return []faultScenario{
 		// The first heartbeats of all, without a task. The machines with tasks hang then, so
@@ -320,7 +320,7 @@
 }
 
 func lateCommands() []faultScenario {
-	delayed := emulator.Fault{Start: 42 * second, Duration: 50 * second, Kind: emulator.DelayedCommands, Delay: 9 * second}
+	delayed := emulator.Fault{Start: 42 * second, ActiveFor: 50 * second, Kind: emulator.DelayedCommands, Delay: 9 * second}
 	return []faultScenario{
 		{
 			name:        "commands are delayed",
@@ -367,7 +367,7 @@
 	bootWithinTwoSeconds := func(cluster *simulatedCluster) {
 		cluster.cloud.BootTime = func(wire.MachineType) time.Duration { return 1500 * time.Millisecond }
 	}
-	lostResponses := emulator.Fault{Start: 10 * second, Duration: 50 * second, Kind: emulator.LostResponses, Probability: 0.4}
+	lostResponses := emulator.Fault{Start: 10 * second, ActiveFor: 50 * second, Kind: emulator.LostResponses, Probability: 0.4}
 	// Machines are lost, and their records deleted, while the next owner reads its partition.
 	slowFailovers := append(machinesLostEach(500*time.Millisecond, 28*second, 16),
 		slowStoreFault(3*second, 60*second, 600*time.Millisecond),
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -71,9 +71,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		fabric := emulator.NewNetwork()
 		f := &forwardFixture{
-			network:   &writeCountingNet{Net: fabric.AddHost("other")},
+			network:   &writeCountingNet{Net: fabric.Host("other")},
 			owner:     &echoOwner{unblock: make(chan struct{})},
-			ownerHost: fabric.AddHost("owner"),
+			ownerHost: fabric.Host("owner"),
 		}
 		served := make(chan struct{})
 		go func() {
--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -22,5 +22,5 @@
 // isolatedController returns a controller on a network without any other host.
 func isolatedController() *Controller {
 	cluster := &simulatedCluster{nodes: simulatedNodes(2)}
-	return New(cluster.settings(0), tuning.Default(), emulator.NewNetwork().AddHost("node-0"))
+	return New(cluster.settings(0), tuning.Default(), emulator.NewNetwork().Host("node-0"))
 }
--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -133,7 +133,7 @@
 func writeFinishedJobs(cluster *simulatedCluster, count int) {
 	const jobsPerTxn = 20
 	store := kvstore.New(kvstore.Options{
-		Net:       cluster.network.AddHost("history"),
+		Net:       cluster.network.Host("history"),
 		Addr:      storeAddr,
 		Timeout:   2 * time.Second,
 		ReadRate:  1e6,
--- a/internal/controller/partition_claims_test.go
+++ b/internal/controller/partition_claims_test.go
@@ -61,7 +61,7 @@
 		t:       t,
 		ctx:     ctx,
 		removed: removed,
-		other:   New(cluster.settings(1), cluster.tuning, cluster.network.AddHost("node-1")),
+		other:   New(cluster.settings(1), cluster.tuning, cluster.network.Host("node-1")),
 		group: records.MachineGroupRecord{Machines: map[string]records.MachineRecord{
 			changedMachine: {MachineType: "small", Zone: "a"},
 		}},
@@ -75,7 +75,7 @@
 	}))
 	settings := cluster.settings(0)
 	settings.Outside.State = storeProxyAddr
-	test.controller = New(settings, cluster.tuning, cluster.network.AddHost("node-0"))
+	test.controller = New(settings, cluster.tuning, cluster.network.Host("node-0"))
 	test.controller.machineTypes = testMachineTypes
 	return test
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -50,15 +50,15 @@
 // randomFault draws a fault of any kind.
 func randomFault(random *rand.Rand) emulator.Fault {
 	fault := emulator.Fault{
-		Duration:    randomDuration(random, 3, 30),
+		ActiveFor:   randomDuration(random, 3, 30),
 		MaxTargets:  1 + random.IntN(5),
 		Zone:        []string{"a", "b"}[random.IntN(2)],
 		Delay:       randomDuration(random, 1, 12),
 		Probability: 0.1 + 0.4*random.Float64(),
 	}
 	nodes := [][]int{
-		{emulator.OwnerNode},
-		{emulator.OwnerNode},
+		{emulator.FirstPartitionOwner},
+		{emulator.FirstPartitionOwner},
 		{emulator.NonOwnerNodes},
 		{random.IntN(controllerCount)},
 		{0, 1, 2},
@@ -84,7 +84,7 @@
 	case emulator.SlowProcessor:
 		fault.Delay = time.Duration(5+random.IntN(60)) * time.Millisecond
 	case emulator.StoreOutage, emulator.StoreRefusesNode, emulator.NodeIsolated, emulator.NodeFrozen:
-		fault.Duration = randomDuration(random, 3, 25) // users give a submission up after a minute
+		fault.ActiveFor = randomDuration(random, 3, 25) // users give a submission up after a minute
 	case emulator.MachineLost, emulator.MachineHang, emulator.MachineInboundCut,
 		emulator.MachineOutboundCut, emulator.DelayedCommands:
 		if random.IntN(2) == 0 {
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -10,7 +10,7 @@
 
 // The nodes that a fault may affect.
 var (
-	ownerNode  = []int{emulator.OwnerNode}
+	ownerNode  = []int{emulator.FirstPartitionOwner}
 	otherNodes = []int{emulator.NonOwnerNodes}
 	allNodes   = []int{0, 1, 2}
 )
@@ -27,19 +27,19 @@
 }
 
 func outageFault(at, length time.Duration) emulator.Fault {
-	return emulator.Fault{Start: at, Duration: length, Kind: emulator.StoreOutage}
+	return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.StoreOutage}
 }
 
 func slowStoreFault(at, length, delay time.Duration) emulator.Fault {
-	return emulator.Fault{Start: at, Duration: length, Kind: emulator.StoreSlow, Delay: delay}
+	return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.StoreSlow, Delay: delay}
 }
 
 func nodeFault(kind emulator.FaultKind, at, length time.Duration, nodes []int) emulator.Fault {
-	return emulator.Fault{Start: at, Duration: length, Kind: kind, Nodes: nodes}
+	return emulator.Fault{Start: at, ActiveFor: length, Kind: kind, Nodes: nodes}
 }
 
 func machineFault(kind emulator.FaultKind, at, length time.Duration, machines int) emulator.Fault {
-	return emulator.Fault{Start: at, Duration: length, Kind: kind, MaxTargets: machines}
+	return emulator.Fault{Start: at, ActiveFor: length, Kind: kind, MaxTargets: machines}
 }
 
 // ofTeam restricts a fault of machines to those with tasks of the team.
@@ -50,7 +50,7 @@
 
 // zoneCutFault cuts a zone's workers off, and the nodes with them.
 func zoneCutFault(at, length time.Duration, zone string, nodes []int) emulator.Fault {
-	return emulator.Fault{Start: at, Duration: length, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
+	return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
 }
 
 // lostMachinesFault has the cloud take machines of a zone, or of any zone if it is "".
@@ -129,7 +129,7 @@
 	submitLongJobs(2)(cluster)
 	user := &emulator.User{
 		Simulation: cluster.simulation,
-		Net:        cluster.network.AddHost("odd"),
+		Net:        cluster.network.Host("odd"),
 		Pick:       func() emulator.Node { return cluster.nodes[cluster.random.IntN(controllerCount)] },
 	}
 	for n := range 10 {
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -137,7 +137,7 @@
 	service.Team = "blue"
 	user := &emulator.User{
 		Simulation: cluster.simulation,
-		Net:        cluster.network.AddHost("user"),
+		Net:        cluster.network.Host("user"),
 		Pick:       func() emulator.Node { return cluster.nodes[0] },
 	}
 	ctx, cancel := context.WithTimeout(cluster.ctx, 20*time.Second)
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -165,7 +165,7 @@
 		CancelDeadline:    44 * time.Second,
 	})
 	for _, zone := range settings.Zones {
-		simulation.ZoneNets[zone] = cluster.network.AddHost("workers-" + zone)
+		simulation.ZoneNets[zone] = cluster.network.Host("workers-" + zone)
 	}
 	return simulation
 }
@@ -219,7 +219,7 @@
 
 // serveHost serves an emulated system from a host of its own.
 func (cluster *simulatedCluster) serveHost(name, addr string, handler http.Handler) {
-	host := cluster.network.AddHost(name)
+	host := cluster.network.Host(name)
 	listener, err := host.Listen(cluster.ctx, addr)
 	if err != nil {
 		cluster.t.Fatal(err)
@@ -296,7 +296,7 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(cluster.ctx)
-	host := cluster.network.AddHost(cluster.nodes[node].Name)
+	host := cluster.network.Host(cluster.nodes[node].Name)
 	controller := New(cluster.settings(node), cluster.tuning, host)
 	if cluster.oldNodes[node] {
 		controller.supportedFeatureLevel = records.FeatureInitialFormat
--- a/internal/controller/simulated_jobs_test.go
+++ b/internal/controller/simulated_jobs_test.go
@@ -165,7 +165,7 @@
 	cluster.mu.Unlock()
 	user := &emulator.User{
 		Simulation:    cluster.simulation,
-		Net:           cluster.network.AddHost("user-" + job.ID),
+		Net:           cluster.network.Host("user-" + job.ID),
 		CancelAfter:   cancelAfter,
 		Cancel:        cancel,
 		PollsAllNodes: cluster.pollAllNodes,
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -266,7 +266,7 @@
 
 func checkNewOwnerReadsFeatureLevel(cluster *simulatedCluster, raisedMeanwhile bool) {
 	ctx, t := cluster.ctx, cluster.t
-	controller := New(cluster.settings(0), cluster.tuning, cluster.network.AddHost("node-0")) // without its watch
+	controller := New(cluster.settings(0), cluster.tuning, cluster.network.Host("node-0")) // without its watch
 	controller.machineTypes = testMachineTypes
 	level := wire.Write{
 		Put:   records.FeatureLevelKey,
--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -26,12 +26,12 @@
 }
 
 // newConnection returns the end at the local host, which is the dialer or the acceptor.
-func newConnection(pipe net.Conn, dialer, acceptor, local *Host) *connection {
+func newConnection(pipe net.Conn, dialer, acceptor, localHost *Host) *connection {
 	c := &connection{
 		Conn:      pipe,
 		dialer:    dialer,
 		acceptor:  acceptor,
-		localHost: local,
+		localHost: localHost,
 		outgoing:  make(chan []byte, maxBufferedWrites),
 		closed:    make(chan struct{}),
 	}
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -123,7 +123,7 @@
 	case HeartbeatsForNextOwner:
 		f.replayHeartbeatsToNextOwner(ctx, fault)
 	case SlowLinks:
-		f.setDelayDuringFault(ctx, fault, f.Simulation.SetLinkDelay)
+		f.delay(ctx, fault, f.Simulation.SetLinkDelay)
 	case NodeIsolated, PeersCut, WorkersCut, CloudCut, ZoneCut:
 		f.cutLinks(ctx, fault)
 	case CancelRunningJobs:
@@ -141,7 +141,7 @@
 	case StoreOutage:
 		f.enableDuringFault(ctx, fault, f.Store.SetDown)
 	case StoreSlow:
-		f.setDelayDuringFault(ctx, fault, f.Store.SetDelay)
+		f.delay(ctx, fault, f.Store.SetDelay)
 	case WatchesStalled:
 		f.enableDuringFault(ctx, fault, f.Store.StallWatches)
 	case ListsRefused:
@@ -183,7 +183,7 @@
 	var nodes []int
 	for _, node := range references {
 		selected := node
-		if node == OwnerNode || node == NonOwnerNodes {
+		if node == FirstPartitionOwner || node == NonOwnerNodes {
 			selected, _ = f.FirstPartitionOwner()
 		}
 		for i := range f.Nodes {
@@ -203,8 +203,8 @@
 	setEnabled(false)
 }
 
-// setDelayDuringFault sets a setDelayDuringFault of the fault's Wait for as long as the fault lasts.
-func (f *FaultInjector) setDelayDuringFault(ctx context.Context, fault Fault, setDelay func(delay time.Duration)) {
+// delay sets a delay of the fault's Wait for as long as the fault lasts.
+func (f *FaultInjector) delay(ctx context.Context, fault Fault, setDelay func(delay time.Duration)) {
 	f.countInjected(fault.Kind, 1)
 	setDelay(fault.Delay)
 	waitUntilOver(ctx, fault)
@@ -214,7 +214,7 @@
 // waitUntilOver waits until the fault is over, or the context ends.
 func waitUntilOver(ctx context.Context, fault Fault) {
 	select {
-	case <-time.After(fault.Duration):
+	case <-time.After(fault.ActiveFor):
 	case <-ctx.Done():
 	}
 }
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -6,7 +6,7 @@
 func (f *FaultInjector) hangMachines(fault Fault) {
 	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		worker.Hang(fault.Duration)
+		worker.Hang(fault.ActiveFor)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
@@ -62,19 +62,19 @@
 
 // targetWorkers lists the workers of the machines that a fault strikes, by machine ID.
 func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
-	var targets []*Worker
+	var targetWorkers []*Worker
 	for _, worker := range f.Cloud.Workers() {
-		if fault.MaxTargets > 0 && len(targets) == fault.MaxTargets {
+		if fault.MaxTargets > 0 && len(targetWorkers) == fault.MaxTargets {
 			break
 		}
 		if fault.Zone != "" && worker.Machine.Zone != fault.Zone {
 			continue
 		}
 		if worker.isTarget(fault) {
-			targets = append(targets, worker)
+			targetWorkers = append(targetWorkers, worker)
 		}
 	}
-	return targets
+	return targetWorkers
 }
 
 // isTarget reports whether a fault strikes the worker's machine, apart from its zone: a machine
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -40,7 +40,7 @@
 
 // freezeNodes has the nodes send and receive nothing.
 func (f *FaultInjector) freezeNodes(ctx context.Context, fault Fault) {
-	f.applyToNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.Duration) })
+	f.applyToNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.ActiveFor) })
 }
 
 // applyToNodes calls a function for each of the fault's nodes at the same time, and returns when
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -83,15 +83,15 @@
 
 // Values in Fault.Nodes that stand for nodes which are known only when the fault begins.
 const (
-	OwnerNode     = -1 // the node that owns the first partition
-	NonOwnerNodes = -2 // all nodes but that one
+	FirstPartitionOwner = -1 // the node that owns the first partition
+	NonOwnerNodes       = -2 // all nodes but that one
 )
 
 // Fault is one line of a script. Which of the parameters after Nodes a fault has is said at
 // its kind.
 type Fault struct {
 	Start       time.Duration // when the fault begins
-	Duration    time.Duration // how long it lasts, if its kind does
+	ActiveFor   time.Duration // how long it lasts, if its kind does
 	Kind        FaultKind
 	Nodes       []int // indexes in FaultInjector.Nodes, OwnerNode or NonOwnerNodes
 	MaxTargets  int
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -52,8 +52,8 @@
 	processor chan struct{}
 }
 
-// AddHost adds a machine to the network. It replaces one of the same name.
-func (n *Network) AddHost(name string) *Host {
+// Host adds a machine to the network. It replaces one of the same name.
+func (n *Network) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	host := &Host{
