--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -8,24 +8,26 @@
 )
 
 const (
-	// maxBufferedWrites is how many writes a connection's buffer has capacity for.
+	// maxBufferedWrites is the capacity of a connection's send buffer, in calls of Write.
 	maxBufferedWrites = 1024
-	// flushTimeout is how long a closed connection's buffer may take to be read.
+	// flushTimeout is the time after Close during which the other end can still read what is
+	// buffered.
 	flushTimeout = 5 * time.Second
 )
 
-// connection is one end of a connection. Writes wait in a buffer, as in a kernel's, so that
-// the writer continues while the other end is frozen.
+// connection is one end of a connection. As with a kernel's send buffer, Write returns once the
+// data is buffered, so that the writer continues while the other end is frozen.
 type connection struct {
 	net.Conn
 	dialer, acceptor *Host // the hosts of both ends
 	localHost        *Host // the host of this end
 	outgoing         chan []byte
 	closed           chan struct{}
-	closeOnce        sync.Once // closes closed
+	closeOnce        sync.Once // guards closing of closed
 }
 
-// newConnection returns the end at the local host, which is the dialer or the acceptor.
+// newConnection returns the end of a connection at localHost, which is either the dialer or the
+// acceptor, and starts sending what is written to it.
 func newConnection(pipe net.Conn, dialer, acceptor, localHost *Host) *connection {
 	c := &connection{
 		Conn:      pipe,
@@ -39,8 +41,8 @@
 	return c
 }
 
-// sendBuffered sends what is written, and after Close what is left of it. Sending takes the
-// processor of the host.
+// sendBuffered sends buffered writes until the connection is closed and the buffer is empty. Each
+// write occupies the host's processor.
 func (c *connection) sendBuffered() {
 	defer func() { _ = c.Conn.Close() }()
 	closed := c.closed
@@ -54,19 +56,20 @@
 			}
 		case <-closed:
 			isClosed = true
-			closed = nil // blocks from now on, so that only messages are received
+			closed = nil // a nil channel blocks, so that only buffered writes are received
 		}
 	}
 }
 
-// Read receives a message, which takes the processor of the host.
+// Read reads from the other end. Each call occupies the host's processor.
 func (c *connection) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.localHost.useProcessor()
 	return n, err
 }
 
-// Write puts a message into the buffer.
+// Write adds a copy of b to the send buffer, and blocks while the buffer is full. It returns
+// net.ErrClosed after Close.
 func (c *connection) Write(b []byte) (int, error) {
 	select {
 	case <-c.closed:
@@ -81,7 +84,7 @@
 	}
 }
 
-// RemoteAddr names the host at the other end.
+// RemoteAddr returns the name of the host at the other end.
 func (c *connection) RemoteAddr() net.Addr {
 	if c.localHost == c.dialer {
 		return memoryAddr(c.acceptor.name)
@@ -89,7 +92,8 @@
 	return memoryAddr(c.dialer.name)
 }
 
-// Close closes the connection; the other end can read what is buffered for a while.
+// Close closes the connection. The other end can read what is buffered until flushTimeout has
+// passed.
 func (c *connection) Close() error {
 	c.dialer.network.mu.Lock()
 	delete(c.dialer.connections, c)
@@ -102,7 +106,7 @@
 	return nil
 }
 
-// reset closes the connection, and drops what is buffered.
+// reset closes the connection at once and discards what is buffered.
 func (c *connection) reset() {
 	_ = c.Close()
 	_ = c.Conn.Close()
--- a/internal/emulator/fault_heartbeats.go
+++ b/internal/emulator/fault_heartbeats.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// minLateHeartbeatDelay is how late copies of heartbeats are at least.
+	// minLateHeartbeatDelay is the minimum delay of a late copy of a heartbeat.
 	minLateHeartbeatDelay = 2 * time.Second
-	// nextOwnerTimeout is how long another owner is waited for, and nextOwnerInterval how
-	// often it is looked for.
+	// nextOwnerTimeout limits how long waitForNextOwner waits for the first partition to get a
+	// new owner. It checks the owner every nextOwnerPollInterval.
 	nextOwnerTimeout      = 2 * time.Minute
 	nextOwnerPollInterval = 20 * time.Millisecond
-	// Kept heartbeats are replayed several times, since the next owner accepts them only once
-	// it has read its records.
+	// The recorded heartbeats are replayed replayCount times, replayInterval apart, because a new
+	// owner accepts heartbeats only after it has read the partition's records from the store.
 	replayCount    = 6
 	replayInterval = 100 * time.Millisecond
 )
 
-// sendLateHeartbeatCopies sends copies of heartbeats to random nodes, up to the fault's Wait later.
+// sendLateHeartbeatCopies copies heartbeats with the fault's Probability, and sends each copy to a
+// random node after minLateHeartbeatDelay and a random time of up to the fault's Delay.
 func (f *FaultInjector) sendLateHeartbeatCopies(ctx context.Context, fault Fault) {
 	f.handleHeartbeatsDuringFault(ctx, fault, func(_ *wire.Heartbeat, send func(Node)) {
 		if f.randomFloat() >= fault.Probability {
@@ -35,11 +36,11 @@
 	})
 }
 
-// replayHeartbeatsToNextOwner keeps the first heartbeat of each machine during the fault, and sends them
-// to every node when the partition has another owner.
+// replayHeartbeatsToNextOwner records the first heartbeat of each machine during the fault. Once the
+// first partition has a new owner and the fault's Delay has passed, it sends them to every node.
 func (f *FaultInjector) replayHeartbeatsToNextOwner(ctx context.Context, fault Fault) {
 	_, revision := f.FirstPartitionOwner()
-	sendCopy := map[string]func(Node){} // by machine
+	sendCopy := map[string]func(Node){} // sends a machine's recorded heartbeat, by machine ID
 	f.handleHeartbeatsDuringFault(ctx, fault, func(heartbeat *wire.Heartbeat, send func(Node)) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -57,8 +58,9 @@
 	}
 }
 
-// waitForNextOwner waits until the partition has an owner by a later record than the revision,
-// and reports whether it got one in time.
+// waitForNextOwner waits until the first partition has an owner and its record has another revision
+// than the given one. It returns false if that does not happen within nextOwnerTimeout or before
+// ctx ends.
 func (f *FaultInjector) waitForNextOwner(ctx context.Context, revision uint64) bool {
 	deadline := time.Now().Add(nextOwnerTimeout)
 	for {
@@ -72,7 +74,7 @@
 	}
 }
 
-// replayHeartbeats sends kept heartbeats to all nodes, without waiting for the answers.
+// replayHeartbeats sends the recorded heartbeats to all nodes, without waiting for the responses.
 func (f *FaultInjector) replayHeartbeats(kind FaultKind, sendCopy map[string]func(Node)) {
 	for _, send := range sendCopy {
 		for _, node := range f.Nodes {
@@ -82,7 +84,7 @@
 	}
 }
 
-// handleHeartbeatsDuringFault has a function called with each heartbeat for as long as the fault lasts.
+// handleHeartbeatsDuringFault has onHeartbeat called with each heartbeat until the fault is over.
 func (f *FaultInjector) handleHeartbeatsDuringFault(ctx context.Context, fault Fault, onHeartbeat heartbeatFunc) {
 	f.setOnHeartbeat(onHeartbeat)
 	waitUntilOver(ctx, fault)
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -10,15 +10,17 @@
 	"ambersill/internal/wire"
 )
 
-// commitFaultFunc decides what happens to a commit of a host.
+// commitFaultFunc decides what happens to one commit that the named host sent. The duration is the
+// delay of ExecuteLate.
 type commitFaultFunc func(from string) (RequestFault, time.Duration)
 
-// heartbeatFunc is called with a heartbeat, and may send copies of it.
+// heartbeatFunc is called before a worker sends a heartbeat. It may call send to deliver a copy of
+// the heartbeat to a node, also after it has returned.
 type heartbeatFunc func(heartbeat *wire.Heartbeat, send func(to Node))
 
-// FaultInjector injects faults into the emulated systems, and into the controllers by its
-// callbacks. The kinds of faults are in faults.go, how they are injected in fault_store.go,
-// fault_heartbeats.go, fault_machines.go and fault_nodes.go.
+// FaultInjector injects faults into the emulated systems directly, and into controllers and users
+// through its callbacks. The kinds of faults are declared in faults.go and implemented in
+// fault_store.go, fault_heartbeats.go, fault_machines.go and fault_nodes.go.
 type FaultInjector struct {
 	Network    *Network
 	Store      *KeyValueStore
@@ -26,23 +28,27 @@
 	Simulation *Simulation
 	Nodes      []Node
 	Rand       *rand.Rand
-	// StartController and CrashController begin and kill a controller.
+	// StartController starts the controller of a node, given by its index in Nodes;
+	// CrashController kills it.
 	StartController, CrashController func(node int)
-	// FirstPartitionOwner returns the node that owns the first partition by the store's record, and that
-	// record's revision.
+	// FirstPartitionOwner returns the index in Nodes of the node that owns the first partition
+	// according to the key-value store, and the revision of the partition's record there. The
+	// index is negative if the partition has no owner.
 	FirstPartitionOwner func() (node int, revision uint64)
-	// CancelJobs has the users of up to n running jobs (0: all) cancel them.
+	// CancelJobs makes the users of up to maxJobs running jobs (0: all) cancel them, and returns
+	// how many jobs that were.
 	CancelJobs func(maxJobs int) int
 
 	mu             sync.Mutex
 	injectedCounts map[FaultKind]int
-	commitFault    commitFaultFunc // nil while commits are served
+	commitFault    commitFaultFunc // nil while no commits are disturbed
 	onHeartbeat    heartbeatFunc   // nil while no heartbeats are copied
 	wg             sync.WaitGroup
 }
 
-// InjectedCount counts how often a kind of fault took effect: requests refused, commits late or
-// unanswered, copies delivered, commands late, machines and nodes struck.
+// InjectedCount returns how often a kind of fault took effect. Depending on the kind, it counts
+// refused requests, late or unanswered commits, sent copies of heartbeats, requests with late
+// commands, cancelled jobs, affected machines or nodes, or injected faults.
 func (f *FaultInjector) InjectedCount(kind FaultKind) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -58,15 +64,15 @@
 	f.injectedCounts[kind] += n
 }
 
-// randomFloat returns a random number from 0 up to 1.
+// randomFloat returns a random number in [0, 1).
 func (f *FaultInjector) randomFloat() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Rand.Float64()
 }
 
-// Attach has the emulated systems ask the injector what happens to commits and heartbeats. It
-// must be called before the controllers start.
+// Attach registers the injector with the key-value store and the simulation, so that it can affect
+// commits and heartbeats. It must be called before the controllers start.
 func (f *FaultInjector) Attach() {
 	f.Store.Faults = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
 		f.mu.Lock()
@@ -87,8 +93,8 @@
 	}
 }
 
-// Run injects a script's faults, each in a goroutine of its own, and returns when all are
-// over.
+// Run injects the faults of a script, each in its own goroutine, and returns when all of them are
+// over or ctx has ended.
 func (f *FaultInjector) Run(ctx context.Context, script ...Fault) {
 	for _, fault := range script {
 		f.wg.Go(func() {
@@ -102,10 +108,11 @@
 	f.wg.Wait()
 }
 
-// inject injects a fault, and returns when it is over.
+// inject injects a fault. Most faults are over when it returns; restarts of crashed controllers
+// and hangs of machines may still be pending.
 func (f *FaultInjector) inject(ctx context.Context, fault Fault) {
-	// The nodes that the fault begins with are those it ends with, whoever owns the partition
-	// by then.
+	// The nodes are resolved only once, so that the fault ends on the nodes that it began on
+	// even if the partition has a new owner by then.
 	fault.Nodes = f.resolveNodes(fault.Nodes)
 	switch fault.Kind {
 	case StoreRefusesNode, StoreOutage, StoreSlow, WatchesStalled, ListsRefused, LateCommits, LostResponses:
@@ -133,7 +140,7 @@
 	}
 }
 
-// injectStoreFault injects a fault of the key-value store.
+// injectStoreFault injects a fault of the key-value store, and returns when it is over.
 func (f *FaultInjector) injectStoreFault(ctx context.Context, fault Fault) {
 	switch fault.Kind {
 	case StoreRefusesNode:
@@ -155,7 +162,8 @@
 	}
 }
 
-// injectMachineFault injects a fault of machines.
+// injectMachineFault injects a fault of machines. It returns when the fault is over, except that
+// it does not wait for hangs to end.
 func (f *FaultInjector) injectMachineFault(ctx context.Context, fault Fault) {
 	switch fault.Kind {
 	case MachineHang:
@@ -173,12 +181,14 @@
 	}
 }
 
-// unknownFaultMessage is what an injector panics with: the kinds are constants of this package.
+// unknownFaultMessage returns the text of the panic on an unknown fault kind, which is a
+// programming error: all kinds are constants of this package.
 func unknownFaultMessage(kind FaultKind) string {
-	return fmt.Sprintf("emulator: no fault is called %q", kind)
+	return fmt.Sprintf("emulator: unknown fault kind %q", kind)
 }
 
-// resolveNodes returns the nodes that a fault names, with OwnerNode and NonOwnerNodes resolved.
+// resolveNodes returns indexes in Nodes, with FirstPartitionOwner and NonOwnerNodes replaced by the
+// nodes that they stand for at this moment.
 func (f *FaultInjector) resolveNodes(references []int) []int {
 	var nodes []int
 	for _, node := range references {
@@ -195,7 +205,7 @@
 	return nodes
 }
 
-// enableDuringFault switches a fault on for as long as it lasts.
+// enableDuringFault calls setEnabled with true, and with false when the fault is over.
 func (f *FaultInjector) enableDuringFault(ctx context.Context, fault Fault, setEnabled func(on bool)) {
 	f.countInjected(fault.Kind, 1)
 	setEnabled(true)
@@ -203,7 +213,7 @@
 	setEnabled(false)
 }
 
-// delay sets a delay of the fault's Wait for as long as the fault lasts.
+// delay calls setDelay with the fault's Delay, and with 0 when the fault is over.
 func (f *FaultInjector) delay(ctx context.Context, fault Fault, setDelay func(delay time.Duration)) {
 	f.countInjected(fault.Kind, 1)
 	setDelay(fault.Delay)
@@ -211,7 +221,7 @@
 	setDelay(0)
 }
 
-// waitUntilOver waits until the fault is over, or the context ends.
+// waitUntilOver waits until the fault is over or the context ends.
 func waitUntilOver(ctx context.Context, fault Fault) {
 	select {
 	case <-time.After(fault.ActiveFor):
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -2,7 +2,8 @@
 
 import "context"
 
-// hangMachines has machines hang for as long as the fault lasts, and does not wait for that.
+// hangMachines suspends machines for the fault's duration. It returns at once, since each worker
+// ends its own hang.
 func (f *FaultInjector) hangMachines(fault Fault) {
 	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
@@ -11,7 +12,7 @@
 	f.countInjected(fault.Kind, len(workers))
 }
 
-// loseMachines removes machines without notice.
+// loseMachines removes machines without a termination notice.
 func (f *FaultInjector) loseMachines(fault Fault) {
 	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
@@ -20,7 +21,8 @@
 	f.countInjected(fault.Kind, len(workers))
 }
 
-// cutMachines cuts machines off in one direction.
+// cutMachines cuts machines off in one direction by calling setCut, and restores all their links
+// when the fault is over.
 func (f *FaultInjector) cutMachines(ctx context.Context, fault Fault, setCut func(worker *Worker, on bool)) {
 	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
@@ -31,7 +33,8 @@
 	restoreLinks(workers)
 }
 
-// delayCommands delays the commands that are sent directly to machines.
+// delayCommands delays the commands that are sent directly to machines until the fault is over.
+// The requests with delayed commands are counted, rather than the machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
 	workers := f.targetWorkers(fault)
 	before := countLateCommands(workers)
@@ -43,7 +46,8 @@
 	restoreLinks(workers)
 }
 
-// restoreLinks ends all faults of the machines' links.
+// restoreLinks ends every link fault of the machines, including those that another fault of the
+// script began.
 func restoreLinks(workers []*Worker) {
 	for _, worker := range workers {
 		worker.CutInbound(false)
@@ -60,7 +64,8 @@
 	return count
 }
 
-// targetWorkers lists the workers of the machines that a fault strikes, by machine ID.
+// targetWorkers returns the workers of the machines that a fault affects, ordered
+// by machine ID.
 func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
 	var targetWorkers []*Worker
 	for _, worker := range f.Cloud.Workers() {
@@ -77,9 +82,10 @@
 	return targetWorkers
 }
 
-// isTarget reports whether a fault strikes the worker's machine, apart from its zone: a machine
-// with work of the fault's team, or any that is up if commands are delayed, since those that
-// start tasks are sent to idle machines above all.
+// isTarget reports whether a fault affects the worker's machine; the caller checks the zone. Most
+// faults affect only machines that have tasks of the fault's team, or of any team if none is set.
+// DelayedCommands affects every machine that is up, since most commands that start tasks are sent
+// to idle machines.
 func (k *Worker) isTarget(fault Fault) bool {
 	k.simulation.mu.Lock()
 	defer k.simulation.mu.Unlock()
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Names of the hosts that links are cut between, besides those of the nodes.
+// Names of the hosts that are not nodes and whose links faults cut.
 const (
 	storeHost         = "state"
 	cloudHost         = "cloud"
-	workersHostPrefix = "workers-" // followed by the zone
+	workersHostPrefix = "workers-" // followed by the zone name
 )
 
-// crashControllers kills the nodes' controllers, and starts each again after the fault's Wait.
+// crashControllers kills the nodes' controllers, and restarts each after the fault's Delay. It does
+// not wait for the restarts.
 func (f *FaultInjector) crashControllers(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.countInjected(fault.Kind, 1)
@@ -29,7 +30,8 @@
 	}
 }
 
-// slowProcessors has each message that the nodes send or receive take the fault's Wait.
+// slowProcessors makes each message that the nodes send or receive occupy their processor for the
+// fault's Delay.
 func (f *FaultInjector) slowProcessors(ctx context.Context, fault Fault) {
 	f.applyToNodes(fault, func(name string) {
 		f.Network.SlowDown(name, fault.Delay)
@@ -38,13 +40,13 @@
 	})
 }
 
-// freezeNodes has the nodes send and receive nothing.
+// freezeNodes stops the nodes from sending and receiving until the fault is over.
 func (f *FaultInjector) freezeNodes(ctx context.Context, fault Fault) {
 	f.applyToNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.ActiveFor) })
 }
 
-// applyToNodes calls a function for each of the fault's nodes at the same time, and returns when
-// all calls have returned.
+// applyToNodes calls apply concurrently with the name of each of the fault's nodes, and returns
+// when all calls have returned.
 func (f *FaultInjector) applyToNodes(fault Fault, apply func(name string)) {
 	var calls sync.WaitGroup
 	for _, node := range fault.Nodes {
@@ -55,7 +57,7 @@
 	calls.Wait()
 }
 
-// cutLinks cuts links for as long as the fault lasts.
+// cutLinks cuts the links that a fault affects, and restores them when the fault is over.
 func (f *FaultInjector) cutLinks(ctx context.Context, fault Fault) {
 	f.countInjected(fault.Kind, 1)
 	f.setLinksCut(fault, true)
@@ -63,7 +65,7 @@
 	f.setLinksCut(fault, false)
 }
 
-// setLinksCut cuts the links that a fault concerns, or restores them.
+// setLinksCut cuts or restores the links that a fault affects.
 func (f *FaultInjector) setLinksCut(fault Fault, cut bool) {
 	faultNodes := f.nodeNames(fault.Nodes)
 	for name := range faultNodes {
@@ -79,8 +81,8 @@
 	}
 }
 
-// hostsCutFrom lists the hosts that a fault cuts a node off from. inside are all nodes that the
-// fault names.
+// hostsCutFrom returns the names of the hosts that a fault cuts the named node off from.
+// faultNodes are the names of all nodes that the fault affects.
 func (f *FaultInjector) hostsCutFrom(name string, faultNodes map[string]bool, fault Fault) []string {
 	others := f.nodeNamesExcept(map[string]bool{name: true})
 	switch fault.Kind {
@@ -96,11 +98,11 @@
 		hosts := append([]string{storeHost, cloudHost}, f.workerHostsExcept(fault.Zone)...)
 		return append(hosts, f.nodeNamesExcept(faultNodes)...)
 	default:
-		panic(fmt.Sprintf("emulator: %q cuts no links", fault.Kind))
+		panic(fmt.Sprintf("emulator: fault kind %q cuts no links", fault.Kind))
 	}
 }
 
-// nodeNames returns the set of the nodes' names.
+// nodeNames returns the names of the nodes at the given indexes as a set.
 func (f *FaultInjector) nodeNames(nodes []int) map[string]bool {
 	names := map[string]bool{}
 	for _, node := range nodes {
@@ -109,7 +111,7 @@
 	return names
 }
 
-// nodeNamesExcept lists the nodes that are not in a set, by name.
+// nodeNamesExcept returns the names of all nodes that are not in the excluded set.
 func (f *FaultInjector) nodeNamesExcept(excluded map[string]bool) []string {
 	var names []string
 	for _, node := range f.Nodes {
@@ -120,7 +122,8 @@
 	return names
 }
 
-// workerHostsExcept lists the workers' hosts of all zones but one; "" leaves out none.
+// workerHostsExcept returns the names of the workers' hosts of all zones except the excluded one,
+// or of all zones if excluded is "".
 func (f *FaultInjector) workerHostsExcept(excluded string) []string {
 	var hosts []string
 	for zone := range f.Simulation.ZoneNets {
--- a/internal/emulator/fault_store.go
+++ b/internal/emulator/fault_store.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// After how many seconds late commits are executed, at least, and by how many that varies.
+// A late commit is executed after minLateCommitDelayS plus a random time of up to
+// lateCommitDelayRangeS, both in seconds.
 const (
 	minLateCommitDelayS   = 2
 	lateCommitDelayRangeS = 10
 )
 
-// refuseNodeRequests has the key-value store refuse all requests of the nodes.
+// refuseNodeRequests makes the key-value store refuse all requests of the nodes until the fault is
+// over, and counts the requests that it refused.
 func (f *FaultInjector) refuseNodeRequests(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.Store.RefuseHost(f.Nodes[node].Name, true)
@@ -24,7 +26,7 @@
 	}
 }
 
-// delayCommits has commits executed late, and not answered.
+// delayCommits makes commits execute late and leaves them unanswered.
 func (f *FaultInjector) delayCommits(ctx context.Context, fault Fault) {
 	f.injectCommitFault(ctx, fault, func() (RequestFault, time.Duration) {
 		delayS := minLateCommitDelayS + lateCommitDelayRangeS*f.randomFloat()
@@ -32,15 +34,16 @@
 	})
 }
 
-// loseCommitResponses has commits executed at once, and not answered.
+// loseCommitResponses makes commits execute at once and leaves them unanswered.
 func (f *FaultInjector) loseCommitResponses(ctx context.Context, fault Fault) {
 	f.injectCommitFault(ctx, fault, func() (RequestFault, time.Duration) {
 		return LoseResponse, 0
 	})
 }
 
-// injectCommitFault has a share of the commits of the fault's nodes, or of all nodes if it names
-// none, fail in a way, for as long as the fault lasts.
+// injectCommitFault applies drawFault to each commit of the fault's nodes, or of all nodes if it
+// names none, with the fault's Probability until the fault is over. drawFault returns what happens
+// to one commit, and for ExecuteLate after which delay it is executed.
 func (f *FaultInjector) injectCommitFault(ctx context.Context, fault Fault, drawFault func() (RequestFault, time.Duration)) {
 	affected := f.nodeNames(fault.Nodes)
 	f.setCommitFault(func(from string) (RequestFault, time.Duration) {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -2,69 +2,71 @@
 
 import "time"
 
-// FaultKind is a kind of fault.
+// FaultKind names what a Fault does.
 type FaultKind string
 
-// Kinds of faults of the controllers' processes.
+// Faults of controller processes.
 const (
-	// ControllerCrash kills the controllers of Nodes, and starts each again after Wait.
+	// ControllerCrash kills the controllers on Nodes, and restarts each after Delay.
 	ControllerCrash FaultKind = "controller crash"
-	// SlowProcessor has every message that Nodes send or receive take Wait of the one
-	// processor that each of them has.
+	// SlowProcessor makes every message that Nodes send or receive occupy the node's only
+	// processor for Delay.
 	SlowProcessor FaultKind = "slow processor"
-	// NodeFrozen has Nodes send and receive nothing, as processes that are not scheduled.
+	// NodeFrozen stops Nodes from sending and receiving, like processes that get no CPU time.
 	NodeFrozen FaultKind = "node frozen"
 )
 
-// Kinds of faults of the key-value store.
+// Faults of the key-value store.
 const (
-	// StoreRefusesNode has the store refuse Nodes alone; their watches stay open.
+	// StoreRefusesNode makes the store refuse the requests of Nodes while it serves all others.
+	// Open watches of Nodes stay open.
 	StoreRefusesNode FaultKind = "store refuses node"
-	// StoreOutage has the store refuse all requests; no lease expires.
+	// StoreOutage makes the store refuse all requests. No lease expires meanwhile.
 	StoreOutage FaultKind = "store outage"
-	// StoreSlow delays the store's responses by Wait.
+	// StoreSlow delays the store's responses by Delay.
 	StoreSlow FaultKind = "store slow"
-	// WatchesStalled keeps watches from being answered, while everything else is served.
+	// WatchesStalled leaves watch requests unanswered. All other requests are served.
 	WatchesStalled FaultKind = "watches stalled"
-	// ListsRefused has the store refuse listings, while everything else is served.
+	// ListsRefused makes the store refuse list requests. All other requests are served.
 	ListsRefused FaultKind = "lists refused"
-	// LateCommits leaves that Share of commits (of Nodes, if some are named) unanswered, and
-	// executes them 2 to 12 s later.
+	// LateCommits affects each commit with the given Probability: the commit is not answered,
+	// and is executed 2 to 12 s later. If Nodes is empty, the commits of all nodes are affected.
 	LateCommits FaultKind = "late commits"
-	// LostResponses executes that Share of commits (of Nodes, if some are named) at once, and
-	// leaves them unanswered.
+	// LostResponses affects each commit with the given Probability: the commit is executed at
+	// once, but not answered. If Nodes is empty, the commits of all nodes are affected.
 	LostResponses FaultKind = "lost responses"
 )
 
-// Kinds of faults of heartbeats and links.
+// Faults of heartbeats and of the links to workers and users.
 const (
-	// LateHeartbeats sends copies of that Share of heartbeats to random nodes, up to Wait
-	// later.
+	// LateHeartbeats copies each heartbeat with the given Probability, and sends the copy to a
+	// random node after minLateHeartbeatDelay and a random time of up to Delay.
 	LateHeartbeats FaultKind = "late heartbeats"
-	// HeartbeatsForNextOwner keeps copies of heartbeats, and sends them to every node, Wait
-	// after the partition has got another owner.
+	// HeartbeatsForNextOwner records each machine's first heartbeat during the fault. Once the
+	// first partition has a new owner and Delay has passed, it sends them to every node.
 	HeartbeatsForNextOwner FaultKind = "heartbeats for next owner"
-	// SlowLinks delays what workers and users send and receive by Wait each way.
+	// SlowLinks delays messages to and from workers and users by Delay in each direction.
 	SlowLinks FaultKind = "slow links"
 )
 
-// Kinds of faults of machines. They strike Count machines (0: all) with work, of the Zone and
-// the Team if these are named.
+// Faults of machines. They affect up to MaxTargets machines (0: all) that have tasks, restricted
+// to the given Zone and Team if these are set.
 const (
-	// MachineHang has the machines hang.
+	// MachineHang suspends the machines; they continue where they stopped.
 	MachineHang FaultKind = "machine hang"
-	// MachineInboundCut has the machines receive nothing.
+	// MachineInboundCut keeps commands and responses to heartbeats from reaching the machines.
 	MachineInboundCut FaultKind = "machine inbound cut"
-	// MachineOutboundCut has the machines reach no controller.
+	// MachineOutboundCut keeps heartbeats of the machines from reaching the controllers.
+	// Commands still arrive.
 	MachineOutboundCut FaultKind = "machine outbound cut"
-	// DelayedCommands has commands that are sent directly to the machines, idle ones too,
-	// execute Wait later.
+	// DelayedCommands delays commands that are sent directly to the machines by Delay. It also
+	// affects idle machines, and ignores Team.
 	DelayedCommands FaultKind = "delayed commands"
-	// MachineLost removes the machines without notice.
+	// MachineLost removes the machines without a termination notice.
 	MachineLost FaultKind = "machine lost"
 )
 
-// Kinds of faults of the network.
+// Faults of the network.
 const (
 	// NodeIsolated cuts Nodes off from the key-value store and the other controllers.
 	NodeIsolated FaultKind = "node isolated"
@@ -74,26 +76,28 @@
 	WorkersCut FaultKind = "workers cut"
 	// CloudCut cuts Nodes off from the cloud, so that they can neither rent nor return.
 	CloudCut FaultKind = "cloud cut"
-	// ZoneCut cuts off a Zone's workers, and Nodes, from everything outside of it.
+	// ZoneCut cuts Nodes and the workers of Zone off from everything else. Nodes should list the
+	// nodes in that zone; their links to each other and to the zone's workers stay up.
 	ZoneCut FaultKind = "zone cut"
 )
 
-// CancelRunningJobs has users cancel Count running jobs (0: all) at once.
+// CancelRunningJobs makes users cancel up to MaxTargets running jobs (0: all) at once.
 const CancelRunningJobs FaultKind = "cancel running jobs"
 
-// Values in Fault.Nodes that stand for nodes which are known only when the fault begins.
+// Placeholders in Fault.Nodes. They are resolved when the fault begins, since the owner of a
+// partition changes during a run.
 const (
 	FirstPartitionOwner = -1 // the node that owns the first partition
-	NonOwnerNodes       = -2 // all nodes but that one
+	NonOwnerNodes       = -2 // all nodes except the owner of the first partition
 )
 
-// Fault is one line of a script. Which of the parameters after Nodes a fault has is said at
-// its kind.
+// Fault is one step of a script for FaultInjector.Run. The comment of each FaultKind says which
+// of the fields after Kind it uses.
 type Fault struct {
-	Start       time.Duration // when the fault begins
-	ActiveFor   time.Duration // how long it lasts, if its kind does
+	Start       time.Duration // when the fault begins, counted from the call of Run
+	ActiveFor   time.Duration // how long the fault lasts; ignored for faults of an instant
 	Kind        FaultKind
-	Nodes       []int // indexes in FaultInjector.Nodes, OwnerNode or NonOwnerNodes
+	Nodes       []int // indexes in FaultInjector.Nodes, FirstPartitionOwner or NonOwnerNodes
 	MaxTargets  int
 	Probability float64
 	Delay       time.Duration
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -8,28 +8,30 @@
 	"time"
 )
 
-// dialLatency is how long a connection takes to be set up.
+// dialLatency is the time that Dial takes to set up a connection.
 const dialLatency = time.Millisecond
 
 var (
 	errRefused      = errors.New("connection refused")
-	errAddressInUse = errors.New("address in use")
-	// errLinkCut is returned for a link that is cut, and not passed on to dialers.
+	errAddressInUse = errors.New("address already in use")
+	// errLinkCut is internal to this package: Dial does not return it, but blocks until its
+	// context ends, as on a network that drops packets.
 	errLinkCut = errors.New("link is cut")
 )
 
-// Network is a network in memory. Hosts on it can be switched off, and pairs of them cut off
-// from each other.
+// Network is an in-memory network. Its hosts can be shut down, and the link between any two of
+// them can be cut.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener  // by address
 	hosts     map[string]*Host      // by name
-	cutLinks  map[directedLink]bool // both directions of each pair
-	// messageCost is the processor time that a message takes on a host, by name.
+	cutLinks  map[directedLink]bool // in both directions for each pair of hosts
+	// messageCost is the processor time that each message sent or received takes on a host, by
+	// the host's name.
 	messageCost map[string]time.Duration
 }
 
-// directedLink is one direction between two hosts.
+// directedLink is one direction of the link between two hosts.
 type directedLink struct{ from, to string }
 
 // NewNetwork returns an empty network.
@@ -42,17 +44,17 @@
 	}
 }
 
-// Host is one machine's access to the network; it implements transport.Net.
+// Host is a machine on the network. It implements transport.Net.
 type Host struct {
 	network     *Network
 	name        string
 	isShutDown  bool
-	connections map[*connection]bool // their ends here and at the other host
-	// processor is full while the host's processor works on a message.
+	connections map[*connection]bool // both ends of each connection of this host
+	// processor is a semaphore of one slot, which is held while the host processes a message.
 	processor chan struct{}
 }
 
-// Host adds a machine to the network. It replaces one of the same name.
+// Host adds a host to the network and returns it. It replaces any host of the same name.
 func (n *Network) Host(name string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,15 +68,16 @@
 	return host
 }
 
-// SetLinkCut cuts two hosts off from each other, or restores their link. Their connections are reset,
-// and new ones hang until the dialer gives up.
+// SetLinkCut cuts or restores the link between hosts a and b in both directions. While the link
+// is cut, existing connections are reset, and Dial blocks until its context ends.
 func (n *Network) SetLinkCut(a, b string, cut bool) {
 	for _, c := range n.updateCutLinks(a, b, cut) {
 		c.reset()
 	}
 }
 
-// updateCutLinks cuts or restores a link, and returns the connections that are to be reset.
+// updateCutLinks records that a link is cut or restored, and returns the connections that the
+// caller must reset.
 func (n *Network) updateCutLinks(a, b string, cut bool) []*connection {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,14 +96,16 @@
 	return connections
 }
 
-// Shutdown resets all of the host's connections. It accepts and dials no more.
+// Shutdown resets all of the host's connections. From then on the host neither accepts nor dials
+// connections.
 func (h *Host) Shutdown() {
 	for _, c := range h.refuseConnections() {
 		c.reset()
 	}
 }
 
-// refuseConnections closes the host's listeners, and returns the connections that are to be reset.
+// refuseConnections has the host refuse new connections, closes its listeners, and returns the
+// open connections, which the caller must reset.
 func (h *Host) refuseConnections() []*connection {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -118,7 +123,9 @@
 	return connections
 }
 
-// Dial connects to an address.
+// Dial connects to the listener at an address. It returns errRefused if nothing listens
+// there, if this host is shut down, or if the connection is not accepted before ctx ends. If the
+// link is cut, Dial blocks until ctx ends and returns ctx.Err().
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	latency := time.NewTimer(dialLatency)
 	defer latency.Stop()
@@ -146,13 +153,14 @@
 	return nil, errRefused
 }
 
-// pendingConnection is a connection that is not accepted yet.
+// pendingConnection is a connection that has been dialed and not yet accepted.
 type pendingConnection struct {
 	listener               *listener
 	dialerEnd, acceptorEnd *connection
 }
 
-// connect makes a connection to the listener at an address, unless the link to its host is cut.
+// connect creates a connection to the listener at an address. It returns errRefused if nothing
+// listens there or the dialing host is shut down, and errLinkCut if the link is cut.
 func (h *Host) connect(address string) (*pendingConnection, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -176,7 +184,8 @@
 	return dialed, nil
 }
 
-// Listen accepts connections at an address.
+// Listen returns a listener at an address, which stays in use until the listener is closed or the
+// host is shut down.
 func (h *Host) Listen(_ context.Context, address string) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -196,7 +205,7 @@
 	return l, nil
 }
 
-// listener accepts the connections that are dialed to an address.
+// listener accepts the connections that are dialed to its address. It implements net.Listener.
 type listener struct {
 	host      *Host
 	address   string
@@ -205,7 +214,7 @@
 	closeOnce sync.Once     // closes done
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection. It returns net.ErrClosed once the listener is closed.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.incoming:
@@ -215,7 +224,7 @@
 	}
 }
 
-// Close frees the address.
+// Close stops accepting connections and frees the address.
 func (l *listener) Close() error {
 	network := l.host.network
 	network.mu.Lock()
@@ -231,13 +240,13 @@
 	l.closeOnce.Do(func() { close(l.done) })
 }
 
-// Addr returns the address that the listener accepts connections at.
+// Addr returns the listener's address.
 func (l *listener) Addr() net.Addr { return memoryAddr(l.address) }
 
-// memoryAddr is the address of a listener, or the name of a host, as a net.Addr.
+// memoryAddr implements net.Addr: it is the address of a listener, or the name of a host.
 type memoryAddr string
 
-// Network returns the name of the kind of network.
+// Network returns "memory", the network name that net.Addr requires.
 func (memoryAddr) Network() string { return "memory" }
 
 // String returns the address.
