--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -8,24 +8,26 @@
 	"ambersill/internal/wire"
 )
 
-// Ports of the emulators and controllers on loopback; workers use those from 20000 on.
+// Ports of the emulators and the controllers on the loopback interface. Emulated workers use ports
+// from 20000 upwards.
 const (
-	portState  = 19001
+	portStore  = 19001
 	portCloud  = 19002
 	portPublic = 19100 // of the first controller; the others use the next ones
-	portMesh   = 19200 // of the first controller; the others use the next ones
+	portPeer   = 19200 // of the first controller; the others use the next ones
 )
 
 const (
 	sampleZone = "a"
 	sampleTeam = "red"
-	// sampleCapacity is the number of machines that can be rented as spot instances, and of
-	// those on demand.
-	sampleCapacity = 4
-	// sampleListLagS is by how many seconds the cloud's list lags.
+	// sampleMachineCapacity is the number of machines that can be rented as spot instances, and
+	// also the number that can be rented on demand.
+	sampleMachineCapacity = 4
+	// sampleListLagS is the delay of the emulated cloud's machine list, in seconds.
 	sampleListLagS = 1
-	// sampleServiceTime is the time after which users cancel sample services.
-	sampleServiceTime = 15 * time.Second
+	// sampleServiceCancelDelay is the time after submission at which users cancel sample
+	// services.
+	sampleServiceCancelDelay = 15 * time.Second
 )
 
 var sampleMachineType = wire.MachineType{
@@ -44,17 +46,17 @@
 
 func nodeName(index int) string { return fmt.Sprintf("node-%d", index) }
 
-// sampleSettings returns the settings of one of several controllers, as the platform would
-// configure it.
+// sampleSettings returns the settings of the controller with the given index in a cluster of the
+// given number of nodes.
 func sampleSettings(index, nodes int) config.Settings {
 	settings := config.Settings{
 		Node:       nodeName(index),
 		Zone:       sampleZone,
 		PublicAddr: loopback(portPublic + index),
-		MeshAddr:   loopback(portMesh + index),
-		Outside: config.Outside{
+		PeerAddr:   loopback(portPeer + index),
+		Endpoints: config.Endpoints{
 			Cloud: loopback(portCloud),
-			State: loopback(portState),
+			Store: loopback(portStore),
 		},
 		Cluster: sampleCluster(nodes),
 	}
@@ -65,7 +67,7 @@
 		settings.Members = append(settings.Members, config.Member{
 			Node: nodeName(other),
 			Zone: sampleZone,
-			Addr: loopback(portMesh + other),
+			Addr: loopback(portPeer + other),
 		})
 	}
 	return settings
@@ -73,38 +75,39 @@
 
 func sampleCluster(nodes int) config.Cluster {
 	return config.Cluster{
-		Count: nodes,
-		Zones: []string{sampleZone},
-		Teams: []config.Team{{Name: sampleTeam, CPUs: 8, CPUsMax: 32}},
-		Workers: config.Workers{
-			ReportS:   2,
-			LeaseS:    14,
-			GangWaitS: 35,
-			GangPeerS: 5,
-			CancelS:   44,
+		ControllerCount: nodes,
+		Zones:           []string{sampleZone},
+		Teams:           []config.Team{{Name: sampleTeam, CPUs: 8, MaxCPUs: 32}},
+		WorkerTiming: config.WorkerTiming{
+			HeartbeatIntervalS: 2,
+			LeaseDurationS:     14,
+			GangWaitTimeoutS:   35,
+			GangPeerTimeoutS:   5,
+			CancelDeadlineS:    44,
 		},
-		State: config.State{
-			StateLimits: config.StateLimits{
-				RPS:      150,
-				WriteRPS: 50,
-				ValueKB:  8,
-				TxnOps:   12,
+		Store: config.Store{
+			StoreLimits: config.StoreLimits{
+				RequestsPerS: 150,
+				WritesPerS:   50,
+				MaxValueKiB:  8,
+				MaxTxnWrites: 12,
 			},
 		},
 		Cloud: config.Cloud{
-			RPS:      5,
-			ListLagS: sampleListLagS,
+			RequestsPerS: 5,
+			MaxListLagS:  sampleListLagS,
 		},
 		Limits: config.MachineLimits{
 			CPU:        0.1,
-			RAMMB:      100,
+			MemoryMiB:  100,
 			MaxSockets: 700,
 		},
 	}
 }
 
-// sampleJob returns a job, and the time after which its user cancels it; 0 means never. Of
-// five jobs in a row, three are arrays, one is a gang and one is a service.
+// sampleJob returns the sample job with the given index and the time after which its user cancels
+// it, or 0 if the user does not cancel it. Of each five consecutive jobs, three are arrays, one is
+// a gang and one is a service.
 func sampleJob(index int) (*wire.Job, time.Duration) {
 	job := &wire.Job{
 		ID:            fmt.Sprintf("req-%06d", index+1),
@@ -112,7 +115,7 @@
 		Team:          sampleTeam,
 		Shape:         wire.ArrayJob,
 		Priority:      wire.PriorityStandard,
-		Tasks:         1 + index%4,
+		TaskCount:     1 + index%4,
 		CPUs:          2,
 		MemoryGB:      4,
 		Image:         "img",
@@ -123,12 +126,12 @@
 	switch index % 5 {
 	case 2:
 		job.Shape = wire.GangJob
-		job.Tasks = 2
+		job.TaskCount = 2
 	case 4:
 		job.Shape = wire.ServiceJob
-		job.Tasks = 2
+		job.TaskCount = 2
 		job.EstimatedRunS = 0
-		return job, sampleServiceTime
+		return job, sampleServiceCancelDelay
 	}
 	return job, 0
 }
--- a/internal/controller/machine_records.go
+++ b/internal/controller/machine_records.go
@@ -49,7 +49,7 @@
 // claim of the partition therefore has a higher revision than the token.
 func (o *ownedPartition) nextFencingToken(machine string) uint64 {
 	entry, _ := o.controller.cluster.machine(machine)
-	return max(o.controller.store.Revision(), o.revision, entry.revision) + 1
+	return max(o.controller.store.HighestRevision(), o.revision, entry.revision) + 1
 }
 
 // commitMachineRecords changes machines' records, in as many transactions as their limits
@@ -59,7 +59,7 @@
 	ctx context.Context, fence wire.Compare, changes map[string]*records.MachineRecord,
 ) error {
 	maxBytes := c.maxGroupBytes()
-	maxWrites := min(c.limits.TxnOps, groupsPerTxn(maxBytes))
+	maxWrites := min(c.limits.MaxTxnWrites, groupsPerTxn(maxBytes))
 	var batch groupChange
 	for _, change := range c.cluster.groupChanges(changes, maxBytes) {
 		if len(batch.writes) > 0 && len(batch.writes)+len(change.writes) > maxWrites {
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -121,14 +121,14 @@
 	}
 	now := time.Now()
 	state.lastAnswered = now
-	if state.reportedPhase.Final() && state.reportedPhase != phase {
+	if state.reportedPhase.IsFinal() && state.reportedPhase != phase {
 		w.checkWentBack(state, phase, sent)
 		return
 	}
 	if state.acceptedAt.IsZero() {
 		state.acceptedAt = now
 	}
-	if phase.Final() && !state.reportedPhase.Final() {
+	if phase.IsFinal() && !state.reportedPhase.IsFinal() {
 		state.finalAt = now
 	}
 	w.checkCancelWasRequested(state, phase)
@@ -141,7 +141,7 @@
 
 // checkWentBack: a job once called done or cancelled is called something else.
 func (w *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
-	if phase.Final() || sent.After(state.finalAt) {
+	if phase.IsFinal() || sent.After(state.finalAt) {
 		w.violation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
@@ -158,7 +158,7 @@
 	if phase != wire.JobDone {
 		return
 	}
-	for i := range state.job.Tasks {
+	for i := range state.job.TaskCount {
 		if !w.done[wire.TaskName(state.job.ID, i)] {
 			w.violation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
 			return
@@ -268,7 +268,7 @@
 		w.violation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
 	}
 	inZone := 1
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		for other := range w.running[wire.TaskName(job.ID, i)] {
 			switch {
 			case other.Machine.Zone == machine.Zone:
@@ -278,7 +278,7 @@
 			}
 		}
 	}
-	if job.SpreadZones && inZone > (job.Tasks+1)/2 {
+	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
 		w.violation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
 	}
 }
@@ -297,10 +297,10 @@
 		if limits.Name != team {
 			continue
 		}
-		if limits.CPUsMax > 0 && cpus > limits.CPUsMax+rounding {
+		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+rounding {
 			return true
 		}
-		if limits.GPUsMax > 0 && gpus > limits.GPUsMax+rounding {
+		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+rounding {
 			return true
 		}
 	}
@@ -353,9 +353,9 @@
 func (w *Simulation) waitsBesideCapacity(state *jobState, placed int, up []*Worker) bool {
 	enough := 1
 	if state.job.IsService() {
-		enough = state.job.Tasks // each replica has to be there
+		enough = state.job.TaskCount // each replica has to be there
 	}
-	return placed < enough && !state.reportedPhase.Final() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
+	return placed < enough && !state.reportedPhase.IsFinal() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
 }
 
 // hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
@@ -366,7 +366,7 @@
 	}
 	tasks := 1
 	if job.IsGang() {
-		tasks = job.Tasks
+		tasks = job.TaskCount
 	}
 	cpus, gpus := usageWith(job, tasks, up)
 	return !w.overLimit(job.Team, cpus, gpus) && machinesFit(job, tasks, up)
@@ -408,21 +408,21 @@
 }
 
 // canRun reports whether a machine is usable, and allowed for a job.
-func (k *Worker) canRun(job *wire.Job) bool {
-	if k.dead || k.hung || k.faulty || k.terminationNoticeS != nil {
+func (w *Worker) canRun(job *wire.Job) bool {
+	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
 	}
-	if (k.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != k.Machine.Zone) {
+	if (w.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != w.Machine.Zone) {
 		return false
 	}
-	return typeAllowed(job, k.Machine.MachineType)
+	return typeAllowed(job, w.Machine.MachineType)
 }
 
 // tasksFitting is how many of a job's tasks, up to a limit, fit on a machine beside those
 // that are there.
-func (k *Worker) tasksFitting(job *wire.Job, limit int) int {
-	cpus, gpus, memory := k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemoryGB
-	for _, t := range k.tasks {
+func (w *Worker) tasksFitting(job *wire.Job, limit int) int {
+	cpus, gpus, memory := w.machineType.CPUs, w.machineType.GPUs, w.machineType.MemoryGB
+	for _, t := range w.tasks {
 		if t.state != wire.TaskExited {
 			cpus, gpus, memory = cpus-t.job.CPUs, gpus-t.job.GPUs, memory-t.job.MemoryGB
 		}
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -20,7 +20,7 @@
 
 func newCheckerSetup() *checkerSetup {
 	s := &checkerSetup{Simulation: NewSimulation(SimulationConfig{
-		Teams:           []config.Team{{Name: "limited", CPUsMax: 2}},
+		Teams:           []config.Team{{Name: "limited", MaxCPUs: 2}},
 		LeaseDuration:   time.Hour,
 		GangWaitTimeout: time.Minute,
 		GangPeerTimeout: 5 * time.Second,
@@ -28,13 +28,13 @@
 	})}
 	machine := func(id, machineType, zone string, spot bool) *Worker {
 		return &Worker{
-			Machine:     wire.CloudMachine{ID: id, MachineType: machineType, Zone: zone, Spot: spot},
-			simulation:  s.Simulation,
-			machineType: wire.MachineType{Name: machineType, CPUs: 4, MemoryGB: 16},
-			tasks:       map[string]*task{},
-			images:      map[string]bool{},
-			leaseStart:  time.Now(),
-			changed:     make(chan struct{}, 1),
+			Machine:        wire.CloudMachine{ID: id, MachineType: machineType, Zone: zone, Spot: spot},
+			simulation:     s.Simulation,
+			machineType:    wire.MachineType{Name: machineType, CPUs: 4, MemoryGB: 16},
+			tasks:          map[string]*task{},
+			fetchedImages:  map[string]bool{},
+			leaseStart:     time.Now(),
+			earlyHeartbeat: make(chan struct{}, 1),
 		}
 	}
 	s.west, s.west2 = machine("m-1", "small", "west", false), machine("m-2", "small", "west", false)
@@ -45,7 +45,7 @@
 
 // submit uploads a job that runs on small machines, after a change, and has it accepted.
 func (s *checkerSetup) submit(change func(job *wire.Job)) *wire.Job {
-	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, Tasks: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
+	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, TaskCount: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
 	if change != nil {
 		change(job)
 	}
@@ -80,7 +80,7 @@
 		says   string // in one of the reports
 	}{
 		{"nothing is broken", "", func(s *checkerSetup) {
-			job := s.submit(func(job *wire.Job) { job.Tasks = 1 })
+			job := s.submit(func(job *wire.Job) { job.TaskCount = 1 })
 			s.start(s.west, job, 0)
 			time.Sleep(101 * time.Second)
 			s.PhaseReported(job.ID, wire.JobDone, time.Now())
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -74,7 +74,7 @@
 // Attach registers the injector with the key-value store and the simulation, so that it can affect
 // commits and heartbeats. It must be called before the controllers start.
 func (f *FaultInjector) Attach() {
-	f.Store.Faults = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
+	f.Store.ChooseFault = func(from string, _ *wire.Txn) (RequestFault, time.Duration) {
 		f.mu.Lock()
 		commitFault := f.commitFault
 		f.mu.Unlock()
@@ -148,7 +148,7 @@
 	case StoreOutage:
 		f.enableDuringFault(ctx, fault, f.Store.SetDown)
 	case StoreSlow:
-		f.delay(ctx, fault, f.Store.SetDelay)
+		f.delay(ctx, fault, f.Store.SetResponseDelay)
 	case WatchesStalled:
 		f.enableDuringFault(ctx, fault, f.Store.StallWatches)
 	case ListsRefused:
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -16,7 +16,7 @@
 func (f *FaultInjector) loseMachines(fault Fault) {
 	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		f.Cloud.TakeBack(worker.Machine.ID)
+		f.Cloud.Reclaim(worker.Machine.ID)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
@@ -59,7 +59,7 @@
 func countLateCommands(workers []*Worker) int {
 	count := 0
 	for _, worker := range workers {
-		count += worker.LateCommands()
+		count += worker.LateCommandRequests()
 	}
 	return count
 }
@@ -86,16 +86,16 @@
 // faults affect only machines that have tasks of the fault's team, or of any team if none is set.
 // DelayedCommands affects every machine that is up, since most commands that start tasks are sent
 // to idle machines.
-func (k *Worker) isTarget(fault Fault) bool {
-	k.simulation.mu.Lock()
-	defer k.simulation.mu.Unlock()
-	if k.dead {
+func (w *Worker) isTarget(fault Fault) bool {
+	w.simulation.mu.Lock()
+	defer w.simulation.mu.Unlock()
+	if w.dead {
 		return false
 	}
 	if fault.Kind == DelayedCommands {
 		return true
 	}
-	for _, t := range k.tasks {
+	for _, t := range w.tasks {
 		if fault.Team == "" || t.job.Team == fault.Team {
 			return true
 		}
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -18,7 +18,7 @@
 		}
 	}
 	for k := range busy {
-		k.checkLease()
+		k.expireLease()
 	}
 }
 
@@ -36,16 +36,16 @@
 	switch {
 	case w.done[t.name]:
 		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
-	case k.faulty:
+	case k.failsTasks:
 		t.state = wire.TaskRunning
-		k.after(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
+		k.runAfter(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
 		w.joinGang(k, t)
 	case t.job.IsService():
 		w.runReplica(k, t)
 	default:
 		t.state = wire.TaskRunning
-		k.after(t, w.runTime(t.job, t.index), func() {
+		k.runAfter(t, w.runTime(t.job, t.index), func() {
 			w.completeTask(t)
 			k.exit(t, wire.ExitDone, false)
 		})
@@ -77,7 +77,7 @@
 		return
 	}
 	if d, exits := w.replicaExit(t.job, t.index); exits {
-		k.after(t, d, func() { k.exit(t, wire.ExitDone, false) })
+		k.runAfter(t, d, func() { k.exit(t, wire.ExitDone, false) })
 	}
 }
 
@@ -91,7 +91,7 @@
 // gangMembers lists the tasks of the same gang attempt, with their machines.
 func (w *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
-	for i := range t.job.Tasks {
+	for i := range t.job.TaskCount {
 		for k, other := range w.running[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
 				members[other] = k
@@ -103,13 +103,13 @@
 
 // joinGang has a gang start once all its tasks are there, and complete together.
 func (w *Simulation) joinGang(k *Worker, t *task) {
-	k.after(t, w.GangWaitTimeout, func() {
+	k.runAfter(t, w.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
 			k.exit(t, wire.ExitGangIncomplete, false)
 		}
 	})
 	members := w.gangMembers(t)
-	if len(members) < t.job.Tasks {
+	if len(members) < t.job.TaskCount {
 		return
 	}
 	for member := range members {
@@ -119,7 +119,7 @@
 	}
 	for member, worker := range members {
 		member.state = wire.TaskRunning
-		worker.after(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
+		worker.runAfter(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 func (w *Simulation) allDone(job *wire.Job) bool {
-	for i := range job.Tasks {
+	for i := range job.TaskCount {
 		if !w.done[wire.TaskName(job.ID, i)] {
 			return false
 		}
@@ -165,7 +165,7 @@
 	}
 	for member, worker := range w.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			worker.after(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
+			worker.runAfter(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -38,16 +38,16 @@
 	settings := &config.Settings{}
 	cluster := &settings.Cluster
 	cluster.Teams = []config.Team{
-		{Name: "limited", CPUsMax: 10, GPUsMax: 3},
+		{Name: "limited", MaxCPUs: 10, MaxGPUs: 3},
 		{Name: "sure", GPUs: 2},
 		{Name: "free"},
 	}
-	cluster.Workers.ReportS = 2
-	cluster.Workers.LeaseS = 14
-	cluster.Workers.CancelS = 44
-	cluster.Workers.GangPeerS = 5
-	cluster.State.ValueKB = 8
-	cluster.State.TxnOps = 12
+	cluster.WorkerTiming.HeartbeatIntervalS = 2
+	cluster.WorkerTiming.LeaseDurationS = 14
+	cluster.WorkerTiming.CancelDeadlineS = 44
+	cluster.WorkerTiming.GangPeerTimeoutS = 5
+	cluster.Store.MaxValueKiB = 8
+	cluster.Store.MaxTxnWrites = 12
 	return settings
 }
 
@@ -73,8 +73,8 @@
 	return harness
 }
 
-// newHarnessWithPlacedJob returns a partition with machine m-1, on which the tasks of job req-1
-// are placed, with one CPU each. The placements are committed, but no start has been sent.
+// newHarnessWithPlacedJob returns a harness whose partition has machine m-1, on which the tasks of
+// job req-1 are placed, with one CPU each. The placements are committed, but no start has been sent.
 func newHarnessWithPlacedJob(tasks int) *partitionHarness {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -132,16 +132,16 @@
 }
 
 // sendHeartbeat delivers the next heartbeat of a machine's worker, executes the commands of the
-// reply and returns them. It returns nil if the heartbeat is not accepted.
+// response and returns them. It returns nil if the heartbeat is not accepted.
 func (h *partitionHarness) sendHeartbeat(id string) []wire.Command {
-	outcome, reply := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
-	if outcome != HeartbeatAccepted {
+	verdict, response := h.HandleHeartbeat(h.nextHeartbeat(id), h.now, true)
+	if verdict != HeartbeatAccepted {
 		return nil
 	}
-	for _, command := range reply.Commands {
+	for _, command := range response.Commands {
 		h.execute(id, command)
 	}
-	return reply.Commands
+	return response.Commands
 }
 
 // execute applies a command to the tasks of the machine's worker.
@@ -187,7 +187,7 @@
 		Team:          "free",
 		Shape:         wire.ArrayJob,
 		Priority:      "standard",
-		Tasks:         tasks,
+		TaskCount:     tasks,
 		CPUs:          cpus,
 		MemoryGB:      1,
 		Image:         "i",
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -28,9 +28,9 @@
 	owner    *partitionHarness
 	store    *fakeStore
 	ended    map[string]bool // tasks that a worker has reported as done
-	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, a later one, the
-	// store's limits are lowered, that of values to loweredValueKB. Records that are stored by
-	// then may be larger than what may be written.
+	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, which is later, the
+	// store's limits are lowered, the one of values to loweredValueKB. Records that were stored
+	// before may exceed the lowered limit.
 	raiseLevelRound  int
 	lowerLimitsRound int
 	loweredValueKB   float64
@@ -62,7 +62,7 @@
 func newTakeoverTest(t *rapid.T) *takeoverTest {
 	owner := newPartitionHarness()
 	owner.journal.slotRevisions = make([]uint64, testJournalSlots)
-	owner.layout.limits.TxnOps = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+	owner.layout.limits.MaxTxnWrites = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
 	raised := rapid.IntRange(0, 60).Draw(t, "raised")
 	test := &takeoverTest{
 		t:                t,
@@ -94,8 +94,8 @@
 		test.owner.SetLevel(records.FeatureExplicitChunks)
 	}
 	if round == test.lowerLimitsRound {
-		test.owner.layout.limits.ValueKB = test.loweredValueKB
-		test.owner.layout.limits.TxnOps = loweredTxnOps
+		test.owner.layout.limits.MaxValueKiB = test.loweredValueKB
+		test.owner.layout.limits.MaxTxnWrites = loweredTxnOps
 		test.store.resetMaxima()
 	}
 }
@@ -116,8 +116,8 @@
 		if batch.Empty() {
 			return
 		}
-		test.store.commit(test.owner, batch, outcomes.Draw(test.t, "fate"))
-		if len(test.store.delayed) > 0 && rapid.Bool().Draw(test.t, "arrives") {
+		test.store.commit(test.owner, batch, outcomes.Draw(test.t, "commit outcome"))
+		if len(test.store.delayed) > 0 && rapid.Bool().Draw(test.t, "delayed transaction is applied") {
 			test.store.applyOldestDelayed()
 		}
 	}
@@ -180,7 +180,7 @@
 	for id, job := range test.owner.jobs {
 		restored := successor.jobs[id]
 		if restored == nil {
-			if job.doneTasks < job.Tasks {
+			if job.doneTasks < job.TaskCount {
 				test.t.Fatalf("round %d: unfinished job %s is unknown to a new owner", round, id)
 			}
 			continue
@@ -236,7 +236,7 @@
 
 func (test *takeoverTest) checkLimits(round int) {
 	limits := test.owner.layout.limits
-	if test.store.largestValueBytes > int(limits.ValueKB*1024) || test.store.maxWrites > limits.TxnOps {
+	if test.store.largestValueBytes > int(limits.MaxValueKiB*1024) || test.store.maxWrites > limits.MaxTxnWrites {
 		test.t.Fatalf("round %d: largest value has %d bytes and largest transaction %d writes, want both within the limits", round, test.store.largestValueBytes, test.store.maxWrites)
 	}
 }
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -18,8 +18,8 @@
 type chunkLayout struct {
 	partition     int
 	tasksPerChunk int // in numbered chunks
-	// limits are those of the key-value store for writes. ReduceWriteLimits may lower them.
-	limits       config.StateLimits
+	// limits are the key-value store's limits for writes. ReduceWriteLimits may lower them.
+	limits       config.StoreLimits
 	featureLevel records.FeatureLevel
 }
 
@@ -50,8 +50,8 @@
 // store has rejected a commit as invalid, because then its limits are lower than configured.
 func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
-	limits.ValueKB = max(limits.ValueKB/2, minValueKB)
-	limits.TxnOps = max(limits.TxnOps/2, minTxnOps)
+	limits.MaxValueKiB = max(limits.MaxValueKiB/2, minValueKB)
+	limits.MaxTxnWrites = max(limits.MaxTxnWrites/2, minTxnOps)
 }
 
 // writesExplicitRanges reports whether the cluster's feature level permits records with explicit
@@ -69,7 +69,7 @@
 }
 
 // maxValueBytes returns the maximum size of a value that may be written, in bytes.
-func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.ValueKB) }
+func (l *chunkLayout) maxValueBytes() int { return records.MaxValueBytes(l.limits.MaxValueKiB) }
 
 // chunkKey returns the key of a chunk's record.
 func (l *chunkLayout) chunkKey(chunk *chunk) string {
@@ -83,8 +83,8 @@
 // together with the job's record at the given revision.
 func (l *chunkLayout) newChunks(job *Job, revision uint64) []*chunk {
 	var chunks []*chunk
-	for from := 0; from < job.Tasks; from += l.tasksPerChunk {
-		to := min(from+l.tasksPerChunk, job.Tasks)
+	for from := 0; from < job.TaskCount; from += l.tasksPerChunk {
+		to := min(from+l.tasksPerChunk, job.TaskCount)
 		chunks = append(chunks, newChunk(job, l.chunkIndex(from), from, to, l.formatForNewChunks()))
 	}
 	chunks[0].revision = revision
@@ -95,23 +95,23 @@
 // extent is a range of a job's tasks, [from, to), and the loaded record that contains their state.
 type extent struct {
 	from, to int
-	loaded   *records.LoadedChunk // nil if no record contains it
+	loaded   *records.LoadedChunk // nil if no record contains their state
 }
 
 // extentOf returns the range of the job's tasks that a record contains. The result is false if the
 // record contains none.
 func (l *chunkLayout) extentOf(job *Job, loaded *records.LoadedChunk) (extent, bool) {
 	if loaded.Record.HasExplicitRange() {
-		from, to := loaded.Record.From, min(loaded.Record.To, job.Tasks)
+		from, to := loaded.Record.From, min(loaded.Record.To, job.TaskCount)
 		return extent{from: from, to: to, loaded: loaded}, from >= 0 && from < to
 	}
 	index, err := strconv.Atoi(loaded.Name)
-	chunkCount := (job.Tasks + l.tasksPerChunk - 1) / l.tasksPerChunk
+	chunkCount := (job.TaskCount + l.tasksPerChunk - 1) / l.tasksPerChunk
 	if err != nil || index < 0 || index >= chunkCount {
 		return extent{}, false
 	}
 	from := index * l.tasksPerChunk
-	return extent{from: from, to: min(from+l.tasksPerChunk, job.Tasks), loaded: loaded}, true
+	return extent{from: from, to: min(from+l.tasksPerChunk, job.TaskCount), loaded: loaded}, true
 }
 
 // extents divides a job's tasks into ranges by the records that contain them. If two records
@@ -231,9 +231,10 @@
 	return boundaries
 }
 
-// needsFormatConversion reports whether the chunk's record can be written now to convert its format:
-// either the stored record has no explicit range and all chunks that were split off have records, or
-// the chunk was split off and has no record yet.
+// needsFormatConversion reports whether the chunk's record should be written to convert its format, and
+// can be written in the batch. This is the case if the stored record has no explicit range and all
+// chunks that were split off have records or get them in the batch, or if the chunk was split off and
+// has no record yet.
 func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -12,8 +12,9 @@
 )
 
 // BenchmarkSchedulingCycle runs scheduling cycles of a partition with full machines and waiting
-// jobs of 220 tasks each. In each cycle, the tasks on one machine in 20 end. The smaller case is a
-// grown fleet; the larger one is half as large again as the largest fleet served.
+// jobs of 220 tasks each. In each cycle, the tasks on one machine in 20 end. The smaller case has
+// the size of a fleet after scale-out. The larger case is half as large again as the largest fleet
+// of the supported deployments.
 func BenchmarkSchedulingCycle(b *testing.B) {
 	for _, c := range []struct{ machines, jobs int }{{350, 60}, {1100, 300}} {
 		b.Run(fmt.Sprint(c.machines, " machines"), func(b *testing.B) { benchmarkSchedulingCycle(b, c.machines, c.jobs) })
@@ -58,8 +59,8 @@
 	h.sendHeartbeat(id)
 }
 
-// encodedSize returns the size of a value in bytes as JSON, which is how the protocol measures
-// values.
+// encodedSize returns the size of a value in bytes when encoded as JSON, which is how the key-value
+// store measures values.
 func encodedSize(t *testing.T, value any) int {
 	t.Helper()
 	size := encodedSizeOrZero(value)
@@ -85,7 +86,7 @@
 // longName has the maximum length of names in records.
 var longName = strings.Repeat("x", 60)
 
-// With several times the machines and jobs of any deployment served, each record must fit into a
+// With several times the machines and jobs of any supported deployment, each record must fit into a
 // value of the key-value store, and each transaction into 64 KiB. A larger transaction would be
 // rejected on every attempt, so none of its changes would ever be committed.
 func TestRecordsStayWithinStoreLimits(t *testing.T) {
@@ -111,7 +112,7 @@
 
 // valueLimit returns the maximum size of a value in the key-value store, in bytes.
 func (h *partitionHarness) valueLimit() int {
-	return int(h.settings.Cluster.State.ValueKB * 1024)
+	return int(h.settings.Cluster.Store.MaxValueKiB * 1024)
 }
 
 // checkMachineGroupSize checks that the largest possible record of a full machine group does not
@@ -119,7 +120,7 @@
 func checkMachineGroupSize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	group := map[string]records.MachineRecord{}
-	for i := range records.MachinesPerGroup(harness.settings.Cluster.State.ValueKB, longName, longName) {
+	for i := range records.MachinesPerGroup(harness.settings.Cluster.Store.MaxValueKiB, longName, longName) {
 		group[fmt.Sprintf("m-%09d", i)] = records.MachineRecord{
 			MachineType:  longName,
 			Zone:         longName,
@@ -141,7 +142,7 @@
 // the key-value store.
 func commitWithinLimits(t *testing.T, harness *partitionHarness) {
 	t.Helper()
-	maxOps := harness.settings.Cluster.State.TxnOps
+	maxOps := harness.settings.Cluster.Store.MaxTxnWrites
 	for {
 		batch := harness.PrepareBatch()
 		if batch.Empty() {
@@ -166,7 +167,7 @@
 func checkSummarySize(t *testing.T, harness *partitionHarness) {
 	t.Helper()
 	summary := harness.Summary(harness.now)
-	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.State.ValueKB) {
+	for _, digests := range summary.SplitMachineDigests(harness.settings.Cluster.Store.MaxValueKiB) {
 		if size := encodedSize(t, digests); size > harness.valueLimit() {
 			t.Fatalf("machine digests have %d bytes, more than the value limit", size)
 		}
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -11,25 +11,25 @@
 
 func newServiceJob(id string, replicas int, cpus float64) wire.Job {
 	return wire.Job{
-		ID:       id,
-		Team:     "free",
-		Shape:    wire.ServiceJob,
-		Priority: "production",
-		Tasks:    replicas,
-		CPUs:     cpus,
-		MemoryGB: 1,
-		Image:    "i",
+		ID:        id,
+		Team:      "free",
+		Shape:     wire.ServiceJob,
+		Priority:  "production",
+		TaskCount: replicas,
+		CPUs:      cpus,
+		MemoryGB:  1,
+		Image:     "i",
 	}
 }
 
 // sendTerminationNotice delivers a heartbeat that contains a termination notice for the machine,
-// and returns the commands of the reply without executing them.
+// and returns the commands of the response without executing them.
 func (h *partitionHarness) sendTerminationNotice(id string) []wire.Command {
 	noticeS := 10.0
 	heartbeat := h.nextHeartbeat(id)
 	heartbeat.TerminationNoticeS = &noticeS
-	_, reply := h.HandleHeartbeat(heartbeat, h.now, true)
-	return reply.Commands
+	_, response := h.HandleHeartbeat(heartbeat, h.now, true)
+	return response.Commands
 }
 
 // A replica on a machine with a termination notice is stopped early if another machine has capacity
