--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -81,8 +81,8 @@
 	return cmd
 }
 
-// runEmulators runs the emulators until the context is cancelled, then prints the violations of the
-// protocol that the simulation found.
+// runEmulators runs the emulators until the context is cancelled, then prints the protocol
+// violations that the simulation found.
 func runEmulators(ctx context.Context, out io.Writer, options *standinOptions) error {
 	settings := make([]config.Settings, options.nodes)
 	for i := range settings {
@@ -189,7 +189,7 @@
 	user := &emulator.User{
 		Simulation:  simulation,
 		Net:         transport.TCP{},
-		Pick:        func() emulator.Node { return simulation.Nodes[rand.IntN(len(simulation.Nodes))] },
+		PickNode:    func() emulator.Node { return simulation.Nodes[rand.IntN(len(simulation.Nodes))] },
 		CancelAfter: cancelAfter,
 	}
 	outcome := string(user.Run(ctx, job))
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -50,7 +50,7 @@
 			cluster.background.Go(func() { scenario.observe(cluster) })
 		}
 		cluster.injector.Run(cluster.ctx, scenario.script...)
-		cluster.simulation.FaultsOver()
+		cluster.simulation.RecordFaultsOver()
 		cluster.waitForJobsAndCheck(scenarioTimeout)
 		scenario.checkInjected(t, cluster)
 		if scenario.check != nil {
@@ -91,7 +91,7 @@
 // expectNoRepeatedAttempts checks that no worker started an attempt again after being told to
 // forget it.
 func expectNoRepeatedAttempts(t *testing.T, cluster *simulatedCluster) {
-	if n := cluster.simulation.RepeatedAttempts(); n != 0 {
+	if n := cluster.simulation.RepeatedAttemptCount(); n != 0 {
 		t.Errorf("attempts started again after they had been forgotten: got %d, want 0", n)
 	}
 }
@@ -101,7 +101,7 @@
 func expectRunningTasks(at time.Duration, want int) func(cluster *simulatedCluster) {
 	return func(cluster *simulatedCluster) {
 		time.Sleep(at)
-		if got := cluster.simulation.Running(); got != want {
+		if got := cluster.simulation.TasksOnMachines(); got != want {
 			cluster.t.Errorf("running tasks: got %d after %v, want %d", got, at, want)
 		}
 	}
@@ -113,7 +113,7 @@
 	return func(cluster *simulatedCluster) {
 		time.Sleep(at)
 		for _, team := range cluster.settings(0).Cluster.Teams {
-			cpus, gpus := cluster.simulation.Used(team.Name)
+			cpus, gpus := cluster.simulation.TeamUsage(team.Name)
 			belowCPUs := team.MaxCPUs > 0 && cpus < team.MaxCPUs
 			belowGPUs := team.MaxGPUs > 0 && gpus < team.MaxGPUs
 			if belowCPUs || belowGPUs {
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -90,7 +90,7 @@
 // checkAllReplicasRunning checks that all replicas of a service are running.
 func (cluster *simulatedCluster) checkAllReplicasRunning(service *wire.Job) {
 	cluster.t.Helper()
-	if n := cluster.simulation.Replicas(service.ID); n != service.TaskCount {
+	if n := cluster.simulation.ReplicaCount(service.ID); n != service.TaskCount {
 		cluster.t.Errorf("running replicas of the service: got %d, want %d", n, service.TaskCount)
 	}
 }
@@ -106,7 +106,7 @@
 		})
 		cluster.submit(newServiceJob(1, 2, 2), 5*time.Minute)
 		time.Sleep(4 * time.Minute)
-		if n := cluster.simulation.Starts(); n < 6 || n > 14 {
+		if n := cluster.simulation.StartCount(); n < 6 || n > 14 {
 			cluster.t.Errorf("task starts with a replica that exits after 1 s: got %d, want 6 to 14", n)
 		}
 		cluster.waitForJobsAndCheck(10 * time.Minute)
@@ -139,7 +139,7 @@
 	user := &emulator.User{
 		Simulation: cluster.simulation,
 		Net:        cluster.network.Host("user"),
-		Pick:       func() emulator.Node { return cluster.nodes[0] },
+		PickNode:   func() emulator.Node { return cluster.nodes[0] },
 	}
 	ctx, cancel := context.WithTimeout(cluster.ctx, 20*time.Second)
 	defer cancel()
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -34,9 +34,9 @@
 // fault's Delay.
 func (f *FaultInjector) slowProcessors(ctx context.Context, fault Fault) {
 	f.applyToNodes(fault, func(name string) {
-		f.Network.SlowDown(name, fault.Delay)
+		f.Network.SetMessageCost(name, fault.Delay)
 		waitUntilOver(ctx, fault)
-		f.Network.SlowDown(name, 0)
+		f.Network.SetMessageCost(name, 0)
 	})
 }
 
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -276,8 +276,8 @@
 	store := NewKeyValueStore()
 	store.Limit(config.StoreLimits{WritesPerS: 10, MaxValueKiB: 1, MaxTxnWrites: 2})
 	status, _ := commit(t, store, wire.Txn{Writes: []wire.Write{{Put: "a", Value: string(make([]byte, 1100))}}})
-	if status != http.StatusBadRequest || len(store.Invalid()) != 1 {
-		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.Invalid())
+	if status != http.StatusBadRequest || len(store.InvalidReasons()) != 1 {
+		t.Errorf("commit of a value over the limit of 1 KB: got status %d and recorded reasons %v, want 400 and one reason", status, store.InvalidReasons())
 	}
 	put(t, store, "a", 0, "short", 0)
 }
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -11,54 +11,56 @@
 	"ambersill/internal/wire"
 )
 
-// Node is a controller's public address.
+// Node is the name and the public address of a controller's node.
 type Node struct{ Name, Addr string }
 
-// SimulationConfig configures a simulation.
+// SimulationConfig has the settings of a simulation.
 type SimulationConfig struct {
 	Ctx               context.Context
 	Net               transport.Net
-	ZoneNets          map[string]transport.Net // of zones that can be cut off; others use Net
+	ZoneNets          map[string]transport.Net // networks of zones that can be cut off, by zone; workers in other zones use Net
 	Nodes             []Node
 	MachineTypes      map[string]wire.MachineType
 	Teams             []config.Team
-	HeartbeatInterval time.Duration // report_s
-	LeaseDuration     time.Duration // lease_s
-	GangWaitTimeout   time.Duration // gang_wait_s
-	GangPeerTimeout   time.Duration // gang_peer_s
-	CancelDeadline    time.Duration // cancel_s
-	// RunTime returns how long a task runs; nil: as long as its job estimates.
+	HeartbeatInterval time.Duration // setting report_s
+	LeaseDuration     time.Duration // setting lease_s
+	GangWaitTimeout   time.Duration // setting gang_wait_s
+	GangPeerTimeout   time.Duration // setting gang_peer_s
+	CancelDeadline    time.Duration // setting cancel_s
+	// RunTime returns how long a task runs. If it is nil, each task runs for its job's
+	// EstimatedRunS.
 	RunTime func(job *wire.Job, task int) time.Duration
-	// OnHeartbeat, if set, is called with each heartbeat, and may send copies of it to nodes
-	// later.
+	// OnHeartbeat, if not nil, is called with each heartbeat. It may call send at any later
+	// time to send a copy of the heartbeat to a node.
 	OnHeartbeat func(heartbeat *wire.Heartbeat, send func(to Node))
-	// OnJobDone, if set, is called when the last task of a job completes.
+	// OnJobDone, if not nil, is called with the job ID when the last task of a job completes.
 	OnJobDone func(job string)
 }
 
-// Simulation joins the workers and the users, and is the reference model of the protocol's
-// rules: it sees every task start and end, knows what users were answered, and records what
-// violates a rule. The rules are in checker.go, the tasks' lifecycle in lifecycle.go.
+// Simulation has the shared state of the emulated workers and users, and is the reference model
+// of the protocol's rules: it records the start and the end of every task and the answers to
+// users, and reports each violation of a rule. The rules are in checker.go, the life cycle of
+// tasks is in lifecycle.go.
 type Simulation struct {
 	SimulationConfig
 
-	// mu guards all that follows, and the state of all workers.
+	// mu protects the fields below and the state of all workers.
 	mu          sync.Mutex
 	replicaExit func(job *wire.Job, task int) (time.Duration, bool)
-	linkDelay   time.Duration // of the links of workers and users
+	linkDelay   time.Duration // added to each request and each response of workers and users
 
-	jobs     map[string]*jobState
-	running  map[string]map[*Worker]*task // tasks on machines, by name
-	attempts map[taskAttempt]bool         // attempts that have started
-	done     map[string]bool              // tasks that have completed, by name
+	jobs            map[string]*jobState
+	tasksOnMachines map[string]map[*Worker]*task // tasks on machines, by task name
+	startedAttempts map[taskAttempt]bool         // attempts that have started at least once
+	completedTasks  map[string]bool              // tasks that have completed, by task name
 
-	violations        []string
-	starts            int
-	repeatedAttempts  int
-	startsAfterCancel int
-	faultsOverAt      time.Time // zero while there are faults
-	// removedAt is when the tasks that are being removed ended, if not now.
-	removedAt time.Time
+	violations             []string
+	startCount             int
+	repeatedAttemptCount   int
+	startsAfterCancelCount int
+	faultsOverAt           time.Time // when the injected faults ended; zero before that
+	// removalTime is when the tasks that are being removed ended; zero means now.
+	removalTime time.Time
 }
 
 // taskAttempt identifies an attempt at a task.
@@ -67,49 +69,50 @@
 	attempt uint64
 }
 
-// NewSimulation returns a simulation without workers and jobs.
+// NewSimulation returns a simulation that has no workers and no jobs.
 func NewSimulation(config SimulationConfig) *Simulation {
 	return &Simulation{
 		SimulationConfig: config,
 		jobs:             map[string]*jobState{},
-		running:          map[string]map[*Worker]*task{},
-		attempts:         map[taskAttempt]bool{},
-		done:             map[string]bool{},
+		tasksOnMachines:  map[string]map[*Worker]*task{},
+		startedAttempts:  map[taskAttempt]bool{},
+		completedTasks:   map[string]bool{},
 	}
 }
 
-// SetLinkDelay has what workers and users send and receive take that much longer each way.
-func (w *Simulation) SetLinkDelay(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.linkDelay = d
+// SetLinkDelay sets the delay that is added to each request and each response of workers and
+// users.
+func (s *Simulation) SetLinkDelay(delay time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.linkDelay = delay
 }
 
-// waitLinkDelay waits for as long as the link takes.
-func (w *Simulation) waitLinkDelay(ctx context.Context) {
-	w.mu.Lock()
-	d := w.linkDelay
-	w.mu.Unlock()
-	if d > 0 {
-		transport.Pause(ctx, d)
+// waitLinkDelay waits for the link delay, or until the context ends.
+func (s *Simulation) waitLinkDelay(ctx context.Context) {
+	s.mu.Lock()
+	delay := s.linkDelay
+	s.mu.Unlock()
+	if delay > 0 {
+		transport.Pause(ctx, delay)
 	}
 }
 
-// net is the network of a machine's zone.
-func (w *Simulation) net(machine wire.CloudMachine) transport.Net {
-	if n := w.ZoneNets[machine.Zone]; n != nil {
+// zoneNet returns the network of a machine's zone.
+func (s *Simulation) zoneNet(machine wire.CloudMachine) transport.Net {
+	if n := s.ZoneNets[machine.Zone]; n != nil {
 		return n
 	}
-	return w.Net
+	return s.Net
 }
 
-func (w *Simulation) client(machine wire.CloudMachine) *http.Client {
-	return transport.Client(w.net(machine), 1, 2, time.Second)
+func (s *Simulation) client(machine wire.CloudMachine) *http.Client {
+	return transport.Client(s.zoneNet(machine), 1, 2, time.Second)
 }
 
-// node is the index of the named node; -1 if there is none.
-func (w *Simulation) node(name string) int {
-	for i, n := range w.Nodes {
+// indexOfNode returns the index of the named node in Nodes; -1 if there is none.
+func (s *Simulation) indexOfNode(name string) int {
+	for i, n := range s.Nodes {
 		if n.Name == name {
 			return i
 		}
@@ -117,76 +120,79 @@
 	return -1
 }
 
-// Starts counts the tasks started.
-func (w *Simulation) Starts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.starts
+// StartCount returns how many times a task has started. Each attempt at a task counts.
+func (s *Simulation) StartCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startCount
 }
 
-// StartsAfterCancel counts the starts after a confirmed cancellation.
-func (w *Simulation) StartsAfterCancel() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.startsAfterCancel
+// StartsAfterCancelCount returns how many times a task has started after its job was reported as
+// cancelled to a user.
+func (s *Simulation) StartsAfterCancelCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startsAfterCancelCount
 }
 
-// RepeatedAttempts counts the attempts that started more than once, which only a start that
-// was executed again after the attempt was cleared can bring about.
-func (w *Simulation) RepeatedAttempts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.repeatedAttempts
+// RepeatedAttemptCount returns how many starts were of an attempt that had started before. This
+// happens only if a worker executes a start command again after the command to forget the
+// attempt.
+func (s *Simulation) RepeatedAttemptCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.repeatedAttemptCount
 }
 
-// AssignedNode names the node to which a worker sends its heartbeats.
-func (w *Simulation) AssignedNode(k *Worker) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Nodes[k.nodeIndex%len(w.Nodes)].Name
+// AssignedNode returns the name of the node to which a worker sends its heartbeats.
+func (s *Simulation) AssignedNode(worker *Worker) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Nodes[worker.nodeIndex%len(s.Nodes)].Name
 }
 
-// SetReplicaExit sets what decides whether a replica of a service exits by itself, and how
-// long after its start. It is called with the simulation's lock held.
-func (w *Simulation) SetReplicaExit(f func(job *wire.Job, task int) (after time.Duration, exits bool)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.replicaExit = f
+// SetReplicaExit sets the function that decides whether a replica of a service exits by itself,
+// and how long after its start. The function is called with the simulation's lock held.
+func (s *Simulation) SetReplicaExit(f func(job *wire.Job, task int) (after time.Duration, exits bool)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replicaExit = f
 }
 
-// Replicas counts the tasks of a job that are on machines.
-func (w *Simulation) Replicas(id string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.expireLeases()
-	state := w.jobs[id]
+// ReplicaCount returns how many tasks of a job are on machines. A task that is on two machines
+// counts twice.
+func (s *Simulation) ReplicaCount(id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	state := s.jobs[id]
 	if state == nil {
 		return 0
 	}
-	n := 0
+	count := 0
 	for i := range state.job.TaskCount {
-		n += len(w.running[wire.TaskName(id, i)])
+		count += len(s.tasksOnMachines[wire.TaskName(id, i)])
 	}
-	return n
+	return count
 }
 
-// Running counts the tasks on machines.
-func (w *Simulation) Running() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.expireLeases()
-	return len(w.running)
+// TasksOnMachines returns how many different tasks are on machines.
+func (s *Simulation) TasksOnMachines() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	return len(s.tasksOnMachines)
 }
 
-// Used is what a team's tasks use.
-func (w *Simulation) Used(team string) (cpus, gpus float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.used(team)
+// TeamUsage returns the numbers of CPUs and GPUs that a team's tasks use.
+func (s *Simulation) TeamUsage(team string) (cpus, gpus float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.teamUsage(team)
 }
 
-func (w *Simulation) used(team string) (cpus, gpus float64) {
-	for _, workers := range w.running {
+func (s *Simulation) teamUsage(team string) (cpus, gpus float64) {
+	for _, workers := range s.tasksOnMachines {
 		for _, t := range workers {
 			if t.job.Team == team {
 				cpus += t.job.CPUs
@@ -197,13 +203,13 @@
 	return cpus, gpus
 }
 
-// FirstStart is when a job's first task started.
-func (w *Simulation) FirstStart(id string) (time.Time, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
-	if state == nil || state.firstStart.IsZero() {
+// FirstStartTime returns when the first task of a job started; false if none has started.
+func (s *Simulation) FirstStartTime(id string) (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
+	if state == nil || state.firstStartAt.IsZero() {
 		return time.Time{}, false
 	}
-	return state.firstStart, true
+	return state.firstStartAt, true
 }
