--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,11 +104,11 @@
 	settings *config.Settings, tunables tuning.Tuning, network transport.Net, limits config.StoreLimits,
 ) *kvstore.Client {
 	return kvstore.New(kvstore.Options{
-		Net:       network,
-		Addr:      settings.Endpoints.Store,
-		Timeout:   tuning.Seconds(tunables.StateTimeoutS),
-		ReadRate:  limits.RequestsPerS,
-		WriteRate: limits.WritesPerS,
+		Net:         network,
+		Addr:        settings.Endpoints.Store,
+		Timeout:     tuning.Seconds(tunables.StateTimeoutS),
+		RequestRate: limits.RequestsPerS,
+		WriteRate:   limits.WritesPerS,
 	})
 }
 
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -273,11 +273,11 @@
 }
 
 func lateHeartbeatScenarios() []faultScenario {
-	late := func(at, length time.Duration, share float64, delay time.Duration) emulator.Fault {
-		return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.LateHeartbeats, Probability: share, Delay: delay}
+	late := func(at, duration time.Duration, share float64, delay time.Duration) emulator.Fault {
+		return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.LateHeartbeats, Probability: share, Delay: delay}
 	}
-	forNextOwner := func(at, length, delay time.Duration) emulator.Fault {
-		return emulator.Fault{Start: at, ActiveFor: length, Kind: emulator.HeartbeatsForNextOwner, Delay: delay}
+	forNextOwner := func(at, duration, delay time.Duration) emulator.Fault {
+		return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.HeartbeatsForNextOwner, Delay: delay}
 	}
 	return []faultScenario{
 		// The next owner receives each machine's first heartbeat, which lists no task. The
@@ -477,7 +477,7 @@
 			},
 		},
 		{
-			name:   "four one-task jobs per second, a quarter cancelled",
+			name:   "four one-task jobs per second, one in five cancelled",
 			seed:   83,
 			submit: submitJobStream(480, 1, 2, 250*time.Millisecond, 5),
 			check:  expectNoRecordsOfFinishedJobs,
