--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -108,8 +108,8 @@
 // missedCancellationScenarios returns the scenarios in which the owner stays in contact with the
 // store but does not learn of cancellations.
 func missedCancellationScenarios() []faultScenario {
-	watchesStalled := emulator.Fault{At: 40 * second, For: 80 * second, Kind: emulator.WatchesStalled}
-	listsRefused := emulator.Fault{At: 40 * second, For: 80 * second, Kind: emulator.ListsRefused}
+	watchesStalled := emulator.Fault{Start: 40 * second, ActiveFor: 80 * second, Kind: emulator.WatchesStalled}
+	listsRefused := emulator.Fault{Start: 40 * second, ActiveFor: 80 * second, Kind: emulator.ListsRefused}
 	cancellations := cancelJobsFault(41*second, 5)
 	return []faultScenario{
 		{
@@ -274,10 +274,10 @@
 
 func lateHeartbeatScenarios() []faultScenario {
 	late := func(at, duration time.Duration, share float64, delay time.Duration) emulator.Fault {
-		return emulator.Fault{At: at, For: duration, Kind: emulator.LateHeartbeats, Share: share, Wait: delay}
+		return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.LateHeartbeats, Probability: share, Delay: delay}
 	}
 	forNextOwner := func(at, duration, delay time.Duration) emulator.Fault {
-		return emulator.Fault{At: at, For: duration, Kind: emulator.HeartbeatsForNextOwner, Wait: delay}
+		return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.HeartbeatsForNextOwner, Delay: delay}
 	}
 	return []faultScenario{
 		// The next owner receives each machine's first heartbeat, which lists no task. The
@@ -330,7 +330,7 @@
 }
 
 func lateCommandScenarios() []faultScenario {
-	delayed := emulator.Fault{At: 42 * second, For: 50 * second, Kind: emulator.DelayedCommands, Wait: 9 * second}
+	delayed := emulator.Fault{Start: 42 * second, ActiveFor: 50 * second, Kind: emulator.DelayedCommands, Delay: 9 * second}
 	return []faultScenario{
 		{
 			name:        "commands are delayed",
@@ -377,7 +377,7 @@
 	bootWithinTwoSeconds := func(cluster *simulatedCluster) {
 		cluster.cloud.BootTime = func(wire.MachineType) time.Duration { return 1500 * time.Millisecond }
 	}
-	lostResponses := emulator.Fault{At: 10 * second, For: 50 * second, Kind: emulator.LostResponses, Share: 0.4}
+	lostResponses := emulator.Fault{Start: 10 * second, ActiveFor: 50 * second, Kind: emulator.LostResponses, Probability: 0.4}
 	// Machines are lost and their records deleted while the next owner loads its partition.
 	slowFailovers := append(periodicMachineLosses(500*time.Millisecond, 28*second, 16),
 		slowStoreFault(3*second, 60*second, 600*time.Millisecond),
@@ -422,7 +422,7 @@
 	var script []emulator.Fault
 	for _, at := range times {
 		late := nodeFault(emulator.LateCommits, at-5*second, 5*second, ownerNode)
-		late.Share = 1
+		late.Probability = 1
 		script = append(script,
 			late,
 			machineFault(emulator.MachineHang, at, 9*second, 7),
--- a/internal/controller/scenario_faults_test.go
+++ b/internal/controller/scenario_faults_test.go
@@ -8,11 +8,11 @@
 	"ambersill/internal/emulator"
 )
 
-// Sets of nodes that a fault can affect. emulator.Owner and emulator.Others are resolved when the
-// fault begins.
+// Sets of nodes that a fault can affect. emulator.FirstPartitionOwner and emulator.NonOwnerNodes
+// are resolved when the fault begins.
 var (
-	ownerNode  = []int{emulator.Owner}
-	otherNodes = []int{emulator.Others}
+	ownerNode  = []int{emulator.FirstPartitionOwner}
+	otherNodes = []int{emulator.NonOwnerNodes}
 	allNodes   = []int{0, 1, 2}
 )
 
@@ -20,27 +20,27 @@
 const allTargets = 0
 
 func crashFault(at time.Duration, nodes []int, downtime time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.ControllerCrash, Nodes: nodes, Wait: downtime}
+	return emulator.Fault{Start: at, Kind: emulator.ControllerCrash, Nodes: nodes, Delay: downtime}
 }
 
 func cancelJobsFault(at time.Duration, jobs int) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.CancelRunningJobs, Count: jobs}
+	return emulator.Fault{Start: at, Kind: emulator.CancelRunningJobs, MaxTargets: jobs}
 }
 
 func storeOutageFault(at, duration time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: duration, Kind: emulator.StoreOutage}
+	return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.StoreOutage}
 }
 
 func slowStoreFault(at, duration, delay time.Duration) emulator.Fault {
-	return emulator.Fault{At: at, For: duration, Kind: emulator.StoreSlow, Wait: delay}
+	return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.StoreSlow, Delay: delay}
 }
 
 func nodeFault(kind emulator.FaultKind, at, duration time.Duration, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: duration, Kind: kind, Nodes: nodes}
+	return emulator.Fault{Start: at, ActiveFor: duration, Kind: kind, Nodes: nodes}
 }
 
 func machineFault(kind emulator.FaultKind, at, duration time.Duration, machines int) emulator.Fault {
-	return emulator.Fault{At: at, For: duration, Kind: kind, Count: machines}
+	return emulator.Fault{Start: at, ActiveFor: duration, Kind: kind, MaxTargets: machines}
 }
 
 // limitedToTeam restricts a machine fault to machines that run tasks of the team.
@@ -52,13 +52,13 @@
 // zoneCutFault disconnects the workers of a zone, together with the given nodes, from all other
 // hosts.
 func zoneCutFault(at, duration time.Duration, zone string, nodes []int) emulator.Fault {
-	return emulator.Fault{At: at, For: duration, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
+	return emulator.Fault{Start: at, ActiveFor: duration, Kind: emulator.ZoneCut, Zone: zone, Nodes: nodes}
 }
 
 // machineLossFault makes the cloud remove machines of the zone without notice, or of any zone if
 // zone is "".
 func machineLossFault(at time.Duration, machines int, zone string) emulator.Fault {
-	return emulator.Fault{At: at, Kind: emulator.MachineLost, Count: machines, Zone: zone}
+	return emulator.Fault{Start: at, Kind: emulator.MachineLost, MaxTargets: machines, Zone: zone}
 }
 
 // submitLongJobs returns a function that submits jobs whose tasks run for 200 s, until after the
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -7,55 +7,57 @@
 	"time"
 )
 
-// Names of the hosts that links are cut between, besides those of the nodes.
+// Names of the hosts that are not nodes and whose links faults cut.
 const (
 	storeHost         = "state"
 	cloudHost         = "cloud"
-	workersHostPrefix = "workers-" // followed by the zone
+	workersHostPrefix = "workers-" // followed by the zone name
 )
 
-// crashControllers kills the nodes' controllers, and starts each again after the fault's Wait.
+// crashControllers kills the nodes' controllers, and restarts each after the fault's Delay. It does
+// not wait for the restarts.
 func (f *FaultInjector) crashControllers(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.countInjected(fault.Kind, 1)
-		f.Crash(node)
+		f.CrashController(node)
 		f.wg.Go(func() {
 			select {
-			case <-time.After(fault.Wait):
-				f.Start(node)
+			case <-time.After(fault.Delay):
+				f.StartController(node)
 			case <-ctx.Done():
 			}
 		})
 	}
 }
 
-// slowProcessors has each message that the nodes send or receive take the fault's Wait.
+// slowProcessors makes each message that the nodes send or receive occupy their processor for the
+// fault's Delay.
 func (f *FaultInjector) slowProcessors(ctx context.Context, fault Fault) {
-	f.strikeNodes(fault, func(name string) {
-		f.Network.SetMessageCost(name, fault.Wait)
+	f.applyToNodes(fault, func(name string) {
+		f.Network.SetMessageCost(name, fault.Delay)
 		waitUntilOver(ctx, fault)
 		f.Network.SetMessageCost(name, 0)
 	})
 }
 
-// freezeNodes has the nodes send and receive nothing.
+// freezeNodes stops the nodes from sending and receiving until the fault is over.
 func (f *FaultInjector) freezeNodes(ctx context.Context, fault Fault) {
-	f.strikeNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.For) })
+	f.applyToNodes(fault, func(name string) { f.Network.Freeze(ctx, name, fault.ActiveFor) })
 }
 
-// strikeNodes calls a function for each of the fault's nodes at the same time, and returns when
-// all calls have returned.
-func (f *FaultInjector) strikeNodes(fault Fault, strike func(name string)) {
-	var struck sync.WaitGroup
+// applyToNodes calls apply concurrently with the name of each of the fault's nodes, and returns
+// when all calls have returned.
+func (f *FaultInjector) applyToNodes(fault Fault, apply func(name string)) {
+	var calls sync.WaitGroup
 	for _, node := range fault.Nodes {
 		name := f.Nodes[node].Name
 		f.countInjected(fault.Kind, 1)
-		struck.Go(func() { strike(name) })
+		calls.Go(func() { apply(name) })
 	}
-	struck.Wait()
+	calls.Wait()
 }
 
-// cutLinks cuts links for as long as the fault lasts.
+// cutLinks cuts the links that a fault affects, and restores them when the fault is over.
 func (f *FaultInjector) cutLinks(ctx context.Context, fault Fault) {
 	f.countInjected(fault.Kind, 1)
 	f.setLinksCut(fault, true)
@@ -63,44 +65,44 @@
 	f.setLinksCut(fault, false)
 }
 
-// setLinksCut cuts the links that a fault concerns, or restores them.
+// setLinksCut cuts or restores the links that a fault affects.
 func (f *FaultInjector) setLinksCut(fault Fault, cut bool) {
-	inside := f.nodeNames(fault.Nodes)
-	for name := range inside {
-		for _, host := range f.hostsCutFrom(name, inside, fault) {
-			f.Network.Cut(name, host, cut)
+	faultNodes := f.nodeNames(fault.Nodes)
+	for name := range faultNodes {
+		for _, host := range f.hostsCutFrom(name, faultNodes, fault) {
+			f.Network.SetLinkCut(name, host, cut)
 		}
 	}
 	if fault.Kind != ZoneCut {
 		return
 	}
-	for _, host := range f.nodesOutside(inside) {
-		f.Network.Cut(workersHostPrefix+fault.Zone, host, cut)
+	for _, host := range f.nodeNamesExcept(faultNodes) {
+		f.Network.SetLinkCut(workersHostPrefix+fault.Zone, host, cut)
 	}
 }
 
-// hostsCutFrom lists the hosts that a fault cuts a node off from. inside are all nodes that the
-// fault names.
-func (f *FaultInjector) hostsCutFrom(name string, inside map[string]bool, fault Fault) []string {
-	others := f.nodesOutside(map[string]bool{name: true})
+// hostsCutFrom returns the names of the hosts that a fault cuts the named node off from.
+// faultNodes are the names of all nodes that the fault affects.
+func (f *FaultInjector) hostsCutFrom(name string, faultNodes map[string]bool, fault Fault) []string {
+	others := f.nodeNamesExcept(map[string]bool{name: true})
 	switch fault.Kind {
 	case NodeIsolated:
 		return append([]string{storeHost}, others...)
 	case PeersCut:
 		return others
 	case WorkersCut:
-		return f.workersOutside("")
+		return f.workerHostsExcept("")
 	case CloudCut:
 		return []string{cloudHost}
 	case ZoneCut:
-		hosts := append([]string{storeHost, cloudHost}, f.workersOutside(fault.Zone)...)
-		return append(hosts, f.nodesOutside(inside)...)
+		hosts := append([]string{storeHost, cloudHost}, f.workerHostsExcept(fault.Zone)...)
+		return append(hosts, f.nodeNamesExcept(faultNodes)...)
 	default:
-		panic(fmt.Sprintf("emulator: %q cuts no links", fault.Kind))
+		panic(fmt.Sprintf("emulator: fault kind %q cuts no links", fault.Kind))
 	}
 }
 
-// nodeNames returns the set of the nodes' names.
+// nodeNames returns the names of the nodes at the given indexes as a set.
 func (f *FaultInjector) nodeNames(nodes []int) map[string]bool {
 	names := map[string]bool{}
 	for _, node := range nodes {
@@ -109,23 +111,24 @@
 	return names
 }
 
-// nodesOutside lists the nodes that are not in a set, by name.
-func (f *FaultInjector) nodesOutside(inside map[string]bool) []string {
+// nodeNamesExcept returns the names of all nodes that are not in the excluded set.
+func (f *FaultInjector) nodeNamesExcept(excluded map[string]bool) []string {
 	var names []string
 	for _, node := range f.Nodes {
-		if !inside[node.Name] {
+		if !excluded[node.Name] {
 			names = append(names, node.Name)
 		}
 	}
 	return names
 }
 
-// workersOutside lists the workers' hosts of all zones but one; "" leaves out none.
-func (f *FaultInjector) workersOutside(zone string) []string {
+// workerHostsExcept returns the names of the workers' hosts of all zones except the excluded one,
+// or of all zones if excluded is "".
+func (f *FaultInjector) workerHostsExcept(excluded string) []string {
 	var hosts []string
-	for other := range f.Simulation.ZoneNets {
-		if other != zone {
-			hosts = append(hosts, workersHostPrefix+other)
+	for zone := range f.Simulation.ZoneNets {
+		if zone != excluded {
+			hosts = append(hosts, workersHostPrefix+zone)
 		}
 	}
 	return hosts
