--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -69,12 +69,12 @@
 type Plan struct {
 	// TargetMachines is the target number of machines by machine type.
 	TargetMachines map[string]int
-	// BookedMachines is the capacity in use by machine type, in machines. Unused types are
+	// AllocatedMachines is the capacity in use by machine type, in machines. Unused types are
 	// omitted.
-	BookedMachines map[string]float64
-	Rentals        []Rental
-	Reassignments  []Reassignment
-	Returns        []string // IDs of the machines to return to the cloud
+	AllocatedMachines map[string]float64
+	Rentals           []Rental
+	Reassignments     []Reassignment
+	Returns           []string // IDs of the machines to return to the cloud
 }
 
 // Autoscaler sizes the rented fleet. It is not safe for concurrent use.
@@ -103,19 +103,19 @@
 	for _, demand := range waitingDemands(input.Summaries) {
 		builder.placeDemand(demand)
 	}
-	booked := sumBookedCapacity(input.Summaries)
-	builder.plan.BookedMachines = booked.machinesByType()
+	allocated := sumAllocatedCapacity(input.Summaries)
+	builder.plan.AllocatedMachines = allocated.machinesByType()
 	for _, machineType := range input.MachineTypes {
-		a.sizeType(builder, machineType, booked, now)
+		a.sizeType(builder, machineType, allocated, now)
 	}
 	return builder.plan
 }
 
 // sizeType sets the target of one machine type and plans the rentals and returns to reach it.
-func (a *Autoscaler) sizeType(builder *planBuilder, machineType wire.MachineType, booked bookedCapacity, now time.Time) {
+func (a *Autoscaler) sizeType(builder *planBuilder, machineType wire.MachineType, allocated allocatedCapacity, now time.Time) {
 	fleet := builder.fleetCountsOf(machineType.Name)
-	typeBooked := booked.byType[machineType.Name]
-	target := a.inFlightTerm(typeBooked.machines)
+	typeAllocated := allocated.byType[machineType.Name]
+	target := a.inFlightTerm(typeAllocated.machines)
 	if fleet.planned > 0 {
 		target = max(target, fleet.machines+fleet.planned)
 	}
@@ -123,18 +123,18 @@
 	if missing := target - fleet.machines - fleet.planned; missing > 0 {
 		// On-demand machines are rented if the existing ones do not cover the capacity
 		// in use by jobs that do not allow spot instances.
-		spot := typeBooked.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
-		builder.rentInZoneWithFewest(machineType, spot, booked.busiestPartition, missing)
+		spot := typeAllocated.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
+		builder.rentInZoneWithFewest(machineType, spot, allocated.busiestPartition, missing)
 	}
 	surplus := machineSurplus{
 		total:    fleet.machines - target,
-		onDemand: fleet.onDemand - a.inFlightTerm(typeBooked.onDemand),
+		onDemand: fleet.onDemand - a.inFlightTerm(typeAllocated.onDemand),
 	}
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
 // inFlightTerm returns ceil(booked / InFlightTarget), where booked is the capacity in use, in
 // machines. Epsilon is subtracted so that a rounding error does not add a machine.
-func (a *Autoscaler) inFlightTerm(booked float64) int {
-	return int(math.Ceil(booked/a.tuning.InFlightTarget - resource.Epsilon))
+func (a *Autoscaler) inFlightTerm(allocated float64) int {
+	return int(math.Ceil(allocated/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -43,12 +43,12 @@
 	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Running: true}
 }
 
-// gpuFleet is a fleet of GPU machines and its load: booked capacity, and waiting tasks of
+// gpuFleet is a fleet of GPU machines and its load: allocated capacity, and waiting tasks of
 // which each takes a fraction of a machine.
 type gpuFleet struct {
 	machines        int
 	booting         int     // how many of the machines are booting
-	booked          float64 // capacity in use, in machines
+	allocated       float64 // capacity in use, in machines
 	tasksPerMachine int
 	waitingTasks    int
 }
@@ -60,7 +60,7 @@
 	return gpuFleet{
 		machines:        machines,
 		booting:         booting,
-		booked:          rapid.Float64Range(0, float64(machines-booting)).Draw(t, "booked"),
+		allocated:       rapid.Float64Range(0, float64(machines-booting)).Draw(t, "allocated"),
 		tasksPerMachine: rapid.SampledFrom([]int{1, 2, 4}).Draw(t, "tasks in a machine"),
 		waitingTasks:    rapid.IntRange(0, 20).Draw(t, "waiting"),
 	}
@@ -69,8 +69,8 @@
 // input returns the fleet as the leader passes it to the autoscaler.
 func (f gpuFleet) input() Input {
 	summary := records.PartitionSummary{
-		BookedMachines: map[string]float64{"gpu": f.booked},
-		BookedOnDemand: map[string]float64{"gpu": f.booked},
+		AllocatedMachines: map[string]float64{"gpu": f.allocated},
+		AllocatedOnDemand: map[string]float64{"gpu": f.allocated},
 	}
 	if f.waitingTasks > 0 {
 		summary.Waiting = []records.Demand{{
@@ -97,7 +97,7 @@
 
 // target computes the target number of machines from the in-flight term and the queue term.
 func (f gpuFleet) target(inFlightTarget float64) int {
-	target := int(math.Ceil(f.booked/inFlightTarget - 1e-6))
+	target := int(math.Ceil(f.allocated/inFlightTarget - 1e-6))
 	neededByQueue := (f.waitingTasks + f.tasksPerMachine - 1) / f.tasksPerMachine
 	if missing := neededByQueue - f.booting; missing > 0 {
 		target = max(target, f.machines+missing)
@@ -192,19 +192,19 @@
 		{ID: "demand-2", Offering: onDemand, Empty: true, Running: true},
 	}
 	for _, test := range []struct {
-		name           string
-		booked         float64
-		bookedOnDemand float64
-		want           []string
+		name              string
+		allocated         float64
+		allocatedOnDemand float64
+		want              []string
 	}{
-		{name: "nothing booked", want: []string{"demand-1", "demand-2", "spot-1"}},
-		{name: "spot work booked", booked: 1, want: []string{"demand-1", "demand-2"}},
-		{name: "on-demand work booked", booked: 1, bookedOnDemand: 1, want: []string{"demand-1", "spot-1"}},
+		{name: "nothing allocated", want: []string{"demand-1", "demand-2", "spot-1"}},
+		{name: "spot work allocated", allocated: 1, want: []string{"demand-1", "demand-2"}},
+		{name: "on-demand work allocated", allocated: 1, allocatedOnDemand: 1, want: []string{"demand-1", "spot-1"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			summary := records.PartitionSummary{
-				BookedMachines: map[string]float64{"cpu": test.booked},
-				BookedOnDemand: map[string]float64{"cpu": test.bookedOnDemand},
+				AllocatedMachines: map[string]float64{"cpu": test.allocated},
+				AllocatedOnDemand: map[string]float64{"cpu": test.allocatedOnDemand},
 			}
 			plan := planAfterLastingSurplus(Input{
 				MachineTypes: testTypes,
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -46,47 +46,47 @@
 	return max(1, int(math.Ceil(slots)))
 }
 
-// bookedTypeCapacity is the capacity of one machine type that is in use, in machines.
-type bookedTypeCapacity struct {
+// allocatedTypeCapacity is the capacity of one machine type that is in use, in machines.
+type allocatedTypeCapacity struct {
 	machines float64
 	onDemand float64 // the part in use by jobs that do not allow spot instances
 }
 
-// bookedCapacity is the sum of the capacity in use in all partitions.
-type bookedCapacity struct {
-	byType           map[string]bookedTypeCapacity
+// allocatedCapacity is the sum of the capacity in use in all partitions.
+type allocatedCapacity struct {
+	byType           map[string]allocatedTypeCapacity
 	busiestPartition int // the partition with the most capacity in use
 }
 
-// sumBookedCapacity adds up the capacity in use in all partitions, in ascending order of their
+// sumAllocatedCapacity adds up the capacity in use in all partitions, in ascending order of their
 // numbers so that the floating-point sums are deterministic.
-func sumBookedCapacity(summaries map[int]records.PartitionSummary) bookedCapacity {
-	booked := bookedCapacity{byType: map[string]bookedTypeCapacity{}}
+func sumAllocatedCapacity(summaries map[int]records.PartitionSummary) allocatedCapacity {
+	allocated := allocatedCapacity{byType: map[string]allocatedTypeCapacity{}}
 	most := -1.0 // below the total of a partition with nothing in use
 	for _, partition := range sortedPartitions(summaries) {
 		summary := summaries[partition]
 		total := 0.0
-		for name, machines := range summary.BookedMachines {
-			use := booked.byType[name]
+		for name, machines := range summary.AllocatedMachines {
+			use := allocated.byType[name]
 			use.machines += machines
-			booked.byType[name] = use
+			allocated.byType[name] = use
 			total += machines
 		}
-		for name, machines := range summary.BookedOnDemand {
-			use := booked.byType[name]
+		for name, machines := range summary.AllocatedOnDemand {
+			use := allocated.byType[name]
 			use.onDemand += machines
-			booked.byType[name] = use
+			allocated.byType[name] = use
 		}
 		if total > most {
-			booked.busiestPartition, most = partition, total
+			allocated.busiestPartition, most = partition, total
 		}
 	}
-	return booked
+	return allocated
 }
 
 // machinesByType returns the capacity in use by machine type, in machines. Unused types are
 // omitted.
-func (b bookedCapacity) machinesByType() map[string]float64 {
+func (b allocatedCapacity) machinesByType() map[string]float64 {
 	machines := make(map[string]float64, len(b.byType))
 	for name, use := range b.byType {
 		if use.machines > 0 {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -42,7 +42,7 @@
 	WorkerTiming    WorkerTiming  `toml:"workers"`
 	Store           Store         `toml:"state"`
 	Cloud           Cloud         `toml:"cloud"`
-	Limits          MachineLimits `toml:"machine_limits"`
+	MachineLimits   MachineLimits `toml:"machine_limits"`
 }
 
 // Team is the quota of a team: the guaranteed and the maximum amounts of CPUs and GPUs. A guarantee
@@ -88,7 +88,7 @@
 
 // MachineLimits has the resource limits of the machine that the controller runs on.
 type MachineLimits struct {
-	CPU        float64 `toml:"cpu"`         // CPU cores
+	CPUs       float64 `toml:"cpu"`         // CPU cores
 	MemoryMiB  float64 `toml:"ram_mb"`      // memory, in MiB
 	MaxSockets int     `toml:"max_sockets"` // maximum number of open sockets
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
-	"ambersill/internal/agentclient"
 	"ambersill/internal/scheduler"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
+	"ambersill/internal/workerclient"
 )
 
 // sendCommands sends commands to start and stop tasks to workers without waiting for their next
@@ -18,9 +18,9 @@
 // tasks, it only sends commands that stop the tasks of cancelled jobs. These are correct even
 // if another node owns the partition by now.
 func (o *ownedPartition) sendCommands(ctx context.Context) {
-	mayStart := o.mayStartTasks()
+	cancellationsFresh := o.mayStartTasks()
 	o.mu.Lock()
-	ids := o.partition.MachinesAwaitingCommands(mayStart)
+	ids := o.partition.MachinesAwaitingCommands(cancellationsFresh)
 	o.mu.Unlock()
 	for _, id := range ids {
 		o.startRequest(ctx, id, o.sendCommandsTo)
@@ -56,9 +56,9 @@
 // sendCommandsTo sends the pending commands of a machine to its worker, and reports whether the
 // worker has executed them. It returns true if there is nothing to send.
 func (o *ownedPartition) sendCommandsTo(ctx context.Context, id, address string) (executed bool) {
-	mayStart := o.mayStartTasks()
+	cancellationsFresh := o.mayStartTasks()
 	o.mu.Lock()
-	request, ok := o.partition.DirectCommands(id, mayStart)
+	request, ok := o.partition.DirectCommands(id, cancellationsFresh)
 	o.mu.Unlock()
 	if !ok {
 		return true
@@ -76,7 +76,7 @@
 	switch {
 	case executed:
 		return scheduler.CommandsExecuted
-	case err == nil, errors.Is(err, agentclient.ErrNotSent):
+	case err == nil, errors.Is(err, workerclient.ErrNotSent):
 		return scheduler.CommandsNotExecuted
 	default:
 		return scheduler.CommandsUnknown
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,6 @@
 	"sync"
 	"time"
 
-	"ambersill/internal/agentclient"
 	"ambersill/internal/cloud"
 	"ambersill/internal/config"
 	"ambersill/internal/kvstore"
@@ -19,6 +18,7 @@
 	"ambersill/internal/transport"
 	"ambersill/internal/tuning"
 	"ambersill/internal/wire"
+	"ambersill/internal/workerclient"
 )
 
 // Controller is one node of the control plane.
@@ -37,7 +37,7 @@
 	net     transport.Net
 	store   *kvstore.Client
 	cloud   *cloud.Client
-	workers *agentclient.Client
+	workers *workerclient.Client
 
 	// Clients of the other nodes, by node name. The maps do not change after New.
 	peers map[string]*peerrpc.Peer
@@ -75,14 +75,14 @@
 		net:     network,
 		store:   newStoreClient(settings, tunables, network, limits),
 		cloud:   cloud.New(network, settings.Endpoints.Cloud, settings.Cluster.Cloud.RequestsPerS),
-		workers: agentclient.New(network, tuning.Seconds(settings.Cluster.WorkerTiming.HeartbeatIntervalS)),
+		workers: workerclient.New(network, tuning.Seconds(settings.Cluster.WorkerTiming.HeartbeatIntervalS)),
 
 		peers:      map[string]*peerrpc.Peer{},
 		forwarders: map[string]*forwarder{},
 
 		cluster:           newClusterCache(),
 		finalJobs:         newFinalJobCache(tunables.FinalCache),
-		commandSlots:      newCommandSlots(settings.Cluster.Limits.MaxSockets),
+		commandSlots:      newCommandSlots(settings.Cluster.MachineLimits.MaxSockets),
 		announcementSlots: make(chan struct{}, maxAnnouncements),
 
 		owned:          map[int]*ownedPartition{},
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -70,7 +70,7 @@
 		cancel:                cancel,
 		cycleRequests:         make(chan struct{}, 1),
 		summary:               newSummaryWriter(),
-		loggedPermissions:     ownerPermissions{canStartTasks: true, canAnswerHeartbeats: true},
+		loggedPermissions:     ownerPermissions{mayStartTasks: true, mayAnswerHeartbeats: true},
 		pendingMachineChanges: map[string]machineChange{},
 	}
 }
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -61,5 +61,5 @@
 // commands to workers, but at least minPublicSockets.
 func (c *Controller) publicSockets() int {
 	reserved := tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
-	return max(c.settings.Cluster.Limits.MaxSockets-reserved, minPublicSockets)
+	return max(c.settings.Cluster.MachineLimits.MaxSockets-reserved, minPublicSockets)
 }
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -53,7 +53,7 @@
 		Summaries:      l.summaries,
 		Unavailable:    l.unavailableOfferings(now),
 	}, now)
-	slog.Debug("fleet size planned", "target", plan.TargetMachines, "booked", plan.BookedMachines,
+	slog.Debug("fleet size planned", "target", plan.TargetMachines, "booked", plan.AllocatedMachines,
 		"rentals", plan.Rentals, "reassignments", plan.Reassignments, "returns", plan.Returns,
 		"machines", len(ids))
 	l.recordRentals(ctx, plan.Rentals)
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -89,14 +89,14 @@
 	o.mu.Lock()
 	summary := o.partition.Summary(time.Now())
 	o.mu.Unlock()
-	valueKB := o.controller.limits.MaxValueKiB
+	maxValueKiB := o.controller.limits.MaxValueKiB
 	values := map[string]any{}
-	digests := summary.SplitMachineDigests(valueKB)
+	digests := summary.SplitMachineDigests(maxValueKiB)
 	for i, digest := range digests {
 		values[records.MachineDigestsKey(o.index, i)] = digest
 	}
 	summary.DigestRecordCount = len(digests)
-	overflow := summary.SplitOverflowDemand(valueKB)
+	overflow := summary.SplitOverflowDemand(maxValueKiB)
 	for i, waiting := range overflow {
 		values[records.OverflowDemandKey(o.index, i)] = waiting
 	}
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -75,10 +75,10 @@
 const machineOverheadBytes = 150
 
 // MachinesPerGroup returns how many machines of a type and zone fit into a group's record of at
-// most valueKB KiB. The result is at least 1.
-func MachinesPerGroup(valueKB float64, machineType, zone string) int {
+// most maxValueKiB KiB. The result is at least 1.
+func MachinesPerGroup(maxValueKiB float64, machineType, zone string) int {
 	record := MachineRecord{MachineType: machineType, Zone: zone}
-	return max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/record.SizeBound())
+	return max(1, int(maxValueKiB*bytesPerKiB-collectionOverheadBytes)/record.SizeBound())
 }
 
 // SizeBound returns an upper bound of the machine's size in its group, in bytes.
--- a/internal/records/size.go
+++ b/internal/records/size.go
@@ -11,8 +11,8 @@
 // bytesPerKiB converts the limits in the settings, which are in KiB, to bytes.
 const bytesPerKiB = 1024
 
-// MaxValueBytes returns the maximum size of a value in bytes for a limit of valueKB KiB.
-func MaxValueBytes(valueKB float64) int { return int(valueKB * bytesPerKiB) }
+// MaxValueBytes returns the maximum size of a value in bytes for a limit of maxValueKiB KiB.
+func MaxValueBytes(maxValueKiB float64) int { return int(maxValueKiB * bytesPerKiB) }
 
 // Upper bounds of sizes in bytes. The key-value store measures a value by its length as JSON.
 const (
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -11,11 +11,11 @@
 // PartitionSummary is the state of a partition that the leader needs to size the fleet. It is
 // written by the partition's owner.
 type PartitionSummary struct {
-	// BookedMachines is the capacity in use by machine type, in machines.
-	BookedMachines map[string]float64 `cbor:"booked"`
-	// BookedOnDemand is the part of BookedMachines that is in use by jobs that do not allow
+	// AllocatedMachines is the capacity in use by machine type, in machines.
+	AllocatedMachines map[string]float64 `cbor:"booked"`
+	// AllocatedOnDemand is the part of BookedMachines that is in use by jobs that do not allow
 	// spot instances.
-	BookedOnDemand map[string]float64 `cbor:"firm"`
+	AllocatedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
 	// MachineDigests contains the digests with at least one flag set, by machine ID. They are
@@ -101,10 +101,10 @@
 }
 
 // SplitOverflowDemand keeps the first demands in Waiting, as many as fit into the summary's record,
-// and returns the others, divided into overflow records. valueKB is the maximum size of a value
+// and returns the others, divided into overflow records. maxValueKiB is the maximum size of a value
 // in KiB.
-func (s *PartitionSummary) SplitOverflowDemand(valueKB float64) [][]Demand {
-	limit := MaxValueBytes(valueKB)
+func (s *PartitionSummary) SplitOverflowDemand(maxValueKiB float64) [][]Demand {
+	limit := MaxValueBytes(maxValueKiB)
 	all := s.Waiting
 	s.Waiting = nil
 	var overflow [][]Demand
@@ -127,14 +127,14 @@
 }
 
 // SplitMachineDigests divides the digests into records that fit into a value, in the order of the
-// machine IDs. valueKB is the maximum size of a value in KiB.
-func (s *PartitionSummary) SplitMachineDigests(valueKB float64) []map[string]MachineDigest {
+// machine IDs. maxValueKiB is the maximum size of a value in KiB.
+func (s *PartitionSummary) SplitMachineDigests(maxValueKiB float64) []map[string]MachineDigest {
 	ids := slices.Sorted(maps.Keys(s.MachineDigests))
 	longestID := 0
 	for _, id := range ids {
 		longestID = max(longestID, len(id))
 	}
-	perRecord := max(1, int(valueKB*bytesPerKiB-collectionOverheadBytes)/(longestID+digestOverheadBytes))
+	perRecord := max(1, int(maxValueKiB*bytesPerKiB-collectionOverheadBytes)/(longestID+digestOverheadBytes))
 	var digestRecords []map[string]MachineDigest
 	for group := range slices.Chunk(ids, perRecord) {
 		digests := make(map[string]MachineDigest, len(group))
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -98,7 +98,7 @@
 	if builder.compact() {
 		builder.appendJournalRecords()
 	}
-	builder.deleteFinishedJobRecords()
+	builder.deleteFinalizedJobRecords()
 	builder.deleteCancelledJobs(jobIDs)
 	builder.batch.Full = builder.batch.Full || builder.isFull()
 	return builder.batch
@@ -147,9 +147,9 @@
 	b.sizeBound += endedJobBytes
 }
 
-// deleteFinishedJobRecords adds deletions of the remaining chunk records of ended jobs, as far as
+// deleteFinalizedJobRecords adds deletions of the remaining chunk records of ended jobs, as far as
 // they fit.
-func (b *batchBuilder) deleteFinishedJobRecords() {
+func (b *batchBuilder) deleteFinalizedJobRecords() {
 	for _, job := range b.partition.finalizedJobs {
 		for _, chunk := range job.chunks {
 			if chunk.hasLeftoverRecord() && b.canWrite(1) {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -8,8 +8,8 @@
 )
 
 // heartbeatCommands returns the commands for the response to a heartbeat. Tasks are started only if
-// stateFresh is set; see HandleHeartbeat for its meaning.
-func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) []wire.Command {
+// cancellationsFresh is set; see HandleHeartbeat for its meaning.
+func (p *Partition) heartbeatCommands(machine *Machine, heartbeat *wire.Heartbeat, now time.Time, cancellationsFresh bool) []wire.Command {
 	commands := []wire.Command{}
 	for i := range heartbeat.Tasks {
 		if len(commands) >= tuning.MaxCommandsPerResponse {
@@ -19,7 +19,7 @@
 			commands = append(commands, command)
 		}
 	}
-	if !stateFresh || !machine.acceptsStarts() || machine.command.pending() {
+	if !cancellationsFresh || !machine.acceptsStarts() || machine.command.pending() {
 		return commands
 	}
 	return appendStartCommands(commands, machine, heartbeat.Sequence)
@@ -109,11 +109,11 @@
 	return !pl.start.sent && pl.machine.acceptsStarts() && pl.startPermitted()
 }
 
-// stopUnsent reports whether a stop command for the placement is still to be sent. If stateFresh (see
+// stopUnsent reports whether a stop command for the placement is still to be sent. If cancellationsFresh (see
 // HandleHeartbeat) is not set, only tasks of cancelled jobs are stopped, because a cancellation is never
 // withdrawn.
-func (pl *Placement) stopUnsent(stateFresh bool) bool {
-	return pl.stopRequest != nil && !pl.stopRequest.sent && (stateFresh || pl.job.Cancelled)
+func (pl *Placement) stopUnsent(cancellationsFresh bool) bool {
+	return pl.stopRequest != nil && !pl.stopRequest.sent && (cancellationsFresh || pl.job.Cancelled)
 }
 
 // FencingRequest returns a command request without commands. The request informs the worker of the
@@ -152,11 +152,11 @@
 }
 
 // MachinesAwaitingCommands returns the IDs of the machines to which commands should be sent without
-// waiting for their next heartbeat. If stateFresh (see HandleHeartbeat) is not set, only stop commands
+// waiting for their next heartbeat. If cancellationsFresh (see HandleHeartbeat) is not set, only stop commands
 // for cancelled jobs are sent.
-func (p *Partition) MachinesAwaitingCommands(stateFresh bool) []string {
+func (p *Partition) MachinesAwaitingCommands(cancellationsFresh bool) []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
-		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(stateFresh)
+		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(cancellationsFresh)
 	})
 }
 
@@ -167,10 +167,10 @@
 }
 
 // hasUnsentCommands reports whether a start or stop command for the machine is still to be sent. See
-// HandleHeartbeat for the meaning of stateFresh.
-func (m *Machine) hasUnsentCommands(stateFresh bool) bool {
+// HandleHeartbeat for the meaning of cancellationsFresh.
+func (m *Machine) hasUnsentCommands(cancellationsFresh bool) bool {
 	for _, placement := range m.placements {
-		if placement.stopUnsent(stateFresh) || (stateFresh && placement.startUnsent()) {
+		if placement.stopUnsent(cancellationsFresh) || (cancellationsFresh && placement.startUnsent()) {
 			return true
 		}
 	}
@@ -180,8 +180,8 @@
 // DirectCommands returns a request with the start and stop commands to send directly to a machine.
 // The result is false if there are none. Until a request with start commands is answered, no other
 // task is started or forgotten on the machine, because a delayed copy of the request could start
-// a task again after the worker forgot it. See HandleHeartbeat for the meaning of stateFresh.
-func (p *Partition) DirectCommands(id string, stateFresh bool) (wire.CommandRequest, bool) {
+// a task again after the worker forgot it. See HandleHeartbeat for the meaning of cancellationsFresh.
+func (p *Partition) DirectCommands(id string, cancellationsFresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
 		return wire.CommandRequest{}, false
@@ -191,7 +191,7 @@
 		if len(request.Commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
-		if command, due := machine.placements[key].directCommand(key, stateFresh); due {
+		if command, due := machine.placements[key].directCommand(key, cancellationsFresh); due {
 			request.Commands = append(request.Commands, command)
 		}
 	}
@@ -200,14 +200,14 @@
 
 // directCommand returns the placement's command for a direct request, and records that it is sent.
 // due is false if there is none.
-func (pl *Placement) directCommand(key taskAttempt, stateFresh bool) (command wire.Command, due bool) {
+func (pl *Placement) directCommand(key taskAttempt, cancellationsFresh bool) (command wire.Command, due bool) {
 	switch {
-	case pl.stopUnsent(stateFresh):
+	case pl.stopUnsent(cancellationsFresh):
 		pl.stopRequest.sent = true
 		command = newCommand(wire.StopTask, key)
 		command.GracePeriodS = pl.stopRequest.gracePeriodS
 		return command, true
-	case stateFresh && pl.startUnsent():
+	case cancellationsFresh && pl.startUnsent():
 		pl.start.sent = true
 		pl.start.heartbeatSequence = pl.machine.newestMessage.heartbeatSequence
 		pl.start.directToken = pl.machine.token.current
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -41,9 +41,9 @@
 }
 
 // HandleHeartbeat reconciles the partition's state with a worker's heartbeat and returns the
-// response with the commands for the worker. stateFresh reports whether this owner has read the
+// response with the commands for the worker. cancellationsFresh reports whether this owner has read the
 // key-value store recently. If not, no task is started, because its job may have been cancelled.
-func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, stateFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
+func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, cancellationsFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
 	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
 		return verdict, wire.HeartbeatResponse{}
@@ -64,7 +64,7 @@
 	if machine.terminationNotice {
 		p.evacuateOnNotice(machine, now)
 	}
-	response.Commands = p.heartbeatCommands(machine, heartbeat, now, stateFresh)
+	response.Commands = p.heartbeatCommands(machine, heartbeat, now, cancellationsFresh)
 	return HeartbeatAccepted, response
 }
 
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -17,8 +17,8 @@
 // many times.
 const testJournalSlots = 8
 
-// loweredTxnOps is the maximum number of writes in a transaction after the limits are lowered.
-const loweredTxnOps = 3
+// loweredTxnWrites is the maximum number of writes in a transaction after the limits are lowered.
+const loweredTxnWrites = 3
 
 // takeoverTest simulates an owner of a partition. After each round, a new owner is restored from its
 // stored records.
@@ -29,11 +29,11 @@
 	store    *fakeStore
 	ended    map[string]bool // tasks that a worker has reported as done
 	// The feature level is raised in raiseLevelRound. In lowerLimitsRound, which is later, the
-	// store's limits are lowered, the one of values to loweredValueKB. Records that were stored
+	// store's limits are lowered, the one of values to loweredValueKiB. Records that were stored
 	// before may exceed the lowered limit.
 	raiseLevelRound  int
 	lowerLimitsRound int
-	loweredValueKB   float64
+	loweredValueKiB  float64
 }
 
 // Whenever a new owner takes over, and whatever the outcome of single commits, the stored records
@@ -72,7 +72,7 @@
 		ended:            map[string]bool{},
 		raiseLevelRound:  raised,
 		lowerLimitsRound: raised + rapid.IntRange(1, 20).Draw(t, "lowered after"),
-		loweredValueKB:   rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB"),
+		loweredValueKiB:  rapid.SampledFrom([]float64{1, 1.5, 2}).Draw(t, "KiB"),
 	}
 	for _, id := range test.machines {
 		owner.addMachine(id, "cpu", "a", false)
@@ -94,8 +94,8 @@
 		test.owner.SetLevel(records.FeatureExplicitChunks)
 	}
 	if round == test.lowerLimitsRound {
-		test.owner.layout.limits.MaxValueKiB = test.loweredValueKB
-		test.owner.layout.limits.MaxTxnWrites = loweredTxnOps
+		test.owner.layout.limits.MaxValueKiB = test.loweredValueKiB
+		test.owner.layout.limits.MaxTxnWrites = loweredTxnWrites
 		test.store.resetMaxima()
 	}
 }
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -42,16 +42,16 @@
 
 // Lower bounds of the limits that ReduceWriteLimits sets.
 const (
-	minValueKB = 1 // a job's description must still fit into a value
-	minTxnOps  = 3 // committing a job's end takes two writes, and one more must fit with them
+	minValueKiB  = 1 // a job's description must still fit into a value
+	minTxnWrites = 3 // committing a job's end takes two writes, and one more must fit with them
 )
 
 // ReduceWriteLimits halves the limits of values and transactions. It is called when the key-value
 // store has rejected a commit as invalid, because then its limits are lower than configured.
 func (p *Partition) ReduceWriteLimits() {
 	limits := &p.layout.limits
-	limits.MaxValueKiB = max(limits.MaxValueKiB/2, minValueKB)
-	limits.MaxTxnWrites = max(limits.MaxTxnWrites/2, minTxnOps)
+	limits.MaxValueKiB = max(limits.MaxValueKiB/2, minValueKiB)
+	limits.MaxTxnWrites = max(limits.MaxTxnWrites/2, minTxnWrites)
 }
 
 // writesExplicitRanges reports whether the cluster's feature level permits records with explicit
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// bookedStepsPerMachine is the number of steps per machine to which a summary rounds booked
+	// allocatedStepsPerMachine is the number of steps per machine to which a summary rounds booked
 	// capacity. Rounding keeps the record small and makes sums that differ only by rounding
 	// errors equal.
-	bookedStepsPerMachine = 1000
+	allocatedStepsPerMachine = 1000
 	// maxDemandBytes limits the size of the waiting tasks' demand in a summary, which the leader
 	// reads every second. The tasks that are scheduled first are included.
 	maxDemandBytes = 12 << 10
@@ -24,32 +24,32 @@
 // Summary returns the partition's state from which the leader computes the fleet size.
 func (p *Partition) Summary(now time.Time) records.PartitionSummary {
 	summary := records.PartitionSummary{
-		BookedMachines: map[string]float64{},
-		BookedOnDemand: map[string]float64{},
-		MachineDigests: map[string]records.MachineDigest{},
+		AllocatedMachines: map[string]float64{},
+		AllocatedOnDemand: map[string]float64{},
+		MachineDigests:    map[string]records.MachineDigest{},
 	}
 	for _, machine := range p.machines.all() {
 		p.addMachineToSummary(&summary, machine, now)
 	}
-	roundBooked(summary.BookedMachines)
-	roundBooked(summary.BookedOnDemand)
+	roundAllocated(summary.AllocatedMachines)
+	roundAllocated(summary.AllocatedOnDemand)
 	summary.Waiting = p.unplacedDemand(now)
 	return summary
 }
 
-// roundBooked rounds numbers of booked machines to a multiple of 1/bookedStepsPerMachine.
-func roundBooked(booked map[string]float64) {
-	for name, machines := range booked {
-		booked[name] = math.Round(machines*bookedStepsPerMachine) / bookedStepsPerMachine
+// roundAllocated rounds numbers of booked machines to a multiple of 1/bookedStepsPerMachine.
+func roundAllocated(allocated map[string]float64) {
+	for name, machines := range allocated {
+		allocated[name] = math.Round(machines*allocatedStepsPerMachine) / allocatedStepsPerMachine
 	}
 }
 
 // addMachineToSummary adds a machine's allocated capacity and its digest to the summary.
 func (p *Partition) addMachineToSummary(summary *records.PartitionSummary, machine *Machine, now time.Time) {
 	machineType := machine.Record.MachineType
-	summary.BookedOnDemand[machineType] += machine.capacity.DominantShare(machine.allocatedOnDemand())
+	summary.AllocatedOnDemand[machineType] += machine.capacity.DominantShare(machine.allocatedOnDemand())
 	if len(machine.placements) > 0 {
-		summary.BookedMachines[machineType] += machine.allocatedShare()
+		summary.AllocatedMachines[machineType] += machine.allocatedShare()
 	}
 	if digest := p.digest(machine, now); digest != 0 {
 		summary.MachineDigests[machine.ID] = digest
--- a/internal/agentclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,5 +1,5 @@
-// Package agentclient sends commands directly to the agents on worker machines.
-package agentclient
+// Package workerclient sends commands directly to the agents on worker machines.
+package workerclient
 
 import (
 	"context"
@@ -18,9 +18,9 @@
 // ErrNotSent is returned if there was no connection to the agent, so that no command was sent.
 var ErrNotSent = errors.New("commands not sent")
 
-// connsPerAgent limits the connections to one agent, and thereby the sockets that a machine which
+// connsPerWorker limits the connections to one agent, and thereby the sockets that a machine which
 // does not respond can occupy.
-const connsPerAgent = 1
+const connsPerWorker = 1
 
 // commandsPath is the HTTP path at which agents accept commands.
 const commandsPath = "/orders"
@@ -37,7 +37,7 @@
 	connectTimeout := min(timeout, tuning.FencingTimeout)
 	return &Client{
 		timeout: timeout,
-		http:    transport.Client(network, connsPerAgent, tuning.MaxIdleWorkerConns, connectTimeout),
+		http:    transport.Client(network, connsPerWorker, tuning.MaxIdleWorkerConns, connectTimeout),
 	}
 }
 
--- a/internal/agentclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -1,4 +1,4 @@
-package agentclient
+package workerclient
 
 import (
 	"context"
