--- a/cmd/ambersill/controller.go
+++ b/cmd/ambersill/controller.go
@@ -23,7 +23,7 @@
 // runController runs a controller until the process receives SIGINT or SIGTERM.
 func runController(ctx context.Context, settings *config.Settings, tunables tuning.Tuning) error {
 	configureLogging()
-	configureGarbageCollection(settings.Cluster.MachineLimits.MemoryMiB)
+	configureGarbageCollection(settings.Cluster.ControllerLimits.MemoryMiB)
 	ctx, stop := notifyOnTermination(ctx)
 	defer stop()
 	return controller.New(settings, tunables, transport.TCP{}).Run(ctx)
--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -97,8 +97,8 @@
 			RequestsPerS: 5,
 			MaxListLagS:  sampleListLagS,
 		},
-		MachineLimits: config.MachineLimits{
-			CPUs:       0.1,
+		ControllerLimits: config.MachineLimits{
+			CPU:        0.1,
 			MemoryMiB:  100,
 			MaxSockets: 700,
 		},
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -8,7 +8,7 @@
 //	POST /agent/beat           heartbeat of a worker: 200, or 421 with the node to report to
 //	GET  /up                   health check: 200, or 503
 //
-// A permanent error is returned with the status code of a StatusError. A temporary error is
+// A permanent error is returned with the status code of a PermanentError. A temporary error is
 // returned as 503; responses to users then have a Retry-After header.
 package api
 
@@ -24,7 +24,7 @@
 	"ambersill/internal/wire"
 )
 
-// Service processes the requests that the HTTP handler receives. Errors other than *StatusError
+// Service processes the requests that the HTTP handler receives. Errors other than *PermanentError
 // are treated as temporary.
 type Service interface {
 	// Submit decodes a job from a request body and stores it. It is idempotent.
@@ -55,15 +55,15 @@
 	RedirectTo string
 }
 
-// StatusError is a permanent error. The same request fails again if it is repeated.
-type StatusError struct {
+// PermanentError is the error of a request that fails again if it is repeated.
+type PermanentError struct {
 	// Status is the HTTP status code, from 400 to 499.
 	Status int
 	// Reason is the error message sent to the user.
 	Reason string
 }
 
-func (e *StatusError) Error() string { return e.Reason }
+func (e *PermanentError) Error() string { return e.Reason }
 
 // handler serves HTTP requests.
 type handler struct {
@@ -175,10 +175,10 @@
 	return body, true
 }
 
-// writeError responds to a StatusError with its status code and reason, and to other errors with 503
+// writeError responds to a PermanentError with its status code and reason, and to other errors with 503
 // and Retry-After.
 func (h *handler) writeError(w http.ResponseWriter, err error) {
-	if statusErr, ok := errors.AsType[*StatusError](err); ok {
+	if statusErr, ok := errors.AsType[*PermanentError](err); ok {
 		h.writeResponse(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
 		return
 	}
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -113,7 +113,7 @@
 }
 
 func TestErrorResponses(t *testing.T) {
-	permanent := &StatusError{Status: http.StatusNotFound, Reason: "no such job"}
+	permanent := &PermanentError{Status: http.StatusNotFound, Reason: "no such job"}
 	tests := []struct {
 		name       string
 		err        error
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -69,7 +69,7 @@
 type Plan struct {
 	// TargetMachines is the target number of machines by machine type.
 	TargetMachines map[string]int
-	// AllocatedMachines is the capacity in use by machine type, in machines. Unused types are
+	// AllocatedMachines is the allocated capacity by machine type, in machines. Unused types are
 	// omitted.
 	AllocatedMachines map[string]float64
 	Rentals           []Rental
@@ -91,7 +91,7 @@
 }
 
 // Plan computes the target number of machines of each type and the changes to reach it.
-// The target of a machine type is its in-flight term, ceil(booked capacity / InFlightTarget).
+// The target of a machine type is its in-flight term, ceil(allocated capacity / InFlightTarget).
 // While tasks wait that need additional machines, the target is the larger of the in-flight
 // term and machines + queue term. The queue term is the number of additional machines that
 // the waiting tasks need once all empty and booting machines are full. Machines of pending
@@ -122,7 +122,7 @@
 	builder.plan.TargetMachines[machineType.Name] = target
 	if missing := target - fleet.machines - fleet.planned; missing > 0 {
 		// On-demand machines are rented if the existing ones do not cover the capacity
-		// in use by jobs that do not allow spot instances.
+		// allocated to jobs that do not allow spot instances.
 		spot := typeAllocated.onDemand <= a.tuning.InFlightTarget*float64(fleet.onDemand)
 		builder.rentInZoneWithFewest(machineType, spot, allocated.busiestPartition, missing)
 	}
@@ -133,7 +133,7 @@
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// inFlightTerm returns ceil(booked / InFlightTarget), where booked is the capacity in use, in
+// inFlightTerm returns ceil(allocated / InFlightTarget), where allocated is the allocated capacity, in
 // machines. Epsilon is subtracted so that a rounding error does not add a machine.
 func (a *Autoscaler) inFlightTerm(allocated float64) int {
 	return int(math.Ceil(allocated/a.tuning.InFlightTarget - resource.Epsilon))
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -46,23 +46,23 @@
 	return max(1, int(math.Ceil(slots)))
 }
 
-// allocatedTypeCapacity is the capacity of one machine type that is in use, in machines.
+// allocatedTypeCapacity is the allocated capacity of one machine type, in machines.
 type allocatedTypeCapacity struct {
 	machines float64
-	onDemand float64 // the part in use by jobs that do not allow spot instances
+	onDemand float64 // the part allocated to jobs that do not allow spot instances
 }
 
-// allocatedCapacity is the sum of the capacity in use in all partitions.
+// allocatedCapacity is the sum of the allocated capacity of all partitions.
 type allocatedCapacity struct {
 	byType           map[string]allocatedTypeCapacity
-	busiestPartition int // the partition with the most capacity in use
+	busiestPartition int // the partition with the most allocated capacity
 }
 
-// sumAllocatedCapacity adds up the capacity in use in all partitions, in ascending order of their
+// sumAllocatedCapacity adds up the allocated capacity of all partitions, in ascending order of their
 // numbers so that the floating-point sums are deterministic.
 func sumAllocatedCapacity(summaries map[int]records.PartitionSummary) allocatedCapacity {
 	allocated := allocatedCapacity{byType: map[string]allocatedTypeCapacity{}}
-	most := -1.0 // below the total of a partition with nothing in use
+	most := -1.0 // below the total of a partition with nothing allocated
 	for _, partition := range sortedPartitions(summaries) {
 		summary := summaries[partition]
 		total := 0.0
@@ -84,7 +84,7 @@
 	return allocated
 }
 
-// machinesByType returns the capacity in use by machine type, in machines. Unused types are
+// machinesByType returns the allocated capacity by machine type, in machines. Unused types are
 // omitted.
 func (b allocatedCapacity) machinesByType() map[string]float64 {
 	machines := make(map[string]float64, len(b.byType))
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -44,7 +44,7 @@
 // OperationError names the operation that failed and its target.
 type OperationError struct {
 	Operation string
-	Target    string // the ID of a rental request or a list of machine IDs; empty if there is none
+	Target    string // the request ID of a rental or a list of machine IDs; empty if there is none
 	Err       error
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,14 +35,14 @@
 
 // Cluster has the settings that are the same for all controllers.
 type Cluster struct {
-	ControllerCount int           `toml:"count"` // number of controllers, including this one
-	Zones           []string      `toml:"zones"`
-	ClockErrorMS    float64       `toml:"clock_error_ms"`
-	Teams           []Team        `toml:"teams"`
-	WorkerTiming    WorkerTiming  `toml:"workers"`
-	Store           Store         `toml:"state"`
-	Cloud           Cloud         `toml:"cloud"`
-	MachineLimits   MachineLimits `toml:"machine_limits"`
+	ControllerCount  int           `toml:"count"` // number of controllers, including this one
+	Zones            []string      `toml:"zones"`
+	ClockErrorMS     float64       `toml:"clock_error_ms"`
+	Teams            []Team        `toml:"teams"`
+	WorkerTiming     WorkerTiming  `toml:"workers"`
+	Store            Store         `toml:"state"`
+	Cloud            Cloud         `toml:"cloud"`
+	ControllerLimits MachineLimits `toml:"machine_limits"`
 }
 
 // Team is the quota of a team: the guaranteed and the maximum amounts of CPUs and GPUs. A guarantee
@@ -88,7 +88,7 @@
 
 // MachineLimits has the resource limits of the machine that the controller runs on.
 type MachineLimits struct {
-	CPUs       float64 `toml:"cpu"`         // CPU cores
+	CPU        float64 `toml:"cpu"`         // CPU cores
 	MemoryMiB  float64 `toml:"ram_mb"`      // memory, in MiB
 	MaxSockets int     `toml:"max_sockets"` // maximum number of open sockets
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -36,7 +36,7 @@
 		s.Cluster.validateTeams,
 		s.Cluster.validateAmounts,
 		s.Cluster.Store.validate,
-		s.Cluster.MachineLimits.validate,
+		s.Cluster.ControllerLimits.validate,
 	} {
 		if problem := check(); problem != nil {
 			return problem
@@ -125,7 +125,7 @@
 		{"cluster.state.write_rps", c.Store.WritesPerS},
 		{"cluster.state.value_kb", c.Store.MaxValueKiB},
 		{"cluster.cloud.rps", c.Cloud.RequestsPerS},
-		{"cluster.machine_limits.ram_mb", c.MachineLimits.MemoryMiB},
+		{"cluster.machine_limits.ram_mb", c.ControllerLimits.MemoryMiB},
 	} {
 		// The condition is negated so that it also rejects NaN.
 		if !(amount.value > 0) {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -23,15 +23,15 @@
 
 // ownerPermissions is what an owner may do, depending on the age of its listing of cancellations.
 type ownerPermissions struct {
-	mayStartTasks       bool
-	mayAnswerHeartbeats bool
+	mayStart  bool
+	mayAnswer bool
 }
 
 // permissionsAt returns what an owner may do if its listing of cancellations has the given age.
 func (c *Controller) permissionsAt(age time.Duration) ownerPermissions {
 	return ownerPermissions{
-		mayStartTasks:       age < tuning.Seconds(c.tuning.FreshS),
-		mayAnswerHeartbeats: age <= c.maxAgeToAnswerHeartbeats(),
+		mayStart:  age < tuning.Seconds(c.tuning.FreshS),
+		mayAnswer: age <= c.maxAgeToAnswerHeartbeats(),
 	}
 }
 
@@ -61,7 +61,7 @@
 
 // mayStartTasks reports whether the listing of cancellations is recent enough to start tasks.
 func (o *ownedPartition) mayStartTasks() bool {
-	return o.controller.permissionsAt(o.cancellationListingAge()).mayStartTasks
+	return o.controller.permissionsAt(o.cancellationListingAge()).mayStart
 }
 
 // logPermissionChange logs when the listing of cancellations becomes too old, or recent enough
@@ -74,8 +74,8 @@
 	}
 	o.loggedPermissions = permissions
 	slog.Info("owner permissions changed with the age of the cancellation listing",
-		"partition", o.index, "starts_tasks", permissions.mayStartTasks,
-		"answers_heartbeats", permissions.mayAnswerHeartbeats, "age_s", age.Seconds())
+		"partition", o.index, "starts_tasks", permissions.mayStart,
+		"answers_heartbeats", permissions.mayAnswer, "age_s", age.Seconds())
 }
 
 // pollCancellations polls the keys of cancelled jobs until the context ends. A job's key is
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -18,10 +18,10 @@
 		age  time.Duration
 		want ownerPermissions
 	}{
-		{"just read", 0, ownerPermissions{mayStartTasks: true, mayAnswerHeartbeats: true}},
-		{"just new enough to start", startLimit - 1, ownerPermissions{mayStartTasks: true, mayAnswerHeartbeats: true}},
-		{"too old to start", startLimit, ownerPermissions{mayAnswerHeartbeats: true}},
-		{"just new enough to answer", answerLimit, ownerPermissions{mayAnswerHeartbeats: true}},
+		{"just read", 0, ownerPermissions{mayStart: true, mayAnswer: true}},
+		{"just new enough to start", startLimit - 1, ownerPermissions{mayStart: true, mayAnswer: true}},
+		{"too old to start", startLimit, ownerPermissions{mayAnswer: true}},
+		{"just new enough to answer", answerLimit, ownerPermissions{mayAnswer: true}},
 		{"too old to answer", answerLimit + 1, ownerPermissions{}},
 	}
 	for _, test := range tests {
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -49,7 +49,7 @@
 	level      records.FeatureLevel
 	groups     map[string]groupEntry   // groups of machines, by name
 	machines   map[string]machineEntry // the machines of all groups, by machine ID
-	rentals    map[string]rentalEntry  // by rental ID
+	rentals    map[string]rentalEntry  // by request ID
 	revision   uint64                  // all changes up to this revision were applied
 	changed    chan struct{}           // closed and replaced on every change
 
@@ -201,7 +201,7 @@
 	}
 	var record records.NodeRecord
 	if err := wire.Unmarshal(change.value, &record); err != nil {
-		slog.Error("record not decoded", "key", change.key, "err", err)
+		slog.Error("decoding record failed", "key", change.key, "err", err)
 	}
 	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -97,7 +97,7 @@
 func TestSocketUseStaysWithinLimit(t *testing.T) {
 	c := newIsolatedController()
 	for limit := 250; limit < 5000; limit += 50 {
-		c.settings.Cluster.MachineLimits.MaxSockets = limit
+		c.settings.Cluster.ControllerLimits.MaxSockets = limit
 		c.commandSlots = newCommandSlots(limit)
 		sum := c.publicSockets() + tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
 		if sum > limit {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -82,7 +82,7 @@
 
 		cluster:           newClusterCache(),
 		finalJobs:         newFinalJobCache(tunables.FinalCache),
-		commandSlots:      newCommandSlots(settings.Cluster.MachineLimits.MaxSockets),
+		commandSlots:      newCommandSlots(settings.Cluster.ControllerLimits.MaxSockets),
 		announcementSlots: make(chan struct{}, maxAnnouncements),
 
 		owned:          map[int]*ownedPartition{},
--- a/internal/controller/counters.go
+++ b/internal/controller/counters.go
@@ -27,9 +27,9 @@
 	heapMiB         uint64
 	systemMiB       uint64 // memory obtained from the operating system
 	goroutines      int
-	storeServed     int // requests to the key-value store by outcome: served, refused, unknown
+	storeServed     int // requests to the key-value store by outcome: served, refused, unanswered
 	storeRefused    int
-	storeUnknown    int
+	storeUnanswered int
 	finalJobsCached int
 	partitions      []partitionCounters
 }
@@ -46,14 +46,14 @@
 func (c *Controller) counters() nodeCounters {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	served, refused, unknown := c.store.RequestCounts()
+	served, refused, unanswered := c.store.RequestCounts()
 	counters := nodeCounters{
 		heapMiB:         memory.HeapAlloc >> 20,
 		systemMiB:       memory.Sys >> 20,
 		goroutines:      runtime.NumGoroutine(),
 		storeServed:     served,
 		storeRefused:    refused,
-		storeUnknown:    unknown,
+		storeUnanswered: unanswered,
 		finalJobsCached: c.finalJobs.size(),
 	}
 	for _, owned := range c.ownedPartitions() {
@@ -87,7 +87,7 @@
 		"goroutines", n.goroutines,
 		"state_ok", n.storeServed,
 		"state_refused", n.storeRefused,
-		"state_unknown", n.storeUnknown,
+		"state_unknown", n.storeUnanswered,
 		"final_jobs_cached", n.finalJobsCached,
 	}
 	for _, partition := range n.partitions {
--- a/internal/controller/feature_level.go
+++ b/internal/controller/feature_level.go
@@ -15,7 +15,7 @@
 func (c *Controller) featureLevelRaised(level records.FeatureLevel) {
 	slog.Info("feature level raised", "level", level)
 	for _, owned := range c.ownedPartitions() {
-		owned.withLoadedPartition(func(partition *scheduler.Partition) { partition.SetLevel(level) })
+		owned.withLoadedPartition(func(partition *scheduler.Partition) { partition.RaiseLevel(level) })
 	}
 }
 
--- a/internal/controller/fenced_commit.go
+++ b/internal/controller/fenced_commit.go
@@ -42,7 +42,7 @@
 		}
 		value, err := wire.Marshal(write.Value)
 		if err != nil {
-			return nil, fmt.Errorf("encode %s: %w", write.Put, err)
+			return nil, fmt.Errorf("encoding %s: %w", write.Put, err)
 		}
 		changes = append(changes, keyChange{key: write.Put, value: value})
 	}
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -74,7 +74,7 @@
 // handleHeartbeat updates the partition from a heartbeat and returns the answer to it.
 func (o *ownedPartition) handleHeartbeat(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
 	permissions := o.controller.permissionsAt(o.cancellationListingAge())
-	if !permissions.mayAnswerHeartbeats {
+	if !permissions.mayAnswer {
 		// Other nodes may have confirmed cancellations that this owner has not read. Without
 		// an answer the workers' leases expire and their tasks end.
 		return peerrpc.HeartbeatResult{}
@@ -84,7 +84,7 @@
 	if o.partition == nil {
 		return peerrpc.HeartbeatResult{}
 	}
-	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), permissions.mayStartTasks)
+	verdict, response := o.partition.HandleHeartbeat(heartbeat, time.Now(), permissions.mayStart)
 	if verdict != scheduler.HeartbeatAccepted {
 		slog.Debug("heartbeat not accepted by partition owner",
 			"machine", heartbeat.Machine, "verdict", verdict.String(), "token", heartbeat.FencingToken)
@@ -107,7 +107,7 @@
 func (o *ownedPartition) releaseIfSuperseded(
 	verdict scheduler.HeartbeatVerdict, permissions ownerPermissions,
 ) {
-	if verdict != scheduler.HeartbeatSuperseded || permissions.mayStartTasks {
+	if verdict != scheduler.HeartbeatSuperseded || permissions.mayStart {
 		return
 	}
 	// Releasing takes the controller's lock, which must not be taken under o.mu.
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -22,8 +22,8 @@
 const jobCountsTimeout = 200 * time.Millisecond
 
 var (
-	errNoSuchJob   = &api.StatusError{Status: http.StatusNotFound, Reason: "no such job"}
-	errJobTooLarge = &api.StatusError{Status: http.StatusBadRequest, Reason: "the description is too long"}
+	errNoSuchJob   = &api.PermanentError{Status: http.StatusNotFound, Reason: "no such job"}
+	errJobTooLarge = &api.PermanentError{Status: http.StatusBadRequest, Reason: "the description is too long"}
 	// errNoCatalog is temporary. A controller that has just started has not read the catalog.
 	errNoCatalog = errors.New("catalog of machine types not loaded yet")
 )
@@ -33,7 +33,7 @@
 func (c *Controller) Submit(ctx context.Context, body []byte) (api.Submission, error) {
 	job, err := wire.ParseJob(body)
 	if err != nil {
-		return api.Submission{}, &api.StatusError{Status: http.StatusBadRequest, Reason: err.Error()}
+		return api.Submission{}, &api.PermanentError{Status: http.StatusBadRequest, Reason: err.Error()}
 	}
 	if record, ok := c.finalJobs.get(job.ID); ok {
 		return api.Submission{Job: jobStatus(record)}, nil
@@ -62,7 +62,7 @@
 ) (api.Submission, error) {
 	submission, err := c.existingJob(ctx, job.ID)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return api.Submission{}, &api.StatusError{
+		return api.Submission{}, &api.PermanentError{
 			Status: http.StatusUnprocessableEntity,
 			Reason: infeasible.Error(),
 		}
@@ -164,7 +164,7 @@
 	}
 	var record records.JobRecord
 	if err := wire.Unmarshal(item.Value, &record); err != nil {
-		return records.JobRecord{}, 0, fmt.Errorf("decode %s: %w", key, err)
+		return records.JobRecord{}, 0, fmt.Errorf("decoding %s: %w", key, err)
 	}
 	c.finalJobs.addIfFinal(record)
 	return record, item.Revision, nil
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -97,7 +97,7 @@
 	summaries map[int]records.PartitionSummary // the latest that was read, by partition
 	listings  map[string]machineListing        // by machine ID
 	backoffs  map[autoscaler.Offering]offeringBackoff
-	rentals   map[string]rentalProgress // by rental ID
+	rentals   map[string]rentalProgress // by request ID
 
 	nextRentalNumber int // sequence number within this term
 	lastListing      time.Time
--- a/internal/controller/machine_groups.go
+++ b/internal/controller/machine_groups.go
@@ -43,7 +43,7 @@
 	if !change.deleted {
 		var err error
 		if group, err = records.DecodeMachineGroup(name, change.value, change.revision); err != nil {
-			slog.Error("record not decoded", "key", change.key, "err", err)
+			slog.Error("decoding record failed", "key", change.key, "err", err)
 			return nil
 		}
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// renewalsPerLease is the number of renewals within the duration of a lease, so that the
+	// renewalsPerLease is the number of renewals within the time to live of a lease, so that the
 	// lease outlasts one or two failed renewals.
 	renewalsPerLease = 4
 	// membershipInterval is the longest time between two checks of the lease and of
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -70,7 +70,7 @@
 		cancel:                cancel,
 		cycleRequests:         make(chan struct{}, 1),
 		summary:               newSummaryWriter(),
-		loggedPermissions:     ownerPermissions{mayStartTasks: true, mayAnswerHeartbeats: true},
+		loggedPermissions:     ownerPermissions{mayStart: true, mayAnswer: true},
 		pendingMachineChanges: map[string]machineChange{},
 	}
 }
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -32,16 +32,16 @@
 // so the former owner can no longer commit and the records read here are complete.
 func (o *ownedPartition) load(ctx context.Context) (uint64, error) {
 	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
-		return 0, fmt.Errorf("read feature level: %w", err)
+		return 0, fmt.Errorf("reading feature level: %w", err)
 	}
 	listed, err := o.listRecords(ctx)
 	if err != nil {
-		return 0, fmt.Errorf("list records of partition %d: %w", o.index, err)
+		return 0, fmt.Errorf("listing records of partition %d: %w", o.index, err)
 	}
 	now := time.Now()
 	partition := scheduler.NewPartition(o.index, o.revision, o.controller.settings, &o.controller.tuning)
 	partition.SetMachineTypes(o.controller.catalog())
-	partition.SetLevel(o.controller.cluster.featureLevel())
+	partition.RaiseLevel(o.controller.cluster.featureLevel())
 	if err := loadMachines(partition, listed.machines, now); err != nil {
 		return 0, err
 	}
@@ -87,7 +87,7 @@
 	for _, item := range groups {
 		group, err := records.DecodeMachineGroup(item.Key[len(records.MachinePrefix):], item.Value, item.Revision)
 		if err != nil {
-			return fmt.Errorf("decode %s: %w", item.Key, err)
+			return fmt.Errorf("decoding %s: %w", item.Key, err)
 		}
 		for id, record := range group.Machines {
 			partition.SetMachine(id, record, item.Revision, now)
@@ -103,7 +103,7 @@
 		jobID, name, ok := records.ParseChunkKey(item.Key)
 		var record records.ChunkRecord
 		if err := wire.Unmarshal(item.Value, &record); err != nil || !ok {
-			slog.Error("job chunk not decoded", "key", item.Key, "err", err)
+			slog.Error("decoding job chunk failed", "key", item.Key, "err", err)
 			continue
 		}
 		chunks = append(chunks, records.LoadedChunk{
@@ -122,7 +122,7 @@
 	for _, item := range items {
 		var record records.JournalRecord
 		if err := wire.Unmarshal(item.Value, &record); err != nil {
-			slog.Error("journal record not decoded", "key", item.Key, "err", err)
+			slog.Error("decoding journal record failed", "key", item.Key, "err", err)
 			continue
 		}
 		journal = append(journal, records.LoadedJournalRecord{Revision: item.Revision, Record: record})
@@ -139,7 +139,7 @@
 	o.cancellationsReadAt = cancellationsReadAt
 	// The feature level may have been raised since the partition was created. featureLevelRaised
 	// passes it on only to partitions that are published.
-	o.partition.SetLevel(o.controller.cluster.featureLevel())
+	o.partition.RaiseLevel(o.controller.cluster.featureLevel())
 	for _, id := range slices.Sorted(maps.Keys(o.pendingMachineChanges)) {
 		o.applyMachine(o.pendingMachineChanges[id])
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -30,7 +30,7 @@
 func (c *Controller) serve(ctx context.Context) error {
 	listener, err := c.net.Listen(ctx, c.settings.PublicAddr)
 	if err != nil {
-		return fmt.Errorf("listen for users and workers on %s: %w", c.settings.PublicAddr, err)
+		return fmt.Errorf("listening for users and workers on %s: %w", c.settings.PublicAddr, err)
 	}
 	listener = netutil.LimitListener(listener, c.publicSockets())
 	server := &http.Server{
@@ -61,5 +61,5 @@
 // commands to workers, but at least minPublicSockets.
 func (c *Controller) publicSockets() int {
 	reserved := tuning.ReservedSockets + tuning.MaxIdleWorkerConns + c.commandSlots.limit
-	return max(c.settings.Cluster.MachineLimits.MaxSockets-reserved, minPublicSockets)
+	return max(c.settings.Cluster.ControllerLimits.MaxSockets-reserved, minPublicSockets)
 }
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -275,8 +275,8 @@
 	}
 	clusterSettings.Cloud.RequestsPerS = 5
 	clusterSettings.Cloud.MaxListLagS = 4
-	clusterSettings.MachineLimits.MemoryMiB = 100
-	clusterSettings.MachineLimits.MaxSockets = 700
+	clusterSettings.ControllerLimits.MemoryMiB = 100
+	clusterSettings.ControllerLimits.MaxSockets = 700
 	return settings
 }
 
--- a/internal/controller/summaries.go
+++ b/internal/controller/summaries.go
@@ -40,14 +40,14 @@
 		// All records are decoded into the same map, since no machine is in two of them.
 		key := records.MachineDigestsKey(partition, i)
 		if err := wire.Unmarshal(values[key], &summary.MachineDigests); err != nil {
-			slog.Debug("machine digests not decoded", "partition", partition, "err", err)
+			slog.Debug("decoding machine digests failed", "partition", partition, "err", err)
 		}
 	}
 	for i := range summary.OverflowRecordCount {
 		var overflow []records.Demand
 		key := records.OverflowDemandKey(partition, i)
 		if err := wire.Unmarshal(values[key], &overflow); err != nil {
-			slog.Debug("waiting demands not decoded", "partition", partition, "err", err)
+			slog.Debug("decoding waiting demand failed", "partition", partition, "err", err)
 		}
 		summary.Waiting = append(summary.Waiting, overflow...)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -33,7 +33,7 @@
 	}
 	var chunk records.ChunkRecord
 	if err := wire.Unmarshal(value, &chunk); err != nil {
-		cluster.t.Errorf("decode chunk record %s: %v", key, err)
+		cluster.t.Errorf("decoding chunk record %s: %v", key, err)
 	}
 	if _, err := strconv.Atoi(name); err != nil || chunk.To > 0 || chunk.From > 0 {
 		cluster.t.Errorf("chunk %s of job %s is written in the new format before the feature level is raised", name, id)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -31,7 +31,7 @@
 	Net     transport.Net
 	Addr    string
 	Timeout time.Duration // of one request; a watch may take its maximum wait and this long in addition
-	// RequestRate and WriteRate are this node's portion of the store's rate limits, in requests
+	// RequestRate and WriteRate are this node's share of the store's rate limits, in requests
 	// per second and in writes per second.
 	RequestRate, WriteRate float64
 }
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -22,7 +22,7 @@
 // writeBurst returns the number of writes that one second allows, at least minWriteBurst.
 func writeBurst(perSecond float64) int { return max(minWriteBurst, int(perSecond)) }
 
-// SetRateLimits changes this node's portion of the store's rate limits, in requests per second
+// SetRateLimits changes this node's share of the store's rate limits, in requests per second
 // and in writes per second.
 func (c *Client) SetRateLimits(requests, writes float64) {
 	setLimit(c.requests, rate.Limit(requests))
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -16,14 +16,14 @@
 	// first rewritten, since both records are created at the same revision.
 	JobRevision    uint64            `cbor:"js,omitempty"`
 	HighestAttempt uint64            `cbor:"try"`            // highest attempt of any task of the job
-	DoneRanges     []int             `cbor:"done,omitempty"` // finished tasks, as flattened ranges
+	DoneRanges     []int             `cbor:"done,omitempty"` // done tasks, as flattened ranges
 	Placements     []PlacementRecord `cbor:"live,omitempty"`
 	// JournalSequence is the sequence of the newest journal record whose changes to the chunk
 	// are included. The changes of all earlier records are included, too.
 	JournalSequence uint64 `cbor:"q,omitempty"`
 	// From and To are the range of tasks [From, To) that the record covers. They are omitted
-	// in the initial format, where chunk number i covers TasksPerChunk tasks from task
-	// i * TasksPerChunk on; the number is the chunk's name in the key.
+	// in the initial format, where the chunk with index i covers TasksPerChunk tasks from
+	// task i * TasksPerChunk on; the index is the chunk's name in the key.
 	From int `cbor:"from,omitempty"`
 	To   int `cbor:"to,omitempty"`
 }
--- a/internal/records/journal.go
+++ b/internal/records/journal.go
@@ -13,10 +13,10 @@
 type JournalEntry struct {
 	_              struct{} `cbor:",toarray"`
 	Job            string
-	Chunk          int    // the chunk's number in the initial format
+	Chunk          int    // the chunk's index in the initial format
 	HighestAttempt uint64 // highest attempt of any task of the job
 	Placements     []PlacementRecord
-	DoneRanges     []int // finished tasks, as flattened ranges
+	DoneRanges     []int // done tasks, as flattened ranges
 	WaitingRanges  []int // tasks that wait again, as flattened ranges
 }
 
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -30,7 +30,7 @@
 	// MachinePrefix followed by the name of a machine group is the key of its
 	// MachineGroupRecord.
 	MachinePrefix = "c/m/"
-	// RentalPrefix followed by the name of a rental is the key of its RentalRecord.
+	// RentalPrefix followed by the request ID of a rental is the key of its RentalRecord.
 	RentalPrefix = "c/h/"
 	// SummaryPrefix is the prefix of the keys of all summaries, including their digest and
 	// overflow records.
--- a/internal/records/level.go
+++ b/internal/records/level.go
@@ -9,7 +9,7 @@
 // The feature levels.
 const (
 	// FeatureInitialFormat is the level at which the range of a chunk's tasks follows from
-	// its number and the value size in the settings; see TasksPerChunk.
+	// its index and the value size in the settings; see TasksPerChunk.
 	FeatureInitialFormat FeatureLevel = iota
 	// FeatureExplicitChunks is the lowest level at which ChunkRecords contain their range of
 	// tasks and chunks may be split.
--- a/internal/records/machines.go
+++ b/internal/records/machines.go
@@ -56,14 +56,14 @@
 func DecodeMachineGroup(id string, value wire.Raw, revision uint64) (MachineGroupRecord, error) {
 	var group MachineGroupRecord
 	if err := wire.Unmarshal(value, &group); err != nil {
-		return group, fmt.Errorf("decode machine group %s: %w", id, err)
+		return group, fmt.Errorf("decoding machine group %s: %w", id, err)
 	}
 	if group.Machines != nil {
 		return group, nil
 	}
 	var machine MachineRecord
 	if err := wire.Unmarshal(value, &machine); err != nil {
-		return group, fmt.Errorf("decode machine %s: %w", id, err)
+		return group, fmt.Errorf("decoding machine %s: %w", id, err)
 	}
 	machine.FencingToken = revision
 	group.Machines = map[string]MachineRecord{id: machine}
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -11,9 +11,9 @@
 // PartitionSummary is the state of a partition that the leader needs to size the fleet. It is
 // written by the partition's owner.
 type PartitionSummary struct {
-	// AllocatedMachines is the capacity in use by machine type, in machines.
+	// AllocatedMachines is the allocated capacity by machine type, in machines.
 	AllocatedMachines map[string]float64 `cbor:"booked"`
-	// AllocatedOnDemand is the part of BookedMachines that is in use by jobs that do not allow
+	// AllocatedOnDemand is the part of AllocatedMachines that is allocated to jobs that do not allow
 	// spot instances.
 	AllocatedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -147,8 +147,8 @@
 	b.sizeBound += endedJobBytes
 }
 
-// deleteFinalizedJobRecords adds deletions of the remaining chunk records of ended jobs, as far as
-// they fit.
+// deleteFinalizedJobRecords adds deletions of the remaining chunk records of finalized jobs, as far
+// as they fit.
 func (b *batchBuilder) deleteFinalizedJobRecords() {
 	for _, job := range b.partition.finalizedJobs {
 		for _, chunk := range job.chunks {
@@ -159,7 +159,7 @@
 	}
 }
 
-// hasLeftoverRecord reports whether a chunk of an ended job still has a record to be deleted. The
+// hasLeftoverRecord reports whether a chunk of a finalized job still has a record to be deleted. The
 // first chunk's record is deleted by the transaction that commits the end of the job.
 func (c *chunk) hasLeftoverRecord() bool { return c.from > 0 && c.hasRecord() }
 
--- a/internal/scheduler/chunk_test.go
+++ b/internal/scheduler/chunk_test.go
@@ -35,7 +35,7 @@
 // were split off until the new chunks have records. It must not be overwritten before.
 func TestSplitChunkIsWrittenAfterSplitOffChunks(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.SetLevel(records.FeatureExplicitChunks)
+	harness.RaiseLevel(records.FeatureExplicitChunks)
 	job := harness.addJob(newArrayJob("req-1", 20, 1))
 	origin := job.chunks[0]
 	splitOffChunks := origin.splitAt([]int{5, 12})
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -41,8 +41,8 @@
 }
 
 // HandleHeartbeat reconciles the partition's state with a worker's heartbeat and returns the
-// response with the commands for the worker. cancellationsFresh reports whether this owner has read the
-// key-value store recently. If not, no task is started, because its job may have been cancelled.
+// response with the commands for the worker. cancellationsFresh reports whether this owner has
+// read the cancellations recently. If not, no task is started, because its job may have been cancelled.
 func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, cancellationsFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
 	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
@@ -136,7 +136,7 @@
 	}
 }
 
-// setTerminationNotice records whether the cloud has announced that it will reclaim the machine.
+// setTerminationNotice records whether the cloud has announced that it will terminate the machine.
 func (p *Partition) setTerminationNotice(machine *Machine, noticed bool) {
 	if machine.terminationNotice != noticed {
 		machine.terminationNotice = noticed
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -91,7 +91,7 @@
 // it.
 func (test *takeoverTest) changeLevelAndLimits(round int) {
 	if round == test.raiseLevelRound {
-		test.owner.SetLevel(records.FeatureExplicitChunks)
+		test.owner.RaiseLevel(records.FeatureExplicitChunks)
 	}
 	if round == test.lowerLimitsRound {
 		test.owner.layout.limits.MaxValueKiB = test.loweredValueKiB
@@ -165,7 +165,7 @@
 func (test *takeoverTest) successor() *partitionHarness {
 	successor := newPartitionHarness()
 	successor.layout.limits = test.owner.layout.limits
-	successor.SetLevel(test.owner.Level())
+	successor.RaiseLevel(test.owner.Level())
 	successor.journal.slotRevisions = make([]uint64, testJournalSlots)
 	for _, id := range test.machines {
 		successor.addMachine(id, "cpu", "a", false)
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// Level returns the cluster's feature level, as set by SetLevel.
+// Level returns the cluster's feature level, as set by RaiseLevel.
 func (p *Partition) Level() records.FeatureLevel { return p.layout.featureLevel }
 
-// SetLevel raises the cluster's feature level. A lower level is ignored.
-func (p *Partition) SetLevel(level records.FeatureLevel) {
+// RaiseLevel raises the cluster's feature level. A lower level is ignored.
+func (p *Partition) RaiseLevel(level records.FeatureLevel) {
 	p.layout.featureLevel = max(p.layout.featureLevel, level)
 }
 
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -181,7 +181,7 @@
 // that the next batches have fewer writes and smaller values.
 func TestBatchesShrinkAfterLimitsAreReduced(t *testing.T) {
 	harness := newPartitionHarness()
-	harness.SetLevel(records.FeatureExplicitChunks)
+	harness.RaiseLevel(records.FeatureExplicitChunks)
 	for i := range 40 {
 		harness.addMachine(fmt.Sprintf("m-%d", i), "cpu", "a", false)
 	}
--- a/internal/scheduler/service_test.go
+++ b/internal/scheduler/service_test.go
@@ -92,7 +92,7 @@
 func TestLongLivedServiceUsesBoundedState(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.journal.slotRevisions = make([]uint64, testJournalSlots)
-	harness.SetLevel(records.FeatureExplicitChunks)
+	harness.RaiseLevel(records.FeatureExplicitChunks)
 	harness.addMachine("m-1", "cpu", "a", false)
 	job := harness.addJob(newServiceJob("req-1", 4, 1))
 	largest := 0
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// allocatedStepsPerMachine is the number of steps per machine to which a summary rounds booked
+	// allocatedStepsPerMachine is the number of steps per machine to which a summary rounds allocated
 	// capacity. Rounding keeps the record small and makes sums that differ only by rounding
 	// errors equal.
 	allocatedStepsPerMachine = 1000
@@ -37,7 +37,7 @@
 	return summary
 }
 
-// roundAllocated rounds numbers of booked machines to a multiple of 1/bookedStepsPerMachine.
+// roundAllocated rounds amounts of allocated capacity, in machines, to a multiple of 1/allocatedStepsPerMachine.
 func roundAllocated(allocated map[string]float64) {
 	for name, machines := range allocated {
 		allocated[name] = math.Round(machines*allocatedStepsPerMachine) / allocatedStepsPerMachine
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -38,8 +38,8 @@
 	PassGapS float64
 	// RoundS is the interval at which the leader sizes the fleet.
 	RoundS float64
-	// InFlightTarget is the fraction of the fleet's capacity that should be in use: the target
-	// number of machines of a type is at least ceil(booked capacity / InFlightTarget).
+	// InFlightTarget is the fraction of the fleet's capacity that should be allocated: the target
+	// number of machines of a type is at least ceil(allocated capacity / InFlightTarget).
 	InFlightTarget float64
 	// QueueTarget is the amount of queued work per additional machine, in machines: the
 	// number of short tasks that need capacity at the same time is divided by it.
@@ -131,7 +131,7 @@
 	// controllers seldom all use their shares at the same time, and requests that the store
 	// refuses are retried.
 	LeaderShare float64
-	// FinalCache is the number of finished jobs whose status a controller caches.
+	// FinalCache is the number of ended jobs whose status a controller caches.
 	FinalCache int
 }
 
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -98,6 +98,6 @@
 type JobStatus struct {
 	ID      string   `cbor:"uid"`
 	Phase   JobPhase `cbor:"phase"`
-	Done    int      `cbor:"done"`    // number of completed tasks
+	Done    int      `cbor:"done"`    // number of done tasks
 	Running int      `cbor:"running"` // number of running tasks
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,4 +1,4 @@
-// Package workerclient sends commands directly to the agents on worker machines.
+// Package workerclient sends commands directly to workers.
 package workerclient
 
 import (
@@ -15,17 +15,17 @@
 	"ambersill/internal/wire"
 )
 
-// ErrNotSent is returned if there was no connection to the agent, so that no command was sent.
+// ErrNotSent is returned if there was no connection to the worker, so that no command was sent.
 var ErrNotSent = errors.New("commands not sent")
 
-// connsPerWorker limits the connections to one agent, and thereby the sockets that a machine which
+// connsPerWorker limits the connections to one worker, and thereby the sockets that a machine which
 // does not respond can occupy.
 const connsPerWorker = 1
 
-// commandsPath is the HTTP path at which agents accept commands.
+// commandsPath is the HTTP path at which workers accept commands.
 const commandsPath = "/orders"
 
-// Client sends commands to agents.
+// Client sends commands to workers.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
@@ -41,24 +41,24 @@
 	}
 }
 
-// SendCommands sends commands to the agent at an address, and returns the heartbeat with which
-// the agent responds. executed is false if the agent refused the commands (status 409). After an
-// error other than ErrNotSent the agent may have executed them, or may still do so while the
+// SendCommands sends commands to the worker at an address, and returns the heartbeat with which
+// the worker responds. executed is false if the worker refused the commands (status 409). After an
+// error other than ErrNotSent the worker may have executed them, or may still do so while the
 // fencing token and the incarnation in the request match its own.
 func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.CommandRequest) (heartbeat *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	resp, err := c.post(ctx, addr, commands)
 	if err != nil {
-		return nil, false, fmt.Errorf("agent at %s: %w", addr, err)
+		return nil, false, fmt.Errorf("worker at %s: %w", addr, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, false, fmt.Errorf("agent at %s: %w", addr, &transport.StatusError{Code: resp.StatusCode})
+		return nil, false, fmt.Errorf("worker at %s: %w", addr, &transport.StatusError{Code: resp.StatusCode})
 	}
 	heartbeat = &wire.Heartbeat{}
 	if err := wire.ReadResponse(resp.Body, heartbeat); err != nil {
-		return nil, false, fmt.Errorf("agent at %s: decoding the heartbeat in its response: %w", addr, err)
+		return nil, false, fmt.Errorf("worker at %s: decoding the heartbeat in its response: %w", addr, err)
 	}
 	return heartbeat, resp.StatusCode == http.StatusOK, nil
 }
