--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -17,9 +17,9 @@
 	"ambersill/internal/wire"
 )
 
-// jobCountsTimeout bounds the call to a peer for a job's task counts. The counts are for display
+// taskCountsTimeout bounds the call to a peer for a job's task counts. The counts are for display
 // only, and the user waits 2 s for the whole query.
-const jobCountsTimeout = 200 * time.Millisecond
+const taskCountsTimeout = 200 * time.Millisecond
 
 var (
 	errNoSuchJob   = &api.PermanentError{Status: http.StatusNotFound, Reason: "no such job"}
@@ -127,7 +127,7 @@
 	if record.Phase.IsFinal() {
 		return status, nil
 	}
-	counts := c.jobCounts(id, record.Partition)
+	counts := c.taskCounts(id, record.Partition)
 	status.Done, status.Running = counts.Done, counts.Running
 	if status.Running > 0 {
 		status.Phase = wire.JobRunning
@@ -179,38 +179,38 @@
 	return status
 }
 
-// jobCounts returns a job's task counts from the partition's owner. The counts are zero if the
-// owner does not answer within jobCountsTimeout.
-func (c *Controller) jobCounts(id string, partition int) peerrpc.JobCounts {
-	if counts := c.LocalJobCounts(id); counts.Known {
+// taskCounts returns a job's task counts from the partition's owner. The counts are zero if the
+// owner does not answer within taskCountsTimeout.
+func (c *Controller) taskCounts(id string, partition int) peerrpc.TaskCounts {
+	if counts := c.LocalTaskCounts(id); counts.Known {
 		return counts
 	}
 	peer := c.peers[c.cluster.partitionOwner(partition).node]
 	if peer == nil {
-		return peerrpc.JobCounts{}
+		return peerrpc.TaskCounts{}
 	}
-	counts, err := peer.JobCounts(id, jobCountsTimeout)
+	counts, err := peer.TaskCounts(id, taskCountsTimeout)
 	if err != nil {
-		return peerrpc.JobCounts{}
+		return peerrpc.TaskCounts{}
 	}
 	return counts
 }
 
-// LocalJobCounts returns the task counts of a job if this node owns the job's partition.
+// LocalTaskCounts returns the task counts of a job if this node owns the job's partition.
 // Otherwise Known is false.
-func (c *Controller) LocalJobCounts(jobID string) peerrpc.JobCounts {
+func (c *Controller) LocalTaskCounts(jobID string) peerrpc.TaskCounts {
 	for _, owned := range c.ownedPartitions() {
-		if counts := owned.jobCounts(jobID); counts.Known {
+		if counts := owned.taskCounts(jobID); counts.Known {
 			return counts
 		}
 	}
-	return peerrpc.JobCounts{}
+	return peerrpc.TaskCounts{}
 }
 
-func (o *ownedPartition) jobCounts(jobID string) (counts peerrpc.JobCounts) {
+func (o *ownedPartition) taskCounts(jobID string) (counts peerrpc.TaskCounts) {
 	o.withLoadedPartition(func(partition *scheduler.Partition) {
-		tasks, known := partition.JobCounts(jobID)
-		counts = peerrpc.JobCounts{
+		tasks, known := partition.TaskCounts(jobID)
+		counts = peerrpc.TaskCounts{
 			Known:   known,
 			Done:    tasks.Done,
 			Running: tasks.Running,
--- a/internal/peerrpc/client.go
+++ b/internal/peerrpc/client.go
@@ -60,13 +60,13 @@
 	return p.callAndRecordFailure(methodCancelled, message, &struct{}{}, timeout)
 }
 
-// JobCounts asks the peer for the task counts of a job.
-func (p *Peer) JobCounts(jobID string, timeout time.Duration) (JobCounts, error) {
+// TaskCounts asks the peer for the task counts of a job.
+func (p *Peer) TaskCounts(jobID string, timeout time.Duration) (TaskCounts, error) {
 	var answer Answer
 	if err := p.callAndRecordFailure(methodView, Query{Job: jobID}, &answer, timeout); err != nil {
-		return JobCounts{}, err
+		return TaskCounts{}, err
 	}
-	return JobCounts{Known: answer.Known, Done: answer.Done, Running: answer.Running}, nil
+	return TaskCounts{Known: answer.Known, Done: answer.Done, Running: answer.Running}, nil
 }
 
 // SinceContact asks the peer for the time since it sent the last request that the key-value
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -19,15 +19,15 @@
 // stubHandler is a Handler that accepts every heartbeat except those of the machine "refused".
 type stubHandler struct {
 	got            []wire.Heartbeat
-	jobCountsDelay atomic.Int64 // how long LocalJobCounts takes, in nanoseconds
+	taskCountsDelay atomic.Int64 // how long LocalTaskCounts takes, in nanoseconds
 }
 
 func (*stubHandler) HandleClaim(OwnershipClaim)         {}
 func (*stubHandler) HandleCancellation(JobCancellation) {}
 func (*stubHandler) SinceContact() time.Duration        { return 0 }
-func (h *stubHandler) LocalJobCounts(string) JobCounts {
-	time.Sleep(time.Duration(h.jobCountsDelay.Load()))
-	return JobCounts{Known: true, Done: 1, Running: 2}
+func (h *stubHandler) LocalTaskCounts(string) TaskCounts {
+	time.Sleep(time.Duration(h.taskCountsDelay.Load()))
+	return TaskCounts{Known: true, Done: 1, Running: 2}
 }
 
 func (h *stubHandler) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) HeartbeatResult {
@@ -119,15 +119,15 @@
 func TestLateAnswerKeepsConnection(t *testing.T) {
 	owner := &stubHandler{}
 	peer, network := serveAndConnect(t, owner)
-	owner.jobCountsDelay.Store(int64(300 * time.Millisecond))
-	if _, err := peer.JobCounts("req-000001", 50*time.Millisecond); err == nil {
-		t.Fatal("JobCounts with a timeout shorter than the peer's delay: got no error, want a timeout")
+	owner.taskCountsDelay.Store(int64(300 * time.Millisecond))
+	if _, err := peer.TaskCounts("req-000001", 50*time.Millisecond); err == nil {
+		t.Fatal("TaskCounts with a timeout shorter than the peer's delay: got no error, want a timeout")
 	}
 	if !peer.FailedWithin(time.Minute) {
 		t.Error("FailedWithin after a call that timed out: got false, want true")
 	}
-	if counts, err := peer.JobCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
-		t.Errorf("JobCounts after a call that timed out: got %+v, error %v, want 2 running tasks", counts, err)
+	if counts, err := peer.TaskCounts("req-000001", 10*time.Second); err != nil || counts.Running != 2 {
+		t.Errorf("TaskCounts after a call that timed out: got %+v, error %v, want 2 running tasks", counts, err)
 	}
 	if network.dials.Load() != 0 {
 		t.Errorf("new connections after a call that timed out: got %d, want 0", network.dials.Load())
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -18,7 +18,7 @@
 // OwnershipClaim announces that a node has become the owner of a partition.
 type OwnershipClaim struct {
 	Partition int
-	Revision  uint64 // of the partition's ownership key
+	Revision  uint64 // of the partition's key
 	Node      string
 }
 
@@ -28,9 +28,9 @@
 	JobID     string
 }
 
-// JobCounts contains the numbers of a job's tasks by state, for display to users. Known is false
+// TaskCounts contains the numbers of a job's tasks by state, for display to users. Known is false
 // if the node that was asked does not run the job.
-type JobCounts struct {
+type TaskCounts struct {
 	Known         bool
 	Done, Running int
 }
@@ -49,8 +49,8 @@
 	// HandleCancellation handles another node's announcement that it has committed a
 	// cancellation.
 	HandleCancellation(JobCancellation)
-	// LocalJobCounts returns the task counts of a job if this node runs the job.
-	LocalJobCounts(jobID string) JobCounts
+	// LocalTaskCounts returns the task counts of a job if this node runs the job.
+	LocalTaskCounts(jobID string) TaskCounts
 	// SinceContact returns the time since this node sent the last request that the key-value
 	// store served.
 	SinceContact() time.Duration
@@ -79,7 +79,7 @@
 // only the latter if the query names no job.
 func (s *Service) View(query Query, answer *Answer) error {
 	if query.Job != "" {
-		counts := s.handler.LocalJobCounts(query.Job)
+		counts := s.handler.LocalTaskCounts(query.Job)
 		answer.Known, answer.Done, answer.Running = counts.Known, counts.Done, counts.Running
 	}
 	answer.Contact = s.handler.SinceContact().Seconds()
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -113,20 +113,20 @@
 	return job
 }
 
-// JobCounts contains the numbers of a job's tasks by state.
-type JobCounts struct {
+// TaskCounts contains the numbers of a job's tasks by state.
+type TaskCounts struct {
 	Done    int
 	Running int // includes tasks that are saving a checkpoint
 }
 
-// JobCounts returns the numbers of a job's tasks by state, and whether the partition has the
+// TaskCounts returns the numbers of a job's tasks by state, and whether the partition has the
 // job.
-func (p *Partition) JobCounts(id string) (JobCounts, bool) {
+func (p *Partition) TaskCounts(id string) (TaskCounts, bool) {
 	job := p.jobs[id]
 	if job == nil {
-		return JobCounts{}, false
+		return TaskCounts{}, false
 	}
-	return JobCounts{Done: job.doneTasks, Running: job.runningTasks()}, true
+	return TaskCounts{Done: job.doneTasks, Running: job.runningTasks()}, true
 }
 
 // JobCount returns the number of jobs that have not ended.
