--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -45,7 +45,7 @@
 			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
 			cluster.simulation.RecordFaultsOver()
 			time.Sleep(80 * second)
-			cluster.simulation.RecordUnansweredPoll(checkedJobID)
+			cluster.simulation.RecordUnansweredRequest(checkedJobID)
 		}},
 		{"accepted", func(cluster *simulatedCluster) { cluster.simulation.RecordInvalidJobAccepted("req-000009", 201) }},
 		{"left_waiting", leaveJobWaiting},
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -175,10 +175,10 @@
 	}
 }
 
-// RecordUnansweredPoll records that a request about a job was not answered. It is a violation
+// RecordUnansweredRequest records that a request about a job was not answered. It is a violation
 // if no request about the job has been answered for more than maxTimeWithoutAnswer since the
 // faults ended.
-func (s *Simulation) RecordUnansweredPoll(id string) {
+func (s *Simulation) RecordUnansweredRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faultsOverAt.IsZero() {
@@ -312,14 +312,14 @@
 // overLimit reports whether the numbers of CPUs or GPUs are over a team's limit. A limit of 0
 // means none.
 func (s *Simulation) overLimit(team string, cpus, gpus float64) bool {
-	for _, limits := range s.Teams {
-		if limits.Name != team {
+	for _, teamConfig := range s.Teams {
+		if teamConfig.Name != team {
 			continue
 		}
-		if limits.MaxCPUs > 0 && cpus > limits.MaxCPUs+roundingTolerance {
+		if teamConfig.MaxCPUs > 0 && cpus > teamConfig.MaxCPUs+roundingTolerance {
 			return true
 		}
-		if limits.MaxGPUs > 0 && gpus > limits.MaxGPUs+roundingTolerance {
+		if teamConfig.MaxGPUs > 0 && gpus > teamConfig.MaxGPUs+roundingTolerance {
 			return true
 		}
 	}
--- a/internal/emulator/checker_test.go
+++ b/internal/emulator/checker_test.go
@@ -43,9 +43,9 @@
 	return s
 }
 
-// submitAccepted registers a job of four tasks that may run on small machines only, and reports it
+// submitAndAccept registers a job of four tasks that may run on small machines only, and reports it
 // as queued to its user. If change is not nil, it is applied to the job first.
-func (s *checkerSetup) submitAccepted(change func(job *wire.Job)) *wire.Job {
+func (s *checkerSetup) submitAndAccept(change func(job *wire.Job)) *wire.Job {
 	job := &wire.Job{ID: "req-1", Team: "free", Shape: wire.ArrayJob, TaskCount: 4, CPUs: 1, MemoryGB: 1, MachineTypes: []string{"small"}, EstimatedRunS: 100}
 	if change != nil {
 		change(job)
@@ -64,8 +64,8 @@
 	s.startTask(worker, t)
 }
 
-// cancelConfirmed requests the cancellation of a job and reports it as cancelled to its user.
-func (s *checkerSetup) cancelConfirmed(job *wire.Job) {
+// cancelAndConfirm requests the cancellation of a job and reports it as cancelled to its user.
+func (s *checkerSetup) cancelAndConfirm(job *wire.Job) {
 	s.RecordCancelRequest(job.ID)
 	s.RecordPhaseAnswer(job.ID, wire.JobCancelled, time.Now())
 }
@@ -81,91 +81,91 @@
 		wantText string // must occur in one of the reports
 	}{
 		{"no violation", "", func(s *checkerSetup) {
-			job := s.submitAccepted(func(job *wire.Job) { job.TaskCount = 1 })
+			job := s.submitAndAccept(func(job *wire.Job) { job.TaskCount = 1 })
 			s.startTaskOn(s.west, job, 0)
 			time.Sleep(101 * time.Second)
 			s.RecordPhaseAnswer(job.ID, wire.JobDone, time.Now())
 		}, ""},
 		{"a task on two machines at the same time", ruleRanTwice, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
+			job := s.submitAndAccept(nil)
 			s.startTaskOn(s.west, job, 0)
 			s.startTaskOn(s.west2, job, 0)
 		}, ""},
 		{"a team over its limit", ruleQuota, func(s *checkerSetup) {
-			job := s.submitAccepted(func(job *wire.Job) { job.Team = "limited" })
+			job := s.submitAndAccept(func(job *wire.Job) { job.Team = "limited" })
 			for i := range 3 {
 				s.startTaskOn(s.west, job, i)
 			}
 		}, ""},
 		{"a machine type that is not allowed", ruleWrongPlace, func(s *checkerSetup) {
-			s.startTaskOn(s.large, s.submitAccepted(nil), 0)
+			s.startTaskOn(s.large, s.submitAndAccept(nil), 0)
 		}, ""},
 		{"a zone that is not allowed", ruleWrongPlace, func(s *checkerSetup) {
-			s.startTaskOn(s.east, s.submitAccepted(onlyZone("west")), 0)
+			s.startTaskOn(s.east, s.submitAndAccept(onlyZone("west")), 0)
 		}, ""},
 		{"a spot machine for a job that allows none", ruleWrongPlace, func(s *checkerSetup) {
-			s.startTaskOn(s.spot, s.submitAccepted(nil), 0)
+			s.startTaskOn(s.spot, s.submitAndAccept(nil), 0)
 		}, ""},
 		{"two zones for a job that must be in one", ruleWrongPlace, func(s *checkerSetup) {
-			job := s.submitAccepted(func(job *wire.Job) { job.SingleZone = true })
+			job := s.submitAndAccept(func(job *wire.Job) { job.SingleZone = true })
 			s.startTaskOn(s.west, job, 0)
 			s.startTaskOn(s.east, job, 1)
 		}, ""},
 		{"more than half of the tasks in one zone for a job that must be spread", ruleWrongPlace, func(s *checkerSetup) {
-			job := s.submitAccepted(func(job *wire.Job) { job.SpreadZones = true })
+			job := s.submitAndAccept(func(job *wire.Job) { job.SpreadZones = true })
 			for i := range 3 {
 				s.startTaskOn(s.west, job, i)
 			}
 		}, ""},
 		{"a task that still runs long after the cancellation of its job", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
+			job := s.submitAndAccept(nil)
 			s.startTaskOn(s.west, job, 0)
-			s.cancelConfirmed(job)
+			s.cancelAndConfirm(job)
 			time.Sleep(45 * time.Second)
 		}, "is still on a machine"},
 		{"a task that starts long after the cancellation of its job", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
-			s.cancelConfirmed(job)
+			job := s.submitAndAccept(nil)
+			s.cancelAndConfirm(job)
 			time.Sleep(45 * time.Second)
 			s.startTaskOn(s.west, job, 0)
 		}, "started"},
 		{"a task that leaves its machine long after the cancellation of its job", ruleRanCancelled, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
+			job := s.submitAndAccept(nil)
 			s.startTaskOn(s.west, job, 0)
-			s.cancelConfirmed(job)
+			s.cancelAndConfirm(job)
 			time.Sleep(45 * time.Second)
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			s.west.dropTasks()
 		}, "left its machine"},
 		{"an accepted job that is later reported as unknown", ruleForgotten, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
+			job := s.submitAndAccept(nil)
 			time.Sleep(time.Second)
 			s.RecordUnknownJobAnswer(job.ID, 404, time.Now())
 		}, ""},
 		{"an accepted job about which no request is answered", ruleForgotten, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
+			job := s.submitAndAccept(nil)
 			s.RecordFaultsOver()
 			time.Sleep(76 * time.Second)
-			s.RecordUnansweredPoll(job.ID)
+			s.RecordUnansweredRequest(job.ID)
 		}, ""},
 		{"a phase of a job that was never submitted", ruleInvented, func(s *checkerSetup) {
 			s.RecordPhaseAnswer("req-9", wire.JobQueued, time.Now())
 		}, ""},
 		{"a job reported as done before its tasks have completed", ruleNotDone, func(s *checkerSetup) {
-			s.RecordPhaseAnswer(s.submitAccepted(nil).ID, wire.JobDone, time.Now())
+			s.RecordPhaseAnswer(s.submitAndAccept(nil).ID, wire.JobDone, time.Now())
 		}, ""},
 		{"a cancelled job reported as queued", ruleWentBack, func(s *checkerSetup) {
-			job := s.submitAccepted(nil)
-			s.cancelConfirmed(job)
+			job := s.submitAndAccept(nil)
+			s.cancelAndConfirm(job)
 			time.Sleep(time.Second)
 			s.RecordPhaseAnswer(job.ID, wire.JobQueued, time.Now())
 		}, ""},
 		{"a job reported as cancelled without a request", ruleWentBack, func(s *checkerSetup) {
-			s.RecordPhaseAnswer(s.submitAccepted(nil).ID, wire.JobCancelled, time.Now())
+			s.RecordPhaseAnswer(s.submitAndAccept(nil).ID, wire.JobCancelled, time.Now())
 		}, ""},
 		{"a job that waits although a machine has free capacity", ruleLeftWaiting, func(s *checkerSetup) {
-			s.submitAccepted(nil)
+			s.submitAndAccept(nil)
 			s.RecordFaultsOver()
 			for range 20 {
 				s.CheckWaitingJobs([]*Worker{s.west})
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -178,7 +178,7 @@
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
 		u.Simulation.RecordUnknownJobAnswer(id, status, sent)
 	default:
-		u.Simulation.RecordUnansweredPoll(id)
+		u.Simulation.RecordUnansweredRequest(id)
 	}
 }
 
