--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// maxTimeWithoutAnswer is the longest time after the end of all faults for which status
-	// requests about one accepted job may all fail, even if requests about other jobs succeed.
+	// maxTimeWithoutAnswer is the longest time after the end of all faults for which requests
+	// about one accepted job may all fail, even if requests about other jobs succeed.
 	maxTimeWithoutAnswer = 75 * time.Second
 	// maxWaitDespiteCapacity is the longest time after the end of all faults for which a job
 	// may wait although suitable machines have free capacity and its team is under its limit.
@@ -47,7 +47,7 @@
 	finalAt         time.Time     // when a user was first told that the job is done or cancelled
 	cancelRequested bool
 	cancelledAt     time.Time // when a user was first told that the job is cancelled
-	lastAnswerAt    time.Time // when a request about the job was last answered
+	lastAnswerAt    time.Time // when a request about the job was last answered with a phase
 	firstStartAt    time.Time // when the job's first task started
 	waitingSince    time.Time // when the job began to wait despite free capacity
 }
@@ -113,9 +113,9 @@
 }
 
 // RecordPhaseAnswer records and checks the phase that a controller reported to a user. sent is
-// when the user sent the request. An answer contradicts an earlier one only if its request was
-// sent after the earlier answer had arrived, since answers to concurrent requests may arrive in
-// any order.
+// when the user sent the request. Answers to concurrent requests may arrive in any order. After a
+// final phase, an answer with a phase that is not final is therefore a violation only if its
+// request was sent after the final phase had been reported.
 func (s *Simulation) RecordPhaseAnswer(id string, phase wire.JobPhase, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,9 +175,9 @@
 	}
 }
 
-// RecordUnansweredRequest records that a request about a job was not answered. It is a violation
-// if no request about the job has been answered for more than maxTimeWithoutAnswer since the
-// faults ended.
+// RecordUnansweredRequest records that a request about a job got no answer, or one that says
+// nothing about the job, such as HTTP status 503. It is a violation if the last answer with the
+// job's phase and the end of the faults are both more than maxTimeWithoutAnswer ago.
 func (s *Simulation) RecordUnansweredRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -309,8 +309,8 @@
 	}
 }
 
-// overLimit reports whether the numbers of CPUs or GPUs are over a team's limit. A limit of 0
-// means none.
+// overLimit reports whether the number of CPUs or the number of GPUs is over a team's limit. A
+// maximum of 0 means that the team has no limit on that resource.
 func (s *Simulation) overLimit(team string, cpus, gpus float64) bool {
 	for _, teamConfig := range s.Teams {
 		if teamConfig.Name != team {
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// startTask starts a task on a machine. It must be called once the image has been fetched.
+// startTask starts a task on a machine, which must have fetched the task's image.
 func (s *Simulation) startTask(worker *Worker, t *task) {
 	s.checkRunningAfterCancellation()
 	s.recordStart(t)
@@ -36,7 +36,7 @@
 	s.checkQuota(t.job.Team)
 	switch {
 	case s.completedTasks[t.name]:
-		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task
+		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task, and its result is kept
 	case worker.failsTasks:
 		t.state = wire.TaskRunning
 		worker.runAfter(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
@@ -103,8 +103,9 @@
 	return members
 }
 
-// joinGang starts a gang once all its tasks are on machines, and schedules that they complete
-// together. If the gang has not started within GangWaitTimeout, the task exits.
+// joinGang makes a task wait for the other tasks of its gang, and exit if the gang has not started
+// within GangWaitTimeout. If all tasks of the gang are now on machines and waiting, it starts the
+// gang and schedules that all of them complete together.
 func (s *Simulation) joinGang(worker *Worker, t *task) {
 	worker.runAfter(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -59,7 +59,8 @@
 	repeatedAttemptCount   int
 	startsAfterCancelCount int
 	faultsOverAt           time.Time // when the injected faults ended; zero before that
-	// removalTime is when the tasks that are being removed ended; zero means now.
+	// removalTime is when a machine's lease expired, while the tasks of that machine are being
+	// removed; zero at other times, when a task that is removed ends at the current time.
 	removalTime time.Time
 }
 
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -17,8 +17,7 @@
 	Net        transport.Net
 	// PickNode chooses a node for each request.
 	PickNode func() Node
-	// CancelAfter, if above 0, is the time after the start of Run after which the user cancels
-	// the job.
+	// CancelAfter, if above 0, is how long after the start of Run the user cancels the job.
 	CancelAfter time.Duration
 	// CancelSignal, if not nil, makes the user cancel the job once it is closed.
 	CancelSignal <-chan struct{}
@@ -37,8 +36,8 @@
 	pollTimeout   = 2 * time.Second
 	// pollInterval is the time between two polls of a job.
 	pollInterval = 5 * time.Second
-	// submitRetryDelay is the pause before a submission or cancellation that failed is
-	// repeated, submitRetryLimit how long a submission is repeated.
+	// submitRetryDelay is the pause before a failed submission or cancellation is repeated.
+	// submitRetryLimit is how long after the start of Run a submission is still repeated.
 	submitRetryDelay = time.Second
 	submitRetryLimit = time.Minute
 	// pollRepeats and pollRepeatInterval set how often and at which interval PollAllNodes polls
@@ -214,8 +213,9 @@
 	u.recordAnswer(id, answer, status, sent)
 }
 
-// SubmitInvalid submits three jobs that must be refused permanently: one that fits no machine, one
-// that lacks a field and one of an unknown team. It records a violation if one is accepted.
+// SubmitInvalid submits three variants of a job that must be refused permanently: one that fits no
+// machine, one that lacks a field and one of an unknown team. It records a violation if one is
+// accepted, or if a later request for its status succeeds.
 func (u *User) SubmitInvalid(ctx context.Context, job *wire.Job) {
 	client := u.newClient()
 	defer client.CloseIdleConnections()
@@ -262,7 +262,7 @@
 }
 
 // submissionFields returns the fields of a submission of the job. Optional fields that the job does
-// not set are null, as users send them.
+// not set are null, because users send them so. The result is nil if the job cannot be encoded.
 func submissionFields(job *wire.Job) map[string]any {
 	encoded, err := wire.Marshal(job)
 	if err != nil {
