--- a/internal/controller/large_fleet_test.go
+++ b/internal/controller/large_fleet_test.go
@@ -124,7 +124,7 @@
 		cluster.startNodes()
 		time.Sleep(10 * time.Second)
 		if n := cluster.store.CountListedKeys() - before; n == 0 || n > finishedJobs/10 {
-			cluster.t.Errorf("store items read in a failover with one running job: got %d, want 1 to 1000", n)
+			cluster.t.Errorf("store keys listed in a failover with one running job: got %d, want 1 to 1000", n)
 		}
 		cluster.waitForJobsAndCheck(10 * time.Minute)
 	})
@@ -134,11 +134,11 @@
 func writeFinishedJobs(cluster *simulatedCluster, count int) {
 	const jobsPerTxn = 20
 	store := kvstore.New(kvstore.Options{
-		Net:       cluster.network.Host("history"),
-		Addr:      storeAddr,
-		Timeout:   2 * time.Second,
-		ReadRate:  1e6,
-		WriteRate: 1e6,
+		Net:         cluster.network.Host("history"),
+		Addr:        storeAddr,
+		Timeout:     2 * time.Second,
+		RequestRate: 1e6,
+		WriteRate:   1e6,
 	})
 	for n := 0; n < count; {
 		var txn wire.Txn
