--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -120,9 +120,9 @@
 
 func cutNodeFromStore(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
 	nodeName := cluster.nodes[random.IntN(controllerCount)].Name
-	cluster.network.Cut(nodeName, "state", true)
+	cluster.network.SetLinkCut(nodeName, "state", true)
 	time.Sleep(time.Duration(4+random.IntN(40)) * time.Second)
-	cluster.network.Cut(nodeName, "state", false)
+	cluster.network.SetLinkCut(nodeName, "state", false)
 }
 
 func cutNodeFromWorkers(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
@@ -152,14 +152,14 @@
 	}
 	random.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
 	for _, host := range hosts {
-		cluster.network.Cut(cluster.nodes[node].Name, host, isolated)
+		cluster.network.SetLinkCut(cluster.nodes[node].Name, host, isolated)
 	}
 }
 
 // setWorkersCut cuts a controller off from all workers, or restores these links.
 func (cluster *simulatedCluster) setWorkersCut(nodeName string, cut bool) {
 	for zone := range cluster.simulation.ZoneNets {
-		cluster.network.Cut(nodeName, "workers-"+zone, cut)
+		cluster.network.SetLinkCut(nodeName, "workers-"+zone, cut)
 	}
 }
 
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -63,7 +63,7 @@
 func (scenario *faultScenario) checkInjected(t *testing.T, cluster *simulatedCluster) {
 	t.Helper()
 	for kind, minimum := range scenario.minInjected {
-		if n := cluster.injector.Injected(kind); n < minimum {
+		if n := cluster.injector.InjectedCount(kind); n < minimum {
 			t.Errorf("effective faults of kind %s in the scenario: got %d, want at least %d", kind, n, minimum)
 		}
 	}
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -200,16 +200,16 @@
 
 func (cluster *simulatedCluster) newInjector(seed uint64) *emulator.FaultInjector {
 	return &emulator.FaultInjector{
-		Network:    cluster.network,
-		Store:      cluster.store,
-		Cloud:      cluster.cloud,
-		Simulation: cluster.simulation,
-		Nodes:      cluster.nodes,
-		Rand:       rand.New(rand.NewPCG(seed, injectorStream)),
-		Start:      cluster.startNode,
-		Crash:      cluster.crashNode,
-		Owner:      cluster.firstPartitionOwner,
-		Cancel:     cluster.cancelRunningJobs,
+		Network:             cluster.network,
+		Store:               cluster.store,
+		Cloud:               cluster.cloud,
+		Simulation:          cluster.simulation,
+		Nodes:               cluster.nodes,
+		Rand:                rand.New(rand.NewPCG(seed, injectorStream)),
+		StartController:     cluster.startNode,
+		CrashController:     cluster.crashNode,
+		FirstPartitionOwner: cluster.firstPartitionOwner,
+		CancelJobs:          cluster.cancelRunningJobs,
 	}
 }
 
--- a/internal/controller/slow_controllers_test.go
+++ b/internal/controller/slow_controllers_test.go
@@ -74,7 +74,7 @@
 func TestSlowControllers(t *testing.T) {
 	slowProcessor := func(delayPerMessage time.Duration, nodes []int) emulator.Fault {
 		fault := nodeFault(emulator.SlowProcessor, 30*second, 80*second, nodes)
-		fault.Wait = delayPerMessage
+		fault.Delay = delayPerMessage
 		return fault
 	}
 	crash := crashFault(60*second, ownerNode, 2*second)
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -2,48 +2,52 @@
 
 import "context"
 
-// hangMachines has machines hang for as long as the fault lasts, and does not wait for that.
+// hangMachines suspends machines for the fault's duration. It returns at once, since each worker
+// ends its own hang.
 func (f *FaultInjector) hangMachines(fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		worker.Hang(fault.For)
+		worker.Hang(fault.ActiveFor)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
 
-// loseMachines removes machines without notice.
+// loseMachines removes machines without a termination notice.
 func (f *FaultInjector) loseMachines(fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
 		f.Cloud.Reclaim(worker.Machine.ID)
 	}
 	f.countInjected(fault.Kind, len(workers))
 }
 
-// cutMachines cuts machines off in one direction.
-func (f *FaultInjector) cutMachines(ctx context.Context, fault Fault, cut func(worker *Worker, on bool)) {
-	workers := f.targets(fault)
+// cutMachines cuts machines off in one direction by calling setCut, and restores all their links
+// when the fault is over.
+func (f *FaultInjector) cutMachines(ctx context.Context, fault Fault, setCut func(worker *Worker, on bool)) {
+	workers := f.targetWorkers(fault)
 	for _, worker := range workers {
-		cut(worker, true)
+		setCut(worker, true)
 	}
 	f.countInjected(fault.Kind, len(workers))
 	waitUntilOver(ctx, fault)
 	restoreLinks(workers)
 }
 
-// delayCommands delays the commands that are sent directly to machines.
+// delayCommands delays the commands that are sent directly to machines until the fault is over.
+// The requests with delayed commands are counted, rather than the machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
-	workers := f.targets(fault)
+	workers := f.targetWorkers(fault)
 	before := countLateCommands(workers)
 	for _, worker := range workers {
-		worker.DelayCommands(fault.Wait)
+		worker.DelayCommands(fault.Delay)
 	}
 	waitUntilOver(ctx, fault)
 	f.countInjected(fault.Kind, countLateCommands(workers)-before)
 	restoreLinks(workers)
 }
 
-// restoreLinks ends all faults of the machines' links.
+// restoreLinks ends every link fault of the machines, including those that another fault of the
+// script began.
 func restoreLinks(workers []*Worker) {
 	for _, worker := range workers {
 		worker.CutInbound(false)
@@ -60,26 +64,28 @@
 	return count
 }
 
-// targets lists the workers of the machines that a fault strikes, by machine ID.
-func (f *FaultInjector) targets(fault Fault) []*Worker {
-	var targets []*Worker
+// targetWorkers returns the workers of the machines that a fault affects, ordered
+// by machine ID.
+func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
+	var targetWorkers []*Worker
 	for _, worker := range f.Cloud.Workers() {
-		if fault.Count > 0 && len(targets) == fault.Count {
+		if fault.MaxTargets > 0 && len(targetWorkers) == fault.MaxTargets {
 			break
 		}
 		if fault.Zone != "" && worker.Machine.Zone != fault.Zone {
 			continue
 		}
 		if worker.isTarget(fault) {
-			targets = append(targets, worker)
+			targetWorkers = append(targetWorkers, worker)
 		}
 	}
-	return targets
+	return targetWorkers
 }
 
-// isTarget reports whether a fault strikes the worker's machine, apart from its zone: a machine
-// with work of the fault's team, or any that is up if commands are delayed, since those that
-// start tasks are sent to idle machines above all.
+// isTarget reports whether a fault affects the worker's machine; the caller checks the zone. Most
+// faults affect only machines that have tasks of the fault's team, or of any team if none is set.
+// DelayedCommands affects every machine that is up, since most commands that start tasks are sent
+// to idle machines.
 func (w *Worker) isTarget(fault Fault) bool {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
