--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -25,7 +25,7 @@
 
 func (*echoOwner) HandleClaim(peerrpc.OwnershipClaim)         {}
 func (*echoOwner) HandleCancellation(peerrpc.JobCancellation) {}
-func (*echoOwner) LocalTaskCounts(string) peerrpc.TaskCounts    { return peerrpc.TaskCounts{} }
+func (*echoOwner) LocalTaskCounts(string) peerrpc.TaskCounts  { return peerrpc.TaskCounts{} }
 func (*echoOwner) SinceContact() time.Duration                { return 0 }
 
 func (o *echoOwner) AnswerHeartbeatAsOwner(heartbeat *wire.Heartbeat) peerrpc.HeartbeatResult {
--- a/internal/peerrpc/peerrpc_test.go
+++ b/internal/peerrpc/peerrpc_test.go
@@ -18,7 +18,7 @@
 
 // stubHandler is a Handler that accepts every heartbeat except those of the machine "refused".
 type stubHandler struct {
-	got            []wire.Heartbeat
+	got             []wire.Heartbeat
 	taskCountsDelay atomic.Int64 // how long LocalTaskCounts takes, in nanoseconds
 }
 
