--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -40,7 +40,7 @@
 
 // emptyMachine returns a running on-demand machine without tasks.
 func emptyMachine() Machine {
-	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Running: true}
+	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Booted: true}
 }
 
 // gpuFleet is a fleet of GPU machines and its load: allocated capacity, and waiting tasks of
@@ -89,7 +89,7 @@
 		input.Machines = append(input.Machines, Machine{
 			ID:       fmt.Sprint(i),
 			Offering: Offering{MachineType: "gpu", Zone: "a", Spot: false},
-			Running:  i >= f.booting,
+			Booted:   i >= f.booting,
 		})
 	}
 	return input
@@ -187,9 +187,9 @@
 	onDemand := Offering{MachineType: "cpu", Zone: "a"}
 	spot := Offering{MachineType: "cpu", Zone: "a", Spot: true}
 	machines := []Machine{
-		{ID: "spot-1", Offering: spot, Empty: true, Running: true},
-		{ID: "demand-1", Offering: onDemand, Empty: true, Running: true},
-		{ID: "demand-2", Offering: onDemand, Empty: true, Running: true},
+		{ID: "spot-1", Offering: spot, Empty: true, Booted: true},
+		{ID: "demand-1", Offering: onDemand, Empty: true, Booted: true},
+		{ID: "demand-2", Offering: onDemand, Empty: true, Booted: true},
 	}
 	for _, test := range []struct {
 		name              string
--- a/internal/autoscaler/planbuilder.go
+++ b/internal/autoscaler/planbuilder.go
@@ -59,7 +59,7 @@
 		return
 	}
 	b.countMachine(machine.Offering)
-	if machine.Desired == records.DesiredInService && (machine.Empty || !machine.Running) {
+	if machine.Desired == records.DesiredInService && (machine.Empty || !machine.Booted) {
 		bin := b.newBin(machine.Offering, machine.Partition)
 		bin.machine = machine
 		b.bins = append(b.bins, bin)
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -46,13 +46,13 @@
 }
 
 // Machines that do not answer must leave half of the slots to the other machines.
-func TestCommandsToSilentMachinesLeaveSlots(t *testing.T) {
+func TestCommandsToUnresponsiveMachinesLeaveSlots(t *testing.T) {
 	const unresponsiveCount = 150
 	slots, now := newCommandSlots(testSockets), time.Unix(1000, 0)
 	// Machines are not in back-off before their first request has failed, so they may use all
 	// slots until each of them was tried once.
 	for left := unresponsiveCount; left > 0; {
-		machines := acquireAll(slots, "silent-", unresponsiveCount, now)
+		machines := acquireAll(slots, "unresponsive-", unresponsiveCount, now)
 		if want := min(testSlots, left); len(machines) != want {
 			t.Fatalf("%d requests in flight, want %d", len(machines), want)
 		}
@@ -62,7 +62,7 @@
 		left -= len(machines)
 	}
 	now = now.Add(testBackoff.shortest)
-	if n := len(acquireAll(slots, "silent-", unresponsiveCount, now)); n != testSlots/2 {
+	if n := len(acquireAll(slots, "unresponsive-", unresponsiveCount, now)); n != testSlots/2 {
 		t.Errorf("%d requests in flight to machines in back-off, want half of the slots", n)
 	}
 	if n := len(acquireAll(slots, "answering-", unresponsiveCount, now)); n != testSlots/2 {
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -14,9 +14,9 @@
 // since a machine may need several attempts.
 const fencingRetryInterval = 200 * time.Millisecond
 
-// fenceMachines raises the fencing token of every machine with tasks of a former owner, and
+// fenceMachines raises the fencing token of every machine with tasks of an earlier owner, and
 // repeats this until all machines have acknowledged the token. Waiting for their next
-// heartbeats is not enough: a worker may send its heartbeats to a former owner that is cut
+// heartbeats is not enough: a worker may send its heartbeats to an earlier owner that is cut
 // off by a network partition and does not know that it was replaced. Such a worker learns of
 // the new owner only by this request.
 func (o *ownedPartition) fenceMachines(ctx context.Context) {
--- a/internal/controller/partition_load.go
+++ b/internal/controller/partition_load.go
@@ -29,7 +29,7 @@
 
 // load restores the partition from its records, and returns the revision to watch jobs
 // from. It runs after the claim. The claim has changed the revision of the partition's key,
-// so the former owner can no longer commit and the records read here are complete.
+// so the earlier owner can no longer commit and the records read here are complete.
 func (o *ownedPartition) load(ctx context.Context) (uint64, error) {
 	if err := o.controller.refreshFeatureLevel(ctx); err != nil {
 		return 0, fmt.Errorf("reading feature level: %w", err)
--- a/internal/controller/sizing.go
+++ b/internal/controller/sizing.go
@@ -72,14 +72,14 @@
 		// A machine that the cloud lists as running, but that has sent no heartbeat since
 		// its partition's owner changed, is unreachable or hangs. If it counted as booting,
 		// no replacement would be rented.
-		silent := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
+		upWithoutHeartbeat := digest&records.DigestNeverReported != 0 && l.listings[id].state == wire.MachineRunning
 		result = append(result, autoscaler.Machine{
 			ID:        id,
 			Offering:  offeringOfMachine(record),
 			Partition: record.Partition,
 			Desired:   record.Desired,
 			Empty:     digest&records.DigestEmpty != 0,
-			Running:   digest&records.DigestReporting != 0 || silent,
+			Booted:    digest&records.DigestReporting != 0 || upWithoutHeartbeat,
 		})
 	}
 	return result
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -309,8 +309,8 @@
 		record := records.NodeRecord{Node: names[i], Level: records.CurrentFeatureLevel}
 		cache.applyChange(putChange(records.NodePrefix+names[i], record, uint64(i+1)))
 	}
-	if conditions, ready := cache.readyForLevel(records.CurrentFeatureLevel, names); !ready || len(conditions) != len(names) {
-		t.Errorf("readiness for the feature level with 40 registered nodes: got ready %v and %d conditions, want ready and 40 conditions", ready, len(conditions))
+	if compares, ready := cache.readyForLevel(records.CurrentFeatureLevel, names); !ready || len(compares) != len(names) {
+		t.Errorf("readiness for the feature level with 40 registered nodes: got ready %v and %d compares, want ready and 40 compares", ready, len(compares))
 	}
 	if _, ready := cache.readyForLevel(records.CurrentFeatureLevel, append(names, "away")); ready {
 		t.Error("nodes are ready for the feature level although one is not registered")
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -13,9 +13,9 @@
 type chunkFormat uint8
 
 const (
-	// numberedChunk records do not contain their range of tasks. The range follows from the
+	// indexedChunk records do not contain their range of tasks. The range follows from the
 	// chunk index in the key and the configured maximum value size.
-	numberedChunk chunkFormat = iota
+	indexedChunk chunkFormat = iota
 	// explicitRangeChunk records contain their range of tasks, which allows a chunk to be split.
 	explicitRangeChunk
 )
@@ -25,7 +25,7 @@
 	job *Job
 	// name is the last component of the record's key.
 	name string
-	// index is the chunk's index in the layout of numbered chunks. A chunk that is split off has
+	// index is the chunk's index in the layout of indexed chunks. A chunk that is split off has
 	// the index of its origin. Journal entries refer to chunks by index.
 	index    int
 	from, to int
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -62,7 +62,7 @@
 func newTakeoverTest(t *rapid.T) *takeoverTest {
 	owner := newPartitionHarness()
 	owner.journal.slotRevisions = make([]uint64, testJournalSlots)
-	owner.layout.limits.MaxTxnWrites = rapid.SampledFrom([]int{3, 6}).Draw(t, "ops")
+	owner.layout.limits.MaxTxnWrites = rapid.SampledFrom([]int{3, 6}).Draw(t, "writes")
 	raised := rapid.IntRange(0, 60).Draw(t, "raised")
 	test := &takeoverTest{
 		t:                t,
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -17,7 +17,7 @@
 // configured size does not move tasks between chunks.
 type chunkLayout struct {
 	partition     int
-	tasksPerChunk int // in numbered chunks
+	tasksPerChunk int // in indexed chunks
 	// limits are the key-value store's limits for writes. ReduceWriteLimits may lower them.
 	limits       config.StoreLimits
 	featureLevel records.FeatureLevel
@@ -65,7 +65,7 @@
 	if l.writesExplicitRanges() {
 		return explicitRangeChunk
 	}
-	return numberedChunk
+	return indexedChunk
 }
 
 // maxValueBytes returns the maximum size of a value that may be written, in bytes.
@@ -196,7 +196,7 @@
 func (c *chunk) initFromRecord(loaded *records.LoadedChunk) {
 	c.name = loaded.Name
 	c.revision = loaded.Revision
-	c.storedFormat = numberedChunk
+	c.storedFormat = indexedChunk
 	if loaded.Record.HasExplicitRange() {
 		c.storedFormat = explicitRangeChunk
 	}
@@ -239,7 +239,7 @@
 	if !c.hasRecord() {
 		return c.splitFrom != nil
 	}
-	return c.storedFormat == numberedChunk && c.splitOffChunksWritten(batch)
+	return c.storedFormat == indexedChunk && c.splitOffChunksWritten(batch)
 }
 
 // nextChunkToConvert returns a chunk for which needsFormatConversion holds, or nil if there is none.
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -20,7 +20,7 @@
 	maxWrites         int
 }
 
-// newFakeStore returns a store that contains only the ownership record of the harness's partition.
+// newFakeStore returns a store that contains only the owner record of the harness's partition.
 func newFakeStore(harness *partitionHarness) *fakeStore {
 	return &fakeStore{
 		revision:  1000,
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -76,17 +76,17 @@
 	if len(machine.placements) == 0 && machine.usable() && !machine.isReserved(now) {
 		digest |= records.DigestEmpty
 	}
-	if machine.quarantined || machine.silentLongerThanBoot(now) {
+	if machine.quarantined || machine.expiredLongerThanBoot(now) {
 		digest |= records.DigestUnhealthy
 	}
 	return digest
 }
 
-// silentLongerThanBoot reports whether the machine's lease expired longer ago than another machine
+// expiredLongerThanBoot reports whether the machine's lease expired longer ago than another machine
 // takes to boot. Until then the machine may merely hang or be cut off by a network partition, and
 // can recover sooner than a replacement boots, with its images cached. If it is gone, the cloud's
-// list of machines shows it.
-func (m *Machine) silentLongerThanBoot(now time.Time) bool {
+// listing shows it.
+func (m *Machine) expiredLongerThanBoot(now time.Time) bool {
 	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
 }
 
@@ -102,7 +102,7 @@
 		// when it is returned to the cloud.
 		return records.DigestUnhealthy
 	case !token.everAcknowledged && assignedBeforeTimeout:
-		// The machine is booting or cut off. The cloud's list of machines shows which.
+		// The machine is booting or cut off. The cloud's listing shows which.
 		return records.DigestNeverReported
 	case !token.unacknowledgedSince.IsZero() && now.Sub(token.unacknowledgedSince) > contactTimeout:
 		// The worker sends heartbeats, but receives neither responses nor commands.
--- a/internal/scheduler/summary_test.go
+++ b/internal/scheduler/summary_test.go
@@ -8,7 +8,7 @@
 )
 
 // A machine that has sent no heartbeat since the partition's owner changed is marked as never reported
-// once it has had time to reconnect. With the cloud's list, this distinguishes a machine that is up
+// once it has had time to reconnect. With the cloud's listing, this distinguishes a machine that is up
 // from one that is booting.
 func TestDigestMarksMachineThatNeverReported(t *testing.T) {
 	harness := newPartitionHarness()
