--- a/internal/emulator/fault_heartbeats.go
+++ b/internal/emulator/fault_heartbeats.go
@@ -40,12 +40,12 @@
 // first partition has a new owner and the fault's Delay has passed, it sends them to every node.
 func (f *FaultInjector) replayHeartbeatsToNextOwner(ctx context.Context, fault Fault) {
 	_, revision := f.FirstPartitionOwner()
-	sendCopy := map[string]func(Node){} // sends a machine's recorded heartbeat, by machine ID
+	sendFuncs := map[string]func(Node){} // sends a machine's recorded heartbeat, by machine ID
 	f.handleHeartbeatsDuringFault(ctx, fault, func(heartbeat *wire.Heartbeat, send func(Node)) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if sendCopy[heartbeat.Machine] == nil {
-			sendCopy[heartbeat.Machine] = send
+		if sendFuncs[heartbeat.Machine] == nil {
+			sendFuncs[heartbeat.Machine] = send
 		}
 	})
 	if !f.waitForNextOwner(ctx, revision) {
@@ -53,7 +53,7 @@
 	}
 	time.Sleep(fault.Delay)
 	for range replayCount {
-		f.replayHeartbeats(fault.Kind, sendCopy)
+		f.replayHeartbeats(fault.Kind, sendFuncs)
 		time.Sleep(replayInterval)
 	}
 }
@@ -75,8 +75,8 @@
 }
 
 // replayHeartbeats sends the recorded heartbeats to all nodes, without waiting for the responses.
-func (f *FaultInjector) replayHeartbeats(kind FaultKind, sendCopy map[string]func(Node)) {
-	for _, send := range sendCopy {
+func (f *FaultInjector) replayHeartbeats(kind FaultKind, sendFuncs map[string]func(Node)) {
+	for _, send := range sendFuncs {
 		for _, node := range f.Nodes {
 			f.countInjected(kind, 1)
 			f.wg.Go(func() { send(node) })
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -37,12 +37,12 @@
 // The requests with delayed commands are counted, rather than the machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
 	workers := f.targetWorkers(fault)
-	before := countLateCommands(workers)
+	before := countLateCommandRequests(workers)
 	for _, worker := range workers {
 		worker.DelayCommands(fault.Delay)
 	}
 	waitUntilOver(ctx, fault)
-	f.countInjected(fault.Kind, countLateCommands(workers)-before)
+	f.countInjected(fault.Kind, countLateCommandRequests(workers)-before)
 	restoreLinks(workers)
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-func countLateCommands(workers []*Worker) int {
+func countLateCommandRequests(workers []*Worker) int {
 	count := 0
 	for _, worker := range workers {
 		count += worker.LateCommandRequests()
