--- a/internal/emulator/connection.go
+++ b/internal/emulator/connection.go
@@ -15,15 +15,15 @@
 	flushTimeout = 5 * time.Second
 )
 
-// connection is one end of a connection. As with a kernel's send buffer, Write returns once the
-// data is buffered, so that the writer continues while the other end is frozen.
+// connection is one end of a connection between two hosts. As with a kernel's send buffer, Write
+// returns once the data is buffered, so that the writer continues while the other end is frozen.
 type connection struct {
 	net.Conn
 	dialer, acceptor *Host // the hosts of both ends
 	localHost        *Host // the host of this end
 	outgoing         chan []byte
 	closed           chan struct{}
-	closeOnce        sync.Once // guards closing of closed
+	closeOnce        sync.Once // closes closed
 }
 
 // newConnection returns the end of a connection at localHost, which is either the dialer or the
--- a/internal/emulator/fault_heartbeats.go
+++ b/internal/emulator/fault_heartbeats.go
@@ -10,8 +10,8 @@
 const (
 	// minLateHeartbeatDelay is the minimum delay of a late copy of a heartbeat.
 	minLateHeartbeatDelay = 2 * time.Second
-	// nextOwnerTimeout limits how long waitForNextOwner waits for the first partition to get a
-	// new owner. It checks the owner every nextOwnerPollInterval.
+	// waitForNextOwner waits up to nextOwnerTimeout for the first partition to get a new owner,
+	// and checks the owner every nextOwnerPollInterval.
 	nextOwnerTimeout      = 2 * time.Minute
 	nextOwnerPollInterval = 20 * time.Millisecond
 	// The recorded heartbeats are replayed replayCount times, replayInterval apart, because a new
@@ -36,11 +36,12 @@
 	})
 }
 
-// replayHeartbeatsToNextOwner records the first heartbeat of each machine during the fault. Once the
-// first partition has a new owner and the fault's Delay has passed, it sends them to every node.
+// replayHeartbeatsToNextOwner records the first heartbeat of each machine during the fault. Once
+// the fault is over and the first partition has a new owner, it waits for the fault's Delay and sends
+// the recorded heartbeats to every node, replayCount times.
 func (f *FaultInjector) replayHeartbeatsToNextOwner(ctx context.Context, fault Fault) {
 	_, revision := f.FirstPartitionOwner()
-	sendFuncs := map[string]func(Node){} // sends a machine's recorded heartbeat, by machine ID
+	sendFuncs := map[string]func(Node){} // by machine ID; each sends the machine's recorded heartbeat
 	f.handleHeartbeatsDuringFault(ctx, fault, func(heartbeat *wire.Heartbeat, send func(Node)) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -58,7 +59,7 @@
 	}
 }
 
-// waitForNextOwner waits until the first partition has an owner and its record has another revision
+// waitForNextOwner waits until the first partition has an owner and its record has a revision other
 // than the given one. It returns false if that does not happen within nextOwnerTimeout or before
 // ctx ends.
 func (f *FaultInjector) waitForNextOwner(ctx context.Context, revision uint64) bool {
@@ -84,7 +85,8 @@
 	}
 }
 
-// handleHeartbeatsDuringFault has onHeartbeat called with each heartbeat until the fault is over.
+// handleHeartbeatsDuringFault makes each worker call onHeartbeat before it sends a heartbeat, until
+// the fault is over.
 func (f *FaultInjector) handleHeartbeatsDuringFault(ctx context.Context, fault Fault, onHeartbeat heartbeatFunc) {
 	f.setOnHeartbeat(onHeartbeat)
 	waitUntilOver(ctx, fault)
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -14,8 +14,8 @@
 // delay of ExecuteLate.
 type commitFaultFunc func(from string) (RequestFault, time.Duration)
 
-// heartbeatFunc is called before a worker sends a heartbeat. It may call send to deliver a copy of
-// the heartbeat to a node, also after it has returned.
+// heartbeatFunc is called before a worker sends a heartbeat. It may call send at any later time to
+// send a copy of the heartbeat to a node.
 type heartbeatFunc func(heartbeat *wire.Heartbeat, send func(to Node))
 
 // FaultInjector injects faults into the emulated systems directly, and into controllers and users
@@ -36,13 +36,13 @@
 	// index is negative if the partition has no owner.
 	FirstPartitionOwner func() (node int, revision uint64)
 	// CancelJobs makes the users of up to maxJobs running jobs (0: all) cancel them, and returns
-	// how many jobs that were.
+	// the number of jobs cancelled.
 	CancelJobs func(maxJobs int) int
 
 	mu             sync.Mutex
 	injectedCounts map[FaultKind]int
-	commitFault    commitFaultFunc // nil while no commits are disturbed
-	onHeartbeat    heartbeatFunc   // nil while no heartbeats are copied
+	commitFault    commitFaultFunc // nil while no commit fault is active
+	onHeartbeat    heartbeatFunc   // nil while no heartbeat fault is active
 	wg             sync.WaitGroup
 }
 
@@ -94,7 +94,7 @@
 }
 
 // Run injects the faults of a script, each in its own goroutine, and returns when all of them are
-// over or ctx has ended.
+// over or ctx has ended. Hangs of machines and late copies of heartbeats can outlast it.
 func (f *FaultInjector) Run(ctx context.Context, script ...Fault) {
 	for _, fault := range script {
 		f.wg.Go(func() {
@@ -108,8 +108,8 @@
 	f.wg.Wait()
 }
 
-// inject injects a fault. Most faults are over when it returns; restarts of crashed controllers
-// and hangs of machines may still be pending.
+// inject injects a fault. Most faults are over when it returns, but restarts of crashed
+// controllers, hangs of machines and late copies of heartbeats may still be pending.
 func (f *FaultInjector) inject(ctx context.Context, fault Fault) {
 	// The nodes are resolved only once, so that the fault ends on the nodes that it began on
 	// even if the partition has a new owner by then.
@@ -187,8 +187,8 @@
 	return fmt.Sprintf("emulator: unknown fault kind %q", kind)
 }
 
-// resolveNodes returns indexes in Nodes, with FirstPartitionOwner and NonOwnerNodes replaced by the
-// nodes that they stand for at this moment.
+// resolveNodes returns the values of a Fault.Nodes, with FirstPartitionOwner and NonOwnerNodes
+// replaced by the indexes of the nodes that they stand for at this moment.
 func (f *FaultInjector) resolveNodes(references []int) []int {
 	var nodes []int
 	for _, node := range references {
--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -34,7 +34,7 @@
 }
 
 // delayCommands delays the commands that are sent directly to machines until the fault is over.
-// The requests with delayed commands are counted, rather than the machines.
+// It counts the requests whose commands came late, rather than the machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
 	workers := f.targetWorkers(fault)
 	before := countLateCommandRequests(workers)
@@ -64,8 +64,7 @@
 	return count
 }
 
-// targetWorkers returns the workers of the machines that a fault affects, ordered
-// by machine ID.
+// targetWorkers returns the workers of the machines that a fault affects, ordered by machine ID.
 func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
 	var targetWorkers []*Worker
 	for _, worker := range f.Cloud.Workers() {
--- a/internal/emulator/fault_nodes.go
+++ b/internal/emulator/fault_nodes.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Names of the hosts that are not nodes and whose links faults cut.
+// Names of the hosts, other than nodes, whose links can be cut by faults.
 const (
 	storeHost         = "state"
 	cloudHost         = "cloud"
--- a/internal/emulator/fault_store.go
+++ b/internal/emulator/fault_store.go
@@ -13,7 +13,7 @@
 )
 
 // refuseNodeRequests makes the key-value store refuse all requests of the nodes until the fault is
-// over, and counts the requests that it refused.
+// over, and counts the refused requests.
 func (f *FaultInjector) refuseNodeRequests(ctx context.Context, fault Fault) {
 	for _, node := range fault.Nodes {
 		f.Store.RefuseHost(f.Nodes[node].Name, true)
@@ -41,9 +41,9 @@
 	})
 }
 
-// injectCommitFault applies drawFault to each commit of the fault's nodes, or of all nodes if it
-// names none, with the fault's Probability until the fault is over. drawFault returns what happens
-// to one commit, and for ExecuteLate after which delay it is executed.
+// injectCommitFault disturbs commits of the fault's nodes, or of all nodes if the fault names none,
+// until the fault is over. Each commit is affected with the fault's Probability. drawFault returns
+// what happens to an affected commit; the duration is the delay of ExecuteLate.
 func (f *FaultInjector) injectCommitFault(ctx context.Context, fault Fault, drawFault func() (RequestFault, time.Duration)) {
 	affected := f.nodeNames(fault.Nodes)
 	f.setCommitFault(func(from string) (RequestFault, time.Duration) {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -43,7 +43,8 @@
 	// random node after minLateHeartbeatDelay and a random time of up to Delay.
 	LateHeartbeats FaultKind = "late heartbeats"
 	// HeartbeatsForNextOwner records each machine's first heartbeat during the fault. Once the
-	// first partition has a new owner and Delay has passed, it sends them to every node.
+	// fault is over and the first partition has a new owner, it waits for Delay and sends the
+	// recorded heartbeats to every node.
 	HeartbeatsForNextOwner FaultKind = "heartbeats for next owner"
 	// SlowLinks delays messages to and from workers and users by Delay in each direction.
 	SlowLinks FaultKind = "slow links"
@@ -52,15 +53,15 @@
 // Faults of machines. They affect up to MaxTargets machines (0: all) that have tasks, restricted
 // to the given Zone and Team if these are set.
 const (
-	// MachineHang suspends the machines; they continue where they stopped.
+	// MachineHang suspends the machines. Afterwards they continue from the same state.
 	MachineHang FaultKind = "machine hang"
 	// MachineInboundCut keeps commands and responses to heartbeats from reaching the machines.
 	MachineInboundCut FaultKind = "machine inbound cut"
 	// MachineOutboundCut keeps heartbeats of the machines from reaching the controllers.
 	// Commands still arrive.
 	MachineOutboundCut FaultKind = "machine outbound cut"
-	// DelayedCommands delays commands that are sent directly to the machines by Delay. It also
-	// affects idle machines, and ignores Team.
+	// DelayedCommands delays, by Delay, the execution of commands that are sent directly to the
+	// machines. It also affects idle machines, and ignores Team.
 	DelayedCommands FaultKind = "delayed commands"
 	// MachineLost removes the machines without a termination notice.
 	MachineLost FaultKind = "machine lost"
@@ -76,8 +77,9 @@
 	WorkersCut FaultKind = "workers cut"
 	// CloudCut cuts Nodes off from the cloud, so that they can neither rent nor return.
 	CloudCut FaultKind = "cloud cut"
-	// ZoneCut cuts Nodes and the workers of Zone off from everything else. Nodes should list the
-	// nodes in that zone; their links to each other and to the zone's workers stay up.
+	// ZoneCut cuts Nodes and the workers of Zone off from everything outside the zone, except
+	// users. Nodes are the nodes that count as in the zone. Their links to each other and to the
+	// zone's workers stay up.
 	ZoneCut FaultKind = "zone cut"
 )
 
@@ -95,7 +97,7 @@
 // of the fields after Kind it uses.
 type Fault struct {
 	Start       time.Duration // when the fault begins, counted from the call of Run
-	ActiveFor   time.Duration // how long the fault lasts; ignored for faults of an instant
+	ActiveFor   time.Duration // how long the fault lasts; not used by ControllerCrash, MachineLost and CancelRunningJobs
 	Kind        FaultKind
 	Nodes       []int // indexes in FaultInjector.Nodes, FirstPartitionOwner or NonOwnerNodes
 	MaxTargets  int
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	listeners map[string]*listener  // by address
 	hosts     map[string]*Host      // by name
-	cutLinks  map[directedLink]bool // in both directions for each pair of hosts
+	cutLinks  map[directedLink]bool // true for both directions of a cut link
 	// messageCost is the processor time that each message sent or received takes on a host, by
 	// the host's name.
 	messageCost map[string]time.Duration
@@ -123,9 +123,9 @@
 	return connections
 }
 
-// Dial connects to the listener at an address. It returns errRefused if nothing listens
-// there, if this host is shut down, or if the connection is not accepted before ctx ends. If the
-// link is cut, Dial blocks until ctx ends and returns ctx.Err().
+// Dial connects to the listener at an address. It returns errRefused if nothing listens there, if
+// this host is shut down, or if the connection is not accepted before ctx ends. If the link is cut,
+// Dial blocks until ctx ends and returns ctx.Err().
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	latency := time.NewTimer(dialLatency)
 	defer latency.Stop()
