--- a/internal/emulator/fault_machines.go
+++ b/internal/emulator/fault_machines.go
@@ -34,15 +34,15 @@
 }
 
 // delayCommands delays the commands that are sent directly to machines until the fault is over.
-// The requests with delayed commands are counted, rather than the machines.
+// It counts the requests whose commands came late, rather than the machines.
 func (f *FaultInjector) delayCommands(ctx context.Context, fault Fault) {
 	workers := f.targetWorkers(fault)
-	before := countLateCommands(workers)
+	before := countLateCommandRequests(workers)
 	for _, worker := range workers {
 		worker.DelayCommands(fault.Delay)
 	}
 	waitUntilOver(ctx, fault)
-	f.countInjected(fault.Kind, countLateCommands(workers)-before)
+	f.countInjected(fault.Kind, countLateCommandRequests(workers)-before)
 	restoreLinks(workers)
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-func countLateCommands(workers []*Worker) int {
+func countLateCommandRequests(workers []*Worker) int {
 	count := 0
 	for _, worker := range workers {
 		count += worker.LateCommandRequests()
@@ -64,8 +64,7 @@
 	return count
 }
 
-// targetWorkers returns the workers of the machines that a fault affects, ordered
-// by machine ID.
+// targetWorkers returns the workers of the machines that a fault affects, ordered by machine ID.
 func (f *FaultInjector) targetWorkers(fault Fault) []*Worker {
 	var targetWorkers []*Worker
 	for _, worker := range f.Cloud.Workers() {
