--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -35,7 +35,7 @@
 	Partition int
 	Desired   records.DesiredState
 	Empty     bool // its partition's summary reports it as usable and without tasks
-	Booted    bool // it has sent heartbeats
+	Booted    bool // it has sent heartbeats, or the cloud lists it as running
 }
 
 // Input is the state of the cluster from which a Plan is computed.
