--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -178,8 +178,8 @@
 // writeError responds to a PermanentError with its status code and reason, and to other errors with 503
 // and Retry-After.
 func (h *handler) writeError(w http.ResponseWriter, err error) {
-	if statusErr, ok := errors.AsType[*PermanentError](err); ok {
-		h.writeResponse(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
+	if permanentErr, ok := errors.AsType[*PermanentError](err); ok {
+		h.writeResponse(w, permanentErr.Status, wire.ErrorResponse{Error: permanentErr.Reason})
 		return
 	}
 	slog.Debug("user request failed temporarily", "err", err)
--- a/internal/controller/owned_partition.go
+++ b/internal/controller/owned_partition.go
@@ -32,8 +32,8 @@
 	controller *Controller
 	index      int
 	// revision is the revision of the partition's key after this node's claim. Every commit
-	// of the owner has the condition that the key still has this revision, so that a former
-	// owner cannot commit.
+	// of the owner has the condition that the key still has this revision, so that an
+	// earlier owner cannot commit.
 	revision uint64
 	cancel   context.CancelFunc
 	// cycleRequests holds a value from a call of requestCycle until the next cycle begins.
