--- a/cmd/ambersill/standin.go
+++ b/cmd/ambersill/standin.go
@@ -194,7 +194,8 @@
 	}
 	outcome := string(user.Run(ctx, job))
 	if outcome == "" {
-		outcome = "not finished" // the emulators were stopped before the job ended, or no controller accepted it
+		// The emulators were stopped before the job ended, or no controller accepted it.
+		outcome = "not finished"
 	}
 	printf(out, "%s: %s of %d tasks is %s\n", job.ID, job.Shape, job.TaskCount, outcome)
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -175,8 +175,8 @@
 	return body, true
 }
 
-// writeError responds to a PermanentError with its status code and reason, and to other errors with 503
-// and Retry-After.
+// writeError responds to a PermanentError with its status code and reason, and to other errors with
+// 503 and Retry-After.
 func (h *handler) writeError(w http.ResponseWriter, err error) {
 	if permanentErr, ok := errors.AsType[*PermanentError](err); ok {
 		h.writeResponse(w, permanentErr.Status, wire.ErrorResponse{Error: permanentErr.Reason})
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -36,8 +36,8 @@
 	requestTimeout = 10 * time.Second
 	// pageSize is the largest number of machines that the cloud returns in one page of the list.
 	pageSize = 500
-	// usedRateFraction is the fraction of the cloud's rate limit that this client uses. The rest is a
-	// safety margin.
+	// usedRateFraction is the fraction of the cloud's rate limit that this client uses. The rest
+	// is a safety margin.
 	usedRateFraction = 0.8
 )
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,11 +57,18 @@
 
 // WorkerTiming has the intervals and timeouts that workers use, in seconds.
 type WorkerTiming struct {
-	HeartbeatIntervalS float64 `toml:"report_s"`    // time between two heartbeats
-	LeaseDurationS     float64 `toml:"lease_s"`     // time after the last answered heartbeat at which a worker kills its tasks
-	GangWaitTimeoutS   float64 `toml:"gang_wait_s"` // time that a task waits for the other tasks of its gang
-	GangPeerTimeoutS   float64 `toml:"gang_peer_s"` // time after which a task exits because another task of its gang was lost
-	CancelDeadlineS    float64 `toml:"cancel_s"`    // time within which the tasks of a cancelled job must stop
+	// HeartbeatIntervalS is the time between two heartbeats.
+	HeartbeatIntervalS float64 `toml:"report_s"`
+	// LeaseDurationS is the time after the last answered heartbeat at which a worker kills its
+	// tasks.
+	LeaseDurationS float64 `toml:"lease_s"`
+	// GangWaitTimeoutS is the time that a task waits for the other tasks of its gang.
+	GangWaitTimeoutS float64 `toml:"gang_wait_s"`
+	// GangPeerTimeoutS is the time after which a task exits because another task of its gang was
+	// lost.
+	GangPeerTimeoutS float64 `toml:"gang_peer_s"`
+	// CancelDeadlineS is the time within which the tasks of a cancelled job must stop.
+	CancelDeadlineS float64 `toml:"cancel_s"`
 }
 
 // Store has the current and the announced limits of the key-value store.
@@ -83,7 +90,7 @@
 // Cloud has the limits of the cloud's API.
 type Cloud struct {
 	RequestsPerS float64 `toml:"rps"`        // maximum requests per second
-	MaxListLagS  float64 `toml:"list_lag_s"` // maximum age of the list of rented machines, in seconds
+	MaxListLagS  float64 `toml:"list_lag_s"` // maximum age of the list of machines, in seconds
 }
 
 // MachineLimits has the resource limits of the machine that the controller runs on.
@@ -120,8 +127,9 @@
 	return &settings, nil
 }
 
-// WriteLimits returns the limits to observe when writing to the key-value store. Each is the lower
-// of the current and the announced limit, because the announced limits may take effect at any time.
+// WriteLimits returns the limits that requests to the key-value store must keep to. Each is the
+// lower of the current and the announced limit, because the announced limits may take effect at any
+// time.
 func (s *Settings) WriteLimits() StoreLimits {
 	limits := s.Cluster.Store.StoreLimits
 	next := s.Cluster.Store.Announced
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Each write limit is the lower of the current and the announced limit. A limit without an
-// announcement does not change.
+// Each limit that WriteLimits returns is the lower of the current and the announced one. A limit
+// without an announcement does not change.
 func TestWriteLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -42,7 +42,8 @@
 
 	owned := c.newOwnedPartition(0, claimRevision, func() {})
 	owned.partition = partition
-	owned.cancellationsReadAt = time.Now().Add(time.Hour) // an hour ahead, so that cancellations never count as outdated
+	// An hour ahead, so that the cancellations never count as outdated.
+	owned.cancellationsReadAt = time.Now().Add(time.Hour)
 	c.owned[0] = owned
 
 	heartbeat := wire.Heartbeat{
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -38,9 +38,9 @@
 // maxAgeToAnswerHeartbeats returns the age of the listing of cancellations up to which an owner
 // answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
 // as heartbeats are answered, and then until the end of the lease that the last answered
-// heartbeat has renewed, counted from when that heartbeat was sent. The sum, plus the interval
-// HeartbeatIntervalS and the margin MarginS, must not exceed the time CancelDeadlineS within
-// which a cancellation has to take effect.
+// heartbeat has renewed, counted from when that heartbeat was sent and lengthened by the possible
+// drift of the worker's clock. The sum, plus the interval HeartbeatIntervalS and the margin
+// MarginS, must not exceed the time CancelDeadlineS within which a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.WorkerTiming
 	leaseS := workers.LeaseDurationS * (1 + c.tuning.Drift)
@@ -51,8 +51,9 @@
 // was requested. The owner knows every cancellation that any node confirmed before that. The
 // time since the last contact with the store cannot be used instead. Contact can be recent
 // although the listing is old: after an outage, or while watches stay open without delivering
-// events. An owner whose requests alone were refused then answered heartbeats without knowing
-// the cancellations that other nodes had confirmed.
+// events. When the time since the last contact was used, an owner that was the only node whose
+// requests the store refused answered heartbeats without knowing the cancellations that other
+// nodes had confirmed.
 func (o *ownedPartition) cancellationListingAge() time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/controller/checker_rules_test.go
+++ b/internal/controller/checker_rules_test.go
@@ -20,14 +20,16 @@
 		rule    string
 		violate func(cluster *simulatedCluster)
 	}{
-		{"went_back", func(cluster *simulatedCluster) { // queued, in response to a query sent after the response "cancelled"
+		// Queued, in response to a query sent after the response "cancelled".
+		{"went_back", func(cluster *simulatedCluster) {
 			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
 			cluster.simulation.RecordCancelRequest(checkedJobID)
 			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, now())
 			time.Sleep(time.Millisecond)
 			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobQueued, now())
 		}},
-		{"went_back", func(cluster *simulatedCluster) { // cancelled, although no cancellation was requested
+		// Cancelled, although no cancellation was requested.
+		{"went_back", func(cluster *simulatedCluster) {
 			cluster.simulation.RecordPhaseAnswer(checkedJobID, wire.JobCancelled, now())
 		}},
 		{"not_done", func(cluster *simulatedCluster) {
--- a/internal/controller/cluster_behavior_test.go
+++ b/internal/controller/cluster_behavior_test.go
@@ -35,7 +35,8 @@
 		cluster.submit(newArrayJob(1, 6, 4, 120), 0)
 		time.Sleep(time.Minute)
 		cluster.requireTaskStarts(6)
-		disconnectedNodes := cluster.nodes[:2] // either may own the partition; the third node can forward
+		// Either of these nodes may own the partition. The third node can forward.
+		disconnectedNodes := cluster.nodes[:2]
 		for _, node := range disconnectedNodes {
 			cluster.setWorkersCut(node.Name, true)
 		}
@@ -124,7 +125,8 @@
 		cluster.submit(newArrayJob(1, 4, 8, 120), 0)
 		time.Sleep(50 * time.Second)
 		cluster.requireTaskStarts(4)
-		for node := range cluster.nodes { // one after another, because any of them may own the partition
+		// Isolate one node after another, because any of them may own the partition.
+		for node := range cluster.nodes {
 			cluster.setNodeIsolated(node, true, cluster.random)
 			time.Sleep(8 * time.Second)
 			checkUnavailableWithoutDelay(cluster, node)
--- a/internal/controller/cluster_cache.go
+++ b/internal/controller/cluster_cache.go
@@ -206,7 +206,7 @@
 	c.nodes[name] = nodeEntry{featureLevel: record.Level, revision: change.revision}
 }
 
-// applyFeatureLevel stores the feature level unless it is lower than the cached one, since a
+// applyFeatureLevel stores the feature level if it is higher than the cached one, since a
 // cluster's level never decreases.
 func (c *clusterCache) applyFeatureLevel(change keyChange) (notify func()) {
 	var record records.LevelRecord
--- a/internal/controller/command_slots.go
+++ b/internal/controller/command_slots.go
@@ -53,8 +53,8 @@
 	shortest, longest time.Duration
 }
 
-// newCommandSlots returns a commandSlots whose limit is the fraction tuning.CommandSocketFraction of the
-// given number of sockets, but at least minCommandSlots.
+// newCommandSlots returns a commandSlots whose limit is the fraction tuning.CommandSocketFraction
+// of the given number of sockets, but at least minCommandSlots.
 func newCommandSlots(sockets int) *commandSlots {
 	return &commandSlots{
 		limit:    max(minCommandSlots, int(float64(sockets)*tuning.CommandSocketFraction)),
@@ -82,8 +82,9 @@
 	return true
 }
 
-// release frees the slot of a machine's request. If the machine has not executed the request,
-// it is put into back-off, or its wait is doubled if it was in back-off already.
+// release frees the slot of a machine's request. If the machine has not executed the request, it
+// is put into back-off, or its wait is doubled if it was in back-off already. A machine that was
+// removed in the meantime gets no back-off.
 func (s *commandSlots) release(machine string, executed bool, now time.Time, limits backoffLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -13,7 +13,7 @@
 	testSlots   = 20
 )
 
-// testBackoff are limits between which the wait grows from 3 s to 6 s and then to the longest.
+// testBackoff holds limits with which the wait grows from 3 s to 6 s and then to the longest.
 var testBackoff = backoffLimits{shortest: 3 * time.Second, longest: 10 * time.Second}
 
 // acquireAll tries to acquire a slot for each of n machines, and returns the machines for which
--- a/internal/controller/fault_scenarios_test.go
+++ b/internal/controller/fault_scenarios_test.go
@@ -361,8 +361,8 @@
 				emulator.CancelRunningJobs:  5,
 			},
 			// The machines' leases expire. Commands to stop tasks then reach the machines, whose
-			// next incarnation refuses them. After the next owner has learned the machines'
-			// addresses, no machine can be returned to the cloud.
+			// next incarnation refuses them. The cloud becomes unreachable after the next owner has
+			// learned the machines' addresses, so that no machine can be returned.
 			script: []emulator.Fault{
 				cancelJobsFault(61*second, allTargets),
 				nodeFault(emulator.CloudCut, 54*second, 40*second, allNodes),
--- a/internal/controller/forward_test.go
+++ b/internal/controller/forward_test.go
@@ -78,7 +78,8 @@
 		served := make(chan struct{})
 		go func() {
 			defer close(served)
-			_ = peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner) // returns an error if the test shuts the owner down
+			// Serve returns an error if the test shuts the owner down.
+			_ = peerrpc.Serve(ctx, f.ownerHost, ownerAddr, f.owner)
 		}()
 		f.forwarder = newForwarder(&peerrpc.Peer{Member: config.Member{Node: "owner", Addr: ownerAddr}, Net: f.network})
 		f.forwarder.done = ctx.Done()
@@ -161,7 +162,8 @@
 		const excess = 50
 		var waiting sync.WaitGroup
 		waiting.Go(func() { f.forwardAll(t, 1) })
-		time.Sleep(forwardBatchDelay + time.Millisecond) // the first heartbeat is sent and not answered
+		// Wait until the first heartbeat has been sent. It is not answered.
+		time.Sleep(forwardBatchDelay + time.Millisecond)
 		for range maxForwardBatch {
 			waiting.Go(func() { f.forwarder.forward(&wire.Heartbeat{Machine: "m", Sequence: 1}) })
 		}
--- a/internal/controller/leader_lease_test.go
+++ b/internal/controller/leader_lease_test.go
@@ -9,9 +9,9 @@
 )
 
 // A leader may call the cloud only while its lease cannot have expired, since calls to the
-// cloud carry no fencing token. Guards against a leader that regains contact after a network
-// partition, with a cache that does not show its successor yet: such a leader returned the 100
-// machines that its successor had rented.
+// cloud carry no fencing token. The test guards against a leader that regains contact after a
+// network partition, with a cache that does not show its successor yet: such a leader returned the
+// 100 machines that its successor had rented.
 func TestLeaderCallsCloudOnlyUnderItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newIsolatedController()
--- a/internal/controller/machine_return.go
+++ b/internal/controller/machine_return.go
@@ -60,9 +60,9 @@
 	listings          map[string]machineListing
 	digests           map[string]records.MachineDigest
 	bootS             map[string]float64 // boot time in seconds, by machine type
-	bootPatience      float64            // multiple of the boot time after which a machine must be up
+	bootPatience      float64            // multiple of the boot time by which a machine must be up
 	listLagS          float64            // maximum age of the cloud's listing, in seconds
-	goneAfterListings int                // consecutive missed listings after which a machine counts as gone
+	goneAfterListings int                // consecutive missed listings that show a machine is gone
 }
 
 func (l *leader) newReturnCheck(now time.Time) returnCheck {
--- a/internal/controller/rate_share.go
+++ b/internal/controller/rate_share.go
@@ -10,11 +10,11 @@
 }
 
 // rateLimitShare returns this node's share of the key-value store's rate limits, between 0 and 1.
-// The fraction EqualRateFraction is divided equally among all nodes, for users' requests. The rest is
-// divided in proportion to the partitions that a node owns. The leader gets LeaderShare in
-// addition, which it uses only while it records many rentals: without it, recording the
-// rentals of a fleet that starts with no machines took 13 s on a store that accepts 25 changes
-// per second. The fraction ShareReserve is left unused.
+// The fraction EqualRateFraction is divided equally among all nodes, for users' requests. The rest
+// is divided in proportion to the partitions that a node owns. The leader gets LeaderShare in
+// addition, which it uses only while it records many rentals: without it, recording the rentals of
+// a fleet that starts with no machines took 13 s on a store that accepts 25 writes per second. The
+// fraction ShareReserve is left unused.
 func (c *Controller) rateLimitShare() float64 {
 	nodes := float64(c.settings.Cluster.ControllerCount)
 	c.mu.Lock()
--- a/internal/controller/rental.go
+++ b/internal/controller/rental.go
@@ -17,7 +17,7 @@
 	"ambersill/internal/wire"
 )
 
-// rentalRetryDelay is the least time between two calls of the cloud for the same rental.
+// rentalRetryDelay is the minimum time between two calls of the cloud for the same rental.
 const rentalRetryDelay = 2 * time.Second
 
 // rentalProgress is the state of a recorded rental that this term's leader keeps in memory.
@@ -111,9 +111,10 @@
 	}
 }
 
-// isObsolete reports whether a rental's offering is in back-off, since the cloud has run out of
-// it after the rental was recorded, and the cloud cannot have received the rental: it was
-// recorded in this term, and this leader has not called the cloud for it.
+// isObsolete reports whether a rental need not be requested any more, because its offering is in
+// back-off and the cloud cannot have received the rental: it was recorded in this term, and this
+// leader has not called the cloud for it. The cloud has run out of the offering since the rental
+// was recorded.
 func (l *leader) isObsolete(rental recordedRental) bool {
 	progress := l.rentals[rental.id]
 	called := !progress.lastCall.IsZero()
--- a/internal/controller/scenario_harness_test.go
+++ b/internal/controller/scenario_harness_test.go
@@ -20,9 +20,11 @@
 // faultScenario is a script of overlapping faults on a cluster with one partition. The times of
 // the faults are relative to the start of the controllers.
 type faultScenario struct {
-	name         string
-	seed         uint64
-	pollAllNodes bool // after each new phase, users poll all nodes and submit again within milliseconds
+	name string
+	seed uint64
+	// pollAllNodes makes users, after each new phase, poll all nodes and submit again within
+	// milliseconds.
+	pollAllNodes bool
 
 	setup   func(cluster *simulatedCluster) // runs before the controllers start
 	submit  func(cluster *simulatedCluster) // submits jobs; runs concurrently with the script
--- a/internal/controller/service_replicas_test.go
+++ b/internal/controller/service_replicas_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// A replica that exits soon after each start must be restarted with a backoff.
+// A replica that exits soon after each start must be restarted with a back-off.
 func TestReplicaRestartBacksOff(t *testing.T) {
 	if runInChildProcess(t) {
 		return
--- a/internal/controller/simulated_cluster_test.go
+++ b/internal/controller/simulated_cluster_test.go
@@ -70,19 +70,23 @@
 	simulation *emulator.Simulation
 	injector   *emulator.FaultInjector
 
-	noTeamLimits         bool                // no team has limits or guarantees, so jobs are spread over the partitions
-	pollAllNodes         bool                // users poll all nodes and submit again after each new phase, and cancel done jobs
+	noTeamLimits bool // teams have no quotas, so jobs use all partitions
+	// pollAllNodes makes users poll all nodes and submit again after each new phase, and cancel
+	// done jobs.
+	pollAllNodes         bool
 	announcedStoreLimits *config.StoreLimits // future store limits announced in the settings
 	faultsOver           atomic.Bool         // set when requests are no longer lost or delayed
 	featureLevelRaised   atomic.Bool         // set when the feature level has been raised
 
 	background sync.WaitGroup // users and other goroutines that run alongside a scenario
 
-	mu              sync.Mutex
-	crashFuncs      map[int]func()           // by index of a running node; kills its controller
-	oldVersionNodes map[int]bool             // by node index; true if the node does not support the newest feature level
+	mu         sync.Mutex
+	crashFuncs map[int]func() // by index of a running node; kills its controller
+	// oldVersionNodes has the value true for nodes, by index, that do not support the newest
+	// feature level.
+	oldVersionNodes map[int]bool
 	cancelFuncs     map[string]func()        // by job ID; makes the job's user cancel it
-	finalPhases     map[string]wire.JobPhase // by job ID; the phase in which the job's user saw it end
+	finalPhases     map[string]wire.JobPhase // by job ID; the phase in which its user saw it end
 }
 
 var testMachineTypes = []wire.MachineType{
@@ -309,7 +313,8 @@
 	var crashed atomic.Bool
 	cluster.crashFuncs[node] = func() {
 		crashed.Store(true)
-		host.Shutdown() // before cancel, so that, as with a killed process, nothing is sent during shutdown
+		// Before cancel, so that, as with a killed process, nothing is sent during shutdown.
+		host.Shutdown()
 		cancel()
 		<-ended
 	}
--- a/internal/controller/summary_writer.go
+++ b/internal/controller/summary_writer.go
@@ -106,8 +106,8 @@
 }
 
 // summaryInterval returns the minimum time between a write of the given number of changed summary
-// records and the next write. Summaries may use only the fraction SummaryWriteFraction of the store's
-// write rate, because all other writes are more urgent.
+// records and the next write. Summaries may use only the fraction SummaryWriteFraction of the
+// store's write rate, because all other writes are more urgent.
 func (c *Controller) summaryInterval(changes int) time.Duration {
 	shortest := tuning.Seconds(c.tuning.SummaryS)
 	return max(shortest, tuning.Seconds(float64(changes)/(tuning.SummaryWriteFraction*c.limits.WritesPerS)))
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -126,11 +126,13 @@
 	const machinesPerOffering = 20 // 80 machines of 8 CPUs
 	simulateUpgrade(t, 8, machinesPerOffering, func(cluster *simulatedCluster) {
 		cluster.startNodes()
-		for n := range 3 { // 250 tasks each, which run at the same time and are stored in two chunks
+		// 250 tasks each, which run at the same time and are stored in two chunks.
+		for n := range 3 {
 			cluster.submit(newIdlePriorityJob(n, 250, 1, 100), 0)
 		}
 		cluster.submit(newServiceJob(50, 6, 1), 4*time.Minute)
-		cluster.submit(newIdlePriorityJob(60, 6000, 1, 10), 0) // enough changes for the journal to wrap around
+		// Enough changes for the journal to wrap around.
+		cluster.submit(newIdlePriorityJob(60, 6000, 1, 10), 0)
 		time.Sleep(100 * time.Second)
 		cluster.rollOutNewVersion(4 * time.Second)
 		requireFeatureLevelRaised(cluster)
@@ -165,7 +167,8 @@
 	}
 	const lateNode = 2 // index of the node that is upgraded last
 	simulateUpgrade(t, 3, 4, func(cluster *simulatedCluster) {
-		var remainingRefusals atomic.Int32 // how many more registrations of the late node will be refused
+		// remainingRefusals is how many more registrations of the late node will be refused.
+		var remainingRefusals atomic.Int32
 		lateNodeKey := records.NodePrefix + cluster.nodes[lateNode].Name
 		cluster.store.ChooseFault = func(_ string, txn *wire.Txn) (emulator.RequestFault, time.Duration) {
 			if len(txn.Writes) > 0 && txn.Writes[0].Put == lateNodeKey && remainingRefusals.Load() > 0 {
@@ -228,7 +231,8 @@
 // exitReplicasAtRandom makes each replica, whenever it is started, exit by itself after 5 to 104 s
 // with a probability of 1/4.
 func (cluster *simulatedCluster) exitReplicasAtRandom(seed uint64) {
-	random := rand.New(rand.NewPCG(seed, replicaExitStream)) // used only with the simulation's lock held
+	// random is used only with the simulation's lock held.
+	random := rand.New(rand.NewPCG(seed, replicaExitStream))
 	cluster.simulation.SetReplicaExit(func(*wire.Job, int) (time.Duration, bool) {
 		return time.Duration(5+random.IntN(100)) * second, random.IntN(4) == 0
 	})
@@ -270,7 +274,8 @@
 
 func checkNewOwnerReadsFeatureLevel(cluster *simulatedCluster, raisedDuringLoad bool) {
 	ctx, t := cluster.ctx, cluster.t
-	controller := New(cluster.settings(0), cluster.tuning, cluster.network.Host("node-0")) // does not run, so nothing updates its cache
+	// The controller does not run, so nothing updates its cache.
+	controller := New(cluster.settings(0), cluster.tuning, cluster.network.Host("node-0"))
 	controller.machineTypes = testMachineTypes
 	level := wire.Write{
 		Put:   records.FeatureLevelKey,
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -28,9 +28,10 @@
 
 // Options configures a client.
 type Options struct {
-	Net     transport.Net
-	Addr    string
-	Timeout time.Duration // of one request; a watch may take its maximum wait and this long in addition
+	Net  transport.Net
+	Addr string
+	// Timeout limits one request. A watch may take its maximum wait and this long in addition.
+	Timeout time.Duration
 	// RequestRate and WriteRate are this node's share of the store's rate limits, in requests
 	// per second and in writes per second.
 	RequestRate, WriteRate float64
--- a/internal/kvstore/ratelimit.go
+++ b/internal/kvstore/ratelimit.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// throttle waits for n tokens of a limiter. It returns ErrRefused for the request if the
-// context ends, or would end, before the limiter has them.
+// throttle waits for n tokens of a limiter. It returns ErrRefused for the request if the context
+// ends, or would end, before the limiter has them, or if n exceeds the limiter's burst.
 func (c *Client) throttle(ctx context.Context, limiter *rate.Limiter, n int, req request) error {
 	if err := limiter.WaitN(ctx, n); err != nil {
 		return req.wrapError(fmt.Errorf("%w: %w: %w", ErrRefused, errRateLimited, err))
--- a/internal/peerrpc/server.go
+++ b/internal/peerrpc/server.go
@@ -60,7 +60,8 @@
 }
 
 // Service has the methods that other controllers call through net/rpc. Controllers of the
-// version in production call them too, which fixes their names and messages; see messages.go.
+// version in production call them too, so their names and messages must not change; see
+// messages.go.
 type Service struct{ handler Handler }
 
 // Claimed receives the announcement of a node that has become the owner of a partition.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -7,7 +7,7 @@
 	GPUs             float64  `cbor:"gpus"`
 	MemoryGB         float64  `cbor:"ramGb"`
 	ImageCacheGB     float64  `cbor:"localGb"`     // disk space for container images, in GB
-	ImageFetchGBPerS float64  `cbor:"pullGbPerS"`  // rate at which images are fetched, in GB per second
+	ImageFetchGBPerS float64  `cbor:"pullGbPerS"`  // rate of fetching images, in GB per second
 	HourlyPrice      float64  `cbor:"hourly"`      // price per hour on demand
 	HourlySpotPrice  float64  `cbor:"marketPrice"` // current price per hour as a spot instance
 	BootS            float64  `cbor:"bootS"`       // typical boot time, in seconds
--- a/internal/wire/fieldnames_test.go
+++ b/internal/wire/fieldnames_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// stringLiteralsOutsideWire returns the string literals of each Go file outside this package, by the
-// path of the file.
+// stringLiteralsOutsideWire returns the string literals of each Go file outside this package, by
+// the path of the file.
 func stringLiteralsOutsideWire(t *testing.T) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -77,10 +77,10 @@
 	SingleZone          bool     `cbor:"samePlace"`        // all tasks must run in one zone
 	SpreadZones         bool     `cbor:"spread"`           // tasks are spread over zones
 	AllowSpot           bool     `cbor:"windfall"`         // tasks may run on spot instances
-	EstimatedRunS       float64  `cbor:"guessS"`           // estimated run time of a task, in seconds; 0 for services
+	EstimatedRunS       float64  `cbor:"guessS"`           // run time in seconds; 0 for services
 	CheckpointIntervalS float64  `cbor:"stitchS"`          // seconds between checkpoints
 	CheckpointSaveS     float64  `cbor:"bankS"`            // seconds to save a checkpoint
-	DeadlineS           float64  `cbor:"dueS,omitempty"`   // deadline in seconds after submission; none if 0
+	DeadlineS           float64  `cbor:"dueS,omitempty"`   // seconds after submission; none if 0
 }
 
 // IsGang reports whether the tasks of the job must run at the same time.
--- a/internal/wire/keyvalue.go
+++ b/internal/wire/keyvalue.go
@@ -22,8 +22,7 @@
 	Revision uint64 `cbor:"stamp"`
 }
 
-// Write is an operation of a transaction that puts or deletes a key. Exactly one of Put and Delete
-// names the key.
+// Write puts or deletes a key in a transaction. Exactly one of Put and Delete names the key.
 type Write struct {
 	Put     string `cbor:"put,omitempty"`
 	Value   any    `cbor:"value,omitempty"`
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -5,7 +5,7 @@
 // Limits on the fields of a submitted job.
 const (
 	maxTasks        = 100000 // maximum number of tasks in a job, fixed by the protocol
-	maxNameBytes    = 200    // maximum length of a name, since names are stored in records of limited size
+	maxNameBytes    = 200    // length limit of names, which are stored in records of limited size
 	maxMachineTypes = 64     // maximum number of machine types that a job may list
 	// maxMachineTypeNamesBytes limits the total length of a job's machine type names, since they
 	// are stored in the job's record, which has a limited size.
@@ -175,7 +175,8 @@
 		{"stitchS", *s.CheckpointIntervalS},
 		{"bankS", *s.CheckpointSaveS},
 	} {
-		// The condition is negated so that it also rejects NaN, for which every comparison is false.
+		// The condition is negated so that it also rejects NaN, for which every comparison is
+		// false.
 		if !(amount.value >= 0 && amount.value <= maxAmount) {
 			return newValidationError(amount.field, "must be from 0 to %g", maxAmount)
 		}
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -25,11 +25,11 @@
 	ExitDone                  ExitCause = "done"
 	ExitStopped               ExitCause = "halted"     // stopped by a command
 	ExitGangMemberLost        ExitCause = "mates_gone" // another task of the gang was lost
-	ExitGangIncomplete        ExitCause = "incomplete" // the gang was not complete within the timeout
+	ExitGangIncomplete        ExitCause = "incomplete" // the gang was incomplete at the timeout
 	ExitError                 ExitCause = "error"
 	ExitInsufficientResources ExitCause = "full"    // the machine had too little free capacity
 	ExitTaskPresent           ExitCause = "busy"    // the machine has another attempt of the task
-	ExitTaskUnknown           ExitCause = "unknown" // the command named a task that the worker does not have
+	ExitTaskUnknown           ExitCause = "unknown" // the worker does not have the task
 )
 
 // TaskStatus is the status of one task in a heartbeat.
@@ -41,17 +41,19 @@
 	CheckpointSaved bool      `cbor:"stored,omitempty"`
 }
 
-// Heartbeat is the message in which a worker reports the state of its machine and tasks.
+// Heartbeat is the message in which a worker reports the state of its machine and tasks. A task
+// ends with the incarnation of the worker that started it. TerminationNoticeS is the time in
+// seconds until the spot instance is terminated.
 type Heartbeat struct {
 	Machine            string       `cbor:"hearth"`
 	Address            string       `cbor:"address"`
 	MachineType        string       `cbor:"breed"`
 	Zone               string       `cbor:"field"`
 	Spot               bool         `cbor:"windfall"`
-	Incarnation        uint64       `cbor:"tenure"`   // incarnation of the worker; tasks end with the incarnation that started them
-	Sequence           uint64       `cbor:"tally"`    // sequence number, which rises by one with each heartbeat
-	FencingToken       uint64       `cbor:"mandate"`  // highest fencing token that the worker has seen
-	TerminationNoticeS *float64     `cbor:"warningS"` // seconds until the spot instance is terminated; nil without notice
+	Incarnation        uint64       `cbor:"tenure"`   // incarnation of the worker
+	Sequence           uint64       `cbor:"tally"`    // rises by one with each heartbeat
+	FencingToken       uint64       `cbor:"mandate"`  // highest token that the worker has seen
+	TerminationNoticeS *float64     `cbor:"warningS"` // nil without notice
 	Tasks              []TaskStatus `cbor:"pieces"`
 }
 
@@ -81,7 +83,7 @@
 
 // CommandRequest sends commands to a worker outside heartbeat responses.
 type CommandRequest struct {
-	FencingToken uint64    `cbor:"mandate"` // the worker rejects a token lower than the highest it has seen
+	FencingToken uint64    `cbor:"mandate"` // rejected if lower than one that the worker has seen
 	Incarnation  uint64    `cbor:"tenure"`  // the worker rejects any incarnation but its own
 	Commands     []Command `cbor:"bids"`
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -43,8 +43,8 @@
 
 // SendCommands sends commands to the worker at an address, and returns the heartbeat with which
 // the worker responds. executed is false if the worker refused the commands (status 409). After an
-// error other than ErrNotSent the worker may have executed them, or may still do so while the
-// fencing token and the incarnation in the request match its own.
+// error other than ErrNotSent the worker may have executed them, or may still do so as long as it
+// has seen no higher fencing token and still has the incarnation in the request.
 func (c *Client) SendCommands(ctx context.Context, addr string, commands wire.CommandRequest) (heartbeat *wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
