--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -38,9 +38,10 @@
 // maxAgeToAnswerHeartbeats returns the age of the listing of cancellations up to which an owner
 // answers heartbeats. If a job is cancelled just after the listing, its tasks run for as long
 // as heartbeats are answered, and then until the end of the lease that the last answered
-// heartbeat has renewed, counted from when that heartbeat was sent and lengthened by the possible
-// drift of the worker's clock. The sum, plus the interval HeartbeatIntervalS and the margin
-// MarginS, must not exceed the time CancelDeadlineS within which a cancellation has to take effect.
+// heartbeat has renewed, counted from when that heartbeat was sent. The worker's clock may run
+// slower than this one by the fraction Drift, which lengthens the lease. The sum, plus the interval
+// HeartbeatIntervalS and the margin MarginS, must not exceed the time CancelDeadlineS within which
+// a cancellation has to take effect.
 func (c *Controller) maxAgeToAnswerHeartbeats() time.Duration {
 	workers := c.settings.Cluster.WorkerTiming
 	leaseS := workers.LeaseDurationS * (1 + c.tuning.Drift)
