--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -22,8 +22,8 @@
 	return settings
 }
 
-// Jobs that compete for the same machines must have the same primary type. It must have no GPUs
-// for jobs without GPUs, unless they fit or allow only a type with GPUs.
+// Jobs that compete for the same machines must have the same primary type. A job without GPUs must
+// have a primary type without GPUs, unless only types with GPUs fit it or are allowed.
 func TestPrimaryMachineTypeIsSharedByCompetingJobs(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -34,7 +34,7 @@
 	Offering  Offering
 	Partition int
 	Desired   records.DesiredState
-	Empty     bool // its partition's summary reports it as usable and without tasks
+	Empty     bool // its partition's summary reports it as usable, not reserved and without tasks
 	Booted    bool // it has sent heartbeats, or the cloud lists it as running
 }
 
@@ -133,8 +133,8 @@
 	a.scaleIn(builder, machineType.Name, surplus, now)
 }
 
-// inFlightTerm returns ceil(allocated / InFlightTarget), where allocated is the allocated capacity, in
-// machines. Epsilon is subtracted so that a rounding error does not add a machine.
+// inFlightTerm returns ceil(allocated / InFlightTarget), where allocated is the allocated capacity,
+// in machines. Epsilon is subtracted so that a rounding error does not add a machine.
 func (a *Autoscaler) inFlightTerm(allocated float64) int {
 	return int(math.Ceil(allocated/a.tuning.InFlightTarget - resource.Epsilon))
 }
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -43,12 +43,12 @@
 	return Machine{ID: "m-1", Offering: Offering{MachineType: "cpu", Zone: "a"}, Empty: true, Booted: true}
 }
 
-// gpuFleet is a fleet of GPU machines and its load: allocated capacity, and waiting tasks of
-// which each takes a fraction of a machine.
+// gpuFleet is a fleet of GPU machines and its load: allocated capacity, and waiting tasks, each of
+// which takes a fraction of a machine.
 type gpuFleet struct {
 	machines        int
 	booting         int     // how many of the machines are booting
-	allocated       float64 // capacity in use, in machines
+	allocated       float64 // allocated capacity, in machines
 	tasksPerMachine int
 	waitingTasks    int
 }
@@ -127,8 +127,8 @@
 	})
 }
 
-// Guards against a gang that must be spread over zones waiting forever: no rental was planned
-// for it when a single empty machine had the capacity for all of its tasks.
+// A rental must be planned for a gang that must be spread over zones, even if a single empty
+// machine has the capacity for all of its tasks. Otherwise the gang would wait forever.
 func TestPlanSpreadsGangOverZones(t *testing.T) {
 	tunables := tuning.Default()
 	gang := records.Demand{
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -58,8 +58,8 @@
 	busiestPartition int // the partition with the most allocated capacity
 }
 
-// sumAllocatedCapacity adds up the allocated capacity of all partitions, in ascending order of their
-// numbers so that the floating-point sums are deterministic.
+// sumAllocatedCapacity adds up the allocated capacity of all partitions, in ascending order of
+// their numbers so that the floating-point sums are deterministic.
 func sumAllocatedCapacity(summaries map[int]records.PartitionSummary) allocatedCapacity {
 	allocated := allocatedCapacity{byType: map[string]allocatedTypeCapacity{}}
 	most := -1.0 // below the total of a partition with nothing allocated
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -9,8 +9,10 @@
 // machineSurplus is the number of machines of a type in excess of those needed. It is negative
 // if machines are missing.
 type machineSurplus struct {
-	total    int
-	onDemand int // on-demand machines in excess of those needed by jobs that do not allow spot instances
+	total int
+	// onDemand is the number of on-demand machines in excess of those needed by jobs that do not
+	// allow spot instances.
+	onDemand int
 }
 
 // scaleIn plans the return of empty machines once a surplus has lasted for GiveBackS.
--- a/internal/records/chunks.go
+++ b/internal/records/chunks.go
@@ -15,7 +15,7 @@
 	// JobRevision is the revision of the JobRecord's key. It is omitted until the chunk is
 	// first rewritten, since both records are created at the same revision.
 	JobRevision    uint64            `cbor:"js,omitempty"`
-	HighestAttempt uint64            `cbor:"try"`            // highest attempt of any task of the job
+	HighestAttempt uint64            `cbor:"try"`            // highest of any task of the job
 	DoneRanges     []int             `cbor:"done,omitempty"` // done tasks, as flattened ranges
 	Placements     []PlacementRecord `cbor:"live,omitempty"`
 	// JournalSequence is the sequence of the newest journal record whose changes to the chunk
--- a/internal/records/doc.go
+++ b/internal/records/doc.go
@@ -9,21 +9,30 @@
 // replaced writer can no longer commit. P is the number of a partition.
 //
 //	Key            Value                     Writer                      Fence
-//	c/lead         OwnerRecord               the node that claims it     its own revision; the node's lease
-//	c/level        LevelRecord               leader                      c/lead, and the nodes' records
+//	c/lead         OwnerRecord               the node that claims it     its own revision;
+//	                                                                     the node's lease
+//	c/level        LevelRecord               leader                      c/lead, and the nodes'
+//	                                                                     records
 //	c/n/NODE       NodeRecord                the node itself             none; the node's lease
-//	c/p/P          OwnerRecord               the node that claims it     its own revision; the node's lease
-//	c/m/GROUP      MachineGroupRecord        leader, partition owners    c/lead or c/p/P, and its own revision
-//	c/h/RENTAL     RentalRecord              leader                      c/lead, and its own revision
+//	c/p/P          OwnerRecord               the node that claims it     its own revision;
+//	                                                                     the node's lease
+//	c/m/GROUP      MachineGroupRecord        leader, partition owners    c/lead or c/p/P, and
+//	                                                                     its own revision
+//	c/h/RENTAL     RentalRecord              leader                      c/lead, and
+//	                                                                     its own revision
 //	j/JOB          JobRecord                 any node on submission and  its own revision
 //	                                         cancellation
-//	                                         partition owner at the end  c/p/P, and its own revision
-//	a/P/JOB/CHUNK  ChunkRecord               any node, the first chunk   that of j/JOB, created with it
-//	                                         on submission
-//	                                         partition owner             c/p/P, and its own revision
-//	x/P/JOB        true                      any node on cancellation    that of j/JOB, written with it
+//	                                         partition owner at the end  c/p/P, and
+//	                                                                     its own revision
+//	a/P/JOB/CHUNK  ChunkRecord               any node, the first chunk   that of j/JOB,
+//	                                         on submission               created with it
+//	                                         partition owner             c/p/P, and
+//	                                                                     its own revision
+//	x/P/JOB        true                      any node on cancellation    that of j/JOB,
+//	                                                                     written with it
 //	                                         partition owner deletes it  c/p/P
-//	g/P/SLOT       JournalRecord             partition owner             c/p/P, and its own revision
+//	g/P/SLOT       JournalRecord             partition owner             c/p/P, and
+//	                                                                     its own revision
 //	s/P            PartitionSummary          partition owner             c/p/P
 //	s/P/N          map[string]MachineDigest  partition owner             c/p/P
 //	s/P/wN         []Demand                  partition owner             c/p/P
--- a/internal/records/summary.go
+++ b/internal/records/summary.go
@@ -13,8 +13,8 @@
 type PartitionSummary struct {
 	// AllocatedMachines is the allocated capacity by machine type, in machines.
 	AllocatedMachines map[string]float64 `cbor:"booked"`
-	// AllocatedOnDemand is the part of AllocatedMachines that is allocated to jobs that do not allow
-	// spot instances.
+	// AllocatedOnDemand is the part of AllocatedMachines that is allocated to jobs that do not
+	// allow spot instances.
 	AllocatedOnDemand map[string]float64 `cbor:"firm"`
 	// Waiting is the demand of tasks for which there is no capacity.
 	Waiting []Demand `cbor:"waiting"`
@@ -34,14 +34,15 @@
 
 // The flags of a MachineDigest.
 const (
-	// DigestReporting is set if the machine has sent a heartbeat to the partition's current
-	// owner.
+	// DigestReporting is set if the worker has sent the partition's current owner a message that
+	// carries the current fencing token.
 	DigestReporting MachineDigest = 1 << iota
 	// DigestEmpty is set if the machine is usable, not reserved and without tasks, so that
 	// it may be moved or returned.
 	DigestEmpty
-	// DigestNeverReported is set if the machine has never sent a heartbeat although it was
-	// assigned longer ago than a worker's lease lasts.
+	// DigestNeverReported is set if the worker has never sent the partition's current owner a
+	// message that carries its fencing token, although the owner has had the machine for longer
+	// than a worker's lease and a tolerance for lost heartbeats.
 	DigestNeverReported
 	// DigestUnhealthy is set if the machine must be returned for one of these reasons: it is
 	// faulty; it has tasks but has not sent the current owner a heartbeat in time; it does not
@@ -56,7 +57,7 @@
 	Zone          string   `cbor:"z,omitempty"`
 	AllowSpot     bool     `cbor:"s"`
 	SingleZone    bool     `cbor:"o"`
-	MaxPerZone    int      `cbor:"zm,omitempty"` // maximum number of tasks in one zone; 0 means no limit
+	MaxPerZone    int      `cbor:"zm,omitempty"` // maximum tasks per zone; 0 means no limit
 	Gang          bool     `cbor:"g"`
 	CPUs          float64  `cbor:"c"`
 	GPUs          float64  `cbor:"gp"`
--- a/internal/scheduler/batch.go
+++ b/internal/scheduler/batch.go
@@ -54,8 +54,8 @@
 // endedJobBytes is an upper bound of the size of the writes that commit a job's end, without names.
 const endedJobBytes = 1000
 
-// finalWrites is the number of writes that commit a job's end, and of those that delete the last
-// records of a cancelled job. They must be in the same transaction.
+// finalWrites is the number of writes that commit a job's end. Deleting the last records of a
+// cancelled job takes as many. In both cases they must be in the same transaction.
 const finalWrites = 2
 
 // batchBuilder adds changes to a batch within the limits of a transaction.
@@ -125,8 +125,8 @@
 	}
 }
 
-// hasUncommittedEnd reports whether all tasks of a job that is not cancelled are done, and this is not
-// committed yet.
+// hasUncommittedEnd reports whether all tasks of a job that is not cancelled are done, and this is
+// not committed yet.
 func (j *Job) hasUncommittedEnd() bool {
 	return !j.finalized && !j.Cancelled && j.doneTasks >= j.TaskCount
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-// hasLeftoverRecord reports whether a chunk of a finalized job still has a record to be deleted. The
-// first chunk's record is deleted by the transaction that commits the end of the job.
+// hasLeftoverRecord reports whether a chunk of a finalized job still has a record to be deleted.
+// The first chunk's record is deleted by the transaction that commits the end of the job.
 func (c *chunk) hasLeftoverRecord() bool { return c.from > 0 && c.hasRecord() }
 
 // deleteChunk adds the deletion of a chunk's record.
@@ -169,8 +169,8 @@
 	b.batch.deletedChunks = append(b.batch.deletedChunks, chunk)
 }
 
-// recordsDeletable reports whether the job was cancelled and none of its tasks can be running, or be
-// started, any more. Its records can then be deleted.
+// recordsDeletable reports whether the job was cancelled and none of its tasks can be running, or
+// be started, any more. Its records can then be deleted.
 func (j *Job) recordsDeletable() bool { return j.Cancelled && len(j.placements) == 0 }
 
 // deleteCancelledJobs adds deletions of the records of cancelled jobs without placements, as far as
--- a/internal/scheduler/chunk.go
+++ b/internal/scheduler/chunk.go
@@ -234,8 +234,8 @@
 	return splitOffChunk
 }
 
-// setSplitFrom records that the chunk was split off from origin, whose record contains the state of
-// its tasks until it has a record of its own.
+// setSplitFrom records that the chunk was split off from origin, directly or indirectly. The record
+// of origin contains the state of the chunk's tasks until the chunk has a record of its own.
 func (c *chunk) setSplitFrom(origin *chunk) {
 	c.splitFrom = origin
 	origin.splitOffChunks = append(origin.splitOffChunks, c)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -60,9 +60,10 @@
 // appendStartCommands appends start commands for the machine's tasks, up to MaxCommandsPerResponse
 // commands in total. sequence is the sequence number of the heartbeat to which they respond.
 //
-// If no heartbeat has listed a task that was started, its start command is repeated, because the
-// response with the command may have been lost. The worker cannot execute the command twice,
-// because it sends its next heartbeat only after it has executed the commands of the last response.
+// A start command is repeated with each response until the worker is known to have executed it,
+// because the response with the command may have been lost. The worker cannot execute the command
+// twice, because it sends its next heartbeat only after it has executed the commands of the last
+// response.
 func appendStartCommands(commands []wire.Command, machine *Machine, sequence uint64) []wire.Command {
 	for _, key := range machine.startableTasks() {
 		if len(commands) >= tuning.MaxCommandsPerResponse {
@@ -109,9 +110,9 @@
 	return !pl.start.sent && pl.machine.acceptsStarts() && pl.startPermitted()
 }
 
-// stopUnsent reports whether a stop command for the placement is still to be sent. If cancellationsFresh (see
-// HandleHeartbeat) is not set, only tasks of cancelled jobs are stopped, because a cancellation is never
-// withdrawn.
+// stopUnsent reports whether a stop command for the placement is still to be sent. If
+// cancellationsFresh (see HandleHeartbeat) is not set, only tasks of cancelled jobs are stopped,
+// because a cancellation is never withdrawn.
 func (pl *Placement) stopUnsent(cancellationsFresh bool) bool {
 	return pl.stopRequest != nil && !pl.stopRequest.sent && (cancellationsFresh || pl.job.Cancelled)
 }
@@ -152,8 +153,8 @@
 }
 
 // MachinesAwaitingCommands returns the IDs of the machines to which commands should be sent without
-// waiting for their next heartbeat. If cancellationsFresh (see HandleHeartbeat) is not set, only stop commands
-// for cancelled jobs are sent.
+// waiting for their next heartbeat. If cancellationsFresh (see HandleHeartbeat) is not set, only
+// stop commands for cancelled jobs are sent.
 func (p *Partition) MachinesAwaitingCommands(cancellationsFresh bool) []string {
 	return p.machines.selectIDs(func(machine *Machine) bool {
 		return !machine.lease.expired && machine.acceptsDirectCommands() && machine.hasUnsentCommands(cancellationsFresh)
@@ -166,8 +167,8 @@
 	return m.token.acknowledged && !m.command.pending()
 }
 
-// hasUnsentCommands reports whether a start or stop command for the machine is still to be sent. See
-// HandleHeartbeat for the meaning of cancellationsFresh.
+// hasUnsentCommands reports whether a start or stop command for the machine is still to be sent.
+// See HandleHeartbeat for the meaning of cancellationsFresh.
 func (m *Machine) hasUnsentCommands(cancellationsFresh bool) bool {
 	for _, placement := range m.placements {
 		if placement.stopUnsent(cancellationsFresh) || (cancellationsFresh && placement.startUnsent()) {
@@ -179,8 +180,8 @@
 
 // DirectCommands returns a request with the start and stop commands to send directly to a machine.
 // The result is false if there are none. Until a request with start commands is answered, no other
-// task is started or forgotten on the machine, because a delayed copy of the request could start
-// a task again after the worker forgot it. See HandleHeartbeat for the meaning of cancellationsFresh.
+// task is started or forgotten on the machine, because a delayed copy of the request could start a
+// task again after the worker forgot it. See HandleHeartbeat for the meaning of cancellationsFresh.
 func (p *Partition) DirectCommands(id string, cancellationsFresh bool) (wire.CommandRequest, bool) {
 	machine := p.machines.get(id)
 	if machine == nil || !machine.acceptsDirectCommands() {
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A start command must not be sent before the placement is committed, and a forget command not before
-// the end of the task is committed, because the next owner would not know of the task.
+// A start command must not be sent before the placement is committed, and a forget command not
+// before the end of the task is committed, because the next owner would not know of the task.
 func TestStartAndForgetAreSentAfterTheirCommits(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -76,15 +76,15 @@
 	record := harness.machines.get("m-1").Record
 	record.FencingToken = harness.revision
 	harness.SetMachine("m-1", record, harness.revision, harness.now) // the record is rewritten
-	harness.sendHeartbeat("m-1")                                     // the heartbeat carries the higher token
+	harness.sendHeartbeat("m-1")                                     // carries the higher token
 	if len(harness.machines.get("m-1").placements) != 0 || harness.machines.get("m-1").command.unconfirmed {
 		t.Fatal("want the placement detached once the worker has seen the higher token, as its start can no longer be executed")
 	}
 }
 
-// A command request that was never sent is sent again, including its stop commands. The token is not
-// raised, because that would take a write to the key-value store for each machine of a zone that is
-// cut off.
+// A command request that was never sent is sent again, including its stop commands. The token is
+// not raised, because that would take a write to the key-value store for each machine of a zone
+// that is cut off.
 func TestUnsentRequestIsSentAgain(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	harness.sendHeartbeat("m-1")
@@ -130,8 +130,9 @@
 	}
 }
 
-// A job is cancelled while a request with a start command for its task is in flight, and the request
-// turns out never to have been sent. The placement must not use capacity and its team's quota forever.
+// A job is cancelled while a request with a start command for its task is in flight, and the
+// request turns out never to have been sent. The placement must not use capacity and its team's
+// quota forever.
 func TestStopOfUnsentStartFreesPlacement(t *testing.T) {
 	harness := newHarnessWithPlacedJob(1)
 	request, _ := harness.DirectCommands("m-1", true)
--- a/internal/scheduler/compaction.go
+++ b/internal/scheduler/compaction.go
@@ -14,9 +14,9 @@
 	// 1/compactionRingDivisor of the ring's slots can be written before the ring overwrites a
 	// change that is missing from the chunk's record.
 	compactionRingDivisor = 4
-	// compactionMarginBatches is the minimum margin, in full batches before such an overwrite. If
-	// the maximum value size is small, a batch writes many journal records, and the ring could
-	// otherwise overwrite a change between two batches.
+	// compactionMarginBatches is the minimum of this margin, in batches with the maximum number of
+	// writes. If the maximum value size is small, a batch writes many journal records, and the ring
+	// could otherwise overwrite a change between two batches.
 	compactionMarginBatches = 2
 	// compactionWriteDivisor limits compaction to 1/compactionWriteDivisor of a batch's writes
 	// while the journal can be appended to, so that neither blocks the other.
@@ -57,9 +57,10 @@
 	return canAppend
 }
 
-// oldestUncompactedSequence returns the lowest sequence of a journal record that is missing from one
-// of the chunks' records. It returns 0, which blocks the journal, if the first chunk has no
-// journaled changes. Such a chunk must be written before the chunk that it was split off from.
+// oldestUncompactedSequence returns the lowest sequence of a journal record with changes that are
+// missing from one of the chunks' records. It returns 0 if the first chunk has no journaled
+// changes. Such a chunk must be written before the chunk that it was split off from, and 0 blocks
+// the journal once the ring has wrapped around.
 func oldestUncompactedSequence(due []*chunk) uint64 {
 	oldest := due[0].oldestUncompactedSequence
 	for _, chunk := range due {
@@ -70,8 +71,9 @@
 	return oldest
 }
 
-// chunksToCompact returns the chunks that are due, ordered by the age of their jobs' oldest journaled
-// changes. Within a job, a chunk that was split off precedes the chunk that it was split off from.
+// chunksToCompact returns the chunks that are due, ordered by the age of their jobs' oldest
+// journaled changes. Within a job, a chunk that was split off precedes the chunk that it was split
+// off from.
 func (b *batchBuilder) chunksToCompact() []*chunk {
 	var due []*chunk
 	oldest := map[*Job]uint64{}
@@ -94,8 +96,8 @@
 	return due
 }
 
-// unwrittenSplitOffChunks returns the chunks that were split off from origin and have neither a record
-// nor journaled changes. They do not become due by themselves.
+// unwrittenSplitOffChunks returns the chunks that were split off from origin and have neither a
+// record nor journaled changes. They do not become due by themselves.
 func (b *batchBuilder) unwrittenSplitOffChunks(origin *chunk) []*chunk {
 	var unwritten []*chunk
 	for _, splitOffChunk := range origin.splitOffChunks {
--- a/internal/scheduler/confirm.go
+++ b/internal/scheduler/confirm.go
@@ -63,9 +63,9 @@
 
 // RefreshKey updates the revision of one of a batch's keys, as read after a conflict or after a
 // commit with unknown outcome. record is the value read if the key is that of a job's record and
-// exists, and nil otherwise. All changes of the batch remain dirty. The next commit therefore rewrites
-// the keys under their current revisions, so that the earlier transaction fails if it is still in
-// transit.
+// exists, and nil otherwise. All changes of the batch remain dirty. The next commit therefore
+// rewrites the keys under their current revisions, so that the earlier transaction fails if it is
+// still in transit.
 func (p *Partition) RefreshKey(batch *Batch, key string, revision uint64, record *records.JobRecord, now time.Time) {
 	switch {
 	case batch.endedJob != nil && key == records.JobKey(batch.endedJob.ID):
@@ -76,8 +76,8 @@
 	}
 }
 
-// refreshJob updates a job whose end is in an unconfirmed batch with the revision and the record that
-// were read from the job's key. record is nil if the key does not exist.
+// refreshJob updates a job whose end is in an unconfirmed batch with the revision and the record
+// that were read from the job's key. record is nil if the key does not exist.
 func (p *Partition) refreshJob(job *Job, revision uint64, record *records.JobRecord, now time.Time) {
 	job.Revision = revision
 	if record == nil {
--- a/internal/scheduler/exchange_test.go
+++ b/internal/scheduler/exchange_test.go
@@ -13,8 +13,8 @@
 )
 
 // These helpers write and check the files of TestProductionExchange. In the production version,
-// testdata/production_exchange_test.go.txt runs the same jobs on the same machines. It must use the same
-// encoding of exchange.
+// testdata/production_exchange_test.go.txt runs the same jobs on the same machines. It must use the
+// same encoding of exchange.
 
 // exchange contains the records that one version has stored, and its state in memory.
 type exchange struct {
@@ -28,7 +28,7 @@
 	DoneTasks      int            `cbor:"Done"`
 	WaitingTasks   int            `cbor:"Waiting"`
 	HighestAttempt uint64         `cbor:"Try"`
-	Placements     map[int]string `cbor:"Live"` // by task, formatted as machine, attempt and incarnation
+	Placements     map[int]string `cbor:"Live"` // by task: machine, attempt, incarnation
 }
 
 const (
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -56,8 +56,9 @@
 	*Partition
 	now                time.Time
 	revision           uint64
-	heartbeatSequences map[string]uint64                          // sequence number of the last heartbeat, by machine ID
-	workerTasks        map[string]map[taskAttempt]wire.TaskStatus // tasks that each worker reports, by machine ID
+	heartbeatSequences map[string]uint64 // sequence number of the last heartbeat, by machine ID
+	// workerTasks contains the tasks that each worker reports, by machine ID.
+	workerTasks map[string]map[taskAttempt]wire.TaskStatus
 }
 
 func newPartitionHarness() *partitionHarness {
@@ -74,7 +75,8 @@
 }
 
 // newHarnessWithPlacedJob returns a harness whose partition has machine m-1, on which the tasks of
-// job req-1 are placed, with one CPU each. The placements are committed, but no start has been sent.
+// job req-1 are placed, with one CPU each. The placements are committed, but no start has been
+// sent.
 func newHarnessWithPlacedJob(tasks int) *partitionHarness {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
--- a/internal/scheduler/heartbeat.go
+++ b/internal/scheduler/heartbeat.go
@@ -41,8 +41,8 @@
 }
 
 // HandleHeartbeat reconciles the partition's state with a worker's heartbeat and returns the
-// response with the commands for the worker. cancellationsFresh reports whether this owner has
-// read the cancellations recently. If not, no task is started, because its job may have been cancelled.
+// response with the commands for the worker. cancellationsFresh reports whether this owner has read
+// the cancellations recently. If not, no task is started, because its job may have been cancelled.
 func (p *Partition) HandleHeartbeat(heartbeat *wire.Heartbeat, now time.Time, cancellationsFresh bool) (HeartbeatVerdict, wire.HeartbeatResponse) {
 	machine := p.machines.get(heartbeat.Machine)
 	if verdict := checkHeartbeat(machine, heartbeat); verdict != HeartbeatAccepted {
--- a/internal/scheduler/heartbeat_test.go
+++ b/internal/scheduler/heartbeat_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// After a failover, a placement of the earlier owner is not freed however much time passes. Only once
-// the worker has acknowledged the new owner's token is it freed when the lease expires.
+// After a failover, a placement of the earlier owner is not freed however much time passes. Only
+// once the worker has acknowledged the new owner's token is it freed when the lease expires.
 func TestFailoverFreesNoPlacementBeforeAcknowledgement(t *testing.T) {
 	harness := newPartitionHarness()
 	machine := harness.restoreTask(1)
@@ -160,8 +160,8 @@
 	}
 }
 
-// A heartbeat that was overtaken by a response to a command request is older than the response, so it
-// must not clear a termination notice.
+// A heartbeat that was overtaken by a response to a command request is older than the response, so
+// it must not clear a termination notice.
 func TestOvertakenHeartbeatDoesNotClearTerminationNotice(t *testing.T) {
 	harness, machine := newExpiredHarness()
 	token := machine.token.current
@@ -203,8 +203,8 @@
 }
 
 // If a worker receives no responses, its lease expires and it enters a new incarnation although all
-// of its heartbeats were answered. It must get no tasks until it acknowledges a raised token, and is
-// reported as unhealthy if it does not.
+// of its heartbeats were answered. It must get no tasks until it acknowledges a raised token, and
+// is reported as unhealthy if it does not.
 func TestUnreachableWorkerGetsNoTasks(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
@@ -241,10 +241,10 @@
 	}
 }
 
-// A worker whose heartbeats reach no controller enters a new incarnation, and may be known to be in it
-// only because it refuses commands. No task may be placed in the new incarnation before a heartbeat
-// of it arrives. The task would be freed together with those of the old incarnation, and would run on
-// another machine while it still runs on this one.
+// A worker whose heartbeats reach no controller enters a new incarnation, and may be known to be in
+// it only because it refuses commands. No task may be placed in the new incarnation before a
+// heartbeat of it arrives. The task would be freed together with those of the old incarnation, and
+// would run on another machine while it still runs on this one.
 func TestNewIncarnationNeedsHeartbeat(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.addMachine("m-1", "cpu", "a", false)
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -41,7 +41,7 @@
 	gangBroken bool
 
 	failures        jobFailures
-	replicaRestarts map[int]replicaRestart // by task; only replicas that exited soon after their start
+	replicaRestarts map[int]replicaRestart // by task, for replicas that exited soon
 
 	// failedSearchVersion is the value of Partition.capacityVersion when a search for machines
 	// for the job last failed. The search is not repeated until that value changes.
@@ -56,13 +56,24 @@
 // determine its precedence and the capacity that it may use. buildQueues computes them at the
 // start of each scheduling cycle.
 type cycleState struct {
-	imageFetchS        float64 // shortest image fetch, in seconds, on a machine with capacity for a task
-	withinGuarantee    bool    // the team's guarantee covers the job and the team's older jobs
-	ignoresGPUSetAside bool    // is so old that it may use the CPUs and memory set aside for free GPUs
-	cpuOnlyTypeFits    bool    // an allowed machine type without GPUs can run a task
-	starved            bool    // has waited longer than StarveS for its first start: precedes jobs of equal priority and guarantee coverage
-	startOverdue       bool    // has waited longer than OverdueS for its first start: precedes all other jobs
-	startForced        bool    // has waited longer than ForceS for its first start: may use empty machines, and its placements are protected from preemption
+	// imageFetchS is the shortest image fetch, in seconds, on a machine with capacity for a task.
+	imageFetchS float64
+	// withinGuarantee is set if the team's guarantee covers the job and the team's older jobs.
+	withinGuarantee bool
+	// ignoresGPUSetAside is set if the job is so old that it may use the CPUs and memory set
+	// aside for free GPUs.
+	ignoresGPUSetAside bool
+	// cpuOnlyTypeFits is set if an allowed machine type without GPUs can run a task.
+	cpuOnlyTypeFits bool
+	// starved is set if the job has waited longer than StarveS for its first start. It precedes
+	// jobs of equal priority and guarantee coverage.
+	starved bool
+	// startOverdue is set if the job has waited longer than OverdueS for its first start. It
+	// precedes all other jobs.
+	startOverdue bool
+	// startForced is set if the job has waited longer than ForceS for its first start. It may use
+	// empty machines, and its placements are protected from preemption.
+	startForced bool
 }
 
 // newJob returns a job whose tasks are all waiting. The caller must set its chunks.
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -13,15 +13,15 @@
 	"pgregory.net/rapid"
 )
 
-// testJournalSlots is the number of slots in the journal. It is small, so that the ring wraps around
-// many times.
+// testJournalSlots is the number of slots in the journal. It is small, so that the ring wraps
+// around many times.
 const testJournalSlots = 8
 
 // loweredTxnWrites is the maximum number of writes in a transaction after the limits are lowered.
 const loweredTxnWrites = 3
 
-// takeoverTest simulates an owner of a partition. After each round, a new owner is restored from its
-// stored records.
+// takeoverTest simulates an owner of a partition. After each round, a new owner is restored from
+// its stored records.
 type takeoverTest struct {
 	t        *rapid.T
 	machines []string
@@ -37,8 +37,8 @@
 }
 
 // Whenever a new owner takes over, and whatever the outcome of single commits, the stored records
-// must contain each placement whose start command may have been sent and each end of a task that the
-// worker may have forgotten, but no end that was never reported. Records must stay within the
+// must contain each placement whose start command may have been sent and each end of a task that
+// the worker may have forgotten, but no end that was never reported. Records must stay within the
 // store's limits.
 func TestJournalSurvivesTakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -123,8 +123,8 @@
 	}
 }
 
-// reportHeartbeats sends heartbeats in which the workers start tasks as commanded and report the end
-// of some.
+// reportHeartbeats sends heartbeats in which the workers start tasks as commanded and report the
+// end of some.
 func (test *takeoverTest) reportHeartbeats() {
 	causes := rapid.SampledFrom([]wire.ExitCause{wire.ExitDone, wire.ExitDone, wire.ExitStopped})
 	for _, id := range test.machines {
@@ -241,7 +241,8 @@
 	}
 }
 
-// checkAllCommitted checks that a new owner restores the full state after all commits are confirmed.
+// checkAllCommitted checks that a new owner restores the full state after all commits are
+// confirmed.
 func (test *takeoverTest) checkAllCommitted() {
 	const maxBatches = 2000
 	test.store.commitAll(test.owner, maxBatches)
--- a/internal/scheduler/layout.go
+++ b/internal/scheduler/layout.go
@@ -231,10 +231,10 @@
 	return boundaries
 }
 
-// needsFormatConversion reports whether the chunk's record should be written to convert its format, and
-// can be written in the batch. This is the case if the stored record has no explicit range and all
-// chunks that were split off have records or get them in the batch, or if the chunk was split off and
-// has no record yet.
+// needsFormatConversion reports whether the chunk's record should be written to convert its format,
+// and can be written in the batch. This is the case if the stored record has no explicit range and
+// all chunks that were split off have records or get them in the batch, or if the chunk was split
+// off and has no record yet.
 func (c *chunk) needsFormatConversion(batch *Batch) bool {
 	if !c.hasRecord() {
 		return c.splitFrom != nil
@@ -242,7 +242,8 @@
 	return c.storedFormat == indexedChunk && c.splitOffChunksWritten(batch)
 }
 
-// nextChunkToConvert returns a chunk for which needsFormatConversion holds, or nil if there is none.
+// nextChunkToConvert returns a chunk for which needsFormatConversion holds, or nil if there is
+// none.
 func (p *Partition) nextChunkToConvert(batch *Batch) *chunk {
 	for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
 		job := p.jobs[id]
--- a/internal/scheduler/lease.go
+++ b/internal/scheduler/lease.go
@@ -42,7 +42,8 @@
 	return now.Sub(machine.lease.lastAnsweredAt) > duration
 }
 
-// requeueWithdrawnStarts requeues the tasks on a machine for whose placements isWithdrawnStart holds.
+// requeueWithdrawnStarts requeues the tasks on a machine for whose placements isWithdrawnStart
+// holds.
 func (p *Partition) requeueWithdrawnStarts(machine *Machine, now time.Time) {
 	if !machine.acceptsDirectCommands() || !machine.hasWithdrawnStart() {
 		return
@@ -66,10 +67,10 @@
 	return false
 }
 
-// isWithdrawnStart reports whether the placement's start command was lost and a stop is requested. The
-// command was lost if a heartbeat that was sent later does not list the task. A response to a command
-// request does not show this, because the start command may still be in transit in the response to a
-// heartbeat.
+// isWithdrawnStart reports whether the placement's start command was lost and a stop is requested.
+// The command was lost if a heartbeat that was sent later does not list the task. A response to a
+// command request does not show this, because the start command may still be in transit in the
+// response to a heartbeat.
 func (pl *Placement) isWithdrawnStart() bool {
 	if pl.stopRequest == nil || pl.start.observed || !pl.start.sent {
 		return false
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -25,15 +25,22 @@
 	command       commandState
 
 	terminationNotice bool // the cloud has announced that it will terminate the machine
-	quarantined       bool // SickErrors different jobs have failed on the machine since the last success
+	// quarantined is set if SickErrors different jobs have failed on the machine since the last
+	// success.
+	quarantined bool
 
 	placements     map[taskAttempt]*Placement
 	pendingForgets map[taskAttempt]pendingForget
-	taskListCount  uint64               // number of task lists of the worker reconciled so far
-	cachedImages   map[string]time.Time // images assumed to be in the worker's cache, with the time of their last use
-	failedJobs     map[string]bool      // IDs of the jobs that have failed on the machine since the last success
-
-	reservedFor   string // ID of the job that the machine is reserved for, reservedForDrain, or empty
+	taskListCount  uint64 // number of task lists of the worker reconciled so far
+	// cachedImages contains the images assumed to be in the worker's cache, with the time of their
+	// last use.
+	cachedImages map[string]time.Time
+	// failedJobs contains the IDs of the jobs that have failed on the machine since the last
+	// success.
+	failedJobs map[string]bool
+
+	// reservedFor is the ID of the job that the machine is reserved for, reservedForDrain, or empty.
+	reservedFor   string
 	reservedUntil time.Time
 }
 
--- a/internal/scheduler/partition.go
+++ b/internal/scheduler/partition.go
@@ -13,7 +13,7 @@
 // tasks run. It is not safe for concurrent use.
 type Partition struct {
 	Index    int
-	Revision uint64 // revision of the owner record; every write of the partition is conditional on it
+	Revision uint64 // of the owner record; every write of the partition is conditional on it
 	Counters Counters
 
 	settings     *config.Settings
@@ -25,7 +25,7 @@
 	// finalizedJobs lists the jobs whose end is committed but some of whose records still
 	// have to be deleted.
 	finalizedJobs   []*Job
-	cancelledJobIDs map[string]bool // from the last listing; may contain jobs that have not been added yet
+	cancelledJobIDs map[string]bool // from the last listing; may contain jobs not added yet
 	tombstones      tombstones
 
 	machines machineSet
@@ -34,7 +34,7 @@
 	// changed. scheduledVersion is its value at the end of the last scheduling cycle.
 	capacityVersion    int
 	scheduledVersion   int
-	candidates         []*Machine // machines with free CPUs when the current cycle began
+	candidates         []*Machine // usable machines with free CPUs when the cycle began
 	cycleStartedAt     time.Time  // start of the current scheduling cycle
 	lastConsolidatedAt time.Time
 
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -16,15 +16,15 @@
 	task         int
 	attempt      uint64
 	machine      *Machine
-	incarnation  uint64 // incarnation of the worker that the task is placed on; no other one can run it
+	incarnation  uint64 // worker incarnation that the task is placed on; no other can run it
 	chunkVersion int    // first version of the chunk that contains the placement
 
 	start       startState
 	stopRequest *stopRequest // nil if no stop was requested
 
 	state              wire.TaskState // last reported state
-	lastTaskListNumber uint64         // Machine.taskListCount when a task list last contained the task
-	runningSince       time.Time      // when the task was first reported as running; zero if it was not
+	lastTaskListNumber uint64         // Machine.taskListCount when the task was last listed
+	runningSince       time.Time      // when first reported as running; zero if it was not
 	imageFetched       bool           // the worker is known to have fetched the image
 
 	// gangDone is set if the gang is done and only the worker's report of this task's exit
--- a/internal/scheduler/production_test.go
+++ b/internal/scheduler/production_test.go
@@ -12,9 +12,9 @@
 const productionDirectory = "internal/core"
 
 // The production version, which deploy/service.toml names, is extracted from this repository's
-// history. It must read the records that this version writes in the initial format, and this version
-// must read the records that it writes. Each must restore the same jobs with the same done, placed
-// and waiting tasks as the other.
+// history. It must read the records that this version writes in the initial format, and this
+// version must read the records that it writes. Each must restore the same jobs with the same done,
+// placed and waiting tasks as the other.
 func TestProductionExchange(t *testing.T) {
 	production := productiontest.Extract(t, filepath.Join("..", ".."))
 	for _, name := range []string{"production_exchange_test.go", "production_load_test.go"} {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -111,8 +111,8 @@
 	return 1
 }
 
-// compareWithinUrgency orders jobs of equal urgency: starved jobs from the oldest, others by
-// precedence time. It returns a negative number if a precedes b.
+// compareWithinUrgency orders jobs of equal urgency: starved jobs by submission time, oldest first,
+// and others by precedence time. It returns a negative number if a precedes b.
 func (p *Partition) compareWithinUrgency(a, b *Job) int {
 	if a.cycle.starved && b.cycle.starved {
 		if order := a.SubmittedAt.Compare(b.SubmittedAt); order != 0 {
@@ -183,8 +183,9 @@
 	return strings.Compare(a.ID, b.ID)
 }
 
-// updateGuarantees sets withinGuarantee of a team's jobs, which must be sorted from the oldest. A
-// job is within the guarantee if the guarantee covers it together with all older jobs.
+// updateGuarantees sets withinGuarantee of a team's jobs, which must be sorted by submission time,
+// oldest first. A job is within the guarantee if the guarantee covers it together with all older
+// jobs.
 func (p *Partition) updateGuarantees(team *quota.Team, jobs []*Job) {
 	var unfinishedTotal resource.Vector
 	for _, job := range jobs {
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -12,8 +12,8 @@
 // report a change, allowing for one or two lost or late heartbeats.
 const toleratedHeartbeats = 3
 
-// heartbeatToleranceSeconds returns the time in seconds within which a worker is expected to report a
-// change.
+// heartbeatToleranceSeconds returns the time in seconds within which a worker is expected to report
+// a change.
 func (p *Partition) heartbeatToleranceSeconds() float64 {
 	return toleratedHeartbeats * p.settings.Cluster.WorkerTiming.HeartbeatIntervalS
 }
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// stateToUpdate returns the state of a task's chunk, to which a change from the journal record with the
-// given sequence must be applied, and records that the change is missing from the chunk's own record.
-// It returns nil if the chunk's own record already includes the journal record, or if the job has no
-// such task.
+// stateToUpdate returns the state of a task's chunk, to which a change from the journal record with
+// the given sequence must be applied, and records that the change is missing from the chunk's own
+// record. It returns nil if the chunk's own record already includes the journal record, or if the
+// job has no such task.
 func (r *restorer) stateToUpdate(job *Job, task int, sequence uint64) *chunkState {
 	if task < 0 || task >= job.TaskCount {
 		return nil
@@ -204,8 +204,8 @@
 	})
 }
 
-// restoreGang finishes a gang if the records contain the end of any of its tasks. It marks a gang as
-// broken if the records contain no end and the placements of only some of its tasks.
+// restoreGang finishes a gang if the records contain the end of any of its tasks. It marks a gang
+// as broken if the records contain no end and the placements of only some of its tasks.
 func (p *Partition) restoreGang(job *Job) {
 	if job.IsGang() && job.doneTasks > 0 {
 		// The tasks of a gang complete together. The earlier owner may have stopped before
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -27,8 +27,9 @@
 	cachedImagesPerMachine = 12
 )
 
-// Schedule runs a scheduling cycle: it places waiting tasks, with one queue per team, and then
-// consolidates machines. The queue to serve next is selected by urgency and fair share.
+// Schedule runs a scheduling cycle: it requeues the tasks on machines whose leases have expired,
+// places waiting tasks from one queue per team, and then consolidates machines. The queue to serve
+// next is selected by urgency and fair share.
 func (p *Partition) Schedule(now time.Time) {
 	p.cycleStartedAt = now
 	p.ExpireLeases(now)
--- a/internal/scheduler/stop.go
+++ b/internal/scheduler/stop.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// stopDeliveryHeartbeats is the number of heartbeat intervals beyond its grace period
-	// within which a task must be reported as stopped: one until the stop command is sent, and
-	// one until the worker reports the exit.
+	// stopDeliveryHeartbeats is the number of heartbeat intervals after the end of a task's grace
+	// period within which the task must be reported as stopped: one until the stop command is sent,
+	// and one until the worker reports the exit.
 	stopDeliveryHeartbeats = 2
 	// imageFetchTimeFactor is the factor by which the fetch of a gang's image may exceed its
 	// duration at the machine type's fetch rate.
--- a/internal/scheduler/store_test.go
+++ b/internal/scheduler/store_test.go
@@ -7,8 +7,8 @@
 	"ambersill/internal/wire"
 )
 
-// fakeStore is an in-memory key-value store with revisions of keys. Its transactions can be refused,
-// go unanswered or be applied with a delay.
+// fakeStore is an in-memory key-value store with revisions of keys. Its transactions can be
+// refused, go unanswered or be applied with a delay.
 type fakeStore struct {
 	revision  uint64
 	values    map[string]wire.Raw
@@ -78,8 +78,8 @@
 	commitRefused   commitOutcome = "refused" // answered with an error, and never applied
 )
 
-// commit commits a batch with the given outcome. Unless the commit is confirmed or refused, the owner
-// then reads the batch's keys, as it does after a conflict or an unanswered commit.
+// commit commits a batch with the given outcome. Unless the commit is confirmed or refused, the
+// owner then reads the batch's keys, as it does after a conflict or an unanswered commit.
 func (s *fakeStore) commit(harness *partitionHarness, batch *Batch, outcome commitOutcome) {
 	switch outcome {
 	case commitRefused:
--- a/internal/scheduler/summary.go
+++ b/internal/scheduler/summary.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// allocatedStepsPerMachine is the number of steps per machine to which a summary rounds allocated
-	// capacity. Rounding keeps the record small and makes sums that differ only by rounding
-	// errors equal.
+	// allocatedStepsPerMachine is the number of steps per machine to which a summary rounds
+	// allocated capacity. Rounding keeps the record small and makes sums that differ only by
+	// rounding errors equal.
 	allocatedStepsPerMachine = 1000
 	// maxDemandBytes limits the size of the waiting tasks' demand in a summary, which the leader
 	// reads every second. The tasks that are scheduled first are included.
@@ -37,7 +37,8 @@
 	return summary
 }
 
-// roundAllocated rounds amounts of allocated capacity, in machines, to a multiple of 1/allocatedStepsPerMachine.
+// roundAllocated rounds amounts of allocated capacity, in machines, to a multiple of
+// 1/allocatedStepsPerMachine.
 func roundAllocated(allocated map[string]float64) {
 	for name, machines := range allocated {
 		allocated[name] = math.Round(machines*allocatedStepsPerMachine) / allocatedStepsPerMachine
@@ -90,8 +91,8 @@
 	return m.lease.expired && now.Sub(m.lease.expiredAt) > tuning.Seconds(m.machineType.BootS)
 }
 
-// contactFaultDigest returns the flag that describes a fault in the communication with a machine, or
-// 0 if there is none.
+// contactFaultDigest returns the flag that describes a fault in the communication with a machine,
+// or 0 if there is none.
 func (p *Partition) contactFaultDigest(machine *Machine, now time.Time) records.MachineDigest {
 	contactTimeout := tuning.Seconds(p.settings.Cluster.WorkerTiming.LeaseDurationS + p.heartbeatToleranceSeconds())
 	assignedBeforeTimeout := now.Sub(machine.assignedAt) > contactTimeout
--- a/internal/scheduler/summary_test.go
+++ b/internal/scheduler/summary_test.go
@@ -7,9 +7,9 @@
 	"ambersill/internal/records"
 )
 
-// A machine that has sent no heartbeat since the partition's owner changed is marked as never reported
-// once it has had time to reconnect. With the cloud's listing, this distinguishes a machine that is up
-// from one that is booting.
+// A machine that has sent no heartbeat since the partition's owner changed is marked as never
+// reported once it has had time to reconnect. With the cloud's listing, this distinguishes a
+// machine that is up from one that is booting.
 func TestDigestMarksMachineThatNeverReported(t *testing.T) {
 	harness := newPartitionHarness()
 	harness.SetMachine("m-1", records.MachineRecord{MachineType: "cpu", Zone: "a"}, 100, harness.now)
--- a/internal/scheduler/tombstones.go
+++ b/internal/scheduler/tombstones.go
@@ -4,9 +4,9 @@
 // watch delivers late is a few seconds old, and far fewer jobs end in that time.
 const tombstonesPerGeneration = 4096
 
-// tombstones is the set of jobs that recently ended under this owner. A submission that is delivered
-// late does not add such a job again. Jobs are kept for one to two generations, which limits the
-// memory used.
+// tombstones is the set of jobs that recently ended under this owner. A submission that is
+// delivered late does not add such a job again. Jobs are kept for one to two generations, which
+// limits the memory used.
 type tombstones struct {
 	recent map[string]bool
 	older  map[string]bool
--- a/internal/scheduler/worker_state.go
+++ b/internal/scheduler/worker_state.go
@@ -91,9 +91,13 @@
 // answered heartbeat renews the lease. When it expires, the worker kills its tasks.
 type leaseState struct {
 	lastAnsweredAt time.Time // when a heartbeat was last answered
-	answeredSince  time.Time // start of the period in which answers were never further apart than a lease duration
-	expired        bool      // the lease has expired even if the worker's clock is slow by the tolerated drift
-	expiredAt      time.Time // when the expiry was detected
+	// answeredSince is the start of the period in which answers were never further apart than a
+	// lease duration.
+	answeredSince time.Time
+	// expired is set if the lease has expired even if the worker's clock is slow by the tolerated
+	// drift.
+	expired   bool
+	expiredAt time.Time // when the expiry was detected
 }
 
 // commandState is the state of the commands that were sent to a machine in a direct request instead
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -88,7 +88,7 @@
 	WorkWeight float64
 	// LoadStep is the step to which teams' fair share ratios are rounded down before they are
 	// compared, so that small differences do not affect the order. The ratio is a team's use
-	// relative to its guarantee, or to the size of a usual machine if it has no guarantee.
+	// relative to its guarantee, or to the size of a typical machine if it has no guarantee.
 	LoadStep float64
 	// StarveS is how long a job's size and the fair shares may delay its first start. After
 	// this time, the job precedes other jobs of its priority, and capacity is reserved for it.
