--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -40,8 +40,9 @@
 	// no placement of the gang is left.
 	gangBroken bool
 
-	failures        jobFailures
-	replicaRestarts map[int]replicaRestart // by task, for replicas that exited soon
+	failures jobFailures
+	// replicaRestarts contains, by task, the replicas that exited soon after their start.
+	replicaRestarts map[int]replicaRestart
 
 	// failedSearchVersion is the value of Partition.capacityVersion when a search for machines
 	// for the job last failed. The search is not repeated until that value changes.
--- a/internal/scheduler/machine.go
+++ b/internal/scheduler/machine.go
@@ -39,7 +39,8 @@
 	// success.
 	failedJobs map[string]bool
 
-	// reservedFor is the ID of the job that the machine is reserved for, reservedForDrain, or empty.
+	// reservedFor is the ID of the job that the machine is reserved for, reservedForDrain, or
+	// empty.
 	reservedFor   string
 	reservedUntil time.Time
 }
