--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -15,16 +15,26 @@
 type rule string
 
 const (
-	ruleRanTwice        rule = "ran_twice"     // a task is on two machines at the same time
-	ruleQuota           rule = "quota"         // a team uses more than its limit
-	ruleWrongPlace      rule = "wrong_place"   // a task starts on a machine that its job does not allow
-	ruleRanCancelled    rule = "ran_cancelled" // a task is on a machine too long after its job was cancelled
-	ruleForgotten       rule = "forgotten"     // an accepted job is reported as unknown, or requests about it get no answer
-	ruleInvented        rule = "invented"      // a phase is reported for a job that was never submitted
-	ruleNotDone         rule = "not_done"      // a job is reported as done before all its tasks have completed
-	ruleWentBack        rule = "went_back"     // a final phase changes, or a job is cancelled without a request
-	ruleLeftWaiting     rule = "left_waiting"  // a job waits although machines have free capacity for it
-	ruleAcceptedInvalid rule = "accepted"      // a job is accepted that cannot run or lacks a field
+	// ruleRanTwice is violated if a task is on two machines at the same time.
+	ruleRanTwice rule = "ran_twice"
+	// ruleQuota is violated if a team uses more than its limit.
+	ruleQuota rule = "quota"
+	// ruleWrongPlace is violated if a task starts on a machine that its job does not allow.
+	ruleWrongPlace rule = "wrong_place"
+	// ruleRanCancelled is violated if a task is on a machine too long after its job was cancelled.
+	ruleRanCancelled rule = "ran_cancelled"
+	// ruleForgotten is violated if an accepted job is reported as unknown, or requests about it get no answer.
+	ruleForgotten rule = "forgotten"
+	// ruleInvented is violated if a phase is reported for a job that was never submitted.
+	ruleInvented rule = "invented"
+	// ruleNotDone is violated if a job is reported as done before all its tasks have completed.
+	ruleNotDone rule = "not_done"
+	// ruleWentBack is violated if a final phase changes, or a job is cancelled without a request.
+	ruleWentBack rule = "went_back"
+	// ruleLeftWaiting is violated if a job waits although machines have free capacity for it.
+	ruleLeftWaiting rule = "left_waiting"
+	// ruleAcceptedInvalid is violated if a job is accepted that cannot run or lacks a field.
+	ruleAcceptedInvalid rule = "accepted"
 )
 
 const (
@@ -41,10 +51,11 @@
 // jobState is what the simulation knows about one job from its user's requests and from its
 // tasks. A time is zero until the event has happened.
 type jobState struct {
-	job             *wire.Job
-	reportedPhase   wire.JobPhase // the last phase reported to a user; once final, it does not change
-	acceptedAt      time.Time     // when a user was first told that the job is known
-	finalAt         time.Time     // when a user was first told that the job is done or cancelled
+	job *wire.Job
+	// reportedPhase is the last phase reported to a user. Once it is final, it does not change.
+	reportedPhase   wire.JobPhase
+	acceptedAt      time.Time // when a user was first told that the job is known
+	finalAt         time.Time // when a user was first told that the job is done or cancelled
 	cancelRequested bool
 	cancelledAt     time.Time // when a user was first told that the job is cancelled
 	lastAnswerAt    time.Time // when a request about the job was last answered with a phase
@@ -416,7 +427,9 @@
 // tasksFitOnMachines reports whether the given number of a job's tasks fit on the machines. If
 // the job requires a single zone, they must fit on the machines of one zone.
 func tasksFitOnMachines(job *wire.Job, tasks int, workers []*Worker) bool {
-	fitting := map[string]int{} // tasks that fit, by zone; all under "" unless the job requires a single zone
+	// The number of tasks that fit, by zone. If the job does not require a single zone, all tasks
+	// are counted under "".
+	fitting := map[string]int{}
 	for _, worker := range workers {
 		if !worker.canRun(job) {
 			continue
@@ -434,7 +447,7 @@
 }
 
 // canRun reports whether a machine is usable and a job may run on it. A machine is not usable
-// if it is dead or hangs, if it fails its tasks, or if it has notice of termination.
+// if it is dead or hangs, if it fails its tasks, or if it has been given a termination notice.
 func (w *Worker) canRun(job *wire.Job) bool {
 	if w.dead || w.hung || w.failsTasks || w.terminationNoticeS != nil {
 		return false
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -40,8 +40,8 @@
 	worker   *Worker // nil until the machine has booted
 }
 
-// occupies reports whether the machine counts against the capacity that a request asks for. A failed
-// machine does not.
+// occupies reports whether the machine counts against the capacity that a request asks for. A
+// failed machine does not.
 func (m *rentedMachine) occupies(request *wire.RentRequest) bool {
 	machine := &m.machine
 	return machine.MachineType == request.MachineType && machine.Zone == request.Zone &&
@@ -275,7 +275,8 @@
 	machines := c.laggedList()
 	since := r.URL.Query().Get("since")
 	pageSize := requestedPageSize(r, maxListedMachines)
-	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // encoded as an empty list, not as null
+	// A page without machines is encoded as an empty list, not as null.
+	page := wire.MachinePage{Machines: []wire.CloudMachine{}}
 	for _, machine := range machines {
 		if machine.ID <= since {
 			continue
--- a/internal/emulator/fault_heartbeats.go
+++ b/internal/emulator/fault_heartbeats.go
@@ -37,11 +37,12 @@
 }
 
 // replayHeartbeatsToNextOwner records the first heartbeat of each machine during the fault. Once
-// the fault is over and the first partition has a new owner, it waits for the fault's Delay and sends
-// the recorded heartbeats to every node, replayCount times.
+// the fault is over and the first partition has a new owner, it waits for the fault's Delay and
+// sends the recorded heartbeats to every node, replayCount times.
 func (f *FaultInjector) replayHeartbeatsToNextOwner(ctx context.Context, fault Fault) {
 	_, revision := f.FirstPartitionOwner()
-	sendFuncs := map[string]func(Node){} // by machine ID; each sends the machine's recorded heartbeat
+	// Functions that each send one machine's recorded heartbeat, by machine ID.
+	sendFuncs := map[string]func(Node){}
 	f.handleHeartbeatsDuringFault(ctx, fault, func(heartbeat *wire.Heartbeat, send func(Node)) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
--- a/internal/emulator/fault_injector.go
+++ b/internal/emulator/fault_injector.go
@@ -187,8 +187,8 @@
 	return fmt.Sprintf("emulator: unknown fault kind %q", kind)
 }
 
-// resolveNodes returns the values of a Fault.Nodes, with FirstPartitionOwner and NonOwnerNodes
-// replaced by the indexes of the nodes that they stand for at this moment.
+// resolveNodes returns the indexes of the nodes that the values of Fault.Nodes refer to. It
+// resolves the constants FirstPartitionOwner and NonOwnerNodes with the partition's current owner.
 func (f *FaultInjector) resolveNodes(references []int) []int {
 	var nodes []int
 	for _, node := range references {
--- a/internal/emulator/fault_store.go
+++ b/internal/emulator/fault_store.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// injectCommitFault disturbs commits of the fault's nodes, or of all nodes if the fault names none,
+// injectCommitFault affects commits of the fault's nodes, or of all nodes if the fault names none,
 // until the fault is over. Each commit is affected with the fault's Probability. drawFault returns
 // what happens to an affected commit; the duration is the delay of ExecuteLate.
 func (f *FaultInjector) injectCommitFault(ctx context.Context, fault Fault, drawFault func() (RequestFault, time.Duration)) {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -75,7 +75,7 @@
 	PeersCut FaultKind = "peers cut"
 	// WorkersCut cuts Nodes off from the workers.
 	WorkersCut FaultKind = "workers cut"
-	// CloudCut cuts Nodes off from the cloud, so that they can neither rent nor return.
+	// CloudCut cuts Nodes off from the cloud, so that they can neither rent nor return machines.
 	CloudCut FaultKind = "cloud cut"
 	// ZoneCut cuts Nodes and the workers of Zone off from everything outside the zone, except
 	// users. Nodes are the nodes that count as in the zone. Their links to each other and to the
@@ -93,11 +93,13 @@
 	NonOwnerNodes       = -2 // all nodes except the owner of the first partition
 )
 
-// Fault is one step of a script for FaultInjector.Run. The comment of each FaultKind says which
-// of the fields after Kind it uses.
+// Fault is one step of a script for FaultInjector.Run. The comments on the FaultKind constants say
+// which of the fields after Kind are used.
 type Fault struct {
-	Start       time.Duration // when the fault begins, counted from the call of Run
-	ActiveFor   time.Duration // how long the fault lasts; not used by ControllerCrash, MachineLost and CancelRunningJobs
+	Start time.Duration // when the fault begins, counted from the call of Run
+	// ActiveFor is how long the fault lasts. It is not used by ControllerCrash, MachineLost and
+	// CancelRunningJobs.
+	ActiveFor   time.Duration
 	Kind        FaultKind
 	Nodes       []int // indexes in FaultInjector.Nodes, FirstPartitionOwner or NonOwnerNodes
 	MaxTargets  int
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -11,8 +11,8 @@
 	"ambersill/internal/wire"
 )
 
-// minRetainedChanges is the number of latest changes that the key-value store guarantees to keep for
-// watches. A watch may start at any revision that is followed by at most this many changes.
+// minRetainedChanges is the number of latest changes that the key-value store guarantees to keep
+// for watches. A watch may start at any revision that is followed by at most this many changes.
 const minRetainedChanges = 10000
 
 // entry is the value of a key, with its metadata.
@@ -51,17 +51,19 @@
 	// new) and its new value. The store's lock is held.
 	OnPut func(key string, previous, current wire.Raw)
 
-	mu             sync.Mutex
-	revision       uint64
-	entries        map[string]entry
-	leases         map[uint64]lease
-	nextLeaseID    uint64
-	history        []change
-	changed        chan struct{} // closed and replaced at each change
-	faults         storeFaults
-	limits         *limits  // limits on transactions; nil if there are none
-	invalidReasons []string // the exceeded limit of each transaction that was answered 400 for its size
-	listedKeys     int      // keys returned by all listings so far
+	mu          sync.Mutex
+	revision    uint64
+	entries     map[string]entry
+	leases      map[uint64]lease
+	nextLeaseID uint64
+	history     []change
+	changed     chan struct{} // closed and replaced at each change
+	faults      storeFaults
+	limits      *limits // limits on transactions; nil if there are none
+	// invalidReasons has the exceeded limit of each transaction that was answered 400 for its
+	// size.
+	invalidReasons []string
+	listedKeys     int // keys returned by all listings so far
 }
 
 // NewKeyValueStore returns an empty store.
--- a/internal/emulator/kvstore_faults.go
+++ b/internal/emulator/kvstore_faults.go
@@ -2,21 +2,27 @@
 
 import "time"
 
-// RequestFault is the fault with which an emulated service handles one request.
+// RequestFault is the fault that an emulated service applies to one request.
 type RequestFault int
 
 // Values of RequestFault.
 const (
-	NoFault       RequestFault = iota
-	LoseResponse               // executes the request, and closes the connection without a response
-	ExecuteLate                // closes the connection without a response, and executes the request after a delay
-	RefuseRequest              // answers 503 without executing the request
+	// NoFault executes the request and sends its response.
+	NoFault RequestFault = iota
+	// LoseResponse executes the request, and closes the connection without a response.
+	LoseResponse
+	// ExecuteLate closes the connection without a response, and executes the request after a
+	// delay.
+	ExecuteLate
+	// RefuseRequest answers 503 without executing the request.
+	RefuseRequest
 )
 
 // storeFaults holds the faults that are active in a key-value store.
 type storeFaults struct {
-	down            bool           // all requests are answered 503, and no lease expires
-	refusedRequests map[string]int // number of refused requests, by host; has only hosts that are refused now
+	down bool // all requests are answered 503, and no lease expires
+	// refusedRequests has the number of refused requests of each host that is refused now.
+	refusedRequests map[string]int
 	responseDelay   time.Duration
 	watchesStalled  bool // watches get no response; other requests are served
 	listsRefused    bool // listings are answered 429; other requests are served
@@ -79,14 +85,15 @@
 	s.faults.listsRefused = on
 }
 
-// refusesHost reports whether RefuseHost has been called to refuse this host. The lock must be held.
+// refusesHost reports whether RefuseHost has been called to refuse this host. The lock must be
+// held.
 func (s *KeyValueStore) refusesHost(host string) bool {
 	_, refused := s.faults.refusedRequests[host]
 	return refused
 }
 
-// serves reports whether requests of a host are served: there is no outage, and the host is not
-// refused. The lock must be held.
+// serves reports whether requests of a host are served, which is the case if there is no outage
+// and the host is not refused. The lock must be held.
 func (s *KeyValueStore) serves(host string) bool {
 	return !s.faults.down && !s.refusesHost(host)
 }
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -166,8 +166,8 @@
 	writeResponse(w, http.StatusOK, map[string]bool{})
 }
 
-// leaseIDOf returns the lease ID in the path of a request. If the path has no valid ID, it returns 0,
-// which is never the ID of a lease.
+// leaseIDOf returns the lease ID in the path of a request. If the path has no valid ID, it returns
+// 0, which is never the ID of a lease.
 func leaseIDOf(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	if err != nil {
--- a/internal/emulator/kvstore_test.go
+++ b/internal/emulator/kvstore_test.go
@@ -46,8 +46,8 @@
 	return status, response
 }
 
-// put writes a key that must be at the given revision, and returns the new revision. Any response but
-// 200 fails the test.
+// put writes a key that must be at the given revision, and returns the new revision. Any response
+// but 200 fails the test.
 func put(t *testing.T, store *KeyValueStore, key string, revision uint64, value any, leaseID uint64) uint64 {
 	t.Helper()
 	status, response := commit(t, store, wire.Txn{
--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -41,7 +41,8 @@
 		writeError(w, http.StatusBadRequest, "since")
 		return
 	}
-	waitMS, _ := strconv.Atoi(query.Get("waitMs")) // 0 if it is not a number; the watch then times out at once
+	// If waitMs is not a number, the wait is 0 and the watch times out at once.
+	waitMS, _ := strconv.Atoi(query.Get("waitMs"))
 	timeout := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timeout.Stop()
 	timeoutPassed := false
@@ -66,8 +67,9 @@
 	}
 }
 
-// watchState returns the current state of the store for a host's watch of a prefix: the events after
-// revision since, and whether the watch is served.
+// watchState returns the current state of the store for a host's watch of a prefix: the events
+// after revision since, and whether the watch is served. If changes after that revision have been
+// compacted, it returns only that.
 func (s *KeyValueStore) watchState(host string, since uint64, prefix string) watchState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +87,8 @@
 	}
 }
 
-// compacted reports whether changes after a revision are missing from the history. The lock must be
-// held.
+// compacted reports whether changes after a revision are missing from the history. The lock must
+// be held.
 func (s *KeyValueStore) compacted(since uint64) bool {
 	return s.revision > since && len(s.history) >= minRetainedChanges && s.history[0].revision > since+1
 }
@@ -120,8 +122,8 @@
 	}
 }
 
-// awaitChange waits until the store changes, the watch times out or leaseCheckInterval has passed. It
-// reports whether the watch timed out, and returns an error if the context ends first.
+// awaitChange waits until the store changes, the watch times out or leaseCheckInterval has passed.
+// It reports whether the watch timed out, and returns an error if the context ends first.
 func awaitChange(ctx context.Context, changed <-chan struct{}, timeout <-chan time.Time) (timedOut bool, err error) {
 	interval := time.NewTimer(leaseCheckInterval)
 	defer interval.Stop()
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -36,7 +36,8 @@
 	s.checkQuota(t.job.Team)
 	switch {
 	case s.completedTasks[t.name]:
-		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task, and its result is kept
+		// An earlier attempt has completed the task, and its result is kept.
+		worker.exit(t, wire.ExitDone, false)
 	case worker.failsTasks:
 		t.state = wire.TaskRunning
 		worker.runAfter(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
@@ -73,7 +74,8 @@
 // runReplica runs a replica of a service until it is stopped or exits by itself.
 func (s *Simulation) runReplica(worker *Worker, t *task) {
 	t.state = wire.TaskRunning
-	t.timer = nil // the timer of the image fetch must not fire again when a hang of the machine ends
+	// The timer of the image fetch must not fire again when a hang of the machine ends.
+	t.timer = nil
 	if s.replicaExit == nil {
 		return
 	}
@@ -104,8 +106,8 @@
 }
 
 // joinGang makes a task wait for the other tasks of its gang, and exit if the gang has not started
-// within GangWaitTimeout. If all tasks of the gang are now on machines and waiting, it starts the
-// gang and schedules that all of them complete together.
+// within GangWaitTimeout. If all tasks of the gang are now on machines and waiting, it starts them
+// all, and schedules them to complete together.
 func (s *Simulation) joinGang(worker *Worker, t *task) {
 	worker.runAfter(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
--- a/internal/emulator/network.go
+++ b/internal/emulator/network.go
@@ -68,8 +68,8 @@
 	return host
 }
 
-// SetLinkCut cuts or restores the link between hosts a and b in both directions. While the link
-// is cut, existing connections are reset, and Dial blocks until its context ends.
+// SetLinkCut cuts or restores the link between hosts a and b in both directions. A cut resets the
+// connections over the link. While the link is cut, Dial blocks until its context ends.
 func (n *Network) SetLinkCut(a, b string, cut bool) {
 	for _, c := range n.updateCutLinks(a, b, cut) {
 		c.reset()
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -16,9 +16,11 @@
 
 // SimulationConfig has the settings of a simulation.
 type SimulationConfig struct {
-	Ctx               context.Context
-	Net               transport.Net
-	ZoneNets          map[string]transport.Net // networks of zones that can be cut off, by zone; workers in other zones use Net
+	Ctx context.Context
+	Net transport.Net
+	// ZoneNets has the networks of the zones that can be cut off, by zone. Workers in other
+	// zones use Net.
+	ZoneNets          map[string]transport.Net
 	Nodes             []Node
 	MachineTypes      map[string]wire.MachineType
 	Teams             []config.Team
@@ -30,8 +32,9 @@
 	// RunTime returns how long a task runs. If it is nil, each task runs for its job's
 	// EstimatedRunS.
 	RunTime func(job *wire.Job, task int) time.Duration
-	// OnHeartbeat, if not nil, is called with each heartbeat. It may call send at any later
-	// time to send a copy of the heartbeat to a node.
+	// OnHeartbeat, if not nil, is called with each heartbeat before it is sent, unless the
+	// machine's outbound traffic is cut. It may call send at any later time to send a copy of
+	// the heartbeat to a node.
 	OnHeartbeat func(heartbeat *wire.Heartbeat, send func(to Node))
 	// OnJobDone, if not nil, is called with the job ID when the last task of a job completes.
 	OnJobDone func(job string)
@@ -59,12 +62,13 @@
 	repeatedAttemptCount   int
 	startsAfterCancelCount int
 	faultsOverAt           time.Time // when the injected faults ended; zero before that
-	// removalTime is when a machine's lease expired, while the tasks of that machine are being
-	// removed; zero at other times, when a task that is removed ends at the current time.
+	// removalTime is the time at which a machine's lease expired, and is set only while the
+	// tasks of that machine are being removed. While it is zero, a task that is removed ends at
+	// the current time.
 	removalTime time.Time
 }
 
-// taskAttempt identifies an attempt at a task.
+// taskAttempt identifies an attempt of a task.
 type taskAttempt struct {
 	task    string
 	attempt uint64
@@ -121,7 +125,7 @@
 	return -1
 }
 
-// StartCount returns how many times a task has started. Each attempt at a task counts.
+// StartCount returns how many times a task has started. Each attempt of a task counts.
 func (s *Simulation) StartCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,7 +141,7 @@
 }
 
 // RepeatedAttemptCount returns how many starts were of an attempt that had started before. This
-// happens only if a worker executes a start command again after the command to forget the
+// happens, for example, if a worker executes a start command again after the command to forget the
 // attempt.
 func (s *Simulation) RepeatedAttemptCount() int {
 	s.mu.Lock()
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -19,7 +19,7 @@
 	PickNode func() Node
 	// CancelAfter, if above 0, is how long after the start of Run the user cancels the job.
 	CancelAfter time.Duration
-	// CancelSignal, if not nil, makes the user cancel the job once it is closed.
+	// CancelSignal, if not nil, is closed to make the user cancel the job.
 	CancelSignal <-chan struct{}
 	// PollAllNodes makes the user poll all nodes at once and repeat the submission to them,
 	// several times within milliseconds, after the job was accepted, cancelled or reported as
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -16,25 +16,32 @@
 	simulation  *Simulation
 	machineType wire.MachineType
 
-	tasks               map[string]*task // by task name; at most one attempt of a task
-	refusedStarts       []*task          // attempts refused at their start, reported until forgotten
-	fetchedImages       map[string]bool
-	incarnation         uint64
-	sequence            uint64
-	fencingToken        uint64
-	leaseStart          time.Time     // when the last accepted heartbeat was sent, or the incarnation began
-	terminationNoticeS  *float64      // seconds between the notice and the removal; nil without notice
-	dead                bool          // the machine has been removed
-	hung                bool          // the machine hangs: it neither sends nor executes anything
-	resume              chan struct{} // closed and replaced when a hang ends
-	failsTasks          bool
-	inboundCut          bool          // heartbeats are sent, but no response or command arrives
-	outboundCut         bool          // heartbeats are not sent, but commands arrive
-	commandDelay        time.Duration // between the arrival and the execution of direct commands
-	lateCommandRequests int           // requests whose commands were delayed, or arrived while the machine hung
+	tasks         map[string]*task // by task name; at most one attempt of a task
+	refusedStarts []*task          // attempts refused at their start, reported until forgotten
+	fetchedImages map[string]bool
+	incarnation   uint64
+	sequence      uint64
+	fencingToken  uint64
+	// leaseStart is when the last heartbeat with an accepted response was sent, or the
+	// incarnation began.
+	leaseStart time.Time
+	// terminationNoticeS is the number of seconds between the termination notice and the removal
+	// of the machine; nil without a notice.
+	terminationNoticeS *float64
+	dead               bool          // the machine has been removed
+	hung               bool          // the machine hangs: it neither sends nor executes anything
+	resume             chan struct{} // closed and replaced when a hang ends
+	failsTasks         bool
+	inboundCut         bool          // heartbeats are sent, but no response or command arrives
+	outboundCut        bool          // heartbeats are not sent, but commands arrive
+	commandDelay       time.Duration // between the arrival and the execution of direct commands
+	// lateCommandRequests is the number of requests whose commands were delayed, or arrived while
+	// the machine hung.
+	lateCommandRequests int
 	earlyHeartbeat      chan struct{} // signals that the next heartbeat is to be sent early
-	nodeIndex           int           // index of the node that heartbeats go to, modulo the number of nodes
-	cancel              context.CancelFunc
+	// nodeIndex, modulo the number of nodes, is the index of the node that heartbeats go to.
+	nodeIndex int
+	cancel    context.CancelFunc
 }
 
 // StartWorker starts the worker of a machine. It runs until Kill is called or the simulation ends.
@@ -66,8 +73,8 @@
 	w.dropTasks()
 }
 
-// Hang freezes the machine for d. Afterwards it continues from the same state. Hang does nothing if
-// the machine already hangs or has been removed.
+// Hang suspends the machine for d. Afterwards it continues from the same state. Hang does nothing
+// if the machine already hangs or has been removed.
 func (w *Worker) Hang(d time.Duration) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -147,8 +154,8 @@
 	w.requestEarlyHeartbeat()
 }
 
-// requestEarlyHeartbeat makes the next heartbeat follow after minHeartbeatInterval, because there is a
-// change to report.
+// requestEarlyHeartbeat makes the next heartbeat follow after minHeartbeatInterval, because there
+// is a change to report.
 func (w *Worker) requestEarlyHeartbeat() {
 	select {
 	case w.earlyHeartbeat <- struct{}{}:
@@ -157,9 +164,9 @@
 }
 
 // expireLease ends the incarnation if its lease has expired: it drops all tasks, and begins a new
-// incarnation. It may do so while the machine hangs, because a machine whose lease has expired kills
-// its tasks before it does anything else. The checker counts the tasks as ended when the lease
-// expired. The simulation's lock must be held.
+// incarnation. It may do so while the machine hangs, because a machine whose lease has expired
+// kills its tasks before it does anything else. The checker counts the tasks as ended when the
+// lease expired. The simulation's lock must be held.
 func (w *Worker) expireLease() {
 	if w.dead || time.Since(w.leaseStart) <= w.simulation.LeaseDuration {
 		return
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -31,10 +31,10 @@
 	_ = server.Serve(listener)
 }
 
-// handleCommands executes the commands of a request, and responds with a heartbeat. It responds with
-// StatusConflict and executes none if the request has a lower fencing token than the worker has seen,
-// or is for another incarnation. A machine that hangs executes the commands when the hang ends. If
-// inbound traffic is cut, the connection is closed without a response.
+// handleCommands executes the commands of a request, and responds with a heartbeat. It responds
+// with StatusConflict and executes none if the request has a lower fencing token than the worker
+// has seen, or is for another incarnation. A machine that hangs executes the commands when the
+// hang ends. If inbound traffic is cut, the connection is closed without a response.
 func (w *Worker) handleCommands(ctx context.Context, rw http.ResponseWriter, request *wire.CommandRequest) {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -112,8 +112,8 @@
 	w.requestEarlyHeartbeat()
 }
 
-// forget removes the exited task or refused start that a command names, so that heartbeats no longer
-// report it.
+// forget removes the exited task or refused start that a command names, so that heartbeats no
+// longer report it.
 func (w *Worker) forget(c wire.Command) {
 	if t := w.tasks[c.Task]; t != nil && t.attempt == c.Attempt && t.state == wire.TaskExited {
 		delete(w.tasks, c.Task)
@@ -123,8 +123,8 @@
 	}
 }
 
-// refusedStartIndex returns the index in refusedStarts of the attempt that a command names; -1 if it
-// is not there.
+// refusedStartIndex returns the index in refusedStarts of the attempt that a command names; -1 if
+// it is not there.
 func (w *Worker) refusedStartIndex(c wire.Command) int {
 	return slices.IndexFunc(w.refusedStarts, func(t *task) bool { return t.name == c.Task && t.attempt == c.Attempt })
 }
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -40,7 +40,8 @@
 	// responseTimeout is the maximum time from sending a heartbeat to its response. Later
 	// responses are ignored.
 	responseTimeout = 4 * time.Second
-	// retryDelay is the pause before the next node is tried, after a heartbeat that was not accepted.
+	// retryDelay is the pause before the next node is tried, after a heartbeat that was not
+	// accepted.
 	retryDelay = time.Second
 	// redirectDelay is the pause before a redirect is followed.
 	redirectDelay = 100 * time.Millisecond
@@ -86,7 +87,8 @@
 	}
 }
 
-// copySender returns a function that sends a copy of a heartbeat to a node, and ignores the response.
+// copySender returns a function that sends a copy of a heartbeat to a node, and ignores the
+// response.
 func (w *Worker) copySender(heartbeat wire.Heartbeat) func(to Node) {
 	return func(to Node) {
 		client := w.simulation.client(w.Machine)
@@ -96,9 +98,10 @@
 
 func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
 
-// handleResponse handles the result of a heartbeat, and returns the pause before the next heartbeat.
-// If the node answered neither 200 nor with a redirect to another known node, or if inbound traffic
-// is cut, the next heartbeat goes to the next node.
+// handleResponse handles the result of a heartbeat, and returns the pause before the next
+// heartbeat. If inbound traffic is cut, the next heartbeat goes to the next node. Otherwise, a
+// machine that hangs ignores the result. If the node answered neither 200 nor with a redirect to
+// another known node, the next heartbeat goes to the next node, too.
 func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
@@ -123,8 +126,8 @@
 }
 
 // acceptResponse renews the lease and executes the commands of a response. It ignores a response to
-// a heartbeat of an earlier incarnation, one with a lower fencing token than the worker has seen, and
-// one that arrives after responseTimeout.
+// a heartbeat of an earlier incarnation, one with a lower fencing token than the worker has seen,
+// and one that arrives after responseTimeout.
 func (w *Worker) acceptResponse(e *heartbeatExchange) {
 	token := e.response.FencingToken
 	if e.heartbeat.Incarnation != w.incarnation || token < w.fencingToken || time.Since(e.sentAt) > responseTimeout {
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -33,8 +33,8 @@
 // goroutine, because the caller holds the simulation's lock.
 const minTimerDelay = time.Millisecond
 
-// dropTasks removes all tasks and refused starts, without reporting them. The simulation's lock must
-// be held.
+// dropTasks removes all tasks and refused starts, without reporting them. The simulation's lock
+// must be held.
 func (w *Worker) dropTasks() {
 	for _, t := range w.tasks {
 		if t.timer != nil {
@@ -97,9 +97,9 @@
 	w.requestEarlyHeartbeat()
 }
 
-// stop makes a task exit, after it has saved a checkpoint if the grace period is long enough. If the
-// task is already saving a checkpoint, a stop with a grace period lets it finish; a grace period
-// of 0 ends it at once.
+// stop makes a task exit, after it has saved a checkpoint if savesCheckpoint holds. If the task is
+// already saving a checkpoint, a stop with a grace period lets it finish; a grace period of 0 ends
+// it at once.
 func (w *Worker) stop(t *task, gracePeriodS float64) {
 	if t.savesCheckpoint(gracePeriodS) {
 		t.state = wire.TaskSaving
@@ -113,8 +113,8 @@
 	w.exit(t, wire.ExitStopped, false)
 }
 
-// savesCheckpoint reports whether a task that is stopped saves a checkpoint first: it is running, its
-// job makes checkpoints, and saving one takes no longer than the grace period.
+// savesCheckpoint reports whether a task that is stopped saves a checkpoint first. It does if it is
+// running, its job makes checkpoints, and saving one takes no longer than the grace period.
 func (t *task) savesCheckpoint(gracePeriodS float64) bool {
 	if t.state != wire.TaskRunning || t.job.CheckpointIntervalS <= 0 {
 		return false
