--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -23,7 +23,8 @@
 	ruleWrongPlace rule = "wrong_place"
 	// ruleRanCancelled is violated if a task is on a machine too long after its job was cancelled.
 	ruleRanCancelled rule = "ran_cancelled"
-	// ruleForgotten is violated if an accepted job is reported as unknown, or requests about it get no answer.
+	// ruleForgotten is violated if an accepted job is reported as unknown, or requests about it get
+	// no answer.
 	ruleForgotten rule = "forgotten"
 	// ruleInvented is violated if a phase is reported for a job that was never submitted.
 	ruleInvented rule = "invented"
