--- a/internal/emulator/kvstore_watch.go
+++ b/internal/emulator/kvstore_watch.go
@@ -69,7 +69,7 @@
 
 // watchState returns the current state of the store for a host's watch of a prefix: the events
 // after revision since, and whether the watch is served. If changes after that revision have been
-// compacted, it returns only that.
+// compacted, it reports only that.
 func (s *KeyValueStore) watchState(host string, since uint64, prefix string) watchState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/worker_heartbeats.go
+++ b/internal/emulator/worker_heartbeats.go
@@ -99,9 +99,8 @@
 func heartbeatURL(node Node) string { return "http://" + node.Addr + "/agent/beat" }
 
 // handleResponse handles the result of a heartbeat, and returns the pause before the next
-// heartbeat. If inbound traffic is cut, the next heartbeat goes to the next node. Otherwise, a
-// machine that hangs ignores the result. If the node answered neither 200 nor with a redirect to
-// another known node, the next heartbeat goes to the next node, too.
+// heartbeat. The next heartbeat goes to the next node if inbound traffic is cut, or if the machine
+// does not hang and the node answered neither 200 nor with a redirect to another known node.
 func (w *Worker) handleResponse(e *heartbeatExchange) time.Duration {
 	w.simulation.mu.Lock()
 	defer w.simulation.mu.Unlock()
