--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -23,18 +23,18 @@
 	ruleNotDone      rule = "not_done"
 	ruleWentBack     rule = "went_back"
 	ruleLeftWaiting  rule = "left_waiting" // a job waits beside capacity
-	ruleAccepted     rule = "accepted"     // a job is accepted that can't run or lacks a field
+	ruleAcceptedInvalid     rule = "accepted"     // a job is accepted that can't run or lacks a field
 )
 
 const (
-	// maxUnanswered is how long, all faults being over, no question about an accepted job
+	// maxTimeWithoutAnswer is how long, all faults being over, no question about an accepted job
 	// may go without an answer, however others fare.
-	maxUnanswered = 75 * time.Second
-	// maxIdle is how long, all faults being over, a job may wait while a machine that fits
+	maxTimeWithoutAnswer = 75 * time.Second
+	// maxWaitDespiteCapacity is how long, all faults being over, a job may wait while a machine that fits
 	// has capacity and its team is under its limit.
-	maxIdle = 90 * time.Second
-	// rounding absorbs what adding amounts up loses.
-	rounding = 1e-6
+	maxWaitDespiteCapacity = 90 * time.Second
+	// roundingTolerance absorbs what adding amounts up loses.
+	roundingTolerance = 1e-6
 )
 
 // jobState is what is known of one job, by its user and by its tasks. Times are zero as long
@@ -46,83 +46,83 @@
 	finalAt         time.Time     // when a user was first answered done or cancelled
 	cancelRequested bool
 	cancelledAt     time.Time // when a user was first answered cancelled
-	lastAnswered    time.Time // when a question about the job was last answered
-	firstStart      time.Time // when its first task started
-	idleSince       time.Time // since when the job has waited beside capacity
+	lastAnswerAt    time.Time // when a question about the job was last answered
+	firstStartAt      time.Time // when its first task started
+	waitingSince       time.Time // since when the job has waited beside capacity
 }
 
-// violation records that a rule is broken.
-func (w *Simulation) violation(broken rule, format string, args ...any) {
+// recordViolation records that a rule is broken.
+func (s *Simulation) recordViolation(violated rule, format string, args ...any) {
 	at := time.Now().Format("15:04:05.000 ")
-	w.violations = append(w.violations, at+string(broken)+": "+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, at+string(violated)+": "+fmt.Sprintf(format, args...))
 }
 
 // Violations lists how rules were broken so far.
-func (w *Simulation) Violations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.checkCancelled()
-	return slices.Clone(w.violations)
+func (s *Simulation) Violations() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.checkRunningAfterCancellation()
+	return slices.Clone(s.violations)
 }
 
-// FaultsOver notes that all faults are over.
-func (w *Simulation) FaultsOver() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.faultsOverAt = time.Now()
+// RecordFaultsOver notes that all faults are over.
+func (s *Simulation) RecordFaultsOver() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faultsOverAt = time.Now()
 }
 
-// JobSubmitted uploads a job's description, which users do before they submit it.
-func (w *Simulation) JobSubmitted(job *wire.Job) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if state := w.jobs[job.ID]; state != nil {
+// RegisterJob uploads a job's description, which users do before they submit it.
+func (s *Simulation) RegisterJob(job *wire.Job) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if state := s.jobs[job.ID]; state != nil {
 		state.job = job
 		return
 	}
-	w.jobs[job.ID] = &jobState{job: job}
+	s.jobs[job.ID] = &jobState{job: job}
 }
 
-// description is a job's description as its user uploaded it; nil if there is none.
-func (w *Simulation) description(id string) *wire.Job {
-	if state := w.jobs[id]; state != nil {
+// jobDescription is a job's jobDescription as its user uploaded it; nil if there is none.
+func (s *Simulation) jobDescription(id string) *wire.Job {
+	if state := s.jobs[id]; state != nil {
 		return state.job
 	}
 	return nil
 }
 
-// CancelRequested notes that a user asks for a cancellation.
-func (w *Simulation) CancelRequested(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if state := w.jobs[id]; state != nil {
+// RecordCancelRequest notes that a user asks for a cancellation.
+func (s *Simulation) RecordCancelRequest(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if state := s.jobs[id]; state != nil {
 		state.cancelRequested = true
 	}
 }
 
 // isCancelRequested reports whether a user has asked for a cancellation.
-func (w *Simulation) isCancelRequested(id string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+func (s *Simulation) isCancelRequested(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	return state != nil && state.cancelRequested
 }
 
-// PhaseReported checks what a user was answered about a job. sent is when the question was
+// RecordPhaseAnswer checks what a user was answered about a job. sent is when the question was
 // sent: an answer is older than another only if its question was sent after the other had
 // arrived.
-func (w *Simulation) PhaseReported(id string, phase wire.JobPhase, sent time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+func (s *Simulation) RecordPhaseAnswer(id string, phase wire.JobPhase, sent time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	if state == nil {
-		w.violation(ruleInvented, "%s is called %s", id, phase)
+		s.recordViolation(ruleInvented, "%s is called %s", id, phase)
 		return
 	}
 	now := time.Now()
-	state.lastAnswered = now
+	state.lastAnswerAt = now
 	if state.reportedPhase.Final() && state.reportedPhase != phase {
-		w.checkWentBack(state, phase, sent)
+		s.checkWentBack(state, phase, sent)
 		return
 	}
 	if state.acceptedAt.IsZero() {
@@ -131,8 +131,8 @@
 	if phase.Final() && !state.reportedPhase.Final() {
 		state.finalAt = now
 	}
-	w.checkCancelWasRequested(state, phase)
-	w.checkNotDone(state, phase)
+	s.checkCancelRequested(state, phase)
+	s.checkNotDone(state, phase)
 	if phase == wire.JobCancelled && state.reportedPhase != phase {
 		state.cancelledAt = now
 	}
@@ -140,203 +140,203 @@
 }
 
 // checkWentBack: a job once called done or cancelled is called something else.
-func (w *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
+func (s *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
 	if phase.Final() || sent.After(state.finalAt) {
-		w.violation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
+		s.recordViolation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
 
-// checkCancelWasRequested: a job its user didn't cancel is called cancelled.
-func (w *Simulation) checkCancelWasRequested(state *jobState, phase wire.JobPhase) {
+// checkCancelRequested: a job its user didn't cancel is called cancelled.
+func (s *Simulation) checkCancelRequested(state *jobState, phase wire.JobPhase) {
 	if phase == wire.JobCancelled && !state.cancelRequested {
-		w.violation(ruleWentBack, "%s is called cancelled, but nobody asked", state.job.ID)
+		s.recordViolation(ruleWentBack, "%s is called cancelled, but nobody asked", state.job.ID)
 	}
 }
 
 // checkNotDone: a job is called done before all of its tasks are.
-func (w *Simulation) checkNotDone(state *jobState, phase wire.JobPhase) {
+func (s *Simulation) checkNotDone(state *jobState, phase wire.JobPhase) {
 	if phase != wire.JobDone {
 		return
 	}
 	for i := range state.job.Tasks {
-		if !w.done[wire.TaskName(state.job.ID, i)] {
-			w.violation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
+		if !s.completedTasks[wire.TaskName(state.job.ID, i)] {
+			s.recordViolation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
 			return
 		}
 	}
 }
 
-// PollFailed notes that a question about an accepted job was not answered, which after a
+// RecordUnansweredPoll notes that a question about an accepted job was not answered, which after a
 // while counts as forgotten.
-func (w *Simulation) PollFailed(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faultsOverAt.IsZero() {
+func (s *Simulation) RecordUnansweredPoll(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faultsOverAt.IsZero() {
 		return
 	}
-	last := w.faultsOverAt
-	if state := w.jobs[id]; state != nil && state.lastAnswered.After(last) {
-		last = state.lastAnswered
+	last := s.faultsOverAt
+	if state := s.jobs[id]; state != nil && state.lastAnswerAt.After(last) {
+		last = state.lastAnswerAt
 	}
-	if time.Since(last) > maxUnanswered {
-		w.violation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(last))
+	if time.Since(last) > maxTimeWithoutAnswer {
+		s.recordViolation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(last))
 	}
 }
 
-// ReportedUnknown checks an answer as if the job were not known, to a question sent at that
+// RecordUnknownJobAnswer checks an answer as if the job were not known, to a question sent at that
 // time: an accepted job is forgotten.
-func (w *Simulation) ReportedUnknown(id string, status int, sent time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
+func (s *Simulation) RecordUnknownJobAnswer(id string, status int, sent time.Time) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
 	if state != nil && !state.acceptedAt.IsZero() && sent.After(state.acceptedAt) {
-		w.violation(ruleForgotten, "%s was accepted and is answered %d", id, status)
+		s.recordViolation(ruleForgotten, "%s was accepted and is answered %d", id, status)
 	}
 }
 
-// AcceptedInvalid notes that a job was accepted that can't run or lacks a field.
-func (w *Simulation) AcceptedInvalid(id string, status int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violation(ruleAccepted, "%s can't run or lacks a field, and is answered %d", id, status)
+// RecordInvalidJobAccepted notes that a job was accepted that can't run or lacks a field.
+func (s *Simulation) RecordInvalidJobAccepted(id string, status int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.recordViolation(ruleAcceptedInvalid, "%s can't run or lacks a field, and is answered %d", id, status)
 }
 
 // checkStart checks a start before the task is on its machine.
-func (w *Simulation) checkStart(k *Worker, t *task) {
-	w.checkRanTwice(k, t)
-	w.checkStartCancelled(t)
-	w.checkWrongPlace(k, t.job)
+func (s *Simulation) checkStart(k *Worker, t *task) {
+	s.checkRanTwice(k, t)
+	s.checkStartAfterCancellation(t)
+	s.checkWrongPlace(k, t.job)
 }
 
 // checkRanTwice: a task starts on one machine while it is on another.
-func (w *Simulation) checkRanTwice(k *Worker, t *task) {
-	if len(w.running[t.name]) > 0 {
-		w.violation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, k.Machine.ID)
+func (s *Simulation) checkRanTwice(k *Worker, t *task) {
+	if len(s.tasksOnMachines[t.name]) > 0 {
+		s.recordViolation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, k.Machine.ID)
 	}
 }
 
-// sinceCancelled is how long before the given time a user was answered that the job is
+// timeSinceCancellation is how long before the given time a user was answered that the job is
 // cancelled.
-func (w *Simulation) sinceCancelled(jobID string, at time.Time) (time.Duration, bool) {
-	state := w.jobs[jobID]
+func (s *Simulation) timeSinceCancellation(jobID string, at time.Time) (time.Duration, bool) {
+	state := s.jobs[jobID]
 	if state == nil || state.cancelledAt.IsZero() {
 		return 0, false
 	}
 	return at.Sub(state.cancelledAt), true
 }
 
-// checkStartCancelled: a task starts too long after its job was cancelled.
-func (w *Simulation) checkStartCancelled(t *task) {
-	if since, cancelled := w.sinceCancelled(t.job.ID, time.Now()); cancelled && since > w.CancelDeadline {
-		w.violation(ruleRanCancelled, "%s starts %v after its cancellation", t.name, since)
+// checkStartAfterCancellation: a task starts too long after its job was cancelled.
+func (s *Simulation) checkStartAfterCancellation(t *task) {
+	if since, cancelled := s.timeSinceCancellation(t.job.ID, time.Now()); cancelled && since > s.CancelDeadline {
+		s.recordViolation(ruleRanCancelled, "%s starts %v after its cancellation", t.name, since)
 	}
 }
 
-// checkCancelled: a task is on a machine too long after its job was cancelled.
-func (w *Simulation) checkCancelled() {
-	w.expireLeases()
+// checkRunningAfterCancellation: a task is on a machine too long after its job was cancelled.
+func (s *Simulation) checkRunningAfterCancellation() {
+	s.expireLeases()
 	now := time.Now()
-	for name := range w.running {
+	for name := range s.tasksOnMachines {
 		id, _, _ := wire.ParseTaskName(name)
-		if since, cancelled := w.sinceCancelled(id, now); cancelled && since > w.CancelDeadline {
-			w.violation(ruleRanCancelled, "%s is on a machine %v after its cancellation", name, since)
+		if since, cancelled := s.timeSinceCancellation(id, now); cancelled && since > s.CancelDeadline {
+			s.recordViolation(ruleRanCancelled, "%s is on a machine %v after its cancellation", name, since)
 		}
 	}
 }
 
-// checkRemoval: a task leaves its machine too long after its job was cancelled.
-func (w *Simulation) checkRemoval(t *task) {
+// checkRemovalAfterCancellation: a task leaves its machine too long after its job was cancelled.
+func (s *Simulation) checkRemovalAfterCancellation(t *task) {
 	removedAt := time.Now()
-	if !w.removedAt.IsZero() {
-		removedAt = w.removedAt
+	if !s.removalTime.IsZero() {
+		removedAt = s.removalTime
 	}
-	if since, cancelled := w.sinceCancelled(t.job.ID, removedAt); cancelled && since > w.CancelDeadline {
-		w.violation(ruleRanCancelled, "%s leaves its machine %v after its cancellation", t.name, since)
+	if since, cancelled := s.timeSinceCancellation(t.job.ID, removedAt); cancelled && since > s.CancelDeadline {
+		s.recordViolation(ruleRanCancelled, "%s leaves its machine %v after its cancellation", t.name, since)
 	}
 }
 
-// typeAllowed reports whether a job may use a machine's type.
-func typeAllowed(job *wire.Job, machineType string) bool {
+// machineTypeAllowed reports whether a job may use a machine's type.
+func machineTypeAllowed(job *wire.Job, machineType string) bool {
 	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
 }
 
 // checkWrongPlace: given the job's tasks on machines, a task starts on a type, in a zone or
 // on a spot machine that its job doesn't allow.
-func (w *Simulation) checkWrongPlace(k *Worker, job *wire.Job) {
+func (s *Simulation) checkWrongPlace(k *Worker, job *wire.Job) {
 	machine := k.Machine
-	if !typeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
-		w.violation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
+	if !machineTypeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
+		s.recordViolation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
 	}
 	inZone := 1
 	for i := range job.Tasks {
-		for other := range w.running[wire.TaskName(job.ID, i)] {
+		for other := range s.tasksOnMachines[wire.TaskName(job.ID, i)] {
 			switch {
 			case other.Machine.Zone == machine.Zone:
 				inZone++
 			case job.SingleZone:
-				w.violation(ruleWrongPlace, "%s has tasks in two zones", job.ID)
+				s.recordViolation(ruleWrongPlace, "%s has tasks in two zones", job.ID)
 			}
 		}
 	}
 	if job.SpreadZones && inZone > (job.Tasks+1)/2 {
-		w.violation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
+		s.recordViolation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
 	}
 }
 
 // checkQuota: a team's tasks use more than its limit.
-func (w *Simulation) checkQuota(team string) {
-	cpus, gpus := w.used(team)
-	if w.overLimit(team, cpus, gpus) {
-		w.violation(ruleQuota, "%s uses %v CPUs and %v GPUs", team, cpus, gpus)
+func (s *Simulation) checkQuota(team string) {
+	cpus, gpus := s.teamUsage(team)
+	if s.overLimit(team, cpus, gpus) {
+		s.recordViolation(ruleQuota, "%s uses %v CPUs and %v GPUs", team, cpus, gpus)
 	}
 }
 
 // overLimit reports whether amounts are over a team's limit.
-func (w *Simulation) overLimit(team string, cpus, gpus float64) bool {
-	for _, limits := range w.Teams {
+func (s *Simulation) overLimit(team string, cpus, gpus float64) bool {
+	for _, limits := range s.Teams {
 		if limits.Name != team {
 			continue
 		}
-		if limits.CPUsMax > 0 && cpus > limits.CPUsMax+rounding {
+		if limits.CPUsMax > 0 && cpus > limits.CPUsMax+roundingTolerance {
 			return true
 		}
-		if limits.GPUsMax > 0 && gpus > limits.GPUsMax+rounding {
+		if limits.GPUsMax > 0 && gpus > limits.GPUsMax+roundingTolerance {
 			return true
 		}
 	}
 	return false
 }
 
-// CheckWaiting looks for jobs that have waited for too long beside capacity on the machines
+// CheckWaitingJobs looks for jobs that have waited for too long beside capacity on the machines
 // given. It is to be called every few seconds.
-func (w *Simulation) CheckWaiting(up []*Worker) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.faultsOverAt.IsZero() {
+func (s *Simulation) CheckWaitingJobs(up []*Worker) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.faultsOverAt.IsZero() {
 		return
 	}
 	now := time.Now()
-	placed := placedTasks(up)
-	for id, state := range w.jobs {
+	placed := countPlacedTasks(up)
+	for id, state := range s.jobs {
 		if state.acceptedAt.IsZero() {
 			continue
 		}
-		if !w.waitsBesideCapacity(state, placed[id], up) {
-			state.idleSince = time.Time{}
+		if !s.waitsDespiteCapacity(state, placed[id], up) {
+			state.waitingSince = time.Time{}
 			continue
 		}
-		if state.idleSince.IsZero() {
-			state.idleSince = now
+		if state.waitingSince.IsZero() {
+			state.waitingSince = now
 		}
-		if d := now.Sub(state.idleSince); d > maxIdle {
-			w.violation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, d)
-			state.idleSince = now
+		if d := now.Sub(state.waitingSince); d > maxWaitDespiteCapacity {
+			s.recordViolation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, d)
+			state.waitingSince = now
 		}
 	}
 }
 
-// placedTasks counts the tasks on machines, fetching ones included, by job.
-func placedTasks(up []*Worker) map[string]int {
+// countPlacedTasks counts the tasks on machines, fetching ones included, by job.
+func countPlacedTasks(up []*Worker) map[string]int {
 	placed := map[string]int{}
 	for _, k := range up {
 		for _, t := range k.tasks {
@@ -348,19 +348,19 @@
 	return placed
 }
 
-// waitsBesideCapacity reports whether none of a job's tasks is placed - of a service, not
+// waitsDespiteCapacity reports whether none of a job's tasks is placed - of a service, not
 // all - although its first start would find capacity.
-func (w *Simulation) waitsBesideCapacity(state *jobState, placed int, up []*Worker) bool {
+func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, up []*Worker) bool {
 	enough := 1
 	if state.job.IsService() {
 		enough = state.job.Tasks // each replica has to be there
 	}
-	return placed < enough && !state.reportedPhase.Final() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
+	return placed < enough && !state.reportedPhase.Final() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, up)
 }
 
 // hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
 // all of a gang (one that must be spread is left out).
-func (w *Simulation) hasCapacityFor(job *wire.Job, up []*Worker) bool {
+func (s *Simulation) hasCapacityFor(job *wire.Job, up []*Worker) bool {
 	if job.IsGang() && job.SpreadZones {
 		return false
 	}
@@ -368,12 +368,12 @@
 	if job.IsGang() {
 		tasks = job.Tasks
 	}
-	cpus, gpus := usageWith(job, tasks, up)
-	return !w.overLimit(job.Team, cpus, gpus) && machinesFit(job, tasks, up)
+	cpus, gpus := teamUsageWith(job, tasks, up)
+	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, up)
 }
 
-// usageWith returns what a job's team would use with that many more of the job's tasks.
-func usageWith(job *wire.Job, tasks int, up []*Worker) (cpus, gpus float64) {
+// teamUsageWith returns what a job's team would use with that many more of the job's tasks.
+func teamUsageWith(job *wire.Job, tasks int, up []*Worker) (cpus, gpus float64) {
 	cpus = job.CPUs * float64(tasks)
 	gpus = job.GPUs * float64(tasks)
 	for _, k := range up {
@@ -387,9 +387,9 @@
 	return cpus, gpus
 }
 
-// machinesFit reports whether that many of a job's tasks fit on machines, of a single zone if
+// tasksFitOnMachines reports whether that many of a job's tasks fit on machines, of a single zone if
 // the job asks for that.
-func machinesFit(job *wire.Job, tasks int, up []*Worker) bool {
+func tasksFitOnMachines(job *wire.Job, tasks int, up []*Worker) bool {
 	fitting := map[string]int{} // tasks that fit, by zone where all must be in one
 	for _, k := range up {
 		if !k.canRun(job) {
@@ -399,7 +399,7 @@
 		if job.SingleZone {
 			zone = k.Machine.Zone
 		}
-		fitting[zone] += k.tasksFitting(job, tasks-fitting[zone])
+		fitting[zone] += k.countFittingTasks(job, tasks-fitting[zone])
 		if fitting[zone] >= tasks {
 			return true
 		}
@@ -415,12 +415,12 @@
 	if (k.Machine.Spot && !job.AllowSpot) || (job.Zone != "" && job.Zone != k.Machine.Zone) {
 		return false
 	}
-	return typeAllowed(job, k.Machine.MachineType)
+	return machineTypeAllowed(job, k.Machine.MachineType)
 }
 
-// tasksFitting is how many of a job's tasks, up to a limit, fit on a machine beside those
+// countFittingTasks is how many of a job's tasks, up to a limit, fit on a machine beside those
 // that are there.
-func (k *Worker) tasksFitting(job *wire.Job, limit int) int {
+func (k *Worker) countFittingTasks(job *wire.Job, limit int) int {
 	cpus, gpus, memory := k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemoryGB
 	for _, t := range k.tasks {
 		if t.state != wire.TaskExited {
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -84,7 +84,7 @@
 	mux.HandleFunc("POST /hosts", c.handleRent)
 	mux.HandleFunc("POST /hosts/return", c.handleReturn)
 	mux.HandleFunc("GET /hosts", c.handleList)
-	return deferResponses(mux)
+	return bufferResponses(mux)
 }
 
 func (c *Cloud) handleCatalog(w http.ResponseWriter, _ *http.Request) {
@@ -265,7 +265,7 @@
 func (c *Cloud) handleList(w http.ResponseWriter, r *http.Request) {
 	machines := c.laggingList()
 	since := r.URL.Query().Get("since")
-	pageSize := pageSizeOf(r, maxListedMachines)
+	pageSize := requestedPageSize(r, maxListedMachines)
 	page := wire.MachinePage{Machines: []wire.CloudMachine{}} // an empty list on the wire, not null
 	for _, machine := range machines {
 		if machine.ID <= since {
--- a/internal/emulator/kvstore.go
+++ b/internal/emulator/kvstore.go
@@ -55,7 +55,7 @@
 	log         []change
 	changed     chan struct{} // closed, and replaced, at each change
 	faults      storeFaults
-	limits      *limits  // on what is written; nil: none
+	limits      *writeLimits  // on what is written; nil: none
 	invalid     []string // why requests were answered 400
 	listed      int      // items that listings have held
 }
@@ -145,11 +145,11 @@
 // whatever its compares say. The lock must be held.
 func (s *KeyValueStore) validate(txn *rawTxn) (status int, reason string) {
 	if s.limits != nil {
-		if reason := s.limits.exceeded(txn); reason != "" {
+		if reason := s.limits.exceededLimit(txn); reason != "" {
 			s.invalid = append(s.invalid, reason)
 			return http.StatusBadRequest, reason
 		}
-		if !s.limits.changes.AllowN(time.Now(), len(txn.Writes)) {
+		if !s.limits.writeLimiter.AllowN(time.Now(), len(txn.Writes)) {
 			return http.StatusTooManyRequests, "too many changes"
 		}
 	}
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -51,10 +51,10 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		served, responseDelay := s.admit(r.RemoteAddr)
 		if !served {
-			writeError(w, http.StatusServiceUnavailable, unavailable)
+			writeError(w, http.StatusServiceUnavailable, unavailableReason)
 			return
 		}
-		response := newDeferredResponse(w)
+		response := newBufferedResponse(w)
 		mux.ServeHTTP(response, r)
 		if responseDelay > 0 {
 			time.Sleep(responseDelay)
@@ -90,7 +90,7 @@
 func (s *KeyValueStore) handleList(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	prefix, since := query.Get("prefix"), query.Get("since")
-	pageSize := pageSizeOf(r, maxListedKeys)
+	pageSize := requestedPageSize(r, maxListedKeys)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.listsRefused {
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -10,9 +10,9 @@
 const failureDelay = time.Second
 
 // expireLeases ends the incarnations of machines that hang beyond their leases.
-func (w *Simulation) expireLeases() {
+func (s *Simulation) expireLeases() {
 	busy := map[*Worker]bool{}
-	for _, workers := range w.running {
+	for _, workers := range s.tasksOnMachines {
 		for k := range workers {
 			busy[k] = true
 		}
@@ -23,76 +23,76 @@
 }
 
 // startTask starts a task on its machine once its image has been fetched.
-func (w *Simulation) startTask(k *Worker, t *task) {
-	w.checkCancelled()
-	w.countStart(t)
-	w.checkStart(k, t)
-	if w.running[t.name] == nil {
-		w.running[t.name] = map[*Worker]*task{}
-	}
-	w.running[t.name][k] = t
+func (s *Simulation) startTask(k *Worker, t *task) {
+	s.checkRunningAfterCancellation()
+	s.recordStart(t)
+	s.checkStart(k, t)
+	if s.tasksOnMachines[t.name] == nil {
+		s.tasksOnMachines[t.name] = map[*Worker]*task{}
+	}
+	s.tasksOnMachines[t.name][k] = t
 	t.state = wire.TaskWaitingForGang
-	w.checkQuota(t.job.Team)
+	s.checkQuota(t.job.Team)
 	switch {
-	case w.done[t.name]:
+	case s.completedTasks[t.name]:
 		k.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
 	case k.faulty:
 		t.state = wire.TaskRunning
 		k.after(t, failureDelay, func() { k.exit(t, wire.ExitError, false) })
 	case t.job.IsGang():
-		w.joinGang(k, t)
+		s.joinGang(k, t)
 	case t.job.IsService():
-		w.runReplica(k, t)
+		s.runReplica(k, t)
 	default:
 		t.state = wire.TaskRunning
-		k.after(t, w.runTime(t.job, t.index), func() {
-			w.completeTask(t)
+		k.after(t, s.runTime(t.job, t.index), func() {
+			s.completeTask(t)
 			k.exit(t, wire.ExitDone, false)
 		})
 	}
 }
 
-// countStart counts a start, and records when the job's first task started.
-func (w *Simulation) countStart(t *task) {
-	w.starts++
+// recordStart counts a start, and records when the job's first task started.
+func (s *Simulation) recordStart(t *task) {
+	s.startCount++
 	attempt := taskAttempt{t.name, t.attempt}
-	if w.attempts[attempt] {
-		w.repeatedAttempts++
+	if s.startedAttempts[attempt] {
+		s.repeatedAttemptCount++
 	}
-	w.attempts[attempt] = true
-	state := w.jobs[t.job.ID]
+	s.startedAttempts[attempt] = true
+	state := s.jobs[t.job.ID]
 	if !state.cancelledAt.IsZero() {
-		w.startsAfterCancel++
+		s.startsAfterCancelCount++
 	}
-	if state.firstStart.IsZero() {
-		state.firstStart = time.Now()
+	if state.firstStartAt.IsZero() {
+		state.firstStartAt = time.Now()
 	}
 }
 
 // runReplica runs a service's replica until it is stopped, or exits by itself.
-func (w *Simulation) runReplica(k *Worker, t *task) {
+func (s *Simulation) runReplica(k *Worker, t *task) {
 	t.state = wire.TaskRunning
 	t.timer = nil // the fetch's, which must not fire again when a hang ends
-	if w.replicaExit == nil {
+	if s.replicaExit == nil {
 		return
 	}
-	if d, exits := w.replicaExit(t.job, t.index); exits {
+	if d, exits := s.replicaExit(t.job, t.index); exits {
 		k.after(t, d, func() { k.exit(t, wire.ExitDone, false) })
 	}
 }
 
-func (w *Simulation) runTime(job *wire.Job, task int) time.Duration {
-	if w.RunTime != nil {
-		return w.RunTime(job, task)
+func (s *Simulation) runTime(job *wire.Job, task int) time.Duration {
+	if s.RunTime != nil {
+		return s.RunTime(job, task)
 	}
 	return time.Duration(job.EstimatedRunS * float64(time.Second))
 }
 
 // gangMembers lists the tasks of the same gang attempt, with their machines.
-func (w *Simulation) gangMembers(t *task) map[*task]*Worker {
+func (s *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
 	for i := range t.job.Tasks {
-		for k, other := range w.running[wire.TaskName(t.job.ID, i)] {
+		for k, other := range s.tasksOnMachines[wire.TaskName(t.job.ID, i)] {
 			if other.attempt == t.attempt {
 				members[other] = k
 			}
@@ -102,13 +102,13 @@
 }
 
 // joinGang has a gang start once all its tasks are there, and complete together.
-func (w *Simulation) joinGang(k *Worker, t *task) {
-	k.after(t, w.GangWaitTimeout, func() {
+func (s *Simulation) joinGang(k *Worker, t *task) {
+	k.after(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
 			k.exit(t, wire.ExitGangIncomplete, false)
 		}
 	})
-	members := w.gangMembers(t)
+	members := s.gangMembers(t)
 	if len(members) < t.job.Tasks {
 		return
 	}
@@ -119,31 +119,31 @@
 	}
 	for member, worker := range members {
 		member.state = wire.TaskRunning
-		worker.after(member, w.runTime(t.job, 0), func() { w.completeGang(member) })
+		worker.after(member, s.runTime(t.job, 0), func() { s.completeGang(member) })
 	}
 }
 
 // completeGang ends all running tasks of a gang attempt.
-func (w *Simulation) completeGang(t *task) {
-	for member, worker := range w.gangMembers(t) {
+func (s *Simulation) completeGang(t *task) {
+	for member, worker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			w.completeTask(member)
+			s.completeTask(member)
 			worker.exit(member, wire.ExitDone, false)
 		}
 	}
 }
 
 // completeTask notes that a task has completed.
-func (w *Simulation) completeTask(t *task) {
-	w.done[t.name] = true
-	if w.OnJobDone != nil && w.allDone(t.job) {
-		w.OnJobDone(t.job.ID)
+func (s *Simulation) completeTask(t *task) {
+	s.completedTasks[t.name] = true
+	if s.OnJobDone != nil && s.allTasksDone(t.job) {
+		s.OnJobDone(t.job.ID)
 	}
 }
 
-func (w *Simulation) allDone(job *wire.Job) bool {
+func (s *Simulation) allTasksDone(job *wire.Job) bool {
 	for i := range job.Tasks {
-		if !w.done[wire.TaskName(job.ID, i)] {
+		if !s.completedTasks[wire.TaskName(job.ID, i)] {
 			return false
 		}
 	}
@@ -151,21 +151,21 @@
 }
 
 // removeTask takes a task from its machine; the rest of a running gang notices.
-func (w *Simulation) removeTask(k *Worker, t *task) {
-	if w.running[t.name][k] != t {
+func (s *Simulation) removeTask(k *Worker, t *task) {
+	if s.tasksOnMachines[t.name][k] != t {
 		return
 	}
-	w.checkRemoval(t)
-	delete(w.running[t.name], k)
-	if len(w.running[t.name]) == 0 {
-		delete(w.running, t.name)
+	s.checkRemovalAfterCancellation(t)
+	delete(s.tasksOnMachines[t.name], k)
+	if len(s.tasksOnMachines[t.name]) == 0 {
+		delete(s.tasksOnMachines, t.name)
 	}
-	if !t.job.IsGang() || w.done[t.name] || t.state == wire.TaskWaitingForGang {
+	if !t.job.IsGang() || s.completedTasks[t.name] || t.state == wire.TaskWaitingForGang {
 		return
 	}
-	for member, worker := range w.gangMembers(t) {
+	for member, worker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
-			worker.after(member, w.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
+			worker.after(member, s.GangPeerTimeout, func() { worker.exit(member, wire.ExitGangMemberLost, false) })
 		}
 	}
 }
--- a/internal/emulator/limits.go
+++ b/internal/emulator/limits.go
@@ -16,31 +16,31 @@
 	bytesPerKiB      = 1024
 )
 
-// limits are the key-value store's limits on what is written.
-type limits struct {
+// writeLimits are the key-value store's writeLimits on what is written.
+type writeLimits struct {
 	config.StateLimits
-	changes *rate.Limiter
+	writeLimiter *rate.Limiter
 }
 
-// Limit sets the limits on what is written from now on; what is stored stays.
-func (s *KeyValueStore) Limit(l config.StateLimits) {
+// SetLimits sets the limits on what is written from now on; what is stored stays.
+func (s *KeyValueStore) SetLimits(l config.StateLimits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits = &limits{
+	s.limits = &writeLimits{
 		StateLimits: l,
-		changes:     rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS)),
+		writeLimiter:     rate.NewLimiter(rate.Limit(l.WriteRPS), int(l.WriteRPS)),
 	}
 }
 
-// Invalid lists why requests were answered 400 so far.
-func (s *KeyValueStore) Invalid() []string {
+// InvalidRequests lists why requests were answered 400 so far.
+func (s *KeyValueStore) InvalidRequests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.invalid...)
 }
 
-// exceeded names the limit of size that a transaction exceeds; "" if none.
-func (l *limits) exceeded(txn *rawTxn) string {
+// exceededLimit names the limit of size that a transaction exceeds; "" if none.
+func (l *writeLimits) exceededLimit(txn *rawTxn) string {
 	if len(txn.Writes) > l.TxnOps {
 		return fmt.Sprintf("%d changes in a transaction", len(txn.Writes))
 	}
--- a/internal/emulator/responses.go
+++ b/internal/emulator/responses.go
@@ -10,37 +10,37 @@
 	"ambersill/internal/wire"
 )
 
-// unavailable is the reason in the answers to requests that a fault refuses with 503.
-const unavailable = "trouble"
+// unavailableReason is the reason in the answers to requests that a fault refuses with 503.
+const unavailableReason = "trouble"
 
-// deferredResponse buffers a response until its handler has returned and holds no lock, since
+// bufferedResponse buffers a response until its handler has returned and holds no lock, since
 // a host that is frozen does not read it.
-type deferredResponse struct {
+type bufferedResponse struct {
 	http.ResponseWriter
 	status int
 	body   bytes.Buffer
 }
 
-func newDeferredResponse(w http.ResponseWriter) *deferredResponse {
-	return &deferredResponse{ResponseWriter: w, status: http.StatusOK}
+func newBufferedResponse(w http.ResponseWriter) *bufferedResponse {
+	return &bufferedResponse{ResponseWriter: w, status: http.StatusOK}
 }
 
 // WriteHeader sets the status to send.
-func (d *deferredResponse) WriteHeader(status int) { d.status = status }
+func (d *bufferedResponse) WriteHeader(status int) { d.status = status }
 
 // Write appends to the body to send.
-func (d *deferredResponse) Write(b []byte) (int, error) { return d.body.Write(b) }
+func (d *bufferedResponse) Write(b []byte) (int, error) { return d.body.Write(b) }
 
 // send sends the response.
-func (d *deferredResponse) send() {
+func (d *bufferedResponse) send() {
 	d.ResponseWriter.WriteHeader(d.status)
 	_, _ = d.ResponseWriter.Write(d.body.Bytes())
 }
 
-// deferResponses sends a handler's responses after it has returned.
-func deferResponses(h http.Handler) http.Handler {
+// bufferResponses sends a handler's responses after it has returned.
+func bufferResponses(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		response := newDeferredResponse(w)
+		response := newBufferedResponse(w)
 		h.ServeHTTP(response, r)
 		response.send()
 	})
@@ -76,9 +76,9 @@
 	return true
 }
 
-// pageSizeOf returns how many items a listing request asks for, and the maximum if it names no
+// requestedPageSize returns how many items a listing request asks for, and the maximum if it names no
 // number that is allowed.
-func pageSizeOf(r *http.Request, maximum int) int {
+func requestedPageSize(r *http.Request, maximum int) int {
 	size, err := strconv.Atoi(r.URL.Query().Get("most"))
 	if err != nil || size < 1 || size > maximum {
 		return maximum
@@ -90,7 +90,7 @@
 func executeWithFault(w http.ResponseWriter, fault RequestFault, delay time.Duration, execute func() (status int, body any)) {
 	switch fault {
 	case RefuseRequest:
-		writeError(w, http.StatusServiceUnavailable, unavailable)
+		writeError(w, http.StatusServiceUnavailable, unavailableReason)
 	case LoseResponse:
 		execute()
 		panic(http.ErrAbortHandler)
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -48,17 +48,17 @@
 	linkDelay   time.Duration // of the links of workers and users
 
 	jobs     map[string]*jobState
-	running  map[string]map[*Worker]*task // tasks on machines, by name
-	attempts map[taskAttempt]bool         // attempts that have started
-	done     map[string]bool              // tasks that have completed, by name
+	tasksOnMachines  map[string]map[*Worker]*task // tasks on machines, by name
+	startedAttempts map[taskAttempt]bool         // attempts that have started
+	completedTasks     map[string]bool              // tasks that have completed, by name
 
 	violations        []string
-	starts            int
-	repeatedAttempts  int
-	startsAfterCancel int
+	startCount            int
+	repeatedAttemptCount  int
+	startsAfterCancelCount int
 	faultsOverAt      time.Time // zero while there are faults
-	// removedAt is when the tasks that are being removed ended, if not now.
-	removedAt time.Time
+	// removalTime is when the tasks that are being removed ended, if not now.
+	removalTime time.Time
 }
 
 // taskAttempt identifies an attempt at a task.
@@ -72,44 +72,44 @@
 	return &Simulation{
 		SimulationConfig: config,
 		jobs:             map[string]*jobState{},
-		running:          map[string]map[*Worker]*task{},
-		attempts:         map[taskAttempt]bool{},
-		done:             map[string]bool{},
+		tasksOnMachines:          map[string]map[*Worker]*task{},
+		startedAttempts:         map[taskAttempt]bool{},
+		completedTasks:             map[string]bool{},
 	}
 }
 
 // SetLinkDelay has what workers and users send and receive take that much longer each way.
-func (w *Simulation) SetLinkDelay(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.linkDelay = d
+func (s *Simulation) SetLinkDelay(d time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.linkDelay = d
 }
 
 // waitLinkDelay waits for as long as the link takes.
-func (w *Simulation) waitLinkDelay(ctx context.Context) {
-	w.mu.Lock()
-	d := w.linkDelay
-	w.mu.Unlock()
+func (s *Simulation) waitLinkDelay(ctx context.Context) {
+	s.mu.Lock()
+	d := s.linkDelay
+	s.mu.Unlock()
 	if d > 0 {
 		transport.Pause(ctx, d)
 	}
 }
 
-// net is the network of a machine's zone.
-func (w *Simulation) net(machine wire.CloudMachine) transport.Net {
-	if n := w.ZoneNets[machine.Zone]; n != nil {
+// zoneNet is the network of a machine's zone.
+func (s *Simulation) zoneNet(machine wire.CloudMachine) transport.Net {
+	if n := s.ZoneNets[machine.Zone]; n != nil {
 		return n
 	}
-	return w.Net
+	return s.Net
 }
 
-func (w *Simulation) client(machine wire.CloudMachine) *http.Client {
-	return transport.Client(w.net(machine), 1, 2, time.Second)
+func (s *Simulation) newClient(machine wire.CloudMachine) *http.Client {
+	return transport.Client(s.zoneNet(machine), 1, 2, time.Second)
 }
 
-// node is the index of the named node; -1 if there is none.
-func (w *Simulation) node(name string) int {
-	for i, n := range w.Nodes {
+// nodeIndex is the index of the named nodeIndex; -1 if there is none.
+func (s *Simulation) nodeIndex(name string) int {
+	for i, n := range s.Nodes {
 		if n.Name == name {
 			return i
 		}
@@ -117,76 +117,76 @@
 	return -1
 }
 
-// Starts counts the tasks started.
-func (w *Simulation) Starts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.starts
+// StartCount counts the tasks started.
+func (s *Simulation) StartCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startCount
 }
 
-// StartsAfterCancel counts the starts after a confirmed cancellation.
-func (w *Simulation) StartsAfterCancel() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.startsAfterCancel
+// StartsAfterCancelCount counts the starts after a confirmed cancellation.
+func (s *Simulation) StartsAfterCancelCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startsAfterCancelCount
 }
 
-// RepeatedAttempts counts the attempts that started more than once, which only a start that
+// RepeatedAttemptCount counts the attempts that started more than once, which only a start that
 // was executed again after the attempt was cleared can bring about.
-func (w *Simulation) RepeatedAttempts() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.repeatedAttempts
+func (s *Simulation) RepeatedAttemptCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.repeatedAttemptCount
 }
 
 // AssignedNode names the node to which a worker sends its heartbeats.
-func (w *Simulation) AssignedNode(k *Worker) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Nodes[k.nodeIndex%len(w.Nodes)].Name
+func (s *Simulation) AssignedNode(k *Worker) string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.Nodes[k.nodeIndex%len(s.Nodes)].Name
 }
 
 // SetReplicaExit sets what decides whether a replica of a service exits by itself, and how
 // long after its start. It is called with the simulation's lock held.
-func (w *Simulation) SetReplicaExit(f func(job *wire.Job, task int) (after time.Duration, exits bool)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.replicaExit = f
-}
-
-// Replicas counts the tasks of a job that are on machines.
-func (w *Simulation) Replicas(id string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.expireLeases()
-	state := w.jobs[id]
+func (s *Simulation) SetReplicaExit(f func(job *wire.Job, task int) (after time.Duration, exits bool)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.replicaExit = f
+}
+
+// ReplicaCount counts the tasks of a job that are on machines.
+func (s *Simulation) ReplicaCount(id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	state := s.jobs[id]
 	if state == nil {
 		return 0
 	}
 	n := 0
 	for i := range state.job.Tasks {
-		n += len(w.running[wire.TaskName(id, i)])
+		n += len(s.tasksOnMachines[wire.TaskName(id, i)])
 	}
 	return n
 }
 
-// Running counts the tasks on machines.
-func (w *Simulation) Running() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.expireLeases()
-	return len(w.running)
+// TasksOnMachines counts the tasks on machines.
+func (s *Simulation) TasksOnMachines() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.expireLeases()
+	return len(s.tasksOnMachines)
 }
 
-// Used is what a team's tasks use.
-func (w *Simulation) Used(team string) (cpus, gpus float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.used(team)
+// TeamUsage is what a team's tasks use.
+func (s *Simulation) TeamUsage(team string) (cpus, gpus float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.teamUsage(team)
 }
 
-func (w *Simulation) used(team string) (cpus, gpus float64) {
-	for _, workers := range w.running {
+func (s *Simulation) teamUsage(team string) (cpus, gpus float64) {
+	for _, workers := range s.tasksOnMachines {
 		for _, t := range workers {
 			if t.job.Team == team {
 				cpus += t.job.CPUs
@@ -197,13 +197,13 @@
 	return cpus, gpus
 }
 
-// FirstStart is when a job's first task started.
-func (w *Simulation) FirstStart(id string) (time.Time, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	state := w.jobs[id]
-	if state == nil || state.firstStart.IsZero() {
+// FirstStartTime is when a job's first task started.
+func (s *Simulation) FirstStartTime(id string) (time.Time, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	state := s.jobs[id]
+	if state == nil || state.firstStartAt.IsZero() {
 		return time.Time{}, false
 	}
-	return state.firstStart, true
+	return state.firstStartAt, true
 }
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -15,17 +15,17 @@
 type User struct {
 	Simulation *Simulation
 	Net        transport.Net
-	// Pick chooses a node for each request.
-	Pick func() Node
+	// PickNode chooses a node for each request.
+	PickNode func() Node
 	// CancelAfter, if above 0, is when the user cancels the job.
 	CancelAfter time.Duration
-	// Cancel, if set, has the user cancel the job when it is closed.
-	Cancel <-chan struct{}
-	// PollsAllNodes: after each answer with a new phase, the user asks all nodes at once and
+	// CancelSignal, if set, has the user cancel the job when it is closed.
+	CancelSignal <-chan struct{}
+	// PollAllNodes: after each answer with a new phase, the user asks all nodes at once and
 	// repeats the submission, several times within milliseconds.
-	PollsAllNodes bool
-	// CancelDone: a job that is done is cancelled once more, which must change nothing.
-	CancelDone bool
+	PollAllNodes bool
+	// CancelWhenDone: a job that is done is cancelled once more, which must change nothing.
+	CancelWhenDone bool
 }
 
 const (
@@ -37,20 +37,20 @@
 	// submitRetryDelay is the pause before a refused submission is repeated, submitLimit how
 	// long it is repeated for.
 	submitRetryDelay = time.Second
-	submitLimit      = time.Minute
+	submitRetryLimit      = time.Minute
 	// All nodes are polled several times within milliseconds, so that answers that contradict
 	// each other for a short time are seen.
-	pollRounds        = 3
-	pollRoundInterval = 3 * time.Millisecond
+	pollRepeats        = 3
+	pollRepeatInterval = 3 * time.Millisecond
 )
 
 // session is a user's work on one job.
 type session struct {
 	*User
 	job    *wire.Job
-	body   any // the submission
+	submission   any // the submission
 	client *http.Client
-	start  time.Time
+	startedAt  time.Time
 }
 
 func (u *User) newClient() *http.Client {
@@ -63,17 +63,17 @@
 	s := &session{
 		User:   u,
 		job:    job,
-		body:   submission(job),
+		submission:   submissionFields(job),
 		client: u.newClient(),
-		start:  time.Now(),
+		startedAt:  time.Now(),
 	}
 	defer s.client.CloseIdleConnections()
-	u.Simulation.JobSubmitted(job)
+	u.Simulation.RegisterJob(job)
 	if !s.submit(ctx) {
 		return ""
 	}
 	for ctx.Err() == nil {
-		if u.cancels(s.start) && !s.cancel(ctx) {
+		if u.wantsCancellation(s.startedAt) && !s.cancelJob(ctx) {
 			transport.Pause(ctx, submitRetryDelay)
 			continue
 		}
@@ -87,15 +87,15 @@
 
 // submit submits the job until it is accepted; false: it was refused or given up.
 func (s *session) submit(ctx context.Context) bool {
-	for ctx.Err() == nil && time.Since(s.start) <= submitLimit {
+	for ctx.Err() == nil && time.Since(s.startedAt) <= submitRetryLimit {
 		sent := time.Now()
-		answer, status := s.send(ctx, s.client, s.Pick(), http.MethodPost, "/work", s.body, submitTimeout)
+		answer, status := s.send(ctx, s.client, s.PickNode(), http.MethodPost, "/work", s.submission, submitTimeout)
 		switch status {
 		case http.StatusCreated, http.StatusOK:
-			s.recordNewPhase(ctx, s.job.ID, s.body, answer.Phase, sent)
+			s.recordNewPhase(ctx, s.job.ID, s.submission, answer.Phase, sent)
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
-			s.Simulation.ReportedUnknown(s.job.ID, status, sent)
+			s.Simulation.RecordUnknownJobAnswer(s.job.ID, status, sent)
 			return false
 		}
 		transport.Pause(ctx, submitRetryDelay)
@@ -103,36 +103,36 @@
 	return false
 }
 
-// cancel asks for the job's cancellation, and reports whether that was answered.
-func (s *session) cancel(ctx context.Context) bool {
-	s.Simulation.CancelRequested(s.job.ID)
+// cancelJob asks for the job's cancellation, and reports whether that was answered.
+func (s *session) cancelJob(ctx context.Context) bool {
+	s.Simulation.RecordCancelRequest(s.job.ID)
 	sent := time.Now()
-	answer, status := s.withdraw(ctx)
+	answer, status := s.requestCancellation(ctx)
 	if status != http.StatusOK {
 		return false
 	}
-	s.recordNewPhase(ctx, s.job.ID, s.body, answer.Phase, sent)
+	s.recordNewPhase(ctx, s.job.ID, s.submission, answer.Phase, sent)
 	return true
 }
 
-func (s *session) withdraw(ctx context.Context) (wire.JobStatus, int) {
-	return s.send(ctx, s.client, s.Pick(), http.MethodPost, "/work/"+s.job.ID+"/withdraw", nil, submitTimeout)
+func (s *session) requestCancellation(ctx context.Context) (wire.JobStatus, int) {
+	return s.send(ctx, s.client, s.PickNode(), http.MethodPost, "/work/"+s.job.ID+"/withdraw", nil, submitTimeout)
 }
 
 // poll asks for the job's state once, and returns its phase if that was answered.
 func (s *session) poll(ctx context.Context) wire.JobPhase {
 	sent := time.Now()
-	answer, status := s.send(ctx, s.client, s.Pick(), http.MethodGet, "/work/"+s.job.ID, nil, pollTimeout)
+	answer, status := s.send(ctx, s.client, s.PickNode(), http.MethodGet, "/work/"+s.job.ID, nil, pollTimeout)
 	s.recordAnswer(s.job.ID, answer, status, sent)
 	if status != http.StatusOK {
 		return ""
 	}
 	if answer.Phase.Final() {
-		s.pollAllNodes(ctx, s.job.ID, s.body)
+		s.pollAllNodes(ctx, s.job.ID, s.submission)
 	}
-	if s.CancelDone && answer.Phase == wire.JobDone {
+	if s.CancelWhenDone && answer.Phase == wire.JobDone {
 		sent := time.Now()
-		answer, status := s.withdraw(ctx)
+		answer, status := s.requestCancellation(ctx)
 		s.recordAnswer(s.job.ID, answer, status, sent)
 	}
 	return answer.Phase
@@ -140,7 +140,7 @@
 
 // waitForPoll waits until the next question, or until the job is to be cancelled.
 func (s *session) waitForPoll(ctx context.Context) {
-	cancel := s.Cancel
+	cancel := s.CancelSignal
 	if s.Simulation.isCancelRequested(s.job.ID) {
 		cancel = nil // closed for good
 	}
@@ -153,10 +153,10 @@
 	}
 }
 
-// cancels reports whether the user wants the job cancelled by now.
-func (u *User) cancels(start time.Time) bool {
+// wantsCancellation reports whether the user wants the job cancelled by now.
+func (u *User) wantsCancellation(start time.Time) bool {
 	select {
-	case <-u.Cancel:
+	case <-u.CancelSignal:
 		return true
 	default:
 		return u.CancelAfter > 0 && time.Since(start) > u.CancelAfter
@@ -167,38 +167,38 @@
 func (u *User) recordAnswer(id string, answer wire.JobStatus, status int, sent time.Time) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
-		u.Simulation.PhaseReported(id, answer.Phase, sent)
+		u.Simulation.RecordPhaseAnswer(id, answer.Phase, sent)
 	case http.StatusNotFound, http.StatusBadRequest, http.StatusUnprocessableEntity:
-		u.Simulation.ReportedUnknown(id, status, sent)
+		u.Simulation.RecordUnknownJobAnswer(id, status, sent)
 	default:
-		u.Simulation.PollFailed(id)
+		u.Simulation.RecordUnansweredPoll(id)
 	}
 }
 
 // recordNewPhase notes an answer with a new phase, and polls all nodes then.
 func (u *User) recordNewPhase(ctx context.Context, id string, body any, phase wire.JobPhase, sent time.Time) {
-	u.Simulation.PhaseReported(id, phase, sent)
+	u.Simulation.RecordPhaseAnswer(id, phase, sent)
 	u.pollAllNodes(ctx, id, body)
 }
 
 // pollAllNodes asks all nodes, and repeats the submission, several times within milliseconds.
 func (u *User) pollAllNodes(ctx context.Context, id string, body any) {
-	if !u.PollsAllNodes {
+	if !u.PollAllNodes {
 		return
 	}
 	var wg sync.WaitGroup
-	for range pollRounds {
+	for range pollRepeats {
 		for _, node := range u.Simulation.Nodes {
-			wg.Go(func() { u.pollOnce(ctx, node, id, http.MethodGet, "/work/"+id, nil) })
-			wg.Go(func() { u.pollOnce(ctx, node, id, http.MethodPost, "/work", body) })
+			wg.Go(func() { u.pollNode(ctx, node, id, http.MethodGet, "/work/"+id, nil) })
+			wg.Go(func() { u.pollNode(ctx, node, id, http.MethodPost, "/work", body) })
 		}
-		transport.Pause(ctx, pollRoundInterval)
+		transport.Pause(ctx, pollRepeatInterval)
 	}
 	wg.Wait()
 }
 
-// pollOnce sends a request about a job on a connection of its own, and notes the answer.
-func (u *User) pollOnce(ctx context.Context, node Node, id, method, path string, body any) {
+// pollNode sends a request about a job on a connection of its own, and notes the answer.
+func (u *User) pollNode(ctx context.Context, node Node, id, method, path string, body any) {
 	client := u.newClient()
 	defer client.CloseIdleConnections()
 	sent := time.Now()
@@ -216,16 +216,16 @@
 		func(body map[string]any) { delete(body, "pieces") },
 		func(body map[string]any) { body["crew"] = "nobody" },
 	} {
-		body := submission(job)
+		body := submissionFields(job)
 		id := fmt.Sprintf("%s%d", job.ID, i)
 		body["uid"] = id
 		change(body)
-		_, status := u.send(ctx, client, u.Pick(), http.MethodPost, "/work", body, submitTimeout)
+		_, status := u.send(ctx, client, u.PickNode(), http.MethodPost, "/work", body, submitTimeout)
 		if status == http.StatusOK || status == http.StatusCreated {
-			u.Simulation.AcceptedInvalid(id, status)
+			u.Simulation.RecordInvalidJobAccepted(id, status)
 		}
-		if _, status = u.send(ctx, client, u.Pick(), http.MethodGet, "/work/"+id, nil, pollTimeout); status == http.StatusOK {
-			u.Simulation.AcceptedInvalid(id, status)
+		if _, status = u.send(ctx, client, u.PickNode(), http.MethodGet, "/work/"+id, nil, pollTimeout); status == http.StatusOK {
+			u.Simulation.RecordInvalidJobAccepted(id, status)
 		}
 	}
 }
@@ -252,8 +252,8 @@
 	return answer, resp.StatusCode
 }
 
-// submission is a job as a user writes it, with null where nothing is asked.
-func submission(job *wire.Job) map[string]any {
+// submissionFields is a job as a user writes it, with null where nothing is asked.
+func submissionFields(job *wire.Job) map[string]any {
 	encoded, err := wire.Marshal(job)
 	if err != nil {
 		return nil
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -37,12 +37,12 @@
 }
 
 // StartWorker starts a machine's worker.
-func (w *Simulation) StartWorker(m wire.CloudMachine) *Worker {
-	ctx, cancel := context.WithCancel(w.Ctx)
+func (s *Simulation) StartWorker(m wire.CloudMachine) *Worker {
+	ctx, cancel := context.WithCancel(s.Ctx)
 	worker := &Worker{
 		Machine:     m,
-		simulation:  w,
-		machineType: w.MachineTypes[m.MachineType],
+		simulation:  s,
+		machineType: s.MachineTypes[m.MachineType],
 		tasks:       map[string]*task{},
 		images:      map[string]bool{},
 		incarnation: 1,
@@ -157,9 +157,9 @@
 	if k.dead || time.Since(k.leaseStart) <= k.simulation.LeaseDuration {
 		return
 	}
-	k.simulation.removedAt = k.leaseStart.Add(k.simulation.LeaseDuration)
+	k.simulation.removalTime = k.leaseStart.Add(k.simulation.LeaseDuration)
 	k.dropTasks()
-	k.simulation.removedAt = time.Time{}
+	k.simulation.removalTime = time.Time{}
 	k.incarnation++
 	k.leaseStart = time.Now()
 	k.notifyChange()
--- a/internal/emulator/worker_commands.go
+++ b/internal/emulator/worker_commands.go
@@ -11,7 +11,7 @@
 
 // listen accepts direct commands.
 func (k *Worker) listen(ctx context.Context) {
-	listener, err := k.simulation.net(k.Machine).Listen(ctx, k.Machine.Address)
+	listener, err := k.simulation.zoneNet(k.Machine).Listen(ctx, k.Machine.Address)
 	if err != nil {
 		return
 	}
@@ -24,7 +24,7 @@
 		k.simulation.waitLinkDelay(ctx)
 		k.handleCommands(ctx, w, &request)
 	})
-	server := &http.Server{Handler: deferResponses(mux)}
+	server := &http.Server{Handler: bufferResponses(mux)}
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
 	_ = server.Serve(listener)
@@ -129,7 +129,7 @@
 		return
 	}
 	id, index, _ := wire.ParseTaskName(c.Task)
-	job := k.simulation.description(id)
+	job := k.simulation.jobDescription(id)
 	if job == nil || index >= job.Tasks {
 		k.refuse(c, wire.ExitTaskUnknown)
 		return
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -54,7 +54,7 @@
 		}
 	}
 	machine := k.machineType
-	return cpus <= machine.CPUs+rounding && gpus <= machine.GPUs+rounding && memory <= machine.MemoryGB+rounding
+	return cpus <= machine.CPUs+roundingTolerance && gpus <= machine.GPUs+roundingTolerance && memory <= machine.MemoryGB+roundingTolerance
 }
 
 // imageFetchTime is how long a job's image takes to be there.
