--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -8,56 +8,58 @@
 	"ambersill/internal/wire"
 )
 
-// The rules that the protocol states have one function each, named after the rule.
+// Each check function is named after the rule of the protocol that it checks.
 
-// rule is a rule's name, as the protocol has it where it names one.
+// rule is the name of a rule as it appears in violation reports. Where the protocol names the
+// rule, this is the protocol's name.
 type rule string
 
 const (
-	ruleRanTwice        rule = "ran_twice"
-	ruleQuota           rule = "quota"
-	ruleWrongPlace      rule = "wrong_place"
-	ruleRanCancelled    rule = "ran_cancelled"
-	ruleForgotten       rule = "forgotten"
-	ruleInvented        rule = "invented"
-	ruleNotDone         rule = "not_done"
-	ruleWentBack        rule = "went_back"
-	ruleLeftWaiting     rule = "left_waiting" // a job waits beside capacity
-	ruleAcceptedInvalid rule = "accepted"     // a job is accepted that can't run or lacks a field
+	ruleRanTwice        rule = "ran_twice"     // a task is on two machines at the same time
+	ruleQuota           rule = "quota"         // a team uses more than its limit
+	ruleWrongPlace      rule = "wrong_place"   // a task starts on a machine that its job does not allow
+	ruleRanCancelled    rule = "ran_cancelled" // a task is on a machine too long after its job was cancelled
+	ruleForgotten       rule = "forgotten"     // an accepted job is reported as unknown, or requests about it get no answer
+	ruleInvented        rule = "invented"      // a phase is reported for a job that was never submitted
+	ruleNotDone         rule = "not_done"      // a job is reported as done before all its tasks have completed
+	ruleWentBack        rule = "went_back"     // a final phase changes, or a job is cancelled without a request
+	ruleLeftWaiting     rule = "left_waiting"  // a job waits although machines have free capacity for it
+	ruleAcceptedInvalid rule = "accepted"      // a job is accepted that cannot run or lacks a field
 )
 
 const (
-	// maxTimeWithoutAnswer is how long, all faults being over, no question about an accepted job
-	// may go without an answer, however others fare.
+	// maxTimeWithoutAnswer is the longest time after the end of all faults for which status
+	// requests about one accepted job may all fail, even if requests about other jobs succeed.
 	maxTimeWithoutAnswer = 75 * time.Second
-	// maxWaitDespiteCapacity is how long, all faults being over, a job may wait while a machine that fits
-	// has capacity and its team is under its limit.
+	// maxWaitDespiteCapacity is the longest time after the end of all faults for which a job
+	// may wait although suitable machines have free capacity and its team is under its limit.
 	maxWaitDespiteCapacity = 90 * time.Second
-	// roundingTolerance absorbs what adding amounts up loses.
+	// roundingTolerance absorbs floating-point rounding errors in sums of CPUs, GPUs and memory.
 	roundingTolerance = 1e-6
 )
 
-// jobState is what is known of one job, by its user and by its tasks. Times are zero as long
-// as the event has not happened.
+// jobState is what the simulation knows about one job from its user's requests and from its
+// tasks. A time is zero until the event has happened.
 type jobState struct {
 	job             *wire.Job
-	reportedPhase   wire.JobPhase // what a user was answered last, or finally
-	acceptedAt      time.Time     // when a user was first answered that the job is known
-	finalAt         time.Time     // when a user was first answered done or cancelled
+	reportedPhase   wire.JobPhase // the last phase reported to a user; once final, it does not change
+	acceptedAt      time.Time     // when a user was first told that the job is known
+	finalAt         time.Time     // when a user was first told that the job is done or cancelled
 	cancelRequested bool
-	cancelledAt     time.Time // when a user was first answered cancelled
-	lastAnswerAt    time.Time // when a question about the job was last answered
-	firstStartAt    time.Time // when its first task started
-	waitingSince    time.Time // since when the job has waited beside capacity
+	cancelledAt     time.Time // when a user was first told that the job is cancelled
+	lastAnswerAt    time.Time // when a request about the job was last answered
+	firstStartAt    time.Time // when the job's first task started
+	waitingSince    time.Time // when the job began to wait despite free capacity
 }
 
-// recordViolation records that a rule is broken.
+// recordViolation records a violation of a rule, with the current time.
 func (s *Simulation) recordViolation(violated rule, format string, args ...any) {
 	at := time.Now().Format("15:04:05.000 ")
 	s.violations = append(s.violations, at+string(violated)+": "+fmt.Sprintf(format, args...))
 }
 
-// Violations lists how rules were broken so far.
+// Violations returns a description of each violation so far, after it has checked the tasks
+// that are on machines.
 func (s *Simulation) Violations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,14 +67,16 @@
 	return slices.Clone(s.violations)
 }
 
-// RecordFaultsOver notes that all faults are over.
+// RecordFaultsOver records that all injected faults have ended. Time limits on answers and on
+// waiting jobs apply from now on.
 func (s *Simulation) RecordFaultsOver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultsOverAt = time.Now()
 }
 
-// RegisterJob uploads a job's description, which users do before they submit it.
+// RegisterJob stores a job's description, or replaces the one stored under the same job ID.
+// Users call it before they submit the job.
 func (s *Simulation) RegisterJob(job *wire.Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +87,7 @@
 	s.jobs[job.ID] = &jobState{job: job}
 }
 
-// jobDescription is a job's jobDescription as its user uploaded it; nil if there is none.
+// jobDescription returns the job that RegisterJob stored under the ID, or nil if there is none.
 func (s *Simulation) jobDescription(id string) *wire.Job {
 	if state := s.jobs[id]; state != nil {
 		return state.job
@@ -91,7 +95,7 @@
 	return nil
 }
 
-// RecordCancelRequest notes that a user asks for a cancellation.
+// RecordCancelRequest records that a user requests the cancellation of a job.
 func (s *Simulation) RecordCancelRequest(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +104,7 @@
 	}
 }
 
-// isCancelRequested reports whether a user has asked for a cancellation.
+// isCancelRequested reports whether a user has requested the cancellation of a job.
 func (s *Simulation) isCancelRequested(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,15 +112,16 @@
 	return state != nil && state.cancelRequested
 }
 
-// RecordPhaseAnswer checks what a user was answered about a job. sent is when the question was
-// sent: an answer is older than another only if its question was sent after the other had
-// arrived.
+// RecordPhaseAnswer records and checks the phase that a controller reported to a user. sent is
+// when the user sent the request. An answer contradicts an earlier one only if its request was
+// sent after the earlier answer had arrived, since answers to concurrent requests may arrive in
+// any order.
 func (s *Simulation) RecordPhaseAnswer(id string, phase wire.JobPhase, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.jobs[id]
 	if state == nil {
-		s.recordViolation(ruleInvented, "%s is called %s", id, phase)
+		s.recordViolation(ruleInvented, "job %s was reported as %s, but was never submitted", id, phase)
 		return
 	}
 	now := time.Now()
@@ -139,35 +144,40 @@
 	state.reportedPhase = phase
 }
 
-// checkWentBack: a job once called done or cancelled is called something else.
+// checkWentBack records a violation if a job that was reported as done or cancelled is now
+// reported in the other of these phases, or in an earlier phase in answer to a request that was
+// sent after the final phase was known.
 func (s *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
 	if phase.Final() || sent.After(state.finalAt) {
-		s.recordViolation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
+		s.recordViolation(ruleWentBack, "job %s was reported as %s, then as %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
 
-// checkCancelRequested: a job its user didn't cancel is called cancelled.
+// checkCancelRequested records a violation if a job is reported as cancelled although no user
+// requested that.
 func (s *Simulation) checkCancelRequested(state *jobState, phase wire.JobPhase) {
 	if phase == wire.JobCancelled && !state.cancelRequested {
-		s.recordViolation(ruleWentBack, "%s is called cancelled, but nobody asked", state.job.ID)
+		s.recordViolation(ruleWentBack, "job %s was reported as cancelled, but no user requested a cancellation", state.job.ID)
 	}
 }
 
-// checkNotDone: a job is called done before all of its tasks are.
+// checkNotDone records a violation if a job is reported as done before all its tasks have
+// completed.
 func (s *Simulation) checkNotDone(state *jobState, phase wire.JobPhase) {
 	if phase != wire.JobDone {
 		return
 	}
 	for i := range state.job.Tasks {
 		if !s.completedTasks[wire.TaskName(state.job.ID, i)] {
-			s.recordViolation(ruleNotDone, "%s is called done before task %d is", state.job.ID, i)
+			s.recordViolation(ruleNotDone, "job %s was reported as done before its task %d completed", state.job.ID, i)
 			return
 		}
 	}
 }
 
-// RecordUnansweredPoll notes that a question about an accepted job was not answered, which after a
-// while counts as forgotten.
+// RecordUnansweredPoll records that a request about a job was not answered. It is a violation
+// if no request about the job has been answered for more than maxTimeWithoutAnswer since the
+// faults ended.
 func (s *Simulation) RecordUnansweredPoll(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,44 +189,46 @@
 		unansweredSince = state.lastAnswerAt
 	}
 	if time.Since(unansweredSince) > maxTimeWithoutAnswer {
-		s.recordViolation(ruleForgotten, "no question about %s was answered for %v", id, time.Since(unansweredSince))
+		s.recordViolation(ruleForgotten, "no request about job %s was answered for %v", id, time.Since(unansweredSince))
 	}
 }
 
-// RecordUnknownJobAnswer checks an answer as if the job were not known, to a question sent at that
-// time: an accepted job is forgotten.
+// RecordUnknownJobAnswer records an answer, with an HTTP status, that treats a job as unknown. It
+// is a violation if the request was sent after the job had been accepted.
 func (s *Simulation) RecordUnknownJobAnswer(id string, status int, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.jobs[id]
 	if state != nil && !state.acceptedAt.IsZero() && sent.After(state.acceptedAt) {
-		s.recordViolation(ruleForgotten, "%s was accepted and is answered %d", id, status)
+		s.recordViolation(ruleForgotten, "job %s was accepted, but a later request about it was answered with HTTP status %d", id, status)
 	}
 }
 
-// RecordInvalidJobAccepted notes that a job was accepted that can't run or lacks a field.
+// RecordInvalidJobAccepted records a violation: a submission of a job that cannot run or lacks a
+// field, or a later request about that job, was answered with an HTTP status of success.
 func (s *Simulation) RecordInvalidJobAccepted(id string, status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.recordViolation(ruleAcceptedInvalid, "%s can't run or lacks a field, and is answered %d", id, status)
+	s.recordViolation(ruleAcceptedInvalid, "job %s cannot run or lacks a field, but a request for it was answered with HTTP status %d", id, status)
 }
 
-// checkStart checks a start before the task is on its machine.
+// checkStart checks the rules for the start of a task. It must be called before the task is
+// added to tasksOnMachines.
 func (s *Simulation) checkStart(worker *Worker, t *task) {
 	s.checkRanTwice(worker, t)
 	s.checkStartAfterCancellation(t)
 	s.checkWrongPlace(worker, t.job)
 }
 
-// checkRanTwice: a task starts on one machine while it is on another.
+// checkRanTwice records a violation if a task starts on one machine while it is on another.
 func (s *Simulation) checkRanTwice(worker *Worker, t *task) {
 	if len(s.tasksOnMachines[t.name]) > 0 {
-		s.recordViolation(ruleRanTwice, "%s attempt %d starts on %s while it is on another machine", t.name, t.attempt, worker.Machine.ID)
+		s.recordViolation(ruleRanTwice, "task %s, attempt %d, started on machine %s while the task was on another machine", t.name, t.attempt, worker.Machine.ID)
 	}
 }
 
-// timeSinceCancellation is how long before the given time a user was answered that the job is
-// cancelled.
+// timeSinceCancellation returns the time from the first answer that reported the job as
+// cancelled until the given time; false if there was no such answer.
 func (s *Simulation) timeSinceCancellation(jobID string, at time.Time) (time.Duration, bool) {
 	state := s.jobs[jobID]
 	if state == nil || state.cancelledAt.IsZero() {
@@ -225,47 +237,53 @@
 	return at.Sub(state.cancelledAt), true
 }
 
-// checkStartAfterCancellation: a task starts too long after its job was cancelled.
+// checkStartAfterCancellation records a violation if a task starts more than CancelDeadline
+// after its job was reported as cancelled.
 func (s *Simulation) checkStartAfterCancellation(t *task) {
 	if since, cancelled := s.timeSinceCancellation(t.job.ID, time.Now()); cancelled && since > s.CancelDeadline {
-		s.recordViolation(ruleRanCancelled, "%s starts %v after its cancellation", t.name, since)
+		s.recordViolation(ruleRanCancelled, "task %s started %v after its job was reported as cancelled", t.name, since)
 	}
 }
 
-// checkRunningAfterCancellation: a task is on a machine too long after its job was cancelled.
+// checkRunningAfterCancellation records a violation for each task that is still on a machine
+// more than CancelDeadline after its job was reported as cancelled.
 func (s *Simulation) checkRunningAfterCancellation() {
 	s.expireLeases()
 	now := time.Now()
 	for name := range s.tasksOnMachines {
 		id, _, _ := wire.ParseTaskName(name)
 		if since, cancelled := s.timeSinceCancellation(id, now); cancelled && since > s.CancelDeadline {
-			s.recordViolation(ruleRanCancelled, "%s is on a machine %v after its cancellation", name, since)
+			s.recordViolation(ruleRanCancelled, "task %s is still on a machine %v after its job was reported as cancelled", name, since)
 		}
 	}
 }
 
-// checkRemovalAfterCancellation: a task leaves its machine too long after its job was cancelled.
+// checkRemovalAfterCancellation records a violation if a task leaves its machine more than
+// CancelDeadline after its job was reported as cancelled.
 func (s *Simulation) checkRemovalAfterCancellation(t *task) {
 	removalTime := time.Now()
 	if !s.removalTime.IsZero() {
 		removalTime = s.removalTime
 	}
 	if since, cancelled := s.timeSinceCancellation(t.job.ID, removalTime); cancelled && since > s.CancelDeadline {
-		s.recordViolation(ruleRanCancelled, "%s leaves its machine %v after its cancellation", t.name, since)
+		s.recordViolation(ruleRanCancelled, "task %s left its machine %v after its job was reported as cancelled", t.name, since)
 	}
 }
 
-// machineTypeAllowed reports whether a job may use a machine's type.
+// machineTypeAllowed reports whether a job may run on machines of a type. A job that lists no
+// types may run on all.
 func machineTypeAllowed(job *wire.Job, machineType string) bool {
 	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
 }
 
-// checkWrongPlace: given the job's tasks on machines, a task starts on a type, in a zone or
-// on a spot machine that its job doesn't allow.
+// checkWrongPlace records a violation if a task starts on a machine whose type, zone or spot
+// status its job does not allow, or if, together with the job's tasks that are already on
+// machines, it breaks the job's rule on zones. A job with SingleZone must have all tasks in one
+// zone, and one with SpreadZones at most half of them, rounded up, in any zone.
 func (s *Simulation) checkWrongPlace(worker *Worker, job *wire.Job) {
 	machine := worker.Machine
 	if !machineTypeAllowed(job, machine.MachineType) || (job.Zone != "" && job.Zone != machine.Zone) || (machine.Spot && !job.AllowSpot) {
-		s.recordViolation(ruleWrongPlace, "%s on %s", job.ID, machine.ID)
+		s.recordViolation(ruleWrongPlace, "a task of job %s started on machine %s, whose type, zone or spot status the job does not allow", job.ID, machine.ID)
 	}
 	inZone := 1
 	for i := range job.Tasks {
@@ -274,24 +292,25 @@
 			case other.Machine.Zone == machine.Zone:
 				inZone++
 			case job.SingleZone:
-				s.recordViolation(ruleWrongPlace, "%s has tasks in two zones", job.ID)
+				s.recordViolation(ruleWrongPlace, "job %s requires a single zone, but has tasks in two", job.ID)
 			}
 		}
 	}
 	if job.SpreadZones && inZone > (job.Tasks+1)/2 {
-		s.recordViolation(ruleWrongPlace, "%s has %d tasks in one zone", job.ID, inZone)
+		s.recordViolation(ruleWrongPlace, "job %s must be spread over zones, but has %d tasks in one zone", job.ID, inZone)
 	}
 }
 
-// checkQuota: a team's tasks use more than its limit.
+// checkQuota records a violation if a team's tasks use more than the team's limit.
 func (s *Simulation) checkQuota(team string) {
 	cpus, gpus := s.teamUsage(team)
 	if s.overLimit(team, cpus, gpus) {
-		s.recordViolation(ruleQuota, "%s uses %v CPUs and %v GPUs", team, cpus, gpus)
+		s.recordViolation(ruleQuota, "team %s is over its limit: its tasks use %v CPUs and %v GPUs", team, cpus, gpus)
 	}
 }
 
-// overLimit reports whether amounts are over a team's limit.
+// overLimit reports whether the numbers of CPUs or GPUs are over a team's limit. A limit of 0
+// means none.
 func (s *Simulation) overLimit(team string, cpus, gpus float64) bool {
 	for _, limits := range s.Teams {
 		if limits.Name != team {
@@ -307,8 +326,10 @@
 	return false
 }
 
-// CheckWaitingJobs looks for jobs that have waited for too long beside capacity on the machines
-// given. It is to be called every few seconds.
+// CheckWaitingJobs records a violation for each job that has waited for more than
+// maxWaitDespiteCapacity although the given machines have free capacity for it. It does nothing
+// until RecordFaultsOver is called. Callers must call it every few seconds, because it measures
+// the wait from the first call that finds the job waiting.
 func (s *Simulation) CheckWaitingJobs(workers []*Worker) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -329,13 +350,14 @@
 			state.waitingSince = now
 		}
 		if waited := now.Sub(state.waitingSince); waited > maxWaitDespiteCapacity {
-			s.recordViolation(ruleLeftWaiting, "%s has waited %v beside free capacity", id, waited)
+			s.recordViolation(ruleLeftWaiting, "job %s has waited for %v although machines have free capacity for it", id, waited)
 			state.waitingSince = now
 		}
 	}
 }
 
-// countPlacedTasks counts the tasks on machines, fetching ones included, by job.
+// countPlacedTasks returns how many tasks each job has on the machines, by job ID. It includes
+// tasks whose image is still being fetched, but not tasks that have exited.
 func countPlacedTasks(workers []*Worker) map[string]int {
 	placed := map[string]int{}
 	for _, worker := range workers {
@@ -348,18 +370,21 @@
 	return placed
 }
 
-// waitsDespiteCapacity reports whether none of a job's tasks is placed - of a service, not
-// all - although its first start would find capacity.
+// waitsDespiteCapacity reports whether a job waits although the machines have capacity for its
+// first start. A service waits until all its replicas are placed, another job until its first
+// task is. placed is the number of the job's tasks that are on machines.
 func (s *Simulation) waitsDespiteCapacity(state *jobState, placed int, workers []*Worker) bool {
 	needed := 1
 	if state.job.IsService() {
-		needed = state.job.Tasks // each replica has to be there
+		needed = state.job.Tasks // each replica must be placed
 	}
 	return placed < needed && !state.reportedPhase.Final() && !s.allTasksDone(state.job) && s.hasCapacityFor(state.job, workers)
 }
 
-// hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
-// all of a gang (one that must be spread is left out).
+// hasCapacityFor reports whether the machines have free capacity for a job's first start, and
+// the start would not exceed the team's limit. The first start of a gang places all its tasks,
+// that of another job one task. The result is false for a gang that must be spread over zones,
+// because the check does not model that.
 func (s *Simulation) hasCapacityFor(job *wire.Job, workers []*Worker) bool {
 	if job.IsGang() && job.SpreadZones {
 		return false
@@ -372,7 +397,8 @@
 	return !s.overLimit(job.Team, cpus, gpus) && tasksFitOnMachines(job, tasks, workers)
 }
 
-// teamUsageWith returns what a job's team would use with that many more of the job's tasks.
+// teamUsageWith returns the numbers of CPUs and GPUs that a job's team would use on the machines
+// if the given number of the job's tasks were added.
 func teamUsageWith(job *wire.Job, tasks int, workers []*Worker) (cpus, gpus float64) {
 	cpus = job.CPUs * float64(tasks)
 	gpus = job.GPUs * float64(tasks)
@@ -387,10 +413,10 @@
 	return cpus, gpus
 }
 
-// tasksFitOnMachines reports whether that many of a job's tasks fit on machines, of a single zone if
-// the job asks for that.
+// tasksFitOnMachines reports whether the given number of a job's tasks fit on the machines. If
+// the job requires a single zone, they must fit on the machines of one zone.
 func tasksFitOnMachines(job *wire.Job, tasks int, workers []*Worker) bool {
-	fitting := map[string]int{} // tasks that fit, by zone where all must be in one
+	fitting := map[string]int{} // tasks that fit, by zone; all under "" unless the job requires a single zone
 	for _, worker := range workers {
 		if !worker.canRun(job) {
 			continue
@@ -407,7 +433,8 @@
 	return false
 }
 
-// canRun reports whether a machine is usable, and allowed for a job.
+// canRun reports whether a machine is usable and a job may run on it. A machine is not usable
+// if it is dead, hung or faulty, or has notice of termination.
 func (k *Worker) canRun(job *wire.Job) bool {
 	if k.dead || k.hung || k.faulty || k.terminationNoticeS != nil {
 		return false
@@ -418,8 +445,8 @@
 	return machineTypeAllowed(job, k.Machine.MachineType)
 }
 
-// countFittingTasks is how many of a job's tasks, up to a limit, fit on a machine beside those
-// that are there.
+// countFittingTasks returns how many of a job's tasks, up to a limit, fit on a machine in
+// addition to the tasks that it has.
 func (k *Worker) countFittingTasks(job *wire.Job, limit int) int {
 	cpus, gpus, memory := k.machineType.CPUs, k.machineType.GPUs, k.machineType.MemoryGB
 	for _, t := range k.tasks {
--- a/internal/emulator/lifecycle.go
+++ b/internal/emulator/lifecycle.go
@@ -6,10 +6,11 @@
 	"ambersill/internal/wire"
 )
 
-// failureDelay is how long tasks run on a machine that fails them.
+// failureDelay is how long a task runs on a faulty machine before it fails.
 const failureDelay = time.Second
 
-// expireLeases ends the incarnations of machines that hang beyond their leases.
+// expireLeases ends the incarnation of each machine that has tasks and whose lease has expired,
+// for example because the machine hangs.
 func (s *Simulation) expireLeases() {
 	workersWithTasks := map[*Worker]bool{}
 	for _, workers := range s.tasksOnMachines {
@@ -22,7 +23,7 @@
 	}
 }
 
-// startTask starts a task on its machine once its image has been fetched.
+// startTask starts a task on a machine. It must be called once the image has been fetched.
 func (s *Simulation) startTask(worker *Worker, t *task) {
 	s.checkRunningAfterCancellation()
 	s.recordStart(t)
@@ -35,7 +36,7 @@
 	s.checkQuota(t.job.Team)
 	switch {
 	case s.completedTasks[t.name]:
-		worker.exit(t, wire.ExitDone, false) // the result of an earlier attempt is kept
+		worker.exit(t, wire.ExitDone, false) // an earlier attempt has completed the task
 	case worker.faulty:
 		t.state = wire.TaskRunning
 		worker.after(t, failureDelay, func() { worker.exit(t, wire.ExitError, false) })
@@ -52,7 +53,7 @@
 	}
 }
 
-// recordStart counts a start, and records when the job's first task started.
+// recordStart counts the start of a task, and records the start time of the job's first task.
 func (s *Simulation) recordStart(t *task) {
 	s.startCount++
 	attempt := taskAttempt{t.name, t.attempt}
@@ -69,10 +70,10 @@
 	}
 }
 
-// runReplica runs a service's replica until it is stopped, or exits by itself.
+// runReplica runs a replica of a service until it is stopped or exits by itself.
 func (s *Simulation) runReplica(worker *Worker, t *task) {
 	t.state = wire.TaskRunning
-	t.timer = nil // the fetch's, which must not fire again when a hang ends
+	t.timer = nil // the timer of the image fetch must not fire again when a hang of the machine ends
 	if s.replicaExit == nil {
 		return
 	}
@@ -88,7 +89,8 @@
 	return time.Duration(job.EstimatedRunS * float64(time.Second))
 }
 
-// gangMembers lists the tasks of the same gang attempt, with their machines.
+// gangMembers returns the tasks on machines that belong to the same attempt of a gang as t, t
+// included, each with its machine.
 func (s *Simulation) gangMembers(t *task) map[*task]*Worker {
 	members := map[*task]*Worker{}
 	for i := range t.job.Tasks {
@@ -101,7 +103,8 @@
 	return members
 }
 
-// joinGang has a gang start once all its tasks are there, and complete together.
+// joinGang starts a gang once all its tasks are on machines, and schedules that they complete
+// together. If the gang has not started within GangWaitTimeout, the task exits.
 func (s *Simulation) joinGang(worker *Worker, t *task) {
 	worker.after(t, s.GangWaitTimeout, func() {
 		if t.state == wire.TaskWaitingForGang {
@@ -123,7 +126,7 @@
 	}
 }
 
-// completeGang ends all running tasks of a gang attempt.
+// completeGang completes all running tasks of an attempt of a gang.
 func (s *Simulation) completeGang(t *task) {
 	for member, memberWorker := range s.gangMembers(t) {
 		if member.state == wire.TaskRunning {
@@ -133,7 +136,8 @@
 	}
 }
 
-// completeTask notes that a task has completed.
+// completeTask records that a task has completed, and calls OnJobDone if all tasks of its job
+// have.
 func (s *Simulation) completeTask(t *task) {
 	s.completedTasks[t.name] = true
 	if s.OnJobDone != nil && s.allTasksDone(t.job) {
@@ -150,7 +154,8 @@
 	return true
 }
 
-// removeTask takes a task from its machine; the rest of a running gang notices.
+// removeTask removes a task from its machine. If the task belongs to a gang that was running and
+// has not completed, the other members exit after GangPeerTimeout.
 func (s *Simulation) removeTask(worker *Worker, t *task) {
 	if s.tasksOnMachines[t.name][worker] != t {
 		return
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A host has one processor. Each message sent or received occupies it in turn, so that a host
-// with a slow processor falls behind, and a frozen one sends and receives nothing. What its
-// process computes between two messages is not slowed.
+// Each host has one processor, which handles one sent or received message at a time. A host with
+// a slow processor falls behind, and a frozen one sends and receives nothing. Computation between
+// messages is not slowed down.
 
-// SetMessageCost has every message that the named host sends or receives take the given time,
-// one after the other, also when the host is started anew; 0 ends it.
+// SetMessageCost sets the processor time that each message sent or received by the named host
+// takes. It stays in force when the host is restarted. 0 means no processor time.
 func (n *Network) SetMessageCost(name string, cost time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.messageCost[name] = cost
 }
 
-// Freeze has the named host send and receive nothing for a while, or until the context ends.
-// A host that is started anew meanwhile is not affected.
+// Freeze occupies the named host's processor, so that the host sends and receives nothing, and
+// returns after the given duration or when the context ends. A host of the same name that is
+// started in the meantime is not frozen.
 func (n *Network) Freeze(ctx context.Context, name string, duration time.Duration) {
 	n.mu.Lock()
 	host := n.hosts[name]
@@ -34,7 +35,7 @@
 	}
 }
 
-// useProcessor occupies the processor for one message.
+// useProcessor waits until the processor is free, and occupies it for the cost of one message.
 func (h *Host) useProcessor() {
 	h.network.mu.Lock()
 	cost := h.network.messageCost[h.name]
--- a/internal/emulator/responses.go
+++ b/internal/emulator/responses.go
@@ -10,11 +10,12 @@
 	"ambersill/internal/wire"
 )
 
-// unavailableReason is the reason in the answers to requests that a fault refuses with 503.
+// unavailableReason is the error text in responses with status 503 that an injected fault causes.
 const unavailableReason = "trouble"
 
-// bufferedResponse buffers a response until its handler has returned and holds no lock, since
-// a host that is frozen does not read it.
+// bufferedResponse buffers a response until its handler has returned and has released its locks,
+// because a frozen host does not read responses, and the handler must not wait for it while it
+// holds a lock.
 type bufferedResponse struct {
 	http.ResponseWriter
 	status int
@@ -25,19 +26,19 @@
 	return &bufferedResponse{ResponseWriter: w, status: http.StatusOK}
 }
 
-// WriteHeader sets the status to send.
+// WriteHeader sets the status for send.
 func (r *bufferedResponse) WriteHeader(status int) { r.status = status }
 
-// Write appends to the body to send.
+// Write appends to the body for send.
 func (r *bufferedResponse) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// send sends the response.
+// send writes the buffered status and body to the client.
 func (r *bufferedResponse) send() {
 	r.ResponseWriter.WriteHeader(r.status)
 	_, _ = r.ResponseWriter.Write(r.body.Bytes())
 }
 
-// bufferResponses sends a handler's responses after it has returned.
+// bufferResponses returns a handler that runs h and sends its response after h has returned.
 func bufferResponses(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		response := newBufferedResponse(w)
@@ -46,7 +47,8 @@
 	})
 }
 
-// writeResponse sends a message.
+// writeResponse encodes a message and sends it with the given status, or an empty body with status
+// 500 if the message cannot be encoded.
 func writeResponse(w http.ResponseWriter, status int, message any) {
 	body, err := wire.Marshal(message)
 	if err != nil {
@@ -58,12 +60,13 @@
 	_, _ = w.Write(body)
 }
 
-// writeError refuses a request.
+// writeError sends an error response with the given status and reason.
 func writeError(w http.ResponseWriter, status int, reason string) {
 	writeResponse(w, status, wire.ErrorResponse{Error: reason})
 }
 
-// readRequest decodes a request's body. If that fails it answers 400 and returns false.
+// readRequest decodes a request's body into message. If that fails, it sends an error response
+// with status 400 and returns false.
 func readRequest(w http.ResponseWriter, r *http.Request, message any) bool {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err == nil {
@@ -76,8 +79,8 @@
 	return true
 }
 
-// requestedPageSize returns how many items a listing request asks for, and the maximum if it names no
-// number that is allowed.
+// requestedPageSize returns the number of items that a list request asks for, or the maximum if
+// the request gives no number from 1 to the maximum.
 func requestedPageSize(r *http.Request, maximum int) int {
 	size, err := strconv.Atoi(r.URL.Query().Get("most"))
 	if err != nil || size < 1 || size > maximum {
@@ -86,7 +89,9 @@
 	return size
 }
 
-// executeWithFault executes a request and answers it, as far as the fault lets it.
+// executeWithFault executes a request and sends the response, unless the injected fault prevents
+// that. RefuseRequest does not execute the request, LoseResponse executes it and sends nothing, and
+// ExecuteLate closes the connection and executes the request after the delay.
 func executeWithFault(w http.ResponseWriter, fault RequestFault, delay time.Duration, execute func() (status int, body any)) {
 	switch fault {
 	case RefuseRequest:
--- a/internal/emulator/simulation.go
+++ b/internal/emulator/simulation.go
@@ -11,14 +11,14 @@
 	"ambersill/internal/wire"
 )
 
-// Node is a controller's public address.
+// Node is the name and the public address of a controller's node.
 type Node struct{ Name, Addr string }
 
-// SimulationConfig configures a simulation.
+// SimulationConfig has the settings of a simulation.
 type SimulationConfig struct {
 	Ctx               context.Context
 	Net               transport.Net
-	ZoneNets          map[string]transport.Net // of zones that can be cut off; others use Net
+	ZoneNets          map[string]transport.Net // networks of zones that can be cut off, by zone; workers in other zones use Net
 	Nodes             []Node
 	MachineTypes      map[string]wire.MachineType
 	Teams             []config.Team
@@ -27,25 +27,27 @@
 	GangWaitTimeout   time.Duration // gang_wait_s
 	GangPeerTimeout   time.Duration // gang_peer_s
 	CancelDeadline    time.Duration // cancel_s
-	// RunTime returns how long a task runs; nil: as long as its job estimates.
+	// RunTime returns how long a task runs. If it is nil, each task runs for its job's
+	// EstimatedRunS.
 	RunTime func(job *wire.Job, task int) time.Duration
-	// OnHeartbeat, if set, is called with each heartbeat, and may send copies of it to nodes
-	// later.
+	// OnHeartbeat, if not nil, is called with each heartbeat. It may call send at any later
+	// time to send a copy of the heartbeat to a node.
 	OnHeartbeat func(heartbeat *wire.Heartbeat, send func(to Node))
-	// OnJobDone, if set, is called when the last task of a job completes.
+	// OnJobDone, if not nil, is called with the job ID when the last task of a job completes.
 	OnJobDone func(job string)
 }
 
-// Simulation joins the workers and the users, and is the reference model of the protocol's
-// rules: it sees every task start and end, knows what users were answered, and records what
-// violates a rule. The rules are in checker.go, the tasks' lifecycle in lifecycle.go.
+// Simulation has the shared state of the emulated workers and users, and is the reference model
+// of the protocol's rules: it records the start and the end of every task and the answers to
+// users, and reports each violation of a rule. The rules are in checker.go, the life cycle of
+// tasks is in lifecycle.go.
 type Simulation struct {
 	SimulationConfig
 
-	// mu guards all that follows, and the state of all workers.
+	// mu protects the fields below and the state of all workers.
 	mu          sync.Mutex
 	replicaExit func(job *wire.Job, task int) (time.Duration, bool)
-	linkDelay   time.Duration // of the links of workers and users
+	linkDelay   time.Duration // added to each request and each response of workers and users
 
 	jobs            map[string]*jobState
 	tasksOnMachines map[string]map[*Worker]*task // tasks on machines, by name
@@ -56,8 +58,8 @@
 	startCount             int
 	repeatedAttemptCount   int
 	startsAfterCancelCount int
-	faultsOverAt           time.Time // zero while there are faults
-	// removalTime is when the tasks that are being removed ended, if not now.
+	faultsOverAt           time.Time // when the injected faults ended; zero before that
+	// removalTime is when the tasks that are being removed ended; zero means now.
 	removalTime time.Time
 }
 
@@ -67,7 +69,7 @@
 	attempt uint64
 }
 
-// NewSimulation returns a simulation without workers and jobs.
+// NewSimulation returns a simulation that has no workers and no jobs.
 func NewSimulation(config SimulationConfig) *Simulation {
 	return &Simulation{
 		SimulationConfig: config,
@@ -78,14 +80,15 @@
 	}
 }
 
-// SetLinkDelay has what workers and users send and receive take that much longer each way.
+// SetLinkDelay sets the delay that is added to each request and each response of workers and
+// users.
 func (s *Simulation) SetLinkDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.linkDelay = d
 }
 
-// waitLinkDelay waits for as long as the link takes.
+// waitLinkDelay waits for the link delay, or until the context ends.
 func (s *Simulation) waitLinkDelay(ctx context.Context) {
 	s.mu.Lock()
 	d := s.linkDelay
@@ -95,7 +98,7 @@
 	}
 }
 
-// zoneNet is the network of a machine's zone.
+// zoneNet returns the network of a machine's zone.
 func (s *Simulation) zoneNet(machine wire.CloudMachine) transport.Net {
 	if n := s.ZoneNets[machine.Zone]; n != nil {
 		return n
@@ -107,7 +110,7 @@
 	return transport.Client(s.zoneNet(machine), 1, 2, time.Second)
 }
 
-// indexOfNode is the index of the named indexOfNode; -1 if there is none.
+// indexOfNode returns the index of the named node in Nodes; -1 if there is none.
 func (s *Simulation) indexOfNode(name string) int {
 	for i, n := range s.Nodes {
 		if n.Name == name {
@@ -117,44 +120,47 @@
 	return -1
 }
 
-// StartCount counts the tasks started.
+// StartCount returns how many times a task has started. Each attempt at a task counts.
 func (s *Simulation) StartCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startCount
 }
 
-// StartsAfterCancelCount counts the starts after a confirmed cancellation.
+// StartsAfterCancelCount returns how many times a task has started after its job was reported as
+// cancelled to a user.
 func (s *Simulation) StartsAfterCancelCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startsAfterCancelCount
 }
 
-// RepeatedAttemptCount counts the attempts that started more than once, which only a start that
-// was executed again after the attempt was cleared can bring about.
+// RepeatedAttemptCount returns how many starts were of an attempt that had started before. This
+// happens only if a worker executes a start command again after the command to forget the
+// attempt.
 func (s *Simulation) RepeatedAttemptCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.repeatedAttemptCount
 }
 
-// AssignedNode names the node to which a worker sends its heartbeats.
+// AssignedNode returns the name of the node to which a worker sends its heartbeats.
 func (s *Simulation) AssignedNode(worker *Worker) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Nodes[worker.nodeIndex%len(s.Nodes)].Name
 }
 
-// SetReplicaExit sets what decides whether a replica of a service exits by itself, and how
-// long after its start. It is called with the simulation's lock held.
+// SetReplicaExit sets the function that decides whether a replica of a service exits by itself,
+// and how long after its start. The function is called with the simulation's lock held.
 func (s *Simulation) SetReplicaExit(f func(job *wire.Job, task int) (after time.Duration, exits bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replicaExit = f
 }
 
-// ReplicaCount counts the tasks of a job that are on machines.
+// ReplicaCount returns how many tasks of a job are on machines. A task that is on two machines
+// counts twice.
 func (s *Simulation) ReplicaCount(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -170,7 +176,7 @@
 	return count
 }
 
-// TasksOnMachines counts the tasks on machines.
+// TasksOnMachines returns how many different tasks are on machines.
 func (s *Simulation) TasksOnMachines() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -178,7 +184,7 @@
 	return len(s.tasksOnMachines)
 }
 
-// TeamUsage is what a team's tasks use.
+// TeamUsage returns the numbers of CPUs and GPUs that a team's tasks use.
 func (s *Simulation) TeamUsage(team string) (cpus, gpus float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,7 +203,7 @@
 	return cpus, gpus
 }
 
-// FirstStartTime is when a job's first task started.
+// FirstStartTime returns when the first task of a job started; false if none has started.
 func (s *Simulation) FirstStartTime(id string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -11,44 +11,48 @@
 	"ambersill/internal/wire"
 )
 
-// User submits a job and follows it as the protocol's users do.
+// User emulates a user, who submits a job and polls its phase until it has ended.
 type User struct {
 	Simulation *Simulation
 	Net        transport.Net
 	// PickNode chooses a node for each request.
 	PickNode func() Node
-	// CancelAfter, if above 0, is when the user cancels the job.
+	// CancelAfter, if above 0, is the time after the start of Run after which the user cancels
+	// the job.
 	CancelAfter time.Duration
-	// CancelSignal, if set, has the user cancel the job when it is closed.
+	// CancelSignal, if not nil, makes the user cancel the job once it is closed.
 	CancelSignal <-chan struct{}
-	// PollAllNodes: after each answer with a new phase, the user asks all nodes at once and
-	// repeats the submission, several times within milliseconds.
+	// PollAllNodes makes the user poll all nodes at once and repeat the submission to them,
+	// several times within milliseconds, after the job was accepted, cancelled or reported as
+	// ended.
 	PollAllNodes bool
-	// CancelWhenDone: a job that is done is cancelled once more, which must change nothing.
+	// CancelWhenDone makes the user request the cancellation of a job that is done, which must
+	// not change its phase.
 	CancelWhenDone bool
 }
 
 const (
-	// submitTimeout and pollTimeout are how long a user waits for an answer.
+	// submitTimeout and pollTimeout limit how long a user waits for the answer to a request.
 	submitTimeout = 5 * time.Second
 	pollTimeout   = 2 * time.Second
-	// pollInterval is the time between two questions about a job.
+	// pollInterval is the time between two polls of a job.
 	pollInterval = 5 * time.Second
-	// submitRetryDelay is the pause before a refused submission is repeated, submitLimit how
-	// long it is repeated for.
+	// submitRetryDelay is the pause before a submission or cancellation that failed is
+	// repeated, submitRetryLimit how long a submission is repeated.
 	submitRetryDelay = time.Second
 	submitRetryLimit = time.Minute
-	// All nodes are polled several times within milliseconds, so that answers that contradict
-	// each other for a short time are seen.
+	// pollRepeats and pollRepeatInterval set how often and at which interval PollAllNodes polls
+	// all nodes. Polls within milliseconds detect nodes whose answers contradict each other for
+	// a short time only.
 	pollRepeats        = 3
 	pollRepeatInterval = 3 * time.Millisecond
 )
 
-// session is a user's work on one job.
+// session is the state of one call of User.Run.
 type session struct {
 	*User
 	job        *wire.Job
-	submission any // the submission
+	submission any // the body of the submission request
 	client     *http.Client
 	startedAt  time.Time
 }
@@ -57,8 +61,9 @@
 	return transport.Client(u.Net, 1, 1, time.Second)
 }
 
-// Run submits the job, polls it, and returns the phase it ended in; "" if the context ended
-// first or the submission was given up.
+// Run submits the job, polls it until it has ended, and returns its final phase. It returns "" if
+// the context ends first, or if the submission is refused or not accepted within
+// submitRetryLimit.
 func (u *User) Run(ctx context.Context, job *wire.Job) wire.JobPhase {
 	s := &session{
 		User:       u,
@@ -85,7 +90,8 @@
 	return ""
 }
 
-// submit submits the job until it is accepted; false: it was refused or given up.
+// submit submits the job until it is accepted, and reports whether it was. It returns false if the
+// job is refused, submitRetryLimit has passed or the context ends.
 func (s *session) submit(ctx context.Context) bool {
 	for ctx.Err() == nil && time.Since(s.startedAt) <= submitRetryLimit {
 		sent := time.Now()
@@ -103,7 +109,7 @@
 	return false
 }
 
-// cancelJob asks for the job's cancellation, and reports whether that was answered.
+// cancelJob requests the cancellation of the job, and reports whether the request succeeded.
 func (s *session) cancelJob(ctx context.Context) bool {
 	s.Simulation.RecordCancelRequest(s.job.ID)
 	sent := time.Now()
@@ -119,7 +125,7 @@
 	return s.send(ctx, s.client, s.PickNode(), http.MethodPost, "/work/"+s.job.ID+"/withdraw", nil, submitTimeout)
 }
 
-// poll asks for the job's state once, and returns its phase if that was answered.
+// poll requests the job's status once, and returns its phase, or "" if the request failed.
 func (s *session) poll(ctx context.Context) wire.JobPhase {
 	sent := time.Now()
 	answer, status := s.send(ctx, s.client, s.PickNode(), http.MethodGet, "/work/"+s.job.ID, nil, pollTimeout)
@@ -138,11 +144,11 @@
 	return answer.Phase
 }
 
-// waitForPoll waits until the next question, or until the job is to be cancelled.
+// waitForPoll waits until the next poll is due, CancelSignal is closed or the context ends.
 func (s *session) waitForPoll(ctx context.Context) {
 	cancel := s.CancelSignal
 	if s.Simulation.isCancelRequested(s.job.ID) {
-		cancel = nil // closed for good
+		cancel = nil // the channel may be closed already, and would end each wait at once
 	}
 	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
@@ -153,7 +159,8 @@
 	}
 }
 
-// wantsCancellation reports whether the user wants the job cancelled by now.
+// wantsCancellation reports whether the user wants to cancel the job by now, which is the case if
+// CancelSignal is closed or CancelAfter has passed since the start.
 func (u *User) wantsCancellation(start time.Time) bool {
 	select {
 	case <-u.CancelSignal:
@@ -163,7 +170,7 @@
 	}
 }
 
-// recordAnswer notes the answer to a question.
+// recordAnswer records the answer to a request about a job. sent is when the request was sent.
 func (u *User) recordAnswer(id string, answer wire.JobStatus, status int, sent time.Time) {
 	switch status {
 	case http.StatusOK, http.StatusCreated:
@@ -175,13 +182,14 @@
 	}
 }
 
-// recordNewPhase notes an answer with a new phase, and polls all nodes then.
+// recordNewPhase records an answer that reports a new phase, and then polls all nodes.
 func (u *User) recordNewPhase(ctx context.Context, id string, body any, phase wire.JobPhase, sent time.Time) {
 	u.Simulation.RecordPhaseAnswer(id, phase, sent)
 	u.pollAllNodes(ctx, id, body)
 }
 
-// pollAllNodes asks all nodes, and repeats the submission, several times within milliseconds.
+// pollAllNodes polls all nodes and repeats the submission to them, several times within
+// milliseconds. It does nothing unless PollAllNodes is set.
 func (u *User) pollAllNodes(ctx context.Context, id string, body any) {
 	if !u.PollAllNodes {
 		return
@@ -197,7 +205,7 @@
 	wg.Wait()
 }
 
-// pollNode sends a request about a job on a connection of its own, and notes the answer.
+// pollNode sends a request about a job to a node on a new connection, and records the answer.
 func (u *User) pollNode(ctx context.Context, node Node, id, method, path string, body any) {
 	client := u.newClient()
 	defer client.CloseIdleConnections()
@@ -206,8 +214,8 @@
 	u.recordAnswer(id, answer, status, sent)
 }
 
-// SubmitInvalid sends what must be refused for good: a job that fits no machine, one that lacks a
-// field, one of an unknown team.
+// SubmitInvalid submits three jobs that must be refused permanently: one that fits no machine, one
+// that lacks a field and one of an unknown team. It records a violation if one is accepted.
 func (u *User) SubmitInvalid(ctx context.Context, job *wire.Job) {
 	client := u.newClient()
 	defer client.CloseIdleConnections()
@@ -230,7 +238,8 @@
 	}
 }
 
-// send sends a request, and returns the answer with its status; 0: no answer.
+// send sends a request, and returns the answer with its HTTP status. The status is 0 if there is no
+// answer within the timeout, or one that cannot be decoded.
 func (u *User) send(ctx context.Context, client *http.Client, to Node, method, path string, body any, timeout time.Duration) (wire.JobStatus, int) {
 	var answer wire.JobStatus
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -252,7 +261,8 @@
 	return answer, resp.StatusCode
 }
 
-// submissionFields is a job as a user writes it, with null where nothing is asked.
+// submissionFields returns the fields of a submission of the job. Optional fields that the job does
+// not set are null, as users send them.
 func submissionFields(job *wire.Job) map[string]any {
 	encoded, err := wire.Marshal(job)
 	if err != nil {
