--- a/internal/controller/helpers_test.go
+++ b/internal/controller/helpers_test.go
@@ -6,7 +6,8 @@
 	"ambersill/internal/wire"
 )
 
-// must returns a value whose error can only be a fault of the test.
+// must returns value and panics if err is not nil. Use it where an error can only mean that the
+// test itself is wrong.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic(err)
@@ -14,12 +15,12 @@
 	return value
 }
 
-// putChange is the change of a key to a record.
+// putChange returns the change that stores a record under a key at a revision.
 func putChange(key string, record any, revision uint64) keyChange {
 	return keyChange{key: key, value: must(wire.Marshal(record)), revision: revision}
 }
 
-// newIsolatedController returns a controller on a network without any other host.
+// newIsolatedController returns a controller whose emulated network has no other host.
 func newIsolatedController() *Controller {
 	cluster := &simulatedCluster{nodes: simulatedNodes(2)}
 	return New(cluster.settings(0), tuning.Default(), emulator.NewNetwork().Host("node-0"))
