--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -1,5 +1,5 @@
-// This file has faults that the simulations inject without a script: random ones over a while,
-// lost and late requests, and cuts between hosts.
+// This file contains the faults that simulations inject without a script: random faults over a
+// period, lost and late requests, and network cuts between hosts.
 
 package controller
 
@@ -12,11 +12,12 @@
 	"ambersill/internal/wire"
 )
 
-// terminationNoticePeriod is how long before its end a spot instance gets notice.
+// terminationNoticePeriod is the time between a spot instance's termination notice and its
+// removal.
 const terminationNoticePeriod = 8 * time.Second
 
-// randomClusterFaults are the faults that injectRandomFaults draws from. The order belongs to
-// the seeds: another one is another sequence of faults.
+// randomClusterFaults are the faults that injectRandomFaults chooses from. Changing the order
+// changes the sequence of faults that a seed produces.
 var randomClusterFaults = []func(cluster *simulatedCluster, random *rand.Rand, workers []*emulator.Worker){
 	restartOneNode,
 	restartAllNodes,
@@ -31,7 +32,7 @@
 	isolateOneNode,
 }
 
-// injectRandomFaults injects random faults until the time is over.
+// injectRandomFaults injects random faults one after another until the time window has passed.
 func (cluster *simulatedCluster) injectRandomFaults(seed uint64, window time.Duration) {
 	random := rand.New(rand.NewPCG(seed, randomFaultStream))
 	end := time.Now().Add(window)
@@ -43,14 +44,14 @@
 	}
 }
 
-// restartOneNode crashes a controller, which may be back before its lease has expired.
+// restartOneNode crashes a random controller and may restart it before its lease has expired.
 func restartOneNode(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
 	node := random.IntN(controllerCount)
 	cluster.restartNode(node, time.Duration(200+random.IntN(4000))*time.Millisecond)
 }
 
-// restartNodesTwice restarts some controllers twice in a row, each within a fraction of a
-// second.
+// restartNodesTwice restarts one or more controllers twice in succession, each with a downtime
+// below 320 ms.
 func restartNodesTwice(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
 	for range 2 {
 		for node := range 1 + random.IntN(controllerCount) {
@@ -78,7 +79,7 @@
 	worker.Hang(time.Duration(2+random.IntN(30)) * time.Second)
 }
 
-// cutInboundOfOneMachine has a machine receive nothing, while its heartbeats arrive.
+// cutInboundOfOneMachine blocks traffic to a random machine, while its heartbeats still arrive.
 func cutInboundOfOneMachine(_ *simulatedCluster, random *rand.Rand, workers []*emulator.Worker) {
 	if len(workers) == 0 {
 		return
@@ -100,7 +101,7 @@
 	}
 }
 
-// firstSpotWorker returns the first worker on a spot instance, nil if there is none.
+// firstSpotWorker returns the first worker on a spot instance, or nil if there is none.
 func firstSpotWorker(workers []*emulator.Worker) *emulator.Worker {
 	for _, worker := range workers {
 		if worker.Machine.Spot {
@@ -110,7 +111,8 @@
 	return nil
 }
 
-// terminateWithNotice has a machine be told of its end, which follows after that time.
+// terminateWithNotice gives a machine a termination notice and makes the cloud remove it after the
+// given time.
 func (cluster *simulatedCluster) terminateWithNotice(worker *emulator.Worker, after time.Duration) {
 	worker.GiveNotice(after)
 	time.AfterFunc(after, func() { cluster.cloud.TakeBack(worker.Machine.ID) })
@@ -130,7 +132,8 @@
 	cluster.setWorkersCut(node, false)
 }
 
-// isolateOneNode leaves a controller its workers and users only.
+// isolateOneNode leaves a random controller in contact with only its workers and users for a
+// while.
 func isolateOneNode(cluster *simulatedCluster, random *rand.Rand, _ []*emulator.Worker) {
 	node := random.IntN(controllerCount)
 	cluster.setNodeIsolated(node, true, random)
@@ -138,8 +141,8 @@
 	cluster.setNodeIsolated(node, false, random)
 }
 
-// setNodeIsolated cuts a controller off from the key-value store and the other controllers,
-// but not from its workers, or joins it again.
+// setNodeIsolated cuts a controller off from the key-value store and the other controllers, but
+// not from its workers, or restores these links.
 func (cluster *simulatedCluster) setNodeIsolated(node int, cut bool, random *rand.Rand) {
 	hosts := []string{"state"}
 	for i, other := range cluster.nodes {
@@ -153,21 +156,22 @@
 	}
 }
 
-// setWorkersCut cuts a controller off from all workers, or joins it again.
+// setWorkersCut cuts a controller off from all workers, or restores these links.
 func (cluster *simulatedCluster) setWorkersCut(node string, cut bool) {
 	for zone := range cluster.simulation.ZoneNets {
 		cluster.network.Cut(node, "workers-"+zone, cut)
 	}
 }
 
-// The shares of requests that injectRequestFaults has fail.
+// Probabilities with which injectRequestFaults makes a request fail.
 const (
 	commitFaultProbability = 0.03
 	cloudFaultProbability  = 0.2
 )
 
-// injectRequestFaults has some commits, rentals and returns go unanswered, be refused or be
-// carried out late, and copies of some heartbeats arrive late, until the faults are over.
+// injectRequestFaults makes some commits, rentals and returns of machines go unanswered, be
+// refused or be executed late, and makes copies of some heartbeats arrive late, until endFaults is
+// called.
 func (cluster *simulatedCluster) injectRequestFaults() {
 	random := rand.New(rand.NewPCG(cluster.random.Uint64(), requestFaultStream))
 	var mu sync.Mutex
@@ -199,7 +203,8 @@
 	}
 }
 
-// endFaults has no further request fail, and the checker expect all jobs to go on.
+// endFaults stops making requests fail and tells the simulation's checker that from now on jobs
+// must make progress.
 func (cluster *simulatedCluster) endFaults() {
 	cluster.faultsOver.Store(true)
 	cluster.simulation.FaultsOver()
