--- a/cmd/ambersill/controller.go
+++ b/cmd/ambersill/controller.go
@@ -17,7 +17,7 @@
 // logLevelVariable is the environment variable that sets the log level.
 const logLevelVariable = "LOG_LEVEL"
 
-const bytesPerMB = 1 << 20
+const bytesPerMiB = 1 << 20
 
 // runController runs a controller until the process is interrupted or terminated.
 func runController(ctx context.Context, settings *config.Settings, tunables tuning.Tuning) error {
@@ -44,7 +44,7 @@
 // configureGarbageCollection lets the heap grow more than by default, since processor time is
 // scarcer than memory, and collects more often before the machine's memory is used up. The
 // rest of the memory is for what the runtime does not account for.
-func configureGarbageCollection(machineMemoryMB float64) {
+func configureGarbageCollection(machineMemoryMiB float64) {
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(machineMemoryMB * tuning.MemoryLimitFraction * bytesPerMB))
+	debug.SetMemoryLimit(int64(machineMemoryMiB * tuning.MemoryLimitFraction * bytesPerMiB))
 }
--- a/cmd/ambersill/samples.go
+++ b/cmd/ambersill/samples.go
@@ -10,22 +10,22 @@
 
 // Ports of the emulators and controllers on loopback; workers use those from 20000 on.
 const (
-	portState  = 19001
+	portStore  = 19001
 	portCloud  = 19002
 	portPublic = 19100 // of the first controller; the others use the next ones
-	portMesh   = 19200 // of the first controller; the others use the next ones
+	portPeer   = 19200 // of the first controller; the others use the next ones
 )
 
 const (
 	sampleZone = "a"
 	sampleTeam = "red"
-	// sampleCapacity is the number of machines that can be rented as spot instances, and of
+	// sampleMachineCapacity is the number of machines that can be rented as spot instances, and of
 	// those on demand.
-	sampleCapacity = 4
+	sampleMachineCapacity = 4
 	// sampleListLagS is by how many seconds the cloud's list lags.
 	sampleListLagS = 1
-	// sampleServiceTime is the time after which users cancel sample services.
-	sampleServiceTime = 15 * time.Second
+	// sampleServiceCancelDelay is the time after which users cancel sample services.
+	sampleServiceCancelDelay = 15 * time.Second
 )
 
 var sampleMachineType = wire.MachineType{
@@ -51,10 +51,10 @@
 		Node:       nodeName(index),
 		Zone:       sampleZone,
 		PublicAddr: loopback(portPublic + index),
-		PeerAddr:   loopback(portMesh + index),
+		PeerAddr:   loopback(portPeer + index),
 		Endpoints: config.Endpoints{
 			Cloud: loopback(portCloud),
-			Store: loopback(portState),
+			Store: loopback(portStore),
 		},
 		Cluster: sampleCluster(nodes),
 	}
@@ -65,7 +65,7 @@
 		settings.Members = append(settings.Members, config.Member{
 			Node: nodeName(other),
 			Zone: sampleZone,
-			Addr: loopback(portMesh + other),
+			Addr: loopback(portPeer + other),
 		})
 	}
 	return settings
@@ -128,7 +128,7 @@
 		job.Shape = wire.ServiceJob
 		job.Tasks = 2
 		job.EstimatedRunS = 0
-		return job, sampleServiceTime
+		return job, sampleServiceCancelDelay
 	}
 	return job, 0
 }
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -42,8 +42,8 @@
 
 // Submission is the result of submitting a job.
 type Submission struct {
-	Job     wire.JobStatus
-	Created bool // false if the job was known before
+	Job   wire.JobStatus
+	IsNew bool // false if the job was known before
 }
 
 // HeartbeatResult is the result of a worker's heartbeat.
@@ -69,15 +69,15 @@
 
 // handler serves HTTP requests.
 type handler struct {
-	service     Service
-	retryAfter  string        // value of the Retry-After header, in seconds
-	userTimeout time.Duration // for a user's request
+	service            Service
+	retryAfter         string        // value of the Retry-After header, in seconds
+	userRequestTimeout time.Duration // for a user's request
 }
 
 // Handler returns the HTTP handler of a service. Users' requests that take longer than
 // userTimeout are answered 503, with retryAfterS seconds in Retry-After.
-func Handler(service Service, retryAfterS int, userTimeout time.Duration) http.Handler {
-	h := &handler{service: service, retryAfter: strconv.Itoa(retryAfterS), userTimeout: userTimeout}
+func Handler(service Service, retryAfterS int, userRequestTimeout time.Duration) http.Handler {
+	h := &handler{service: service, retryAfter: strconv.Itoa(retryAfterS), userRequestTimeout: userRequestTimeout}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /work", h.submit)
 	mux.HandleFunc("GET /work/{id}", h.job)
@@ -92,16 +92,16 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), h.userTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), h.userRequestTimeout)
 	defer cancel()
 	submission, err := h.service.Submit(ctx, body)
 	switch {
 	case err != nil:
-		h.sendError(w, err)
-	case submission.Created:
-		h.send(w, http.StatusCreated, submission.Job)
+		h.writeError(w, err)
+	case submission.IsNew:
+		h.writeResponse(w, http.StatusCreated, submission.Job)
 	default:
-		h.send(w, http.StatusOK, submission.Job)
+		h.writeResponse(w, http.StatusOK, submission.Job)
 	}
 }
 
@@ -118,14 +118,14 @@
 
 // serveJob answers a request that names a job with the status that the operation returns.
 func (h *handler) serveJob(w http.ResponseWriter, r *http.Request, operation jobOperation) {
-	ctx, cancel := context.WithTimeout(r.Context(), h.userTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), h.userRequestTimeout)
 	defer cancel()
 	status, err := operation(ctx, r.PathValue("id"))
 	if err != nil {
-		h.sendError(w, err)
+		h.writeError(w, err)
 		return
 	}
-	h.send(w, http.StatusOK, status)
+	h.writeResponse(w, http.StatusOK, status)
 }
 
 func (h *handler) heartbeat(w http.ResponseWriter, r *http.Request) {
@@ -135,17 +135,17 @@
 	}
 	var heartbeat wire.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil || heartbeat.Machine == "" {
-		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "not a report"})
+		h.writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: "not a report"})
 		return
 	}
 	result := h.service.Heartbeat(&heartbeat)
 	switch {
 	case result.Accepted:
-		h.send(w, http.StatusOK, result.Response)
+		h.writeResponse(w, http.StatusOK, result.Response)
 	case result.RedirectTo != "":
-		h.send(w, http.StatusMisdirectedRequest, wire.Redirect{Node: result.RedirectTo})
+		h.writeResponse(w, http.StatusMisdirectedRequest, wire.Redirect{Node: result.RedirectTo})
 	default:
-		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not in charge"})
+		h.writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not in charge"})
 	}
 }
 
@@ -159,34 +159,34 @@
 
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
 	if !h.service.Healthy() {
-		h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not ready"})
+		h.writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not ready"})
 		return
 	}
-	h.send(w, http.StatusOK, healthResponse{State: healthyState})
+	h.writeResponse(w, http.StatusOK, healthResponse{State: healthyState})
 }
 
 // readBody reads a request's body. If that fails, it answers the request and returns false.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
-		h.send(w, http.StatusBadRequest, wire.ErrorResponse{Error: "body not read, or too large"})
+		h.writeResponse(w, http.StatusBadRequest, wire.ErrorResponse{Error: "body not read, or too large"})
 		return nil, false
 	}
 	return body, true
 }
 
-// sendError answers a StatusError with its status code and reason, and other errors with 503.
-func (h *handler) sendError(w http.ResponseWriter, err error) {
+// writeError answers a StatusError with its status code and reason, and other errors with 503.
+func (h *handler) writeError(w http.ResponseWriter, err error) {
 	if statusErr, ok := errors.AsType[*StatusError](err); ok {
-		h.send(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
+		h.writeResponse(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
 		return
 	}
 	slog.Debug("request refused for now", "err", err)
 	w.Header().Set("Retry-After", h.retryAfter)
-	h.send(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "come back later"})
+	h.writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "come back later"})
 }
 
-func (h *handler) send(w http.ResponseWriter, status int, message any) {
+func (h *handler) writeResponse(w http.ResponseWriter, status int, message any) {
 	body, err := wire.Marshal(message)
 	if err != nil {
 		slog.Error("answer not encoded", "err", err)
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -109,7 +109,7 @@
 			return nil, &OperationError{Operation: "list", Err: err}
 		}
 		machines = append(machines, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		if !page.HasMore || len(page.Machines) == 0 {
 			return machines, nil
 		}
 		lastID = page.Machines[len(page.Machines)-1].ID
--- a/internal/config/policy.go
+++ b/internal/config/policy.go
@@ -15,10 +15,10 @@
 	// maxPolicySteps bounds a policy script's execution, so that a loop cannot block the
 	// start.
 	maxPolicySteps = 1 << 20
-	// maxTunable is the largest value that a policy may set; none has a use for more.
-	maxTunable = 1e6
-	// privatePrefix marks variables that are the script's own.
-	privatePrefix = "_"
+	// maxTunableValue is the largest value that a policy may set; none has a use for more.
+	maxTunableValue = 1e6
+	// privateVariablePrefix marks variables that are the script's own.
+	privateVariablePrefix = "_"
 )
 
 // LoadPolicy runs a Starlark script whose global variables override the fields of Tuning by
@@ -31,7 +31,7 @@
 	fields := reflect.ValueOf(tunables).Elem()
 	for _, name := range globals.Keys() {
 		value := globals[name]
-		if _, isFunction := value.(starlark.Callable); isFunction || strings.HasPrefix(name, privatePrefix) {
+		if _, isFunction := value.(starlark.Callable); isFunction || strings.HasPrefix(name, privateVariablePrefix) {
 			continue
 		}
 		if problem := setTunable(fields.FieldByName(name), name, value); problem != nil {
@@ -60,21 +60,21 @@
 // the name. Integers may be 0, which stands for a default; other values may not.
 func setTunable(field reflect.Value, name string, value starlark.Value) *Error {
 	if !field.IsValid() {
-		return invalid(name, "no such tunable")
+		return newError(name, "no such tunable")
 	}
 	number, ok := starlark.AsFloat(value)
-	if !ok || !(number >= 0 && number <= maxTunable) {
-		return invalid(name, "must be a number from 0 to %d", int(maxTunable))
+	if !ok || !(number >= 0 && number <= maxTunableValue) {
+		return newError(name, "must be a number from 0 to %d", int(maxTunableValue))
 	}
 	if field.Kind() == reflect.Int {
 		if number != float64(int64(number)) {
-			return invalid(name, "must be a whole number")
+			return newError(name, "must be a whole number")
 		}
 		field.SetInt(int64(number))
 		return nil
 	}
 	if number == 0 {
-		return invalid(name, "must be above 0")
+		return newError(name, "must be above 0")
 	}
 	field.SetFloat(number)
 	return nil
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -13,14 +13,14 @@
 	minSockets = 50
 )
 
-// number is the value of a key.
-type number struct {
+// keyedNumber is the value of a key.
+type keyedNumber struct {
 	key   string
 	value float64
 }
 
-// invalid returns an error without a file, which Load adds.
-func invalid(key, format string, args ...any) *Error {
+// newError returns an error without a file, which Load adds.
+func newError(key, format string, args ...any) *Error {
 	return &Error{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -45,10 +45,10 @@
 
 func (s *Settings) validateNode() *Error {
 	if s.Node == "" {
-		return invalid("node", "missing")
+		return newError("node", "missing")
 	}
 	if s.Zone == "" {
-		return invalid("zone", "missing")
+		return newError("zone", "missing")
 	}
 	return nil
 }
@@ -61,7 +61,7 @@
 		{"outside.state", s.Endpoints.Store},
 	} {
 		if address.value == "" {
-			return invalid(address.key, "missing")
+			return newError(address.key, "missing")
 		}
 		if problem := validateAddress(address.key, address.value); problem != nil {
 			return problem
@@ -72,7 +72,7 @@
 
 func validateAddress(key, address string) *Error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return invalid(key, "%q is not of the form host:port", address)
+		return newError(key, "%q is not of the form host:port", address)
 	}
 	return nil
 }
@@ -81,7 +81,7 @@
 	nodes := map[string]bool{s.Node: true}
 	for i, member := range s.Members {
 		if member.Node == "" || nodes[member.Node] {
-			return invalid(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
+			return newError(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
 		}
 		nodes[member.Node] = true
 		if problem := validateAddress(fmt.Sprintf("members[%d].addr", i), member.Addr); problem != nil {
@@ -93,7 +93,7 @@
 
 func (c *Cluster) validateCount() *Error {
 	if c.ControllerCount < 1 {
-		return invalid("cluster.count", "must be at least 1")
+		return newError("cluster.count", "must be at least 1")
 	}
 	return nil
 }
@@ -102,18 +102,18 @@
 	names := map[string]bool{}
 	for i, team := range c.Teams {
 		if team.Name == "" || names[team.Name] {
-			return invalid(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
+			return newError(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
 		}
 		names[team.Name] = true
 		if team.CPUs < 0 || team.MaxCPUs < 0 || team.GPUs < 0 || team.MaxGPUs < 0 {
-			return invalid(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
+			return newError(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
 		}
 	}
 	return nil
 }
 
 func (c *Cluster) validateAmounts() *Error {
-	for _, amount := range []number{
+	for _, amount := range []keyedNumber{
 		{"cluster.workers.report_s", c.WorkerTiming.HeartbeatIntervalS},
 		{"cluster.workers.lease_s", c.WorkerTiming.LeaseDurationS},
 		{"cluster.workers.gang_wait_s", c.WorkerTiming.GangWaitTimeoutS},
@@ -127,7 +127,7 @@
 	} {
 		// Negated, so that NaN is refused too.
 		if !(amount.value > 0) {
-			return invalid(amount.key, "must be above 0")
+			return newError(amount.key, "must be above 0")
 		}
 	}
 	return nil
@@ -137,29 +137,29 @@
 // that does not change.
 func (s *Store) validate() *Error {
 	if s.MaxTxnWrites < minTxnOps {
-		return invalid("cluster.state.txn_ops", "must be at least %d", minTxnOps)
+		return newError("cluster.state.txn_ops", "must be at least %d", minTxnOps)
 	}
 	if s.Announced == nil {
 		return nil
 	}
-	for _, limit := range []number{
+	for _, limit := range []keyedNumber{
 		{"cluster.state.next.rps", s.Announced.RequestsPerS},
 		{"cluster.state.next.write_rps", s.Announced.WritesPerS},
 		{"cluster.state.next.value_kb", s.Announced.MaxValueKiB},
 	} {
 		if !(limit.value >= 0) {
-			return invalid(limit.key, "must not be below 0")
+			return newError(limit.key, "must not be below 0")
 		}
 	}
 	if s.Announced.MaxTxnWrites != 0 && s.Announced.MaxTxnWrites < minTxnOps {
-		return invalid("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
+		return newError("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
 	}
 	return nil
 }
 
 func (l *MachineLimits) validate() *Error {
 	if l.MaxSockets < minSockets {
-		return invalid("cluster.machine_limits.max_sockets", "must be at least %d", minSockets)
+		return newError("cluster.machine_limits.max_sockets", "must be at least %d", minSockets)
 	}
 	return nil
 }
--- a/internal/controller/final_jobs.go
+++ b/internal/controller/final_jobs.go
@@ -31,7 +31,7 @@
 // addIfFinal caches a job's record if the job has ended. Only the fields of the job's description
 // that queries need are cached.
 func (f *finalJobCache) addIfFinal(record records.JobRecord) {
-	if !record.Phase.Final() {
+	if !record.Phase.IsFinal() {
 		return
 	}
 	record.Job = &wire.Job{ID: record.Job.ID, Tasks: record.Job.Tasks}
--- a/internal/controller/job_cancel.go
+++ b/internal/controller/job_cancel.go
@@ -20,7 +20,7 @@
 		if err != nil {
 			return wire.JobStatus{}, err
 		}
-		if record.Phase.Final() {
+		if record.Phase.IsFinal() {
 			return jobStatus(record), nil
 		}
 		record.Phase = wire.JobCancelled
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -91,7 +91,7 @@
 	})
 	switch {
 	case err == nil:
-		return api.Submission{Job: jobStatus(record), Created: true}, nil
+		return api.Submission{Job: jobStatus(record), IsNew: true}, nil
 	case needsReread(err):
 		return c.existingJob(ctx, job.ID)
 	default:
@@ -124,7 +124,7 @@
 		return wire.JobStatus{}, err
 	}
 	status := jobStatus(record)
-	if record.Phase.Final() {
+	if record.Phase.IsFinal() {
 		return status, nil
 	}
 	counts := c.jobCounts(id, record.Partition)
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -121,14 +121,14 @@
 	}
 	now := time.Now()
 	state.lastAnswered = now
-	if state.reportedPhase.Final() && state.reportedPhase != phase {
+	if state.reportedPhase.IsFinal() && state.reportedPhase != phase {
 		w.checkWentBack(state, phase, sent)
 		return
 	}
 	if state.acceptedAt.IsZero() {
 		state.acceptedAt = now
 	}
-	if phase.Final() && !state.reportedPhase.Final() {
+	if phase.IsFinal() && !state.reportedPhase.IsFinal() {
 		state.finalAt = now
 	}
 	w.checkCancelWasRequested(state, phase)
@@ -141,7 +141,7 @@
 
 // checkWentBack: a job once called done or cancelled is called something else.
 func (w *Simulation) checkWentBack(state *jobState, phase wire.JobPhase, sent time.Time) {
-	if phase.Final() || sent.After(state.finalAt) {
+	if phase.IsFinal() || sent.After(state.finalAt) {
 		w.violation(ruleWentBack, "%s was called %s, then %s", state.job.ID, state.reportedPhase, phase)
 	}
 }
@@ -355,7 +355,7 @@
 	if state.job.IsService() {
 		enough = state.job.Tasks // each replica has to be there
 	}
-	return placed < enough && !state.reportedPhase.Final() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
+	return placed < enough && !state.reportedPhase.IsFinal() && !w.allDone(state.job) && w.hasCapacityFor(state.job, up)
 }
 
 // hasCapacityFor reports whether a job's first start would find capacity: a task of an array,
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -272,7 +272,7 @@
 			continue
 		}
 		if len(page.Machines) == pageSize {
-			page.More = true
+			page.HasMore = true
 			break
 		}
 		page.Machines = append(page.Machines, machine)
--- a/internal/emulator/kvstore_handlers.go
+++ b/internal/emulator/kvstore_handlers.go
@@ -106,7 +106,7 @@
 	}
 	if len(keys) > pageSize {
 		keys = keys[:pageSize]
-		page.More = true
+		page.HasMore = true
 	}
 	s.listed += len(keys)
 	for _, key := range keys {
--- a/internal/emulator/user.go
+++ b/internal/emulator/user.go
@@ -77,7 +77,7 @@
 			transport.Pause(ctx, submitRetryDelay)
 			continue
 		}
-		if phase := s.poll(ctx); phase.Final() {
+		if phase := s.poll(ctx); phase.IsFinal() {
 			return phase
 		}
 		s.waitForPoll(ctx)
@@ -127,7 +127,7 @@
 	if status != http.StatusOK {
 		return ""
 	}
-	if answer.Phase.Final() {
+	if answer.Phase.IsFinal() {
 		s.pollAllNodes(ctx, s.job.ID, s.body)
 	}
 	if s.CancelDone && answer.Phase == wire.JobDone {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -110,7 +110,7 @@
 			revision = page.Revision
 		}
 		items = append(items, page.Items...)
-		if !page.More || len(page.Items) == 0 {
+		if !page.HasMore || len(page.Items) == 0 {
 			return items, revision, nil
 		}
 		lastKey = page.Items[len(page.Items)-1].Key
--- a/internal/productiontest/productiontest.go
+++ b/internal/productiontest/productiontest.go
@@ -13,11 +13,11 @@
 // serviceFile describes the deployment, relative to the repository's root.
 const serviceFile = "deploy/service.toml"
 
-// newFileMode is the mode of files added to the extracted sources.
-const newFileMode = 0o644
+// addedFileMode is the mode of files added to the extracted sources.
+const addedFileMode = 0o644
 
-// commitLine matches the line of the service file that names the version in production.
-var commitLine = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
+// commitPattern matches the line of the service file that names the version in production.
+var commitPattern = regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`)
 
 // Version is a copy of the sources of the version in production.
 type Version struct{ root string }
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	match := commitLine.FindSubmatch(text)
+	match := commitPattern.FindSubmatch(text)
 	if match == nil {
 		t.Fatalf("%s does not name a production version", serviceFile)
 	}
@@ -54,13 +54,13 @@
 // AddFile adds a file, such as a test, to a directory of the production version.
 func (v *Version) AddFile(t *testing.T, directory, name string, content []byte) {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(v.root, directory, name), content, newFileMode); err != nil {
+	if err := os.WriteFile(filepath.Join(v.root, directory, name), content, addedFileMode); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Test runs one test of the production version with additional environment variables.
-func (v *Version) Test(t *testing.T, directory, name string, env ...string) {
+// RunTest runs one test of the production version with additional environment variables.
+func (v *Version) RunTest(t *testing.T, directory, name string, env ...string) {
 	t.Helper()
 	run := exec.CommandContext(t.Context(), "go", "test", "-count=1", "-run", "^"+name+"$", "./"+directory)
 	run.Dir = v.root
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -54,5 +54,5 @@
 // MachinePage is a page of the cloud's list.
 type MachinePage struct {
 	Machines []CloudMachine `cbor:"hearths"`
-	More     bool           `cbor:"hasNext"`
+	HasMore  bool           `cbor:"hasNext"`
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -54,8 +54,8 @@
 	JobCancelled JobPhase = "aborted"
 )
 
-// Final reports whether a job in this phase can never change again.
-func (p JobPhase) Final() bool { return p == JobDone || p == JobCancelled }
+// IsFinal reports whether a job in this phase can never change again.
+func (p JobPhase) IsFinal() bool { return p == JobDone || p == JobCancelled }
 
 // Job is the specification of a job as its user submits it. Resources are per task.
 type Job struct {
--- a/internal/wire/keyvalue.go
+++ b/internal/wire/keyvalue.go
@@ -11,7 +11,7 @@
 // KeyValuePage is a page of keys.
 type KeyValuePage struct {
 	Items    []KeyValue `cbor:"rows"`
-	More     bool       `cbor:"hasNext"`
+	HasMore  bool       `cbor:"hasNext"`
 	Revision uint64     `cbor:"ledgerMark"` // of the store when it listed the page
 }
 
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -7,9 +7,9 @@
 	maxTasks        = 100000 // tasks in a job, by the protocol
 	maxNameBytes    = 200    // bytes in a name, since names are part of records of bounded size
 	maxMachineTypes = 64     // machine types that a job may allow
-	// maxMachineTypeBytes bounds the names of a job's machine types together, in bytes,
+	// maxMachineTypeNamesBytes bounds the names of a job's machine types together, in bytes,
 	// since they are part of the job's record.
-	maxMachineTypeBytes = 1024
+	maxMachineTypeNamesBytes = 1024
 	// maxAmount bounds resources and, in seconds, durations: more can't be meant.
 	maxAmount = 1e9
 )
@@ -22,7 +22,7 @@
 
 func (e *ValidationError) Error() string { return e.Field + ": " + e.Problem }
 
-func invalid(field, format string, args ...any) error {
+func newValidationError(field, format string, args ...any) error {
 	return &ValidationError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
@@ -104,7 +104,7 @@
 		{"bankS", s.CheckpointSaveS == nil},
 	} {
 		if required.missing {
-			return invalid(required.field, "missing")
+			return newValidationError(required.field, "missing")
 		}
 	}
 	return nil
@@ -112,14 +112,14 @@
 
 func (s *submission) checkID() error {
 	if !ValidJobID(*s.ID) {
-		return invalid("uid", "not a job ID")
+		return newValidationError("uid", "not a job ID")
 	}
 	return nil
 }
 
 func (s *submission) checkTasks() error {
 	if *s.Tasks < 1 || *s.Tasks > maxTasks {
-		return invalid("pieces", "must be from 1 to %d", maxTasks)
+		return newValidationError("pieces", "must be from 1 to %d", maxTasks)
 	}
 	return nil
 }
@@ -129,12 +129,12 @@
 	case ArrayJob, GangJob, ServiceJob:
 		return nil
 	}
-	return invalid("shape", "unknown")
+	return newValidationError("shape", "unknown")
 }
 
 func (s *submission) checkPriority() error {
 	if s.Priority.Value() == unknownPriority {
-		return invalid("rank", "unknown")
+		return newValidationError("rank", "unknown")
 	}
 	return nil
 }
@@ -154,7 +154,7 @@
 
 func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameBytes {
-		return invalid(field, "must have 1 to %d bytes", maxNameBytes)
+		return newValidationError(field, "must have 1 to %d bytes", maxNameBytes)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 	} {
 		// Written so that NaN, which compares to nothing, is out of range too.
 		if !(amount.value >= 0 && amount.value <= maxAmount) {
-			return invalid(amount.field, "must be from 0 to %g", maxAmount)
+			return newValidationError(amount.field, "must be from 0 to %g", maxAmount)
 		}
 	}
 	return nil
@@ -182,7 +182,7 @@
 
 func (s *submission) checkRunTime() error {
 	if *s.Shape == ServiceJob && *s.EstimatedRunS != 0 {
-		return invalid("guessS", "must be 0 for a service, which runs until it is cancelled")
+		return newValidationError("guessS", "must be 0 for a service, which runs until it is cancelled")
 	}
 	return nil
 }
@@ -193,13 +193,13 @@
 	}
 	names := *s.MachineTypes
 	if len(names) == 0 || len(names) > maxMachineTypes {
-		return invalid("breeds", "must have 1 to %d entries, or be left out", maxMachineTypes)
+		return newValidationError("breeds", "must have 1 to %d entries, or be left out", maxMachineTypes)
 	}
 	total := 0
 	for _, name := range names {
 		total += len(name)
-		if name == "" || total > maxMachineTypeBytes {
-			return invalid("breeds", "must not have empty names, nor over %d bytes together", maxMachineTypeBytes)
+		if name == "" || total > maxMachineTypeNamesBytes {
+			return newValidationError("breeds", "must not have empty names, nor over %d bytes together", maxMachineTypeNamesBytes)
 		}
 	}
 	return nil
@@ -214,7 +214,7 @@
 
 func (s *submission) checkDeadline() error {
 	if s.DeadlineS != nil && !(*s.DeadlineS > 0 && *s.DeadlineS <= maxAmount) {
-		return invalid("dueS", "must be above 0 and at most %g, or be left out", maxAmount)
+		return newValidationError("dueS", "must be above 0 and at most %g, or be left out", maxAmount)
 	}
 	return nil
 }
