--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,16 +1,15 @@
-// Package api is the HTTP interface for users, workers and health checks.
+// Package api implements the HTTP interface for users, workers and health checks.
 //
 // Requests and responses are CBOR messages of package wire:
 //
-//	POST /work                 submit a job: 201 if it is new, 200 if it is known
+//	POST /work                 submit a job: 201 if the job is new, 200 if it exists
 //	GET  /work/{id}            query a job: 200
 //	POST /work/{id}/withdraw   cancel a job: 200
 //	POST /agent/beat           heartbeat of a worker: 200, or 421 with the node to report to
 //	GET  /up                   health check: 200, or 503
 //
-// A request that is refused permanently is answered with the status code of a StatusError.
-// One that cannot be served at present is answered 503; Retry-After tells users when to
-// repeat it.
+// A permanent error is returned with the status code of a StatusError. A temporary error is
+// returned as 503; responses to users then have a Retry-After header.
 package api
 
 import (
@@ -25,57 +24,56 @@
 	"ambersill/internal/wire"
 )
 
-// Service serves the requests that the handler has decoded. An error that is not a
-// *StatusError is temporary.
+// Service processes the requests that the HTTP handler receives. Errors other than *StatusError
+// are treated as temporary.
 type Service interface {
-	// Submit accepts the job that an encoded description states. It is idempotent.
+	// Submit decodes a job from a request body and stores it. It is idempotent.
 	Submit(ctx context.Context, body []byte) (Submission, error)
-	// Job returns a job's status.
+	// Job returns the status of a job.
 	Job(ctx context.Context, id string) (wire.JobStatus, error)
 	// Cancel cancels a job and returns its status. It is idempotent.
 	Cancel(ctx context.Context, id string) (wire.JobStatus, error)
-	// Heartbeat answers a worker.
+	// Heartbeat processes the heartbeat of a worker and returns the result to send to it.
 	Heartbeat(heartbeat *wire.Heartbeat) HeartbeatResult
-	// Healthy reports whether the node can take requests.
+	// Healthy reports whether the node can serve requests.
 	Healthy() bool
 }
 
 // Submission is the result of submitting a job.
 type Submission struct {
 	Job   wire.JobStatus
-	IsNew bool // false if the job was known before
+	IsNew bool // false if the job existed before the request
 }
 
-// HeartbeatResult is the result of a worker's heartbeat.
+// HeartbeatResult is the result of processing a heartbeat.
 type HeartbeatResult struct {
-	// Accepted reports whether the heartbeat is answered with Response.
+	// Accepted reports whether the heartbeat was accepted, so that Response is sent.
 	Accepted bool
 	Response wire.HeartbeatResponse
-	// RedirectTo names the node to which the worker should send the next heartbeat instead;
-	// empty if the heartbeat was accepted, or if no such node is known.
+	// RedirectTo names the node to which the worker should send its next heartbeat. It is
+	// empty if the heartbeat was accepted or if no such node is known.
 	RedirectTo string
 }
 
-// StatusError is a permanent error: repeating the request unchanged would not help.
+// StatusError is a permanent error. The same request fails again if it is repeated.
 type StatusError struct {
-	// Status is the HTTP status code, 400 to 499.
+	// Status is the HTTP status code, from 400 to 499.
 	Status int
-	// Reason is the text that the user receives.
+	// Reason is the error message sent to the user.
 	Reason string
 }
 
-// Error returns the reason.
 func (e *StatusError) Error() string { return e.Reason }
 
 // handler serves HTTP requests.
 type handler struct {
 	service            Service
 	retryAfter         string        // value of the Retry-After header, in seconds
-	userRequestTimeout time.Duration // for a user's request
+	userRequestTimeout time.Duration // timeout of a user's request
 }
 
-// Handler returns the HTTP handler of a service. Users' requests that take longer than
-// userTimeout are answered 503, with retryAfterS seconds in Retry-After.
+// Handler returns the HTTP handler for a service. Requests of users that take longer than
+// userRequestTimeout are answered with 503 and a Retry-After header of retryAfterS seconds.
 func Handler(service Service, retryAfterS int, userRequestTimeout time.Duration) http.Handler {
 	h := &handler{service: service, retryAfter: strconv.Itoa(retryAfterS), userRequestTimeout: userRequestTimeout}
 	mux := http.NewServeMux()
@@ -113,10 +111,11 @@
 	h.serveJob(w, r, h.service.Cancel)
 }
 
-// jobOperation is an operation of a Service on the job with an ID.
+// jobOperation is a method of Service that acts on the job with the given ID.
 type jobOperation func(ctx context.Context, id string) (wire.JobStatus, error)
 
-// serveJob answers a request that names a job with the status that the operation returns.
+// serveJob applies an operation to the job named in the request path and responds with the status
+// that the operation returns.
 func (h *handler) serveJob(w http.ResponseWriter, r *http.Request, operation jobOperation) {
 	ctx, cancel := context.WithTimeout(r.Context(), h.userRequestTimeout)
 	defer cancel()
@@ -149,12 +148,12 @@
 	}
 }
 
-// healthResponse is the answer to a health check of a node that can take requests.
+// healthResponse is the response to a health check if the node can serve requests.
 type healthResponse struct {
 	State string `cbor:"state"`
 }
 
-// healthyState is the only state that a health check reports.
+// healthyState is the state in a healthResponse. Unhealthy nodes respond with an ErrorResponse.
 const healthyState = "ok"
 
 func (h *handler) health(w http.ResponseWriter, _ *http.Request) {
@@ -165,7 +164,8 @@
 	h.writeResponse(w, http.StatusOK, healthResponse{State: healthyState})
 }
 
-// readBody reads a request's body. If that fails, it answers the request and returns false.
+// readBody reads the body of a request. If reading fails or the body exceeds wire.MaxBodyBytes, it
+// responds with 400 and returns false.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
@@ -175,13 +175,14 @@
 	return body, true
 }
 
-// writeError answers a StatusError with its status code and reason, and other errors with 503.
+// writeError responds to a StatusError with its status code and reason, and to other errors with 503
+// and Retry-After.
 func (h *handler) writeError(w http.ResponseWriter, err error) {
 	if statusErr, ok := errors.AsType[*StatusError](err); ok {
 		h.writeResponse(w, statusErr.Status, wire.ErrorResponse{Error: statusErr.Reason})
 		return
 	}
-	slog.Debug("request refused for now", "err", err)
+	slog.Debug("user request failed temporarily", "err", err)
 	w.Header().Set("Retry-After", h.retryAfter)
 	h.writeResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "come back later"})
 }
@@ -189,7 +190,7 @@
 func (h *handler) writeResponse(w http.ResponseWriter, status int, message any) {
 	body, err := wire.Marshal(message)
 	if err != nil {
-		slog.Error("answer not encoded", "err", err)
+		slog.Error("encoding response failed", "err", err)
 		status, body = http.StatusInternalServerError, nil
 	}
 	w.Header().Set("Content-Type", wire.ContentType)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// minTxnOps is the fewest writes that a transaction must allow: the end of a job or of
-	// a rental takes two, and a third lets another change go with it.
-	minTxnOps = 3
-	// minSockets is the fewest sockets that a controller can do its work with.
+	// minTxnWrites is the smallest supported limit on the writes of a transaction. Completing a
+	// job or a rental takes two writes, and a third allows another change in the same
+	// transaction.
+	minTxnWrites = 3
+	// minSockets is the smallest number of sockets with which a controller can operate.
 	minSockets = 50
 )
 
-// keyedNumber is the value of a key.
+// keyedNumber is a key of the settings file and its numeric value.
 type keyedNumber struct {
 	key   string
 	value float64
 }
 
-// newError returns an error without a file, which Load adds.
+// newError returns an Error without the file, which Load and LoadPolicy add.
 func newError(key, format string, args ...any) *Error {
 	return &Error{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// validate returns the first problem, in the order of the file's sections, or nil.
+// validate returns the first problem found, in the order of the sections of the file, or nil if the
+// settings are valid.
 func (s *Settings) validate() *Error {
 	for _, check := range []func() *Error{
 		s.validateNode,
@@ -72,7 +74,7 @@
 
 func validateAddress(key, address string) *Error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return newError(key, "%q is not of the form host:port", address)
+		return newError(key, "got %q, must be of the form host:port", address)
 	}
 	return nil
 }
@@ -81,7 +83,7 @@
 	nodes := map[string]bool{s.Node: true}
 	for i, member := range s.Members {
 		if member.Node == "" || nodes[member.Node] {
-			return newError(fmt.Sprintf("members[%d].node", i), "missing or duplicate")
+			return newError(fmt.Sprintf("members[%d].node", i), "must be present and unique")
 		}
 		nodes[member.Node] = true
 		if problem := validateAddress(fmt.Sprintf("members[%d].addr", i), member.Addr); problem != nil {
@@ -102,11 +104,11 @@
 	names := map[string]bool{}
 	for i, team := range c.Teams {
 		if team.Name == "" || names[team.Name] {
-			return newError(fmt.Sprintf("cluster.teams[%d].name", i), "missing or duplicate")
+			return newError(fmt.Sprintf("cluster.teams[%d].name", i), "must be present and unique")
 		}
 		names[team.Name] = true
 		if team.CPUs < 0 || team.MaxCPUs < 0 || team.GPUs < 0 || team.MaxGPUs < 0 {
-			return newError(fmt.Sprintf("cluster.teams[%d]", i), "an amount is negative")
+			return newError(fmt.Sprintf("cluster.teams[%d]", i), "amounts of CPUs and GPUs must not be negative")
 		}
 	}
 	return nil
@@ -125,7 +127,7 @@
 		{"cluster.cloud.rps", c.Cloud.RequestsPerS},
 		{"cluster.machine_limits.ram_mb", c.Limits.MemoryMiB},
 	} {
-		// Negated, so that NaN is refused too.
+		// The condition is negated so that it also rejects NaN.
 		if !(amount.value > 0) {
 			return newError(amount.key, "must be above 0")
 		}
@@ -133,11 +135,11 @@
 	return nil
 }
 
-// validate checks what validateAmounts does not. Of the announced limits, 0 stands for one
-// that does not change.
+// validate checks the limits of the key-value store that validateAmounts does not check. An
+// announced limit may be 0, which means that the limit does not change.
 func (s *Store) validate() *Error {
-	if s.MaxTxnWrites < minTxnOps {
-		return newError("cluster.state.txn_ops", "must be at least %d", minTxnOps)
+	if s.MaxTxnWrites < minTxnWrites {
+		return newError("cluster.state.txn_ops", "must be at least %d", minTxnWrites)
 	}
 	if s.Announced == nil {
 		return nil
@@ -148,11 +150,11 @@
 		{"cluster.state.next.value_kb", s.Announced.MaxValueKiB},
 	} {
 		if !(limit.value >= 0) {
-			return newError(limit.key, "must not be below 0")
+			return newError(limit.key, "must not be negative")
 		}
 	}
-	if s.Announced.MaxTxnWrites != 0 && s.Announced.MaxTxnWrites < minTxnOps {
-		return newError("cluster.state.next.txn_ops", "must be at least %d", minTxnOps)
+	if s.Announced.MaxTxnWrites != 0 && s.Announced.MaxTxnWrites < minTxnWrites {
+		return newError("cluster.state.next.txn_ops", "must be at least %d", minTxnWrites)
 	}
 	return nil
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,20 +1,20 @@
 package wire
 
-// MachineType is one entry of the cloud's catalog.
+// MachineType describes one machine type in the cloud's catalog.
 type MachineType struct {
 	Name             string   `cbor:"sku"`
 	CPUs             float64  `cbor:"cores"`
 	GPUs             float64  `cbor:"gpus"`
 	MemoryGB         float64  `cbor:"ramGb"`
-	ImageCacheGB     float64  `cbor:"localGb"`     // disk for images, in GB
-	ImageFetchGBPerS float64  `cbor:"pullGbPerS"`  // rate of fetching images, in GB per second
-	HourlyPrice      float64  `cbor:"hourly"`      // on demand
-	HourlySpotPrice  float64  `cbor:"marketPrice"` // as a spot instance, at present
-	BootS            float64  `cbor:"bootS"`       // usual time to boot, in seconds
+	ImageCacheGB     float64  `cbor:"localGb"`     // disk space for container images, in GB
+	ImageFetchGBPerS float64  `cbor:"pullGbPerS"`  // rate at which images are fetched, in GB per second
+	HourlyPrice      float64  `cbor:"hourly"`      // price per hour on demand
+	HourlySpotPrice  float64  `cbor:"marketPrice"` // current price per hour as a spot instance
+	BootS            float64  `cbor:"bootS"`       // typical boot time, in seconds
 	Zones            []string `cbor:"fields"`      // zones that offer the type
 }
 
-// Catalog lists the machine types.
+// Catalog lists the machine types that the cloud offers.
 type Catalog struct {
 	Types []MachineType `cbor:"breeds"`
 }
@@ -28,7 +28,7 @@
 	Count       int    `cbor:"count"`
 }
 
-// MachineIDs lists machines that were rented, or that are to be returned.
+// MachineIDs lists the machines that a rental returned, or that are to be returned to the cloud.
 type MachineIDs struct {
 	Machines []string `cbor:"hearths"`
 }
@@ -48,10 +48,11 @@
 	Zone        string  `cbor:"field"`
 	Spot        bool    `cbor:"windfall"`
 	State       string  `cbor:"phase"`
-	AgeS        float64 `cbor:"ageS"` // seconds since it was rented
+	AgeS        float64 `cbor:"ageS"` // seconds since the machine was rented
 }
 
-// MachinePage is a page of the cloud's list.
+// MachinePage is one page of the cloud's list of rented machines. HasMore is true if further
+// pages follow.
 type MachinePage struct {
 	Machines []CloudMachine `cbor:"hearths"`
 	HasMore  bool           `cbor:"hasNext"`
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -9,21 +9,21 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ContentType is the content type of every body.
+// ContentType is the content type of every request and response body.
 const ContentType = "application/cbor"
 
-// MaxBodyBytes is the protocol's limit on bodies of requests, and of responses to users and
-// workers.
+// MaxBodyBytes is the limit of 64 KiB that the protocol sets on request bodies and on the bodies
+// of responses to users and workers.
 const MaxBodyBytes = 64 << 10
 
-// maxResponseBytes bounds responses of the key-value store and the cloud. Pages have at most
-// 512 KiB; a watch may return all changes of a longer time at once.
+// maxResponseBytes limits responses of the key-value store and the cloud. A page has at most
+// 512 KiB, but one watch response may hold the changes of a long period.
 const maxResponseBytes = 8 << 20
 
-// Limits of decoding, which bound what a hostile body can cost.
+// Decoding limits bound the time and memory that a malicious message can consume.
 const (
 	maxNestedLevels = 16
-	maxElements     = 1 << 17 // of an array or a map
+	maxElements     = 1 << 17 // elements of an array, or pairs of a map
 )
 
 var (
@@ -42,28 +42,29 @@
 	return v
 }
 
-// Raw is a value that stays encoded until its reader knows its type.
+// Raw is an encoded CBOR value that is decoded later, when its type is known.
 type Raw = cbor.RawMessage
 
-// ErrorResponse is the body of a refusal.
+// ErrorResponse is the body of a response that refuses a request.
 type ErrorResponse struct {
 	Error string `cbor:"error"`
 }
 
-// ResponseTooLargeError reports a response over the size limit.
+// ResponseTooLargeError reports that a response exceeds the size limit.
 type ResponseTooLargeError struct{ LimitBytes int }
 
 func (e *ResponseTooLargeError) Error() string {
-	return fmt.Sprintf("response over %d bytes", e.LimitBytes)
+	return fmt.Sprintf("response exceeds %d bytes", e.LimitBytes)
 }
 
 // Marshal encodes a message.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Unmarshal decodes exactly one message; anything after it is an error.
+// Unmarshal decodes a single message. It returns an error if data follows the message.
 func Unmarshal(b []byte, v any) error { return decMode.Unmarshal(b, v) }
 
-// ReadResponse reads and decodes a response of bounded size.
+// ReadResponse reads and decodes a response. It returns a *ResponseTooLargeError if the response
+// exceeds maxResponseBytes.
 func ReadResponse(r io.Reader, v any) error {
 	body, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
 	if err != nil {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -2,22 +2,22 @@
 
 import "regexp"
 
-// JobShape says how the tasks of a job relate to each other.
+// JobShape is the kind of a job: an array, a gang or a service.
 type JobShape string
 
 const (
-	// ArrayJob is a job array: independent tasks.
+	// ArrayJob is an array of independent tasks.
 	ArrayJob JobShape = "array"
-	// GangJob is scheduled as a gang: its tasks run at the same time or not at all.
+	// GangJob is scheduled as a gang. Its tasks run at the same time or not at all.
 	GangJob JobShape = "ensemble"
-	// ServiceJob has independent tasks, its replicas, which run until the job is cancelled.
+	// ServiceJob has independent replicas as its tasks. They run until the job is cancelled.
 	ServiceJob JobShape = "service"
 )
 
-// Priority is the priority of a job.
+// Priority is the priority class of a job.
 type Priority string
 
-// The priorities, highest first.
+// Priorities, from highest to lowest.
 const (
 	PriorityProduction Priority = "production"
 	PriorityUrgent     Priority = "urgent"
@@ -25,10 +25,11 @@
 	PriorityIdle       Priority = "idle"
 )
 
-// unknownPriority is the value of a priority that the protocol does not define.
+// unknownPriority is the value returned for a priority that the protocol does not define.
 const unknownPriority = -1
 
-// Value orders priorities: the higher, the more urgent. It is negative for an unknown one.
+// Value returns a number that orders priorities; a higher number is more urgent. It returns a
+// negative number for an unknown priority.
 func (p Priority) Value() int {
 	switch p {
 	case PriorityProduction:
@@ -43,10 +44,10 @@
 	return unknownPriority
 }
 
-// JobPhase is the phase of a job as users see it.
+// JobPhase is the phase of a job that is reported to users.
 type JobPhase string
 
-// The phases of a job.
+// Phases of a job.
 const (
 	JobQueued    JobPhase = "queued"
 	JobRunning   JobPhase = "running"
@@ -54,37 +55,38 @@
 	JobCancelled JobPhase = "aborted"
 )
 
-// IsFinal reports whether a job in this phase can never change again.
+// IsFinal reports whether the phase of a job can no longer change.
 func (p JobPhase) IsFinal() bool { return p == JobDone || p == JobCancelled }
 
-// Job is the specification of a job as its user submits it. Resources are per task.
+// Job is the specification of a job as submitted by its user. CPUs, GPUs, memory and run time
+// are per task.
 type Job struct {
 	ID                  string   `cbor:"uid"`
-	Class               string   `cbor:"lane"` // kind of work, such as training
-	Team                string   `cbor:"crew"` // whose quota the job counts against
+	Class               string   `cbor:"lane"` // workload class, such as "train"
+	Team                string   `cbor:"crew"` // team whose quota the job uses
 	Shape               JobShape `cbor:"shape"`
 	Priority            Priority `cbor:"rank"`
 	Tasks               int      `cbor:"pieces"`           // number of tasks
-	CPUs                float64  `cbor:"cores"`            // cores of a task
-	GPUs                float64  `cbor:"gpus"`             // GPUs of a task
-	MemoryGB            float64  `cbor:"ramGb"`            // memory of a task, in GB
-	Image               string   `cbor:"pattern"`          // container image
+	CPUs                float64  `cbor:"cores"`            // CPU cores per task
+	GPUs                float64  `cbor:"gpus"`             // GPUs per task
+	MemoryGB            float64  `cbor:"ramGb"`            // memory per task, in GB
+	Image               string   `cbor:"pattern"`          // name of the container image
 	ImageGB             float64  `cbor:"imageGb"`          // size of the image, in GB
-	MachineTypes        []string `cbor:"breeds,omitempty"` // machine types allowed; empty: all
-	Zone                string   `cbor:"field,omitempty"`  // zone required; empty: any
-	SingleZone          bool     `cbor:"samePlace"`        // all tasks in one zone
-	SpreadZones         bool     `cbor:"spread"`           // tasks spread over zones
-	AllowSpot           bool     `cbor:"windfall"`         // spot instances are allowed
-	EstimatedRunS       float64  `cbor:"guessS"`           // run time of a task, in seconds; 0 for services
+	MachineTypes        []string `cbor:"breeds,omitempty"` // allowed machine types; all if empty
+	Zone                string   `cbor:"field,omitempty"`  // required zone; any if empty
+	SingleZone          bool     `cbor:"samePlace"`        // all tasks must run in one zone
+	SpreadZones         bool     `cbor:"spread"`           // tasks are spread over zones
+	AllowSpot           bool     `cbor:"windfall"`         // tasks may run on spot instances
+	EstimatedRunS       float64  `cbor:"guessS"`           // estimated run time of a task, in seconds; 0 for services
 	CheckpointIntervalS float64  `cbor:"stitchS"`          // seconds between checkpoints
-	CheckpointSaveS     float64  `cbor:"bankS"`            // seconds that saving a checkpoint takes
-	DeadlineS           float64  `cbor:"dueS,omitempty"`   // seconds after submission; 0: none
+	CheckpointSaveS     float64  `cbor:"bankS"`            // seconds to save a checkpoint
+	DeadlineS           float64  `cbor:"dueS,omitempty"`   // deadline in seconds after submission; none if 0
 }
 
-// IsGang reports whether all tasks of the job run at the same time.
+// IsGang reports whether the tasks of the job must run at the same time.
 func (j *Job) IsGang() bool { return j.Shape == GangJob }
 
-// IsService reports whether the job's tasks run until it is cancelled.
+// IsService reports whether the tasks of the job run until the job is cancelled.
 func (j *Job) IsService() bool { return j.Shape == ServiceJob }
 
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,18}$`)
@@ -92,10 +94,10 @@
 // ValidJobID reports whether id has the form of a job ID.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// JobStatus answers a submission, a query or a cancellation.
+// JobStatus is the response to a submission, a query or a cancellation of a job.
 type JobStatus struct {
 	ID      string   `cbor:"uid"`
 	Phase   JobPhase `cbor:"phase"`
-	Done    int      `cbor:"done"`    // tasks done
-	Running int      `cbor:"running"` // tasks running
+	Done    int      `cbor:"done"`    // number of completed tasks
+	Running int      `cbor:"running"` // number of running tasks
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -5,99 +5,100 @@
 	"strings"
 )
 
-// TaskState is the state of a task as its worker reports it.
+// TaskState is the state of a task that its worker reports.
 type TaskState string
 
-// The states of a task on its machine.
+// States of a task on its machine.
 const (
-	TaskFetching       TaskState = "fetching"  // fetches its image
-	TaskWaitingForGang TaskState = "gathering" // waits for the rest of its gang
+	TaskFetching       TaskState = "fetching"  // the machine fetches the container image
+	TaskWaitingForGang TaskState = "gathering" // the task waits for the other tasks of its gang
 	TaskRunning        TaskState = "running"
-	TaskSaving         TaskState = "saving" // saves a checkpoint before it stops
+	TaskSaving         TaskState = "saving" // the task saves a checkpoint before it stops
 	TaskExited         TaskState = "ended"
 )
 
-// ExitCause says why a task exited.
+// ExitCause is the reason why a task exited.
 type ExitCause string
 
-// The causes of an exit that decide what happens next.
+// Exit causes that the scheduler distinguishes.
 const (
 	ExitDone                  ExitCause = "done"
-	ExitStopped               ExitCause = "halted"     // by a command
+	ExitStopped               ExitCause = "halted"     // stopped by a command
 	ExitGangMemberLost        ExitCause = "mates_gone" // another task of the gang was lost
-	ExitGangIncomplete        ExitCause = "incomplete" // the gang was not complete in time
+	ExitGangIncomplete        ExitCause = "incomplete" // the gang was not complete within the timeout
 	ExitError                 ExitCause = "error"
-	ExitInsufficientResources ExitCause = "full"    // the machine had no capacity left
-	ExitTaskPresent           ExitCause = "busy"    // another attempt of the task is there
-	ExitTaskUnknown           ExitCause = "unknown" // the command named no known task
+	ExitInsufficientResources ExitCause = "full"    // the machine had too little free capacity
+	ExitTaskPresent           ExitCause = "busy"    // the machine has another attempt of the task
+	ExitTaskUnknown           ExitCause = "unknown" // the command named a task that the worker does not have
 )
 
-// TaskStatus is one task in a heartbeat.
+// TaskStatus is the status of one task in a heartbeat.
 type TaskStatus struct {
-	Task            string    `cbor:"piece"` // see TaskName
-	Attempt         uint64    `cbor:"try"`   // number of the attempt to run it
+	Task            string    `cbor:"piece"` // name of the task, as returned by TaskName
+	Attempt         uint64    `cbor:"try"`   // number of the attempt to run the task
 	State           TaskState `cbor:"phase"`
 	ExitCause       ExitCause `cbor:"cause,omitempty"`
 	CheckpointSaved bool      `cbor:"stored,omitempty"`
 }
 
-// Heartbeat is a worker's report on its machine.
+// Heartbeat is the message in which a worker reports the state of its machine and tasks.
 type Heartbeat struct {
 	Machine            string       `cbor:"hearth"`
 	Address            string       `cbor:"address"`
 	MachineType        string       `cbor:"breed"`
 	Zone               string       `cbor:"field"`
 	Spot               bool         `cbor:"windfall"`
-	Incarnation        uint64       `cbor:"tenure"`   // epoch of the worker; its tasks end with it
-	Sequence           uint64       `cbor:"tally"`    // number of the heartbeat; rises by one each
-	FencingToken       uint64       `cbor:"mandate"`  // highest that the worker has seen
-	TerminationNoticeS *float64     `cbor:"warningS"` // seconds until a spot instance is taken; nil: no notice
+	Incarnation        uint64       `cbor:"tenure"`   // incarnation of the worker; its tasks do not outlive it
+	Sequence           uint64       `cbor:"tally"`    // sequence number, which rises by one with each heartbeat
+	FencingToken       uint64       `cbor:"mandate"`  // highest fencing token that the worker has seen
+	TerminationNoticeS *float64     `cbor:"warningS"` // seconds until the spot instance is terminated; nil without notice
 	Tasks              []TaskStatus `cbor:"pieces"`
 }
 
-// Op is the operation of a command.
+// Op is the operation that a command requests.
 type Op string
 
-// The operations.
+// Operations of a command.
 const (
 	StartTask  Op = "start"
 	StopTask   Op = "kill"
-	ForgetTask Op = "clear" // drops a task that has exited
+	ForgetTask Op = "clear" // removes a task that has exited
 )
 
-// Command tells a worker to do one operation on a task.
+// Command instructs a worker to perform an operation on one attempt of a task.
 type Command struct {
 	Op           Op      `cbor:"verb"`
 	Task         string  `cbor:"piece"`
 	Attempt      uint64  `cbor:"try"`
-	GracePeriodS float64 `cbor:"mercyS"` // seconds that a task may take to stop
+	GracePeriodS float64 `cbor:"mercyS"` // seconds that the task has to stop
 }
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the response to an accepted heartbeat.
 type HeartbeatResponse struct {
 	FencingToken uint64    `cbor:"mandate"`
 	Commands     []Command `cbor:"bids"`
 }
 
-// CommandRequest carries commands that are sent directly to a worker.
+// CommandRequest sends commands to a worker outside heartbeat responses.
 type CommandRequest struct {
-	FencingToken uint64    `cbor:"mandate"` // the worker refuses a lower one than it has seen
-	Incarnation  uint64    `cbor:"tenure"`  // the worker refuses any but its own
+	FencingToken uint64    `cbor:"mandate"` // the worker rejects a token lower than the highest it has seen
+	Incarnation  uint64    `cbor:"tenure"`  // the worker rejects any incarnation but its own
 	Commands     []Command `cbor:"bids"`
 }
 
-// Redirect names the node that a worker should send its heartbeats to.
+// Redirect names the node to which a worker should send its next heartbeats.
 type Redirect struct {
 	Node string `cbor:"answerTo,omitempty"`
 }
 
-// taskNameSeparator is between the job's ID and the task's index.
+// taskNameSeparator separates the job ID and the task index in a task name.
 const taskNameSeparator = "/"
 
-// TaskName returns the protocol's name of a task of a job.
+// TaskName returns the name of a task in the protocol, in the form JOB/INDEX.
 func TaskName(job string, index int) string { return job + taskNameSeparator + strconv.Itoa(index) }
 
-// ParseTaskName splits a task's name into job ID and index. ok reports whether it is one.
+// ParseTaskName splits a task name into job ID and task index. ok reports whether name has the
+// form JOB/INDEX with an index in the valid range.
 func ParseTaskName(name string) (job string, index int, ok bool) {
 	job, digits, found := strings.Cut(name, taskNameSeparator)
 	if !found {
